--- a/cypresspulley/__main__.py
+++ b/quota_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cypresspulley``: one limiter, configured by the file that LB_CONFIG names."""
+"""``python -m quota_gateway``: one limiter, configured by the file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 import uvloop
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.net.counter import CounterClient
-from cypresspulley.net.discovery import Follower, Listing, listing_from
-from cypresspulley.net.figures import Figures
-from cypresspulley.net.frontend import Frontend
-from cypresspulley.net.http import split_address
-from cypresspulley.net.mgmt import Mgmt
-from cypresspulley.net.node import Node, unix_clock
-from cypresspulley.net.shared import Shared
-from cypresspulley.net.upstream import Upstream
-from cypresspulley.settings import Timing, check_retuned, settings_from, timing_from
-
-log = logging.getLogger("cypresspulley")
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.net.counter import CounterClient
+from quota_gateway.net.discovery import Follower, Listing, listing_from
+from quota_gateway.net.figures import Figures
+from quota_gateway.net.frontend import Frontend
+from quota_gateway.net.http import split_address
+from quota_gateway.net.mgmt import Mgmt
+from quota_gateway.net.node import Node, unix_clock
+from quota_gateway.net.shared import Shared
+from quota_gateway.net.upstream import Upstream
+from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
+
+log = logging.getLogger("quota_gateway")
 
 SPARE_SOCKETS = 48  # descriptors kept for everything but clients and servers, and for those being closed
 SPARE_OF_TWO = 24  # for each process, while two of them share the descriptors
@@ -279,7 +279,7 @@
     try:
         uvloop.run(serve(load_config(os.environ.get("LB_CONFIG"))))
     except ConfigError as error:
-        print(f"cypresspulley: {error}", file=sys.stderr)
+        print(f"quota_gateway: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/cypresspulley/benchlink.py
+++ b/quota_gateway/benchlink.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NoReturn, TextIO, TypeVar
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.settings import SettingsError, settings_from
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.settings import SettingsError, settings_from
 
 STATUS = {
     "OK": api.Status.OK,
--- a/cypresspulley/decide.py
+++ b/quota_gateway/decide.py
@@ -7,9 +7,9 @@
 from random import Random
 from typing import Any
 
-from cypresspulley import interface as api
-from cypresspulley.interface import Action, Effect, Status
-from cypresspulley.quota import Account, Calls
+from quota_gateway import interface as api
+from quota_gateway.interface import Action, Effect, Status
+from quota_gateway.quota import Account, Calls
 
 REFERENCE, GAIN, RESET, INTERVAL, STALL = 0.8, 20.0, 2.8, 1.0, 2.5  # the design's loop; intervals of a stall
 AIM_SHARE, PLAIN_ROOM = 0.5, 0.5  # latency / aim that reads as the reference; load / reference of plain room
--- a/cypresspulley/net/bodies.py
+++ b/quota_gateway/net/bodies.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from cypresspulley.net.http import MAX_BODY
+from quota_gateway.net.http import MAX_BODY
 
 
 class Source(Protocol):
--- a/cypresspulley/net/counter.py
+++ b/quota_gateway/net/counter.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import cast
 
-from cypresspulley.interface import Status
+from quota_gateway.interface import Status
 
 log = logging.getLogger(__name__)
 
--- a/cypresspulley/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -14,8 +14,8 @@
 
 import httptools
 
-from cypresspulley import interface as api
-from cypresspulley.net.http import split_address
+from quota_gateway import interface as api
+from quota_gateway.net.http import split_address
 
 log = logging.getLogger(__name__)
 
--- a/cypresspulley/net/frontend.py
+++ b/quota_gateway/net/frontend.py
@@ -18,10 +18,10 @@
 
 import httptools
 
-from cypresspulley import interface as api
-from cypresspulley.net.bodies import Pipe
-from cypresspulley.net.figures import Figures
-from cypresspulley.net.http import MAX_BODY, MAX_HEAD, MAX_LONG, NOT_FORWARDED, PIECE
+from quota_gateway import interface as api
+from quota_gateway.net.bodies import Pipe
+from quota_gateway.net.figures import Figures
+from quota_gateway.net.http import MAX_BODY, MAX_HEAD, MAX_LONG, NOT_FORWARDED, PIECE
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
--- a/cypresspulley/net/mgmt.py
+++ b/quota_gateway/net/mgmt.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from cypresspulley import interface as api
+from quota_gateway import interface as api
 
 log = logging.getLogger(__name__)
 
--- a/cypresspulley/net/node.py
+++ b/quota_gateway/net/node.py
@@ -16,14 +16,14 @@
 from functools import partial
 from typing import Any, Protocol
 
-from cypresspulley import interface as api
-from cypresspulley.net.bodies import Pipe
-from cypresspulley.net.counter import CounterClient
-from cypresspulley.net.discovery import Listing
-from cypresspulley.net.figures import Figures
-from cypresspulley.net.frontend import ClientRequest
-from cypresspulley.net.shared import Shared
-from cypresspulley.net.upstream import Exchange, Upstream, load_report
+from quota_gateway import interface as api
+from quota_gateway.net.bodies import Pipe
+from quota_gateway.net.counter import CounterClient
+from quota_gateway.net.discovery import Listing
+from quota_gateway.net.figures import Figures
+from quota_gateway.net.frontend import ClientRequest
+from quota_gateway.net.shared import Shared
+from quota_gateway.net.upstream import Exchange, Upstream, load_report
 
 log = logging.getLogger(__name__)
 
--- a/cypresspulley/net/shared.py
+++ b/quota_gateway/net/shared.py
@@ -19,11 +19,12 @@
 from pathlib import Path
 from typing import Any
 
-from cypresspulley import interface as api
+from quota_gateway import interface as api
 
 log = logging.getLogger(__name__)
 
 LOOK = 0.1  # seconds between two looks: within a second a ban must hold in the other process too
+# The folder keeps the name of the earlier package: an old process and a new one meet in it during an upgrade.
 FOLDER, PROCESS, BANS, LOCK = "cypresspulley", "process-", "bans.json", "bans.lock"
 MOST_BANS, MAX_FILE = 4096, 4 * 1024 * 1024
 NOTES = "notes-for-"  # what one process has learnt, for one other by the name of its file
--- a/cypresspulley/net/upstream.py
+++ b/quota_gateway/net/upstream.py
@@ -22,10 +22,10 @@
 
 import httptools
 
-from cypresspulley.interface import Status
-from cypresspulley.net.bodies import Pipe
-from cypresspulley.net.figures import Figures
-from cypresspulley.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED, PIECE, split_address
+from quota_gateway.interface import Status
+from quota_gateway.net.bodies import Pipe
+from quota_gateway.net.figures import Figures
+from quota_gateway.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED, PIECE, split_address
 
 log = logging.getLogger(__name__)
 
--- a/cypresspulley/quota.py
+++ b/quota_gateway/quota.py
@@ -3,8 +3,8 @@
 from hashlib import blake2b
 from math import exp
 
-from cypresspulley import interface as api
-from cypresspulley.interface import Status
+from quota_gateway import interface as api
+from quota_gateway.interface import Status
 
 CALLS = 300.0  # calls a second to the counter, thought possible at first by all, and at most by one
 # Calls a second that one may make more, a second later, while the counter answers quickly, and at most by
--- a/cypresspulley/settings.py
+++ b/quota_gateway/settings.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
-from cypresspulley import interface as api
+from quota_gateway import interface as api
 
 EFFECT = {"idempotent": api.Effect.SAFE, "deduplicated": api.Effect.KEYED, "at_most_once": api.Effect.UNSAFE}
 SCOPE = {scope.value: scope for scope in api.Scope}
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -11,9 +11,9 @@
 from time import process_time_ns
 from typing import Any
 
-from cypresspulley.decide import FORGET
-from cypresspulley.net.discovery import listing_from
-from cypresspulley.settings import check_retuned, settings_from
+from quota_gateway.decide import FORGET
+from quota_gateway.net.discovery import listing_from
+from quota_gateway.settings import check_retuned, settings_from
 from scale import day, fit
 from scale.hollow import Hollow
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
--- a/scale/fleet_limiters.py
+++ b/scale/fleet_limiters.py
@@ -19,9 +19,9 @@
 from random import Random
 from typing import Any
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.net.discovery import SILENCE, pause
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.net.discovery import SILENCE, pause
 from scale import fleet_peers as peers
 from scale.demand import BEGIN, Demand
 from scale.lockstep import Exchange
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -13,11 +13,11 @@
 from time import process_time_ns
 from typing import Any
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.net.discovery import listing_from
-from cypresspulley.quota import Account
-from cypresspulley.settings import settings_from
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.net.discovery import listing_from
+from quota_gateway.quota import Account
+from quota_gateway.settings import settings_from
 from scale.model import Size
 
 PLAN = "basic"
--- a/scale/in_force.py
+++ b/scale/in_force.py
@@ -29,8 +29,8 @@
 
 import uvloop
 
-from cypresspulley.net.discovery import Follower, Listing
-from cypresspulley.settings import timing_from
+from quota_gateway.net.discovery import Follower, Listing
+from quota_gateway.settings import timing_from
 from scale import fit
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.peers import CounterSpec, DiscoveryStandIn, ServersSpec, hosts_of
--- a/scale/latency.py
+++ b/scale/latency.py
@@ -26,9 +26,9 @@
 import uvloop
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.settings import settings_from
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.settings import settings_from
 from scale import fit
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.peers import CounterSpec, ServersSpec, Wheel, hosts_of
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -13,12 +13,12 @@
 
 import uvloop
 
-from cypresspulley import interface as api
-from cypresspulley.net.counter import CounterClient
-from cypresspulley.net.discovery import Discovery, Listing, listing_from
-from cypresspulley.net.node import Node, unix_clock
-from cypresspulley.net.upstream import Upstream
-from cypresspulley.settings import settings_from
+from quota_gateway import interface as api
+from quota_gateway.net.counter import CounterClient
+from quota_gateway.net.discovery import Discovery, Listing, listing_from
+from quota_gateway.net.node import Node, unix_clock
+from quota_gateway.net.upstream import Upstream
+from quota_gateway.settings import settings_from
 from scale import day, fit
 from scale.hollow import CALM, STORE, TENSE, Hollow, Mix, settings, told, whole_list
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
--- a/scale/program.py
+++ b/scale/program.py
@@ -190,7 +190,7 @@
             path.write_text(json.dumps(raw))
             with log.open("wb") as errors:
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "cypresspulley", cwd=ROOT, stderr=errors,
+                    sys.executable, "-m", "quota_gateway", cwd=ROOT, stderr=errors,
                     env={**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(scratch)},
                 )  # fmt: skip
             limiter = Limiter(f"limiter {name}", process, log)
--- a/scale/staging.py
+++ b/scale/staging.py
@@ -41,17 +41,17 @@
 def work(me: int, count: int, exchange: Exchange, play: Play) -> Tally:
     """The part of one worker; it runs in a process of its own, which has not met the decisions yet."""
     if play.package:
-        if any(name.partition(".")[0] == "cypresspulley" for name in sys.modules):
+        if any(name.partition(".")[0] == "quota_gateway" for name in sys.modules):
             raise RuntimeError("the decisions are here already: another checkout's cannot be taken")
         sys.path.insert(0, play.package)
-    import cypresspulley
+    import quota_gateway
 
     if play.package:
-        found = Path(cypresspulley.__file__).resolve()
+        found = Path(quota_gateway.__file__).resolve()
         if not found.is_relative_to(Path(play.package).resolve()):
             raise RuntimeError("the checkout given has no decisions")
         # Only the decisions come from there: the test itself is this one.
-        import cypresspulley.decide
+        import quota_gateway.decide
 
         sys.path.remove(play.package)
     from scale.fleet_limiters import Worker
--- a/scale/state.py
+++ b/scale/state.py
@@ -17,15 +17,15 @@
 
 import uvloop
 
-from cypresspulley import __main__ as _program  # noqa: F401  all of the program is in a limiter's memory
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.net.counter import CounterClient
-from cypresspulley.net.discovery import listing_from
-from cypresspulley.net.frontend import Frontend, RequestReader
-from cypresspulley.net.node import Node, unix_clock
-from cypresspulley.net.upstream import Exchange, Upstream
-from cypresspulley.settings import settings_from
+from quota_gateway import __main__ as _program  # noqa: F401  all of the program is in a limiter's memory
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.net.counter import CounterClient
+from quota_gateway.net.discovery import listing_from
+from quota_gateway.net.frontend import Frontend, RequestReader
+from quota_gateway.net.node import Node, unix_clock
+from quota_gateway.net.upstream import Exchange, Upstream
+from quota_gateway.settings import settings_from
 from scale import day, fit
 from scale.hollow import PLAN, TTL, Hollow, settings, whole_list
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,12 +10,12 @@
 
 import uvloop
 
-from cypresspulley import interface as api
-from cypresspulley.net.counter import CounterClient
-from cypresspulley.net.discovery import Listing
-from cypresspulley.net.frontend import Frontend
-from cypresspulley.net.node import Node, unix_clock
-from cypresspulley.net.upstream import Upstream
+from quota_gateway import interface as api
+from quota_gateway.net.counter import CounterClient
+from quota_gateway.net.discovery import Listing
+from quota_gateway.net.frontend import Frontend
+from quota_gateway.net.node import Node, unix_clock
+from quota_gateway.net.upstream import Upstream
 
 LIMIT = 20.0  # generous: only a hang takes this long
 Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.benchlink import Link, WireError, event_from
+from quota_gateway import interface as api
+from quota_gateway.benchlink import Link, WireError, event_from
 
 SETTINGS = {
     "classes": [{"name": "read", "aim_s": 1.0, "effect": "idempotent", "worth": 1.0, "group": "all"}],
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("line", ["not json", "[]", '{"n":1}', '{"moment_s":1,"parts":[{"news":[]}]}'])
 def test_a_bad_line_gives_one_plain_line_and_a_bad_exit(line: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "cypresspulley.benchlink"], input=line + "\n", capture_output=True, text=True
+        [sys.executable, "-m", "quota_gateway.benchlink"], input=line + "\n", capture_output=True, text=True
     )
     assert done.returncode != 0
     assert done.stdout == ""
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.net.http import MAX_BODY
+from quota_gateway import interface as api
+from quota_gateway.net.http import MAX_BODY
 from tests import world as w
 from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
 from tests.test_endings import LATE, WAYS, interim
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -18,8 +18,8 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
 from tests import world as w
 
 READ = api.RequestClass("read", 1.0, 1.0, api.Effect.SAFE)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from cypresspulley.interface import Status
-from cypresspulley.net import counter
-from cypresspulley.net.counter import CounterClient, redial_wait
+from quota_gateway.interface import Status
+from quota_gateway.net import counter
+from quota_gateway.net.counter import CounterClient, redial_wait
 from tests.loopback import listening, run
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.net import frontend
+from quota_gateway import interface as api
+from quota_gateway.net import frontend
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 from tests.test_program import Program, config, free_port, started
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.net import discovery
-from cypresspulley.net.discovery import Discovery, Follower, Listing, listing_from
-from cypresspulley.settings import timing_from
+from quota_gateway import interface as api
+from quota_gateway.net import discovery
+from quota_gateway.net.discovery import Discovery, Follower, Listing, listing_from
+from quota_gateway.settings import timing_from
 from tests.loopback import listening, run
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from cypresspulley import __main__ as program
-from cypresspulley import interface as api
-from cypresspulley.net import frontend, upstream
-from cypresspulley.net.frontend import MAX_PIPELINE
+from quota_gateway import __main__ as program
+from quota_gateway import interface as api
+from quota_gateway.net import frontend, upstream
+from quota_gateway.net.frontend import MAX_PIPELINE
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 # Draining.
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.net import frontend, upstream
+from quota_gateway import interface as api
+from quota_gateway.net import frontend, upstream
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 POST = ask("/post?account=00000000b4d65521", b"xy")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley import quota
-from cypresspulley.decide import MOST_AHEAD, Gateway
+from quota_gateway import interface as api
+from quota_gateway import quota
+from quota_gateway.decide import MOST_AHEAD, Gateway
 from tests import world as w
 
 PLAN = api.Plan("small", rate=20.0, burst=40.0, over_cost=0.5)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.net.node import unix_clock
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.net.node import unix_clock
 from tests.loopback import (
     OK,
     SETTINGS,
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.__main__ import share_of
-from cypresspulley.decide import Gateway
-from cypresspulley.net.shared import BANS, Shared
-from cypresspulley.quota import Account
-from cypresspulley.settings import SettingsError, check_retuned, settings_from
+from quota_gateway import interface as api
+from quota_gateway.__main__ import share_of
+from quota_gateway.decide import Gateway
+from quota_gateway.net.shared import BANS, Shared
+from quota_gateway.quota import Account
+from quota_gateway.settings import SettingsError, check_retuned, settings_from
 from tests import world as w
 from tests.loopback import Origin, ask, listening, read_message, run
 from tests.test_program import WIRE_SETTINGS, Program, config, free_port, started
@@ -218,7 +218,7 @@
 def test_what_processes_share_outlives_one_and_survives_damage(tmp_path: Path) -> None:
     first = Shared(str(tmp_path), "n1")
     assert first.processes == 1 and first.bans() == frozenset()
-    code = "import sys; from cypresspulley.net.shared import Shared; s = Shared(sys.argv[1], 'n1'); " \
+    code = "import sys; from quota_gateway.net.shared import Shared; s = Shared(sys.argv[1], 'n1'); " \
         "s.change('b', True); print(s.processes, flush=True); sys.stdin.read()"  # fmt: skip
     first.change("a", True)
     other = subprocess.Popen(
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from cypresspulley.__main__ import LogLimit, config_from
+from quota_gateway.__main__ import LogLimit, config_from
 from tests.loopback import Origin, ask, listening, read_message, run
 
 WIRE_SETTINGS: dict[str, Any] = {
@@ -78,7 +78,7 @@
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "cypresspulley", env={**os.environ, "LB_CONFIG": str(path), **env}, pass_fds=fds
+        sys.executable, "-m", "quota_gateway", env={**os.environ, "LB_CONFIG": str(path), **env}, pass_fds=fds
     )
     program = Program(process, raw["listen"])
     try:
@@ -239,11 +239,11 @@
 
 def check_refused(path: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "cypresspulley"],
+        [sys.executable, "-m", "quota_gateway"],
         env={**os.environ, "LB_CONFIG": path}, capture_output=True, text=True, timeout=60,
     )  # fmt: skip
     assert done.returncode == 2 and done.stdout == ""
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("cypresspulley: ")
+    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("quota_gateway: ")
 
 
 def test_the_configuration_is_read() -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from cypresspulley import interface as api
+from quota_gateway import interface as api
 
 
 def test_the_example_runs() -> None:
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.net.counter import CounterClient
-from cypresspulley.quota import Calls
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.net.counter import CounterClient
+from quota_gateway.quota import Calls
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, listing, run
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from cypresspulley import interface as api
+from quota_gateway import interface as api
 from tests import world as w
 
 quiet = hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -136,8 +136,8 @@
 
 
 def test_decisions_come_from_another_checkout_where_one_is_given(tmp_path: Path) -> None:
-    (tmp_path / "cypresspulley").mkdir()
-    (tmp_path / "cypresspulley" / "__init__.py").write_text("raise RuntimeError('the other one')")
+    (tmp_path / "quota_gateway").mkdir()
+    (tmp_path / "quota_gateway" / "__init__.py").write_text("raise RuntimeError('the other one')")
     with pytest.raises(BrokenRunError, match="the other one"):
         staging.run(Play(SMALL, Timetable.of(10.0), package=str(tmp_path)), 1)
 
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
-from cypresspulley.quota import Calls
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
+from quota_gateway.quota import Calls
 from tests import world as w
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from cypresspulley.interface import Status
-from cypresspulley.net import upstream
-from cypresspulley.net.node import unix_clock
-from cypresspulley.net.upstream import PER_SERVER, Exchange, Upstream, load_report
+from quota_gateway.interface import Status
+from quota_gateway.net import upstream
+from quota_gateway.net.node import unix_clock
+from quota_gateway.net.upstream import PER_SERVER, Exchange, Upstream, load_report
 from tests.loopback import OK, Origin, listening, read_message, run
 
 HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
--- a/tests/world.py
+++ b/tests/world.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from random import Random
 
-from cypresspulley import interface as api
-from cypresspulley.decide import Gateway
+from quota_gateway import interface as api
+from quota_gateway.decide import Gateway
 
 NEVER_RAN = {api.Status.FULL, api.Status.UNREACHABLE, api.Status.DROPPED, api.Status.NOT_SENT}
 SAFE = api.RequestClass("read", 1.0, 1.0, api.Effect.SAFE)
