--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.decide import Gateway
 from quota_gateway.net.counter import CounterClient
 from quota_gateway.net.discovery import Follower, Listing, listing_from
@@ -53,7 +53,7 @@
     seed: int
     sockets: int
     known: Listing | None
-    settings: api.Settings
+    settings: model.Settings
     timing: Timing
     raw: dict[str, Any] = field(repr=False, compare=False)
 
@@ -140,7 +140,7 @@
     return each, each
 
 
-def answer_time(settings: api.Settings) -> float:
+def answer_time(settings: model.Settings) -> float:
     """Seconds for what was taken, once clients no longer come."""
     longest = max((c.deadline for c in settings.classes), default=0.0)
     return min(longest or LONGEST, LONGEST) + GRACE - SPARE - FLUSH_WITHIN - ACCEPT_FOR
@@ -244,7 +244,7 @@
     log.info(
         "ready: gateway %d of %d, %d descriptors, counter waits %.0f ms, idle connections end after %.1f s, "
         "retry after %.2f s at most",
-        config.settings.index, config.settings.gateways, config.sockets,
+        config.settings.gateway_index, config.settings.gateway_count, config.sockets,
         config.settings.counter_timeout * 1000, timing.conn_idle, config.settings.max_retry_after,
     )  # fmt: skip
     await stop.wait()
--- a/quota_gateway/decide.py
+++ b/quota_gateway/decide.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Any
 
-from quota_gateway import interface as api
-from quota_gateway.interface import Action, Effect, Status
+from quota_gateway import model
+from quota_gateway.model import Action, CallStatus, Idempotency
 from quota_gateway.quota import Account, Calls
 
 REFERENCE, GAIN, RESET, INTERVAL, STALL = 0.8, 20.0, 2.8, 1.0, 2.5  # the design's loop; intervals of a stall
@@ -29,12 +29,17 @@
 UPLOAD = 3600.0  # seconds: how long a body takes is its sender's and the sockets' matter
 LEAST_ASKED = 0.2  # of requests: who asks counts for those that could not, and for no more than four of them
 COLD = 0.45  # of a load that fells a cold server
-ANSWERED = (Status.OK, Status.ERROR, Status.FULL, Status.REJECTED)
-NEVER_RAN = (Status.FULL, Status.UNREACHABLE, Status.DROPPED, Status.NOT_SENT)
+ANSWERED = (CallStatus.OK, CallStatus.ERROR, CallStatus.OVERLOADED, CallStatus.REJECTED)
+NEVER_RAN = (
+    CallStatus.OVERLOADED,
+    CallStatus.UNREACHABLE,
+    CallStatus.RESET_BEFORE_REQUEST,
+    CallStatus.NOT_SENT,
+)
 
 
 class _Server:
-    def __init__(self, entry: api.ServerEntry) -> None:
+    def __init__(self, entry: model.Endpoint) -> None:
         self.entry, self.up, self.place = entry, True, blake2b(entry.name.encode(), digest_size=8).digest()
         self.open = self.done = self.rate = 0.0  # own work: out, since the last tick, a second
         self.answers, self.pace = 0, 0.0  # good ones since it came, and their mean latency over idle latency
@@ -57,14 +62,16 @@
         "size", "tries", "ttl", "units", "uploading", "work",
     )  # fmt: skip
 
-    def __init__(self, now: float, ev: api.Request, cls: api.RequestClass, acct: Account, most: int) -> None:
+    def __init__(
+        self, now: float, ev: model.Request, cls: model.RequestClass, acct: Account, most: int
+    ) -> None:
         self.most = most  # attempts that were allowed when it came
         self.id, self.cls, self.account, self.units = ev.id, cls, acct, ev.units
-        self.deadline, self.born, self.repeat = now + ev.ttl, now, ev.repeat
+        self.deadline, self.born, self.repeat = now + ev.timeout, now, ev.is_retry
         # Past its aim an answer that earns nothing is only work; the time-out hands the server back.
-        self.due = self.deadline if cls.late_worth else min(self.deadline, now + cls.aim)
+        self.due = self.deadline if cls.late_weight else min(self.deadline, now + cls.latency_objective)
         self.ttl, self.uploading = (
-            ev.ttl,
+            ev.timeout,
             ev.uploading,
         )  # while the body comes no clock runs and no work is done
         if ev.uploading:
@@ -76,7 +83,7 @@
 
 
 class Gateway:
-    def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: model.Settings, seed: int, now: float) -> None:
         self.check(settings)
         self._set, self._rng, self._born = settings, Random(seed), now
         self._classes = {c.name: c for c in settings.classes}
@@ -97,42 +104,50 @@
         self._units = 0.0  # mean units of a request
         self._mean, self._retries = 0.0, 10.0  # mean work of a request; further attempts that may be made
         self._filled = self._ticked = now
-        self._calls = Calls(now, settings.gateways, self._rng.random(), settings.counter_timeout)
+        self._calls = Calls(now, settings.gateway_count, self._rng.random(), settings.counter_timeout)
         self._banned, self._parts = frozenset[str](), 1  # servers out by hand; processes of this limiter
         self._handed = False  # whether the process before has told what it knew
         self._told = self._leaving = False  # whether a list has come; whether this process is to end
         self._seen, self._ranks, self._load = deque[float](maxlen=300), list[float](), list[float]()
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            api.Request: self._arrive, api.Outcome: self._outcome, api.Counted: self._counted,
-            api.ServerList: self._listed, api.Probed: self._probed, api.TimerFired: lambda _now, _ev: None,
-            api.Departed: lambda _now, ev: self._forget(ev.id), api.Call: self._called,
-            api.Bans: lambda now, ev: self._ban(now, ev.servers), api.Processes: self._shared,
-            api.Learned: self._learned,
-            api.Leaving: self._leave, api.Settings: self._retune, api.Uploaded: self._uploaded,
-        }  # fmt: skip
+            model.Request: self._arrive,
+            model.AttemptCompleted: self._outcome,
+            model.CounterReplied: self._counted,
+            model.EndpointUpdate: self._listed,
+            model.HealthChecked: self._probed,
+            model.TimerFired: lambda _now, _ev: None,
+            model.ClientDisconnected: lambda _now, ev: self._forget(ev.request_id),
+            model.AdminRequest: self._called,
+            model.SuspensionsChanged: lambda now, ev: self._ban(now, ev.endpoints),
+            model.ProcessCountChanged: self._shared,
+            model.HandoverState: self._learned,
+            model.ShutdownStarted: self._leave,
+            model.Settings: self._retune,
+            model.UploadCompleted: self._uploaded,
+        }
         self._pace(settings)
 
-    def _pace(self, settings: api.Settings) -> None:
-        aims = [c.aim for c in settings.classes] or [1.0]
+    def _pace(self, settings: model.Settings) -> None:
+        aims = [c.latency_objective for c in settings.classes] or [1.0]
         # One stay for all classes: they share the servers, and by its own aim the class with the shortest one
         # found them full at what the others still let in, however much its work was worth.
         self._patience, self._stay = AIM_SHARE * min(aims), AIM_SHARE * sum(aims) / len(aims)
 
     @staticmethod
-    def check(s: api.Settings) -> None:
-        one, above = ("gateways", "max_attempts"), ("cold_share", "fall_window")
-        for key in (*one, *above, "warm_after", "counter_timeout"):
+    def check(s: model.Settings) -> None:
+        one, above = ("gateway_count", "max_attempts"), ("initial_capacity", "overload_window")
+        for key in (*one, *above, "warm_up_time", "counter_timeout"):
             if getattr(s, key) < (1 if key in one else 1e-9 if key in above else 0):
                 raise ValueError(f"impossible setting: {key}")
 
-    def handle(self, now: float, event: api.Event) -> list[Action]:
-        self._out, ticked = [], event == api.TimerFired(self._timer)
+    def handle(self, now: float, event: model.Event) -> list[Action]:
+        self._out, ticked = [], event == model.TimerFired(self._timer)
         self._handlers[type(event)](now, event)
         if ticked:
             self._tick(now)
         if ticked or not self._timer:
             self._timer += 1
-            self._out.append(api.SetTimer(INTERVAL, self._timer))
+            self._out.append(model.SetTimer(INTERVAL, self._timer))
         return self._out
 
     def _tick(self, now: float) -> None:
@@ -140,7 +155,7 @@
         for r in list(self._requests.values()):
             if now >= r.deadline and not r.out:
                 self._end(now, r)
-            elif r.out and not r.uploading and now - r.born > r.cls.aim * AIM_SHARE / REFERENCE:
+            elif r.out and not r.uploading and now - r.born > r.cls.latency_objective * AIM_SHARE / REFERENCE:
                 self._load.append(1.0)  # an answer overdue is a reading before it comes
         arrivals, admitted = self._tries / dt, self._admitted / dt
         self._arrivals += (0.3 if self._arrivals else 1.0) * (arrivals - self._arrivals)
@@ -169,7 +184,7 @@
             text += f"; cold {sum(s.cold_at is not None for s in self._ring)}, done {self._done_rate:.2f}"
             text += f"; servers out {sum(s.out_until > now for s in self._ring)} of {len(self._ring)}"
             text += "".join(f", {n} put out as {cause}" for cause, n in sorted(self._put.items()))
-            self._out, self._why, self._put = [*self._out, api.Log(f"turned away: {text}")], {}, {}
+            self._out, self._why, self._put = [*self._out, model.Log(f"turned away: {text}")], {}, {}
         # By what was finished: by what was sent, overdriven servers would pass for able. And by warm ones:
         # what cold ones are let do says nothing of what a warm one bears. Where it counted, each cold server
         # cut the budget of the others, and a fleet that looked cold stood still for good.
@@ -178,8 +193,14 @@
             self._done_rate += (0.3 if self._done_rate else 1.0) * (sum(warm) / len(warm) - self._done_rate)
         for s in self._servers.values():
             s.rate, s.done = s.rate + (0.3 if s.rate else 1.0) * (s.done / dt - s.rate), 0.0
-            if s.up and s.lost and s.trial and self._set.may_probe and s.entry.name not in self._banned:
-                self._out.append(api.Probe(s.entry.name))  # a probe is a cheaper trial than a request
+            if (
+                s.up
+                and s.lost
+                and s.trial
+                and self._set.may_check_health
+                and s.entry.name not in self._banned
+            ):
+                self._out.append(model.CheckHealth(s.entry.name))  # a probe is a cheaper trial than a request
                 s.out_until = max(s.out_until, now + 1.5 * INTERVAL)
         if any(s.gone for s in self._servers.values()):
             # Ids are ever new: one that is gone is forgotten once nothing is out there.
@@ -214,23 +235,23 @@
         need = r.work / self._mean + reserve * max(0, depth - 2)
         return self._sum is None or self._tokens >= min(depth, need)
 
-    def _arrive(self, now: float, ev: api.Request) -> None:
-        unknown = api.RequestClass(ev.request_class, max(ev.ttl, 0.01), 1.0, Effect.UNSAFE)
+    def _arrive(self, now: float, ev: model.Request) -> None:
+        unknown = model.RequestClass(ev.request_class, max(ev.timeout, 0.01), 1.0, Idempotency.NONE)
         cls, key = self._classes.get(ev.request_class, unknown), (ev.plan, ev.account)
         if (a := self._accounts.get(key)) is None:
-            plan = self._plans.get(ev.plan, api.Plan(ev.plan))
+            plan = self._plans.get(ev.plan, model.Plan(ev.plan))
             a = self._accounts[key] = Account(now, ev, plan, self._born, self._set.max_units, self._parts)
             self._names[a.name] = a
         a.refill(now)
-        self._tries += not ev.repeat
+        self._tries += not ev.is_retry
         r = self._requests[ev.id] = _Request(now, ev, cls, a, self._set.max_attempts)
         # A quota's units follow a request's work. Taken for equal in work, large ones stood out by their
         # worth alone: gate and bound let those in first, and with them more work than they thought.
         self._units += (ev.units - self._units) * (0.02 if self._units else 1)
         r.size = ev.units / self._units if self._units > 0 and ev.units > 0 else 1.0
-        r.work = self._base.setdefault(cls.name, cls.aim * 0.1) * r.size
+        r.work = self._base.setdefault(cls.name, cls.latency_objective * 0.1) * r.size
         self._mean += (r.work - self._mean) * (0.02 if self._mean else 1)
-        value = cls.worth * a.plan.price * r.units / r.work
+        value = cls.priority_weight * a.plan.price * r.units / r.work
         self._seen.append(value)
         r.rank = bisect_left(self._ranks, value) / len(self._ranks) if self._ranks else 1.0
         if a.plan.ceiling_rate > 0 and a.ceiling < r.units:
@@ -246,7 +267,9 @@
         expected = min(plan.burst, a.level - a.others * (now - a.synced))
         worst = min(0.9 * plan.burst * (1 - 1 / a.share), max(a.others, plan.rate) * (now - a.synced))
         plain = expected - worst - 0.1 * plan.burst >= r.units or a.share <= 1
-        many = plan.open_limit > 0 and a.open >= -(-plan.open_limit // a.share)  # past the even share
+        many = plan.concurrency_limit > 0 and a.open >= -(
+            -plan.concurrency_limit // a.share
+        )  # past the even share
         # The fleet shares the counter: with few calls left one request in so many asks, and counts for all.
         chance = min(1.0, self._calls.left(now) / 2)
         # Of hundreds of gateways each meets a customer once a minute, and takes it for a calm one. What comes
@@ -297,7 +320,9 @@
     def _launch(self, now: float, r: _Request, inside: bool, paid: bool = False) -> bool:
         """Send a request on, or end it; ``paid`` where its units are leased or told to the counter apart."""
         a, plan = r.account, r.account.plan
-        if not (inside or (plan.over_worth > plan.over_cost and 0 < self._reading < 0.6 * REFERENCE)):
+        if not (
+            inside or (plan.over_quota_value > plan.over_quota_cost and 0 < self._reading < 0.6 * REFERENCE)
+        ):
             self._end(now, r, "quota")
             return False
         if (plan.ceiling_rate > 0 and a.ceiling < r.units) or not self._send(now, r):
@@ -323,44 +348,53 @@
         a.pending, a.level = a.pending + own + ahead, a.level - own - ahead
         if (ask or self._calls.left(now) >= 1) and self._set.has_counter and a.plan.rate > 0:
             a.calls.append((a.pending, ahead, now))
-            self._out.append(api.Count(a.name, LIFETIME, a.pending))
+            self._out.append(model.IncrementCounter(a.name, LIFETIME, a.pending))
             self._calls.room, a.pending, a.asked = self._calls.room - 1, 0.0, now
 
-    def _counted(self, now: float, ev: api.Counted) -> None:
-        a = self._names.get(ev.name)
+    def _counted(self, now: float, ev: model.CounterReplied) -> None:
+        a = self._names.get(ev.counter_id)
         if a is None or not a.calls:
             return
         step, ahead, made = a.calls.pop(0)
         a.refill(now)
         self._calls.ended(now, ev.status, made, self._rng.random())
         a.ahead -= ahead
-        if ev.status is Status.OK:
+        if ev.status is CallStatus.OK:
             a.told(now, ev.total, step, ahead)
         # What may have been added is taken for added: told twice it would be used twice.
-        if ev.status in (Status.OK, Status.TIMEOUT, Status.BROKEN, Status.SPOILT):
+        if ev.status in (
+            CallStatus.OK,
+            CallStatus.TIMEOUT,
+            CallStatus.RESET_AFTER_REQUEST,
+            CallStatus.MALFORMED,
+        ):
             a.lease += ahead
         else:
             a.pending, a.level = a.pending + step - ahead, a.level + ahead
-        if ev.status is Status.OK and (over := min(a.lease, -a.level)) > 0:
+        if ev.status is CallStatus.OK and (over := min(a.lease, -a.level)) > 0:
             a.give_back(over)  # the store had less
-        if a.pending > 0.25 * a.plan.burst and ev.status is Status.OK:
+        if a.pending > 0.25 * a.plan.burst and ev.status is CallStatus.OK:
             self._count(now, a)
         a.level = max(a.level, -a.ahead)  # what is asked for is taken off
 
-    def _probed(self, now: float, ev: api.Probed) -> None:
-        if ev.status is Status.OK and (s := self._servers.get(ev.server)) and s.lost:
+    def _probed(self, now: float, ev: model.HealthChecked) -> None:
+        if ev.status is CallStatus.OK and (s := self._servers.get(ev.endpoint)) and s.lost:
             s.out_until, s.quiet, s.lost, s.cold_at, s.budget_at = now, None, False, now, now
             s.slow, s.answers = 0.0, 0
 
-    def _listed(self, now: float, ev: api.ServerList) -> None:
+    def _listed(self, now: float, ev: model.EndpointUpdate) -> None:
         for old in self._servers.values():
             old.up, old.gone = old.up and not ev.complete, old.gone or ev.complete
-        for e in ev.entries:
+        for e in ev.endpoints:
             s = self._servers.setdefault(e.name, _Server(e))
-            restarted = e.born > (s.entry.born + 1e-6 if s.entry is not e else 0.0)
-            s.entry, s.up, s.gone = e, e.health is api.Health.UP, e.health is api.Health.GONE
-            if s.up and restarted and now - e.born < self._set.warm_after:
-                s.cold_at, s.budget, s.budget_at, s.slow, s.answers = e.born, 0.0, now, 0.0, 0
+            restarted = e.started_at > (s.entry.started_at + 1e-6 if s.entry is not e else 0.0)
+            s.entry, s.up, s.gone = (
+                e,
+                e.health is model.EndpointHealth.HEALTHY,
+                e.health is model.EndpointHealth.REMOVED,
+            )
+            if s.up and restarted and now - e.started_at < self._set.warm_up_time:
+                s.cold_at, s.budget, s.budget_at, s.slow, s.answers = e.started_at, 0.0, now, 0.0, 0
                 s.out_until = min(s.out_until, now)
         self._told = True
         self._arrange(now)
@@ -369,24 +403,24 @@
         # All gateways see one ring of servers, each from a place of its own: parts of it add up evenly.
         usable = (s for n, s in self._servers.items() if s.up and n not in self._banned)
         ring = sorted(usable, key=lambda s: s.place)
-        start = self._set.index * len(ring) // self._set.gateways
+        start = self._set.gateway_index * len(ring) // self._set.gateway_count
         self._ring = ring[start:] + ring[:start]
         self._choose(now)
 
-    def _called(self, now: float, ev: api.Call) -> None:
+    def _called(self, now: float, ev: model.AdminRequest) -> None:
         listed = [s for s in self._servers.values() if not s.gone]
-        if ev.verb is api.Verb.STATUS:
+        if ev.command is model.AdminCommand.STATUS:
             ok = self._told and not self._leaving
-        elif ev.verb is api.Verb.METRICS:
+        elif ev.command is model.AdminCommand.METRICS:
             ok = True
         else:  # a ban outlives the list's entry, so that the call back is never refused
-            known, out = self._servers.get(ev.server), ev.verb is api.Verb.SUSPEND
-            ok = ev.server in self._banned or (known is not None and not known.gone)
+            known, out = self._servers.get(ev.endpoint), ev.command is model.AdminCommand.SUSPEND
+            ok = ev.endpoint in self._banned or (known is not None and not known.gone)
             if ok:
-                self._ban(now, self._banned | {ev.server} if out else self._banned - {ev.server})
-                self._out.append(api.Ban(ev.server, out))
+                self._ban(now, self._banned | {ev.endpoint} if out else self._banned - {ev.endpoint})
+                self._out.append(model.RecordSuspension(ev.endpoint, out))
         avoided = (s.entry.name in self._banned or s.out_until > now for s in listed)
-        self._out.append(api.Reply(ev.id, ok, len(listed), sum(avoided)))
+        self._out.append(model.AdminReply(ev.id, ok, len(listed), sum(avoided)))
 
     def _ban(self, now: float, names: frozenset[str]) -> None:
         """What is out by hand leaves the ring, whatever the list says; what is called back comes in cold."""
@@ -399,56 +433,64 @@
             s.trial, s.lost, s.mutes, s.row, s.quiet, s.answers = False, False, 0, 0, None, 0
         self._arrange(now)
 
-    def _shared(self, now: float, ev: api.Processes) -> None:
+    def _shared(self, now: float, ev: model.ProcessCountChanged) -> None:
         """Two processes of one limiter share what it may do: ceilings, even shares, work for cold servers."""
         came, self._parts = ev.count > self._parts, max(1, ev.count)
-        spare = list[api.AccountNotes]()
+        spare = list[model.AccountHandover]()
         for (plan, name), a in self._accounts.items():
             a.refill(now)  # so far by the old part
             given = a.split(self._parts)
             # What the counter is still to be told comes to the other process as use of the others.
             level = a.level + a.pending + sum(amount for amount, _, _ in a.calls)
             spare.append(
-                api.AccountNotes(plan, name, a.share, level, a.floor, given, a.others, a.synced, a.total)
+                model.AccountHandover(plan, name, a.share, level, a.floor, given, a.others, a.synced, a.total)
             )
         if came and self._sum is not None:
             servers = [(n, s) for n, s in self._servers.items() if not s.gone]
             notes = tuple(
-                api.ServerNotes(n, s.entry.born, s.cold_at, s.answers, s.pace, s.slow, s.rate)
+                model.EndpointHandover(n, s.entry.started_at, s.cold_at, s.answers, s.pace, s.slow, s.rate)
                 for n, s in servers
             )
             known = self._done_rate, self._mean, self._units, dict(self._base), notes
-            self._out.append(api.Hand(api.Learned(*known, tuple(spare[-MOST_NOTES:]))))
+            self._out.append(model.HandOver(model.HandoverState(*known, tuple(spare[-MOST_NOTES:]))))
 
-    def _learned(self, now: float, ev: api.Learned) -> None:
+    def _learned(self, now: float, ev: model.HandoverState) -> None:
         """A process that has just begun takes over what the one before knows; its controller starts fresh."""
         if self._handed or now - self._born > FRESH:
             return
-        self._handed, self._done_rate = True, ev.done_rate or self._done_rate
-        self._mean, self._units = ev.mean or self._mean, ev.units or self._units
-        self._base |= {name: base for name, base in ev.bases.items() if base > 0}
-        for n in ev.servers:
-            if (s := self._servers.get(n.name)) is not None and s.entry.born == n.born:
-                s.cold_at, s.answers, s.pace, s.slow, s.rate = n.cold_at, n.answers, n.pace, n.slow, n.rate
+        self._handed, self._done_rate = True, ev.completion_rate or self._done_rate
+        self._mean, self._units = ev.mean_work or self._mean, ev.mean_units or self._units
+        self._base |= {name: base for name, base in ev.base_latencies.items() if base > 0}
+        for n in ev.endpoints:
+            if (s := self._servers.get(n.name)) is not None and s.entry.started_at == n.started_at:
+                s.cold_at, s.answers, s.pace, s.slow, s.rate = (
+                    n.warming_since,
+                    n.responses,
+                    n.mean_slowdown,
+                    n.slowdown,
+                    n.work_rate,
+                )
                 s.budget_at = now
         for note in ev.accounts:
             key = note.plan, note.account
             if (plan := self._plans.get(note.plan)) is None:
                 continue
             if (a := self._accounts.get(key)) is None:
-                asked = api.Request(0, "", note.plan, 0.0, note.account, gateways=note.gateways)
+                asked = model.Request(
+                    0, "", note.plan, 0.0, note.account, serving_gateways=note.serving_gateways
+                )
                 a = Account(now, asked, plan, self._born, self._set.max_units, self._parts)
                 self._accounts[key] = self._names[a.name] = a
             a.take(now, note)
 
-    def _leave(self, now: float, _ev: api.Leaving) -> None:
+    def _leave(self, now: float, _ev: model.ShutdownStarted) -> None:
         self._leaving = True
         self._return_leases(now, every=True)
         for a in self._accounts.values():
             if abs(a.pending) > 1e-9:
                 self._count(now, a)  # nobody else would tell it
 
-    def _retune(self, now: float, ev: api.Settings) -> None:
+    def _retune(self, now: float, ev: model.Settings) -> None:
         """New settings hold for what comes from now on; what is under way keeps its class."""
         self.check(ev)
         self._set, self._plans = ev, {p.name: p for p in ev.plans}
@@ -462,7 +504,7 @@
 
     def _choose(self, now: float) -> None:
         """A thin gate keeps to few: of hundreds it meets each once a minute and learns each failure anew."""
-        want, self._mine = max(FEW, -(-5 * len(self._ring) // self._set.gateways)), list[_Server]()
+        want, self._mine = max(FEW, -(-5 * len(self._ring) // self._set.gateway_count)), list[_Server]()
         for s in self._ring:
             want -= s.out_until <= now and (s.quiet is None or now - s.quiet <= self._patience)
             self._mine.append(s)
@@ -475,7 +517,7 @@
         up, stay, part = self._mine, self._stay, 1 - RESERVE * 0.5 * (1 - r.rank)
         # Cold ones stand aside: they have a budget, and what they hold is long there for what they finish.
         warm = [s for s in up if s.cold_at is None]
-        total, least = stay * sum(s.rate for s in warm), 4.0 * len(self._ring) / self._set.gateways
+        total, least = stay * sum(s.rate for s in warm), 4.0 * len(self._ring) / self._set.gateway_count
         slack = max(self._rng.random(), 3.0 - 2.5 * self._reading / REFERENCE) * (least < 3)
         fleet = max(total, self._mean * least) + self._mean * slack
         # Rates are a mean of seconds and lag; where answers are quick a burst may have twice the work out.
@@ -492,9 +534,18 @@
             return None
         least = max(0.5 * total / max(1, len(warm)), 3.5 * self._mean)
         group, first = up, r.ran[0].entry if r.ran else None
-        if first and r.cls.effect is Effect.KEYED and r.cls.scope is not api.Scope.ALL:  # it may have run
+        if (
+            first
+            and r.cls.idempotency is Idempotency.KEYED
+            and r.cls.deduplication_scope is not model.DeduplicationScope.ALL
+        ):  # it may have run
             group = [s for s in self._ring if s.entry.zone == first.zone]
-            group = [s for s in group if r.cls.scope is not api.Scope.CELL or s.entry.cell == first.cell]
+            group = [
+                s
+                for s in group
+                if r.cls.deduplication_scope is not model.DeduplicationScope.CELL
+                or s.entry.cell == first.cell
+            ]
         pool = [s for s in group if s not in [x for x, _ in r.tries]] or group
         well = [s for s in pool if s.out_until <= now and not (s.trial and s.open > 0) and s not in quiet]
         well = pool if all(s.out_until > now for s in up) else well  # every server is out: any beats none
@@ -507,8 +558,8 @@
         return min(fit, key=lambda s: costs[s.place], default=None)
 
     def _cold_room(self, now: float, s: _Server, r: _Request) -> bool:
-        low, age = self._set.cold_share, max(0.0, now - (s.cold_at or 0.0))
-        warmth = low + (1 - low) * age / max(1e-9, self._set.warm_after)
+        low, age = self._set.initial_capacity, max(0.0, now - (s.cold_at or 0.0))
+        warmth = low + (1 - low) * age / max(1e-9, self._set.warm_up_time)
         if warmth >= 1:
             s.cold_at = None
             return True
@@ -516,9 +567,9 @@
         # and longer still where they wait, so that they never make it seem warmer than it is.
         if s.answers >= ENOUGH:
             warmth = max(warmth, min(1.0, 2 * warmth, 0.9 / max(0.9, s.pace)))
-        fill = COLD * self._set.fall_multiple * min(1.0, warmth) * self._done_rate / self._parts
+        fill = COLD * self._set.overload_multiple * min(1.0, warmth) * self._done_rate / self._parts
         s.budget += fill * (now - s.budget_at)
-        s.budget, s.budget_at = min(fill * self._set.fall_window * 0.5, s.budget), now
+        s.budget, s.budget_at = min(fill * self._set.overload_window * 0.5, s.budget), now
         # One request at each of hundreds of gates pushes it over: it passes as often as its part is there.
         return s.budget > r.work * self._rng.random()
 
@@ -537,46 +588,46 @@
             s.quiet = now
         s.budget -= r.work if s.cold_at is not None else 0.0  # warm, it owes nothing when unsure again
         # Of a body under way the time begins with its last byte.
-        self._out.append(api.Send(r.id, s.entry.name, wait if not r.uploading else self._use(r)))
+        self._out.append(model.Forward(r.id, s.entry.name, wait if not r.uploading else self._use(r)))
         return True
 
     def _use(self, r: _Request) -> float:
         """How long an answer is of use, from the request's last byte on."""
-        return r.ttl if r.cls.late_worth else min(r.ttl, r.cls.aim)
+        return r.ttl if r.cls.late_weight else min(r.ttl, r.cls.latency_objective)
 
-    def _uploaded(self, now: float, ev: api.Uploaded) -> None:
-        if (r := self._requests.get(ev.id)) is not None and r.uploading:
+    def _uploaded(self, now: float, ev: model.UploadCompleted) -> None:
+        if (r := self._requests.get(ev.request_id)) is not None and r.uploading:
             r.uploading, r.born = False, now
             r.deadline, r.due = now + r.ttl, now + self._use(r)
             for s in r.out.values():
                 s.quiet = now if s.quiet is None else s.quiet
 
-    def _outcome(self, now: float, ev: api.Outcome) -> None:
-        r, s = self._requests.get(ev.id), self._servers.get(ev.server)
+    def _outcome(self, now: float, ev: model.AttemptCompleted) -> None:
+        r, s = self._requests.get(ev.request_id), self._servers.get(ev.endpoint)
         if s is None or r is None:
             return
         if r.out.pop(ev.attempt, None) is not None:
             s.ended(r.work)
             r.account.open -= 1
-            if ev.status not in (Status.TIMEOUT, Status.CANCELLED, Status.UNREACHABLE):
+            if ev.status not in (CallStatus.TIMEOUT, CallStatus.CANCELLED, CallStatus.UNREACHABLE):
                 s.quiet = now if s.open > 1e-9 else None
             self._learn(now, r, s, ev)
-            if ev.charged is not None and r.inside:
-                r.account.settle(min(ev.charged, self._set.max_units) - r.units)
+            if ev.charged_units is not None and r.inside:
+                r.account.settle(min(ev.charged_units, self._set.max_units) - r.units)
             if s.open <= 1e-9:
                 s.quiet = None  # with nothing out it owes no answer, and none could ever end its silence
         if ev.status not in NEVER_RAN and r.ran is None and ev.attempt < len(r.tries):
             r.ran = r.tries[ev.attempt]
-        if ev.status is Status.REJECTED and not ev.finished:
-            self._out.append(api.Fail(r.id))  # no other server would take it either
+        if ev.status is CallStatus.REJECTED and not ev.request_finished:
+            self._out.append(model.Fail(r.id))  # no other server would take it either
             self._forget(r.id)
-        elif ev.finished:
-            self._forget(ev.id)
+        elif ev.request_finished:
+            self._forget(ev.request_id)
         elif not r.out:
             self._again(now, r, ev)
 
-    def _learn(self, now: float, r: _Request, s: _Server, ev: api.Outcome) -> None:
-        if ev.status is Status.OK:
+    def _learn(self, now: float, r: _Request, s: _Server, ev: model.AttemptCompleted) -> None:
+        if ev.status is CallStatus.OK:
             s.done += r.work
             base = self._base[r.cls.name]
             took = ev.elapsed / r.size
@@ -584,32 +635,41 @@
             s.answers += 1
             s.slow += (0.1 if s.slow else 1.0) * (took / base - s.slow)
             s.pace += max(0.1, 1 / s.answers) * (took / base - s.pace)
-            self._load.append(min(1.0, ev.elapsed / r.cls.aim * REFERENCE / AIM_SHARE))
-        elif ev.status in (Status.FULL, Status.TIMEOUT):
+            self._load.append(min(1.0, ev.elapsed / r.cls.latency_objective * REFERENCE / AIM_SHARE))
+        elif ev.status in (CallStatus.OVERLOADED, CallStatus.TIMEOUT):
             self._load.append(1.0)
-        mute = ev.status is Status.TIMEOUT and s.quiet is not None and now - s.quiet >= ev.elapsed - 1e-6
+        mute = ev.status is CallStatus.TIMEOUT and s.quiet is not None and now - s.quiet >= ev.elapsed - 1e-6
         # Nor is one slow request a hung server: where a gateway has one or two out there, the long tail of
         # work is a silence that ends. More must time out in a row, as many as time-outs are usual; on trial
         # one is enough.
         s.mutes = s.mutes + 1 if mute else 0 if ev.status in ANSWERED else s.mutes
-        if ev.status in ANSWERED or ev.status is Status.TIMEOUT:
-            self._late += 0.02 * ((ev.status is Status.TIMEOUT) - self._late)
+        if ev.status in ANSWERED or ev.status is CallStatus.TIMEOUT:
+            self._late += 0.02 * ((ev.status is CallStatus.TIMEOUT) - self._late)
         hung = mute and (s.trial or max(0.07, self._late) ** s.mutes < 0.005)
         # One connection that breaks is no dead server: more must, one behind the other (what was out together
         # breaks together), with no answer in between, in a row that is as long as breaks are usual. Where the
         # whole fleet breaks so often, a server that is dead but takes connections is found some tries later.
-        snapped, up = ev.status in (Status.UNREACHABLE, Status.DROPPED, Status.BROKEN), self._mine or [s]
+        snapped, up = (
+            ev.status
+            in (CallStatus.UNREACHABLE, CallStatus.RESET_BEFORE_REQUEST, CallStatus.RESET_AFTER_REQUEST),
+            self._mine or [s],
+        )
         usual, outs = sorted(x.fails for x in up)[len(up) // 2], sum(x.out_until > now for x in up)
-        vain = ev.status is Status.UNREACHABLE  # each such dial is a sign of its own
+        vain = ev.status is CallStatus.UNREACHABLE  # each such dial is a sign of its own
         if snapped:
             s.row, s.broke = s.row + (vain or ev.elapsed <= now - s.broke), now
         elif ev.status in ANSWERED:
             s.row = 0
         dead = hung or (snapped and s.row > 1 and (vain or max(0.05, usual) ** s.row < 0.005))
-        bad = dead or snapped or ev.status is Status.ERROR
-        if ev.status not in (Status.CANCELLED, Status.NOT_SENT, Status.FULL, Status.REJECTED):
+        bad = dead or snapped or ev.status is CallStatus.ERROR
+        if ev.status not in (
+            CallStatus.CANCELLED,
+            CallStatus.NOT_SENT,
+            CallStatus.OVERLOADED,
+            CallStatus.REJECTED,
+        ):
             s.fails += (0.4 if dead else 0.2) * (bad - s.fails)
-        if ev.status is Status.OK:
+        if ev.status is CallStatus.OK:
             if s.lost and s.cold_at is None:
                 s.cold_at, s.slow, s.answers = now, 0.0, 0  # it may have restarted unseen
             s.lost, s.trial, s.out_for = False, False, s.out_for * (s.fails >= max(0.05, usual))
@@ -629,26 +689,34 @@
             s.out_until, s.trial, s.fails = now + s.out_for, True, 0.2
             self._choose(now)
 
-    def _again(self, now: float, r: _Request, ev: api.Outcome) -> None:
+    def _again(self, now: float, r: _Request, ev: model.AttemptCompleted) -> None:
         allowed = (
             len(r.tries) < min(r.most, self._set.max_attempts) and r.due - now > r.work and self._retries >= 1
         )
-        if r.ran is not None and r.cls.effect is not Effect.SAFE:
-            allowed = allowed and r.cls.effect is Effect.KEYED and now - r.ran[1] < 0.95 * r.cls.window
-        if not allowed or not ev.again or not self._send(now, r):
+        if r.ran is not None and r.cls.idempotency is not Idempotency.INHERENT:
+            allowed = (
+                allowed
+                and r.cls.idempotency is Idempotency.KEYED
+                and now - r.ran[1] < 0.95 * r.cls.deduplication_window
+            )
+        if not allowed or not ev.may_retry or not self._send(now, r):
             return self._end(now, r)
         # What broke before a server can have done much of it takes as little of what may be done twice.
-        spent = min(1.0, ev.elapsed / r.work) if ev.status is Status.BROKEN else 1.0
-        self._retries -= spent * (ev.status not in (Status.UNREACHABLE, Status.DROPPED))
+        spent = min(1.0, ev.elapsed / r.work) if ev.status is CallStatus.RESET_AFTER_REQUEST else 1.0
+        self._retries -= spent * (ev.status not in (CallStatus.UNREACHABLE, CallStatus.RESET_BEFORE_REQUEST))
 
     def _end(self, now: float, r: _Request, why: str = "attempts") -> None:
         self._why[why] = self._why.get(why, 0) + 1
-        a, effect = r.account, r.cls.effect
-        if r.ran is None or effect is Effect.SAFE or (effect, r.cls.scope) == (Effect.KEYED, api.Scope.ALL):
+        a, effect = r.account, r.cls.idempotency
+        if (
+            r.ran is None
+            or effect is Idempotency.INHERENT
+            or (effect, r.cls.deduplication_scope) == (Idempotency.KEYED, model.DeduplicationScope.ALL)
+        ):
             short = max(0.1, (r.units - a.level) / a.plan.rate if a.plan.rate else 0.0)
-            self._out.append(api.Refuse(r.id, min(self._set.max_retry_after, short)))
+            self._out.append(model.Reject(r.id, min(self._set.max_retry_after, short)))
         else:
-            self._out.append(api.Fail(r.id))
+            self._out.append(model.Fail(r.id))
         self._forget(r.id)
 
     def _forget(self, request: int) -> None:
--- a/quota_gateway/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.net.http import split_address
 
 log = logging.getLogger(__name__)
@@ -41,7 +41,11 @@
 ASK_AGAIN = 10.0
 REPORT = 10.0  # seconds between two log lines on the calls
 MAX_LINE = 4 * 1024 * 1024
-HEALTH = {"ready": api.Health.UP, "draining": api.Health.DRAINING, "gone": api.Health.GONE}
+HEALTH = {
+    "ready": model.EndpointHealth.HEALTHY,
+    "draining": model.EndpointHealth.DRAINING,
+    "gone": model.EndpointHealth.REMOVED,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +53,7 @@
     """One message of discovery: the list, or a part of it, and where to dial."""
 
     version: int
-    servers: api.ServerList
+    servers: model.EndpointUpdate
     dials: dict[str, str]
 
 
@@ -60,13 +64,13 @@
         for row in raw["hosts"]:
             health = HEALTH[row["health"]]
             dial = str(row.get("dial") or "")
-            if dial or health is not api.Health.GONE:
+            if dial or health is not model.EndpointHealth.REMOVED:
                 split_address(dial)
             name, born = str(row["host"]), float(row.get("born_ms") or 0) / 1000
             size, cell = float(row.get("share") or 1.0), int(row.get("block") or 0)
-            entries.append(api.ServerEntry(name, health, str(row.get("site") or ""), cell, size, born))
+            entries.append(model.Endpoint(name, health, str(row.get("site") or ""), cell, size, born))
             dials[name] = dial
-        return Listing(int(raw["seq"]), api.ServerList(tuple(entries), bool(raw.get("whole"))), dials)
+        return Listing(int(raw["seq"]), model.EndpointUpdate(tuple(entries), bool(raw.get("whole"))), dials)
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise ValueError(f"not a list of servers: {error!r:.80}") from None
 
@@ -158,7 +162,7 @@
             return
         try:
             listing = listing_from(json.loads(line))
-            if listing.servers.complete and not listing.servers.entries:
+            if listing.servers.complete and not listing.servers.endpoints:
                 raise ValueError("an empty list: the last one is kept")  # a discovery that has lost its state
         except ValueError as error:
             self._gap = True
--- a/quota_gateway/net/frontend.py
+++ b/quota_gateway/net/frontend.py
@@ -18,7 +18,7 @@
 
 import httptools
 
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.net.bodies import Pipe
 from quota_gateway.net.figures import Figures
 from quota_gateway.net.http import MAX_BODY, MAX_HEAD, MAX_LONG, NOT_FORWARDED, PIECE
@@ -86,7 +86,7 @@
 
     def __init__(self, client: _Client, keep_alive: bool, old: bool = False) -> None:
         self._client, self.keep_alive, self.old = client, keep_alive, old
-        self.event: api.Request | None = None
+        self.event: model.Request | None = None
         self.upload: Pipe | None = None  # its body, where that is long
         self.pipe: Pipe | None = None  # its answer, where that is long
         self.start: bytes | None = None  # the head of that, until it is written
@@ -180,22 +180,24 @@
 class RequestReader:
     """Turns a request's headers and target into the event that the decisions want."""
 
-    def __init__(self, settings: api.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
+    def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
         self._clock, self._last_id = clock, 0
         self._classes, self._plans = dict[str, bool](), set[str]()
         self._former, self._former_until = dict[str, bool](), 0.0
         self.retune(settings)
 
-    def retune(self, settings: api.Settings) -> None:
+    def retune(self, settings: model.Settings) -> None:
         """Classes and plans from now on. Those before are read for a while: requests are on the way."""
         self._former, self._former_until = self._classes, self._clock() + FORMER
-        self._classes = {c.name: c.effect is api.Effect.SAFE for c in settings.classes}  # whether by GET
+        self._classes = {
+            c.name: c.idempotency is model.Idempotency.INHERENT for c in settings.classes
+        }  # whether by GET
         self._plans |= {p.name for p in settings.plans}
-        self._gateways, self._max_units = settings.gateways, max(1.0, settings.max_units)
+        self._gateways, self._max_units = settings.gateway_count, max(1.0, settings.max_units)
 
     def read(
         self, method: bytes, target: str, fields: dict[bytes, bytes], uploading: bool = False
-    ) -> api.Request:
+    ) -> model.Request:
         path, _, query = target.partition("?")
         name = path[1:].partition("/")[0]
         former = self._former if self._former and self._clock() < self._former_until else {}
@@ -222,7 +224,7 @@
         units, spread = self._quota(fields[QUOTA])
         self._last_id += 1
         ttl, repeat = int(fields[TIMEOUT]) / 1000, fields.get(RETRIED) == b"1"
-        return api.Request(
+        return model.Request(
             self._last_id, name, plan, ttl, account[1].lower(), units, spread, repeat, uploading
         )
 
@@ -748,7 +750,7 @@
     """The listener and its connections."""
 
     def __init__(
-        self, handler: Handler, settings: api.Settings, max_connections: int, figures: Figures | None = None
+        self, handler: Handler, settings: model.Settings, max_connections: int, figures: Figures | None = None
     ) -> None:
         self.clock = asyncio.get_running_loop().time
         self.handler, self.reader = handler, RequestReader(settings, self.clock)
--- a/quota_gateway/net/mgmt.py
+++ b/quota_gateway/net/mgmt.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from quota_gateway import interface as api
+from quota_gateway import model
 
 log = logging.getLogger(__name__)
 
@@ -19,14 +19,14 @@
 MAX_CALLERS = 16
 PATIENCE = 5.0  # seconds that a caller may take for its line
 LINGER = 0.5  # seconds that a caller's further input is read, or a reset would eat the answer
-VERBS = {verb.value.encode(): verb for verb in api.Verb}
-TAKES_ID = (api.Verb.SUSPEND, api.Verb.RESTORE)
+VERBS = {verb.value.encode(): verb for verb in model.AdminCommand}
+TAKES_ID = (model.AdminCommand.SUSPEND, model.AdminCommand.RESTORE)
 
 
 class Desk(Protocol):
     """What answers the calls: the node."""
 
-    def called(self, verb: api.Verb, server: str, done: Callable[[bool, str], None]) -> None:
+    def called(self, verb: model.AdminCommand, server: str, done: Callable[[bool, str], None]) -> None:
         """Answer by yes or no, and by the figures where they were asked for."""
 
 
--- a/quota_gateway/net/shared.py
+++ b/quota_gateway/net/shared.py
@@ -15,11 +15,10 @@
 import os
 import secrets
 from collections.abc import Callable
-from dataclasses import asdict
 from pathlib import Path
 from typing import Any
 
-from quota_gateway import interface as api
+from quota_gateway import model
 
 log = logging.getLogger(__name__)
 
@@ -51,17 +50,17 @@
     return None if value is None else _number(value)
 
 
-def _notes_from(raw: Any) -> api.Learned:
+def _notes_from(raw: Any) -> model.HandoverState:
     """The notes in their file's form; ``ValueError``, ``KeyError`` or ``TypeError`` where they are none."""
     servers = tuple(
-        api.ServerNotes(
+        model.EndpointHandover(
             str(row["name"]), _number(row["born"]), _maybe(row["cold_at"]), int(_number(row["answers"])),
             _number(row["pace"]), _number(row["slow"]), _number(row["rate"]),
         )
         for row in raw["servers"]
     )  # fmt: skip
     accounts = tuple(
-        api.AccountNotes(
+        model.AccountHandover(
             str(row["plan"]), str(row["account"]), max(1, int(_number(row["gateways"]))),
             _number(row["level"]), _number(row["floor"]), max(0.0, _number(row["ceiling"])),
             _number(row["others"]), _number(row["synced"]), _maybe(row["total"]),
@@ -70,7 +69,43 @@
     )  # fmt: skip
     bases = {str(name): _number(base) for name, base in raw["bases"].items()}
     done, mean, units = (max(0.0, _number(raw[key])) for key in ("done_rate", "mean", "units"))
-    return api.Learned(done, mean, units, bases, servers, accounts)
+    return model.HandoverState(done, mean, units, bases, servers, accounts)
+
+
+def _notes_to(state: model.HandoverState) -> dict[str, Any]:
+    """The notes in their file's form: its keys are the format's own, whatever the fields are called here."""
+    return {
+        "done_rate": state.completion_rate,
+        "mean": state.mean_work,
+        "units": state.mean_units,
+        "bases": dict(state.base_latencies),
+        "servers": [
+            {
+                "name": endpoint.name,
+                "born": endpoint.started_at,
+                "cold_at": endpoint.warming_since,
+                "answers": endpoint.responses,
+                "pace": endpoint.mean_slowdown,
+                "slow": endpoint.slowdown,
+                "rate": endpoint.work_rate,
+            }
+            for endpoint in state.endpoints
+        ],
+        "accounts": [
+            {
+                "plan": account.plan,
+                "account": account.account,
+                "gateways": account.serving_gateways,
+                "level": account.tokens,
+                "floor": account.guaranteed_tokens,
+                "ceiling": account.ceiling_tokens,
+                "others": account.remote_usage_rate,
+                "synced": account.last_synchronised,
+                "total": account.counter_total,
+            }
+            for account in state.accounts
+        ],
+    }
 
 
 class Shared:
@@ -129,7 +164,7 @@
             log.warning("cannot look for another process: %s", error)
         return others
 
-    def hand(self, notes: api.Learned) -> None:
+    def hand(self, notes: model.HandoverState) -> None:
         """Write what this process has learnt for the one that has come; it is read once."""
         fresh = [name for name in self._others() if name not in self._given]
         if self._folder is None or len(fresh) != 1:
@@ -137,12 +172,12 @@
         self._given.add(fresh[0])
         try:
             path = self._folder / f"{NOTES}{self._own}.new"
-            path.write_text(json.dumps(asdict(notes)))
+            path.write_text(json.dumps(_notes_to(notes)))
             path.rename(self._folder / f"{NOTES}{fresh[0]}")
         except OSError as error:
             log.warning("what this process has learnt could not be written down: %s", error)
 
-    def notes(self) -> api.Learned | None:
+    def notes(self) -> model.HandoverState | None:
         """What another process has left for this one; None where it left nothing that can be read."""
         if self._folder is None:
             return None
@@ -202,7 +237,7 @@
         return self._bans
 
     def watch(
-        self, tell: Callable[[int, frozenset[str]], None], learn: Callable[[api.Learned], None]
+        self, tell: Callable[[int, frozenset[str]], None], learn: Callable[[model.HandoverState], None]
     ) -> None:
         """Tell from now on when processes come or go, when bans change, and what another process has left."""
         now = self.processes, self.bans()
--- a/quota_gateway/net/upstream.py
+++ b/quota_gateway/net/upstream.py
@@ -22,7 +22,7 @@
 
 import httptools
 
-from quota_gateway.interface import Status
+from quota_gateway.model import CallStatus
 from quota_gateway.net.bodies import Pipe
 from quota_gateway.net.figures import Figures
 from quota_gateway.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED, PIECE, split_address
@@ -91,7 +91,7 @@
     started: float = 0.0
     written: bool = False
     ended: bool = False
-    status: Status = Status.NOT_SENT
+    status: CallStatus = CallStatus.NOT_SENT
     elapsed: float = 0.0
     answer_headers: bytes = b""
     answer: bytes = b""
@@ -176,7 +176,7 @@
         self.exchange, exchange.connection = exchange, self
         self.transport.write(data)
         if self.transport.is_closing():  # the write itself failed: nothing has left
-            self._upstream.end(exchange, Status.DROPPED)
+            self._upstream.end(exchange, CallStatus.RESET_BEFORE_REQUEST)
         elif exchange.upload is not None:
             self.moved = self._upstream.clock()
             self._upstream.long.add(self)
@@ -239,7 +239,10 @@
             pipe.fail()
         if (exchange := self.exchange) is not None:
             self.exchange = None
-            self._upstream.end(exchange, Status.BROKEN if exchange.written else Status.DROPPED)
+            self._upstream.end(
+                exchange,
+                CallStatus.RESET_AFTER_REQUEST if exchange.written else CallStatus.RESET_BEFORE_REQUEST,
+            )
 
     def eof_received(self) -> None:
         if self._until_end and self._code is None and (self.exchange is not None or self._pipe is not None):
@@ -310,7 +313,7 @@
             peer = self.transport.get_extra_info("socket")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE)
         wanted = exchange.begun(exchange, pipe)
-        self._upstream.end(exchange, Status.OK)
+        self._upstream.end(exchange, CallStatus.OK)
         if not wanted:
             return self.drop()
         body, self._body = self._body, []
@@ -331,7 +334,7 @@
             return self.abort()  # of what is passed on already the client is told when the connection ends
         exchange.connection = None
         self.abort()
-        self._upstream.end(exchange, Status.ERROR)
+        self._upstream.end(exchange, CallStatus.ERROR)
 
     @property
     def unread(self) -> bool:
@@ -428,13 +431,13 @@
         self._upstream.release(self, self._keep_alive and not self._surplus and not self._unwritten)
         self._upstream.end(exchange, self._outcome(code))
 
-    def _outcome(self, code: int) -> Status:
+    def _outcome(self, code: int) -> CallStatus:
         if code == 200:
-            return Status.OK
+            return CallStatus.OK
         if 400 <= code < 500:
-            return Status.REJECTED
+            return CallStatus.REJECTED
         # Without the mark a 503 or 504 says nothing about whether the request ran.
-        return Status.FULL if code in (503, 504) and self._not_processed else Status.ERROR
+        return CallStatus.OVERLOADED if code in (503, 504) and self._not_processed else CallStatus.ERROR
 
 
 class Upstream:
@@ -517,7 +520,7 @@
         exchange.started = self._clock()
         server, wait = self._servers.get(exchange.server), exchange.expires - exchange.started
         if server is None or not self._usable(server) or wait <= 0:
-            return self.end(exchange, Status.NOT_SENT)
+            return self.end(exchange, CallStatus.NOT_SENT)
         loop = asyncio.get_running_loop()
         if wait < math.inf:
             exchange.timer = loop.call_later(wait, self._expired, exchange)
@@ -525,7 +528,7 @@
             self._seen["reused"] += 1
             return self._write(connection, exchange)
         if server.open >= PER_SERVER or (self._open >= self._max and not self._make_room()):
-            return self.end(exchange, Status.FULL)
+            return self.end(exchange, CallStatus.OVERLOADED)
         server.open, self._open = server.open + 1, self._open + 1
         self._seen["opened"] += 1
         dial = loop.create_task(self._dial(server, exchange))
@@ -542,13 +545,13 @@
     def withhold(self, exchange: Exchange) -> None:
         """Do not send what is not on a connection yet."""
         if exchange.connection is None:
-            self._give_up(exchange, Status.NOT_SENT)
+            self._give_up(exchange, CallStatus.NOT_SENT)
 
     def cancel(self, exchange: Exchange) -> None:
         """Stop waiting; the connection goes with it, so that no late answer meets another request."""
-        self._give_up(exchange, Status.CANCELLED)
+        self._give_up(exchange, CallStatus.CANCELLED)
 
-    def end(self, exchange: Exchange, status: Status) -> None:
+    def end(self, exchange: Exchange, status: CallStatus) -> None:
         """Report an exchange once."""
         if exchange.ended:
             return
@@ -623,14 +626,16 @@
             if connection.transport is None:  # no connection_lost will count it off
                 self._closed(server)
             if error.errno in WANTING:
-                return self.end(exchange, Status.NOT_SENT)
+                return self.end(exchange, CallStatus.NOT_SENT)
             # Only who has taken a connection can reset it; a port where nobody listens refuses.
             reset = isinstance(error, ConnectionResetError)
-            return self.end(exchange, Status.DROPPED if reset else Status.UNREACHABLE)
+            return self.end(exchange, CallStatus.RESET_BEFORE_REQUEST if reset else CallStatus.UNREACHABLE)
         if exchange.ended:
             self.release(connection, True)  # nothing was written on it
         elif connection.transport is None:
-            self.end(exchange, Status.DROPPED)  # it came up and broke before this task was told
+            self.end(
+                exchange, CallStatus.RESET_BEFORE_REQUEST
+            )  # it came up and broke before this task was told
         else:
             self._write(connection, exchange)
 
@@ -640,10 +645,10 @@
         moved = connection.address != connection.server.address
         if left <= 0 or moved or not self._usable(connection.server):
             self.release(connection, True)
-            return self.end(exchange, Status.NOT_SENT)
+            return self.end(exchange, CallStatus.NOT_SENT)
         if exchange.stays is not None and not exchange.stays():
             self.release(connection, True)
-            return self.end(exchange, Status.NOT_SENT)
+            return self.end(exchange, CallStatus.NOT_SENT)
         timeout = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(min(left, exchange.wait) * 1000))
         connection.send(exchange, exchange.head + timeout + exchange.body)
 
@@ -651,9 +656,9 @@
         # Not yet written on a connection, it is known not to have run, and says nothing of the server.
         # Nor has a long body that is not out whole.
         part = exchange.connection is None or (exchange.upload is not None and not exchange.written)
-        self._give_up(exchange, Status.NOT_SENT if part else Status.TIMEOUT)
+        self._give_up(exchange, CallStatus.NOT_SENT if part else CallStatus.TIMEOUT)
 
-    def _give_up(self, exchange: Exchange, status: Status) -> None:
+    def _give_up(self, exchange: Exchange, status: CallStatus) -> None:
         if exchange.ended:
             return
         if (connection := exchange.connection) is not None:
--- a/quota_gateway/quota.py
+++ b/quota_gateway/quota.py
@@ -3,8 +3,8 @@
 from hashlib import blake2b
 from math import exp
 
-from quota_gateway import interface as api
-from quota_gateway.interface import Status
+from quota_gateway import model
+from quota_gateway.model import CallStatus
 
 CALLS = 300.0  # calls a second to the counter, thought possible at first by all, and at most by one
 # Calls a second that one may make more, a second later, while the counter answers quickly, and at most by
@@ -31,7 +31,7 @@
         self.at = max(self.at, now)
         return self.room if now >= self.silent_until else 0.0
 
-    def ended(self, now: float, status: Status, made: float, draw: float = 0.5) -> None:
+    def ended(self, now: float, status: CallStatus, made: float, draw: float = 0.5) -> None:
         """One sign of silence is a queue or a break; two with no answer between are silence, for a while.
 
         All gateways see a silence at the same moment. So its length is drawn by each for itself and grows
@@ -47,11 +47,11 @@
         second call is then made in vain, and each costs its request the time of a break.
         """
         took = now - made
-        if status is Status.OK:
+        if status is CallStatus.OK:
             self.usual += (took - self.usual) * (0.02 if took > self.usual > 0 else 0.5)
-        slow = status is not Status.OK or took > self.usual + self.line
+        slow = status is not CallStatus.OK or took > self.usual + self.line
         fresh, self.sign = made >= self.sign, now if slow else self.sign
-        if status is Status.OK:
+        if status is CallStatus.OK:
             self.misses = 0
             # The line shows in the answers before it loses any. Where the rate rose until calls timed out, a
             # fleet rose as fast as it is large; at a slower rise busy gateways wanted calls that were there.
@@ -59,11 +59,11 @@
                 self.rate = min(CALLS, self.rate + min(STEP * self.rate, RISE / self.rate))
             elif fresh:
                 self.rate = max(self.least, 0.95 * self.rate)
-        elif status is not Status.SPOILT and fresh:
-            self.misses += status is not Status.FULL
-            self.rate *= 1.0 if status is Status.BROKEN else 0.9
+        elif status is not CallStatus.MALFORMED and fresh:
+            self.misses += status is not CallStatus.OVERLOADED
+            self.rate *= 1.0 if status is CallStatus.RESET_AFTER_REQUEST else 0.9
             self.rate = max(self.least, self.rate)
-        if status not in (Status.OK, Status.FULL, Status.SPOILT) and self.misses > 1:
+        if status not in (CallStatus.OK, CallStatus.OVERLOADED, CallStatus.MALFORMED) and self.misses > 1:
             self.silent_until = now + (0.5 + draw) * min(2.0, 0.5 * self.misses)
             self.at, self.room = self.silent_until, min(1.0, self.room)
 
@@ -78,10 +78,10 @@
     )  # fmt: skip
 
     def __init__(
-        self, now: float, ev: api.Request, plan: api.Plan, born: float, most: float, parts: int = 1
+        self, now: float, ev: model.Request, plan: model.Plan, born: float, most: float, parts: int = 1
     ) -> None:
         self.plan, self.at, self.asked, self.synced = plan, now, now, born
-        self.share = share = max(1, ev.gateways)
+        self.share = share = max(1, ev.serving_gateways)
         self.ways = share * parts  # two processes of one gateway have its share together
         label = f"{ev.plan} {ev.account}".encode()
         self.name = int.from_bytes(blake2b(label, digest_size=8).digest(), "big") >> 1
@@ -98,7 +98,7 @@
         self.lease = self.ahead = 0.0
         self.demand, self.demand_at = 0.0, now  # units a second asked for here, inside the quota or not
 
-    def replan(self, plan: api.Plan, most: float) -> None:
+    def replan(self, plan: model.Plan, most: float) -> None:
         """The plan's terms, at first and when they change; what the stores hold is cut when they refill."""
         self.plan = plan
         self.thin = plan.burst < 2 * self.share  # the even share holds next to nothing
@@ -131,14 +131,23 @@
             return self.ceiling
         return 0.0
 
-    def take(self, now: float, note: api.AccountNotes) -> None:
+    def take(self, now: float, note: model.AccountHandover) -> None:
         """The notes of the process before: its count, and the part of the ceiling that it gave away."""
         self.refill(now)
-        self.ceiling = min(self.plan.ceiling_burst / self.ways, self.ceiling + note.ceiling)
-        self.floor = min(self.floor, note.floor)
-        if self.total is None and not self.calls and note.total is not None and note.synced <= now:
-            self.total, self.synced, self.others = note.total, note.synced, note.others
-            self.level = min(self.level, note.level) - self.pending
+        self.ceiling = min(self.plan.ceiling_burst / self.ways, self.ceiling + note.ceiling_tokens)
+        self.floor = min(self.floor, note.guaranteed_tokens)
+        if (
+            self.total is None
+            and not self.calls
+            and note.counter_total is not None
+            and note.last_synchronised <= now
+        ):
+            self.total, self.synced, self.others = (
+                note.counter_total,
+                note.last_synchronised,
+                note.remote_usage_rate,
+            )
+            self.level = min(self.level, note.tokens) - self.pending
 
     def refill(self, now: float) -> None:
         plan, dt, self.at = self.plan, max(0.0, now - self.at), now
--- a/quota_gateway/settings.py
+++ b/quota_gateway/settings.py
@@ -6,10 +6,14 @@
 from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
-from quota_gateway import interface as api
-
-EFFECT = {"idempotent": api.Effect.SAFE, "deduplicated": api.Effect.KEYED, "at_most_once": api.Effect.UNSAFE}
-SCOPE = {scope.value: scope for scope in api.Scope}
+from quota_gateway import model
+
+EFFECT = {
+    "idempotent": model.Idempotency.INHERENT,
+    "deduplicated": model.Idempotency.KEYED,
+    "at_most_once": model.Idempotency.NONE,
+}
+SCOPE = {scope.value: scope for scope in model.DeduplicationScope}
 AGENT_SHARE = 0.3  # of the time that a drain leaves
 T = TypeVar("T")
 
@@ -65,56 +69,56 @@
     return rows
 
 
-def settings_from(raw: dict[str, Any]) -> api.Settings:
+def settings_from(raw: dict[str, Any]) -> model.Settings:
     """The settings object as the module's settings."""
     limits, contract = _section(raw, "limits"), _section(raw, "contract")
     specifics, report = _section(raw, "specifics"), _section(raw, "report")
     classes = tuple(
-        api.RequestClass(
+        model.RequestClass(
             name=row["name"],
-            aim=_number(row, "aim_s"),
-            worth=_number(row, "worth", 1.0),
-            effect=_word(EFFECT, "effect", row.get("effect", "at_most_once")),
-            late_worth=_number(row, "late_worth"),
-            scope=_word(SCOPE, "group", row.get("group") or "all"),
-            window=_number(row, "window_s"),
+            latency_objective=_number(row, "aim_s"),
+            priority_weight=_number(row, "worth", 1.0),
+            idempotency=_word(EFFECT, "effect", row.get("effect", "at_most_once")),
+            late_weight=_number(row, "late_worth"),
+            deduplication_scope=_word(SCOPE, "group", row.get("group") or "all"),
+            deduplication_window=_number(row, "window_s"),
             deadline=_number(row, "hard_limit_s"),
         )
         for row in _rows(raw, "classes")
     )
     plans = tuple(
-        api.Plan(
+        model.Plan(
             name=row["name"],
             price=_number(row, "price", 1.0),
             rate=_number(row, "quota_rate"),
             burst=_number(row, "store_size"),
-            open_limit=int(_number(row, "parallel")),
-            over_worth=_number(row, "over_worth"),
-            over_cost=_number(row, "over_cost"),
+            concurrency_limit=int(_number(row, "parallel")),
+            over_quota_value=_number(row, "over_worth"),
+            over_quota_cost=_number(row, "over_cost"),
             ceiling_rate=_number(row, "never_over_rate"),
             ceiling_burst=_number(row, "hard_burst"),
         )
         for row in _rows(raw, "tariffs")
     )
-    return api.Settings(
-        index=int(_number(raw, "me")),
-        gateways=int(_number(raw, "n_instances", 1)),
+    return model.Settings(
+        gateway_index=int(_number(raw, "me")),
+        gateway_count=int(_number(raw, "n_instances", 1)),
         zone=str(raw.get("my_zone") or ""),
         classes=classes,
         plans=plans,
         max_attempts=int(_number(limits, "max_attempts", 1)),
-        may_duplicate=bool(limits.get("may_duplicate")),
+        may_hedge=bool(limits.get("may_duplicate")),
         may_cancel=bool(limits.get("cancel")),
-        may_probe=bool(limits.get("probes")),
-        load_on_probe=report.get("how") == "on_probe",
+        may_check_health=bool(limits.get("probes")),
+        load_in_health_check=report.get("how") == "on_probe",
         has_counter=bool(specifics.get("has_counter")),
         counter_timeout=_number(specifics, "count_wait_s"),
         max_units=_number(specifics, "max_units", 1.0),
         max_retry_after=_number(limits, "max_retry_after_s") if limits.get("retry_after") else 0.0,
-        cold_share=_number(contract, "cold_from", 1.0),
-        warm_after=_number(contract, "warm_after_s"),
-        fall_multiple=_number(contract, "fall_multiple", 1.0),
-        fall_window=_number(contract, "fall_s", 1.0),
+        initial_capacity=_number(contract, "cold_from", 1.0),
+        warm_up_time=_number(contract, "warm_after_s"),
+        overload_multiple=_number(contract, "fall_multiple", 1.0),
+        overload_window=_number(contract, "fall_s", 1.0),
     )
 
 
--- a/scale/fleet_limiters.py
+++ b/scale/fleet_limiters.py
@@ -19,7 +19,7 @@
 from random import Random
 from typing import Any
 
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.decide import Gateway
 from quota_gateway.net.discovery import SILENCE, pause
 from scale import fleet_peers as peers
@@ -44,8 +44,12 @@
 DRAIN = 1.1 * max(k.deadline for k in KINDS)  # seconds that the run goes on after the last try
 MAX_ATTEMPTS, MAX_RETRY_AFTER = 4, 1.0
 LIMITER, SERVER, TENANT, COUNTER, DISCOVERY = range(5)  # to whom a message goes
-HOW = {"ok": api.Status.OK, "full": api.Status.FULL, "unreachable": api.Status.UNREACHABLE}
-EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED}
+HOW = {
+    "ok": model.CallStatus.OK,
+    "full": model.CallStatus.OVERLOADED,
+    "unreachable": model.CallStatus.UNREACHABLE,
+}
+EFFECTS = {"safe": model.Idempotency.INHERENT, "keyed": model.Idempotency.KEYED}
 CONTROL = {"tick", "list", "probed"}  # what a limiter does whether or not requests come
 Message = tuple[Any, ...]  # time, source, number of the source, to, what, more
 Send = Callable[[int, int, Message], None]  # to whom, its number, the message
@@ -73,27 +77,33 @@
         self.server, self.sent, self.held = 0, 0.0, -1.0
 
 
-def settings(world: World, index: int) -> api.Settings:
+def settings(world: World, index: int) -> model.Settings:
     """What the limiter's configuration would say."""
     classes = tuple(
-        api.RequestClass(
-            k.name, k.aim, float(k.worth), EFFECTS[k.effect], k.late_worth, api.Scope.CELL, k.window,
+        model.RequestClass(
+            k.name,
+            k.aim,
+            float(k.worth),
+            EFFECTS[k.effect],
+            k.late_worth,
+            model.DeduplicationScope.CELL,
+            k.window,
             k.deadline,
         )
         for k in KINDS
-    )  # fmt: skip
+    )
     plans = tuple(
-        api.Plan(
-            p.name, p.price / 10, p.rate, p.burst, over_cost=p.over_cost, ceiling_rate=p.ceiling_rate,
+        model.Plan(
+            p.name, p.price / 10, p.rate, p.burst, over_quota_cost=p.over_cost, ceiling_rate=p.ceiling_rate,
             ceiling_burst=p.ceiling_burst,
         )
         for p in world.plans
     )  # fmt: skip
-    return api.Settings(
+    return model.Settings(
         index, world.size.limiters, f"zone-{world.zone(index)}", classes, plans, MAX_ATTEMPTS,
-        may_probe=True, has_counter=True, counter_timeout=COUNTER_TIMEOUT, max_units=float(MOST_UNITS),
-        max_retry_after=MAX_RETRY_AFTER, cold_share=COLD_SHARE, warm_after=WARM_AFTER,
-        fall_multiple=FALL_MULTIPLE, fall_window=FALL_WINDOW,
+        may_check_health=True, has_counter=True, counter_timeout=COUNTER_TIMEOUT, max_units=float(MOST_UNITS),
+        max_retry_after=MAX_RETRY_AFTER, initial_capacity=COLD_SHARE, warm_up_time=WARM_AFTER,
+        overload_multiple=FALL_MULTIPLE, overload_window=FALL_WINDOW,
     )  # fmt: skip
 
 
@@ -104,24 +114,30 @@
         self._world, count = world, world.size.servers
         self.first = tuple(self._entry(j) for j in range(count))
         lost, lost_at = world.timetable.lost_zone, world.timetable.zone_lost[0]
-        gone = [self._entry(j, api.Health.GONE) for j in range(count) if world.zone(j) == lost]
-        back = dict[float, list[api.ServerEntry]]()
+        gone = [self._entry(j, model.EndpointHealth.REMOVED) for j in range(count) if world.zone(j) == lost]
+        back = dict[float, list[model.Endpoint]]()
         for j in range(count):
             if (boots := world.boots_at(j)) > 0:
                 back.setdefault(boots, []).append(self._entry(j, born=boots))
         self.changes = [(lost_at, tuple(gone)), *((at, tuple(new)) for at, new in sorted(back.items()))]
 
-    def _entry(self, j: int, health: api.Health = api.Health.UP, born: float = 0.0) -> api.ServerEntry:
+    def _entry(
+        self, j: int, health: model.EndpointHealth = model.EndpointHealth.HEALTHY, born: float = 0.0
+    ) -> model.Endpoint:
         zone = f"zone-{self._world.zone(j)}"
-        return api.ServerEntry(f"s-{j}", health, zone, self._world.cell(j), 1.0, born)
+        return model.Endpoint(f"s-{j}", health, zone, self._world.cell(j), 1.0, born)
 
-    def whole(self, told: int, fallen: set[str]) -> api.ServerList:
+    def whole(self, told: int, fallen: set[str]) -> model.EndpointUpdate:
         """The list after so many changes."""
         entries = {e.name: e for e in self.first}
         for _, change in self.changes[:told]:
             entries |= {e.name: e for e in change}
-        known = (e for e in entries.values() if e.health is not api.Health.GONE and e.name not in fallen)
-        return api.ServerList(tuple(known), True)
+        known = (
+            e
+            for e in entries.values()
+            if e.health is not model.EndpointHealth.REMOVED and e.name not in fallen
+        )
+        return model.EndpointUpdate(tuple(known), True)
 
     def notices(self, limiter: int) -> list[tuple[float, int]]:
         """When its agent is told of each change; a far one hears nothing while its region is cut off."""
@@ -176,7 +192,7 @@
         if what == "ask":
             number, kind, plan, ttl, account, units, repeat = m[5], m[6], m[7], m[8], m[9], m[10], m[13]
             self._open[number] = opened = _Open(m)
-            event = api.Request(
+            event = model.Request(
                 number, KINDS[kind].name, self._world.plans[plan].name, ttl, account, float(units),
                 self._world.size.spread, repeat,
             )  # fmt: skip
@@ -187,33 +203,33 @@
             self._ended(now, m)
         elif what == "tick":
             if m[5] == self._life:
-                self._handle(now, "tick", api.TimerFired(m[6]))
+                self._handle(now, "tick", model.TimerFired(m[6]))
         elif what == "counted":
             if m[5] == self._life and (name := self._calls.pop(m[6], None)) is not None:
                 counts = self._tally.at(now)
                 counts[f"calls {m[7]}"] += 1
-                status = {"ok": api.Status.OK, "timed out": api.Status.TIMEOUT}.get(
-                    m[7], api.Status.UNREACHABLE
+                status = {"ok": model.CallStatus.OK, "timed out": model.CallStatus.TIMEOUT}.get(
+                    m[7], model.CallStatus.UNREACHABLE
                 )
                 self._late = now - m[9]
-                self._handle(now, "counted", api.Counted(name, status, m[8]))
+                self._handle(now, "counted", model.CounterReplied(name, status, m[8]))
                 self._late = 0.0
         elif what == "probed":
             if m[5] == self._life:
-                status = HOW.get(m[7], api.Status.TIMEOUT)
-                self._handle(now, "probed", api.Probed(f"s-{m[6]}", status, now - m[8], {}))
+                status = HOW.get(m[7], model.CallStatus.TIMEOUT)
+                self._handle(now, "probed", model.HealthChecked(f"s-{m[6]}", status, now - m[8], {}))
         elif what == "notice":
             if not self._watching:
                 return
             self._told = max(self._told, m[5])
             if self.gateway is not None:
                 change = self._listings.changes[m[5] - 1][1]
-                self._handle(now, "list", api.ServerList(change, False))
+                self._handle(now, "list", model.EndpointUpdate(change, False))
         elif what == "fallen":
             gone = m[5]
             self._fallen.add(gone.name)
             if self.gateway is not None and self._watching:
-                self._handle(now, "list", api.ServerList((gone,), False))
+                self._handle(now, "list", model.EndpointUpdate((gone,), False))
         elif what == "kill":
             self._kill(now)
         elif what == "start":
@@ -268,7 +284,7 @@
         self._open, self._calls = {}, {}
         self._asked = 0
 
-    def _handle(self, now: float, kind: str, event: api.Event) -> None:
+    def _handle(self, now: float, kind: str, event: model.Event) -> None:
         gateway = self.gateway
         assert gateway is not None
         causes = self._causes
@@ -284,19 +300,19 @@
         ends = iter(causes.last)
         for action in actions:
             what = type(action)
-            if what is api.Send:
+            if what is model.Forward:
                 self._attempt(now, action)  # type: ignore[arg-type]
-            elif what is api.SetTimer:
+            elif what is model.SetTimer:
                 self._later(now + action.delay, "tick", self._life, action.token)  # type: ignore[union-attr]
-            elif what is api.Count:
+            elif what is model.IncrementCounter:
                 self._count(now, action)  # type: ignore[arg-type]
-            elif what is api.Refuse or what is api.Fail:
-                number = action.id  # type: ignore[union-attr]
+            elif what is model.Reject or what is model.Fail:
+                number = action.request_id  # type: ignore[union-attr]
                 opened = self._open.pop(number)
                 self._waited(now, opened)
-                how = "refused" if what is api.Refuse else "failed"
+                how = "refused" if what is model.Reject else "failed"
                 self._out(TENANT, opened.ask[1], now, how, number, next(ends, "unknown"))
-            elif what is api.Probe:
+            elif what is model.CheckHealth:
                 self._probe(now, action)  # type: ignore[arg-type]
 
     def _waited(self, now: float, opened: _Open) -> None:
@@ -314,23 +330,25 @@
         times = self._world.timetable
         return times.zone_lost[0] if self._world.gone(server, now) else times.cut[0]
 
-    def _attempt(self, now: float, send: api.Send) -> None:
-        world, opened = self._world, self._open[send.id]
+    def _attempt(self, now: float, send: model.Forward) -> None:
+        world, opened = self._world, self._open[send.request_id]
         self._waited(now, opened)
-        server = int(send.server[2:])
+        server = int(send.endpoint[2:])
         opened.attempt, opened.out, opened.server, opened.sent = opened.attempt + 1, True, server, now
         self._tally.at(now)["attempts"] += 1
-        self._later(now + send.timeout, "give up", self._life, send.id, opened.attempt, "silent")
+        self._later(now + send.timeout, "give up", self._life, send.request_id, opened.attempt, "silent")
         if self._reaches(server, now):
             if not opened.counted:
                 opened.counted = True
-                self._out(TENANT, opened.ask[1], now, "sent", send.id)
+                self._out(TENANT, opened.ask[1], now, "sent", send.request_id)
             way = world.delay(self._zone, world.zone(server), world.draw(self.index, server))
             work = opened.ask[12]
-            more = self._life, send.id, opened.attempt, self.index, work, send.timeout
+            more = self._life, send.request_id, opened.attempt, self.index, work, send.timeout
             self._out(SERVER, server, now + way, "work", *more)
         elif now - self._silent_since(server, now) > KEPT and send.timeout > DIAL_TIMEOUT:
-            self._later(now + DIAL_TIMEOUT, "reply", self._life, send.id, opened.attempt, "unreachable")
+            self._later(
+                now + DIAL_TIMEOUT, "reply", self._life, send.request_id, opened.attempt, "unreachable"
+            )
 
     def _ended(self, now: float, m: Message) -> None:
         life, number, attempt, how = m[5], m[6], m[7], m[8]
@@ -338,8 +356,8 @@
         if opened is None or not opened.out or opened.attempt != attempt:
             return
         opened.out = False
-        status = HOW.get(how, api.Status.TIMEOUT)
-        served = status is api.Status.OK
+        status = HOW.get(how, model.CallStatus.TIMEOUT)
+        served = status is model.CallStatus.OK
         true = float(opened.ask[11]) if served else None
         server = f"s-{opened.server}"
         self._tally.at(now)[f"attempts {how}"] += 1
@@ -347,28 +365,30 @@
             del self._open[number]
             self._out(TENANT, opened.ask[1], now, "served", number)
         self._handle(
-            now, "outcome", api.Outcome(number, attempt, server, status, now - opened.sent, served, {}, true)
+            now,
+            "outcome",
+            model.AttemptCompleted(number, attempt, server, status, now - opened.sent, served, {}, true),
         )
 
-    def _count(self, now: float, call: api.Count) -> None:
+    def _count(self, now: float, call: model.IncrementCounter) -> None:
         world, counts = self._world, self._tally.at(now)
         counts["calls"] += 1
         self._tally.seconds[int(now)]["calls made"] += 1
         counts["milliunits told"] += round(abs(call.amount) * 1000)
         self._number += 1
         number = self._number
-        self._calls[number] = call.name
+        self._calls[number] = call.counter_id
         cut = world.cut(self._zone, 0, now)
         late = "unreachable" if cut and now - world.timetable.cut[0] > 10 * COUNTER_TIMEOUT else "timed out"
         given_up = now + COUNTER_TIMEOUT
         self._later(given_up, "counted", self._life, number, late, 0.0, given_up)
         if not cut:
             way = world.delay(self._zone, 0, world.draw(self.index, 0))
-            more = self._life, number, call.name, call.amount, call.lifetime
+            more = self._life, number, call.counter_id, call.amount, call.lifetime
             self._out(COUNTER, self.index, now + way, "call", *more)
 
-    def _probe(self, now: float, probe: api.Probe) -> None:
-        world, server = self._world, int(probe.server[2:])
+    def _probe(self, now: float, probe: model.CheckHealth) -> None:
+        world, server = self._world, int(probe.endpoint[2:])
         self._tally.at(now)["probes"] += 1
         if self._reaches(server, now):
             way = world.delay(self._zone, world.zone(server), world.draw(self.index, server))
@@ -543,7 +563,7 @@
         world = self._world
         self.tally.at(at)["servers fallen"] += 1
         gone = self._listings.first[j]
-        gone = api.ServerEntry(gone.name, api.Health.GONE, gone.zone, gone.cell)
+        gone = model.Endpoint(gone.name, model.EndpointHealth.REMOVED, gone.zone, gone.cell)
         for i in range(world.size.limiters):
             self._answers[j] += 1
             told = at + NOTICE[0] + world.draw(i, j) * (NOTICE[1] - NOTICE[0])
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -13,7 +13,7 @@
 from time import process_time_ns
 from typing import Any
 
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.decide import Gateway
 from quota_gateway.net.discovery import listing_from
 from quota_gateway.quota import Account
@@ -110,7 +110,7 @@
         self.replaced = self._place = 0
         self.spent = dict[str, list[int]]()  # by kind of event: nanoseconds, and how many
         self.calls = self.probes = self.arrived = self.refused = 0
-        self._queue, self._order = list[tuple[float, int, api.Event | None]](), count()
+        self._queue, self._order = list[tuple[float, int, model.Event | None]](), count()
         self._tries, self._customers = dict[int, int](), dict[int, int]()
         self._totals = dict[int, tuple[float, float, float]]()  # total, when it was told, when it began
         self._newest = 0
@@ -177,17 +177,17 @@
         born = round(self.now * 1000) if step == 2 else 0
         return told([host(self._live[place], self.size, health, born)], self.seq, False)
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: model.Event) -> None:
         begun = process_time_ns()
         actions = self.gateway.handle(self.now, event)
         took = process_time_ns() - begun
         row = self.spent.setdefault(type(event).__name__, [0, 0])
         row[0] += took
         row[1] += 1
-        if isinstance(event, api.Request):
+        if isinstance(event, model.Request):
             self.arrived += 1
-        elif isinstance(event, api.Outcome) and event.finished:
-            self._tries.pop(event.id, None)
+        elif isinstance(event, model.AttemptCompleted) and event.request_finished:
+            self._tries.pop(event.request_id, None)
         for action in actions:
             self._carry_out(action)
 
@@ -195,7 +195,7 @@
         """Seconds of processor time of an event of the first kind, with the others that it caused."""
         return sum(self.spent.get(kind, (0, 0))[0] for kind in kinds) / max(1, self.spent[kinds[0]][1]) / 1e9
 
-    def _later(self, delay: float, event: api.Event | None) -> None:
+    def _later(self, delay: float, event: model.Event | None) -> None:
         heappush(self._queue, (self.now + delay, next(self._order), event))
 
     def _draw(self) -> int:
@@ -205,47 +205,50 @@
             if self.rng.random() * OVER < self.mix.of(customer):
                 return customer
 
-    def _request(self, customer: int) -> api.Request:
+    def _request(self, customer: int) -> model.Request:
         self._newest += 1
         kind = f"class-{self._newest % CLASSES}"
-        asked = api.Request(self._newest, kind, PLAN, TTL, f"{customer:016x}", gateways=self.spread)
+        asked = model.Request(self._newest, kind, PLAN, TTL, f"{customer:016x}", serving_gateways=self.spread)
         # The counter must know whose number is told, and the number is the decisions' own hash.
-        name = Account(0.0, asked, api.Plan(PLAN), 0.0, 1.0).name
+        name = Account(0.0, asked, model.Plan(PLAN), 0.0, 1.0).name
         self._customers.setdefault(name, customer)
         return asked
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _carry_out(self, action: model.Action) -> None:
         match action:
-            case api.Send():
-                attempt = self._tries.get(action.id, 0)
-                self._tries[action.id] = attempt + 1
+            case model.Forward():
+                attempt = self._tries.get(action.request_id, 0)
+                self._tries[action.request_id] = attempt + 1
                 took = self.rng.lognormvariate(math.log(SERVED), SERVED_SIGMA)
-                status = api.Status.OK if took <= action.timeout else api.Status.TIMEOUT
+                status = model.CallStatus.OK if took <= action.timeout else model.CallStatus.TIMEOUT
                 took = min(took, action.timeout)
-                ok = status is api.Status.OK
-                self._later(took, api.Outcome(action.id, attempt, action.server, status, took, ok, {}))
-            case api.Refuse() | api.Fail():
+                ok = status is model.CallStatus.OK
+                self._later(
+                    took,
+                    model.AttemptCompleted(action.request_id, attempt, action.endpoint, status, took, ok, {}),
+                )
+            case model.Reject() | model.Fail():
                 self.refused += 1
-                self._tries.pop(action.id, None)
-            case api.Count():
+                self._tries.pop(action.request_id, None)
+            case model.IncrementCounter():
                 self.calls += 1
-                counted = api.Counted(action.name, api.Status.OK, self._total(action))
+                counted = model.CounterReplied(action.counter_id, model.CallStatus.OK, self._total(action))
                 self._later(COUNTED, counted)
-            case api.Probe():
+            case model.CheckHealth():
                 self.probes += 1
-                self._later(COUNTED, api.Probed(action.server, api.Status.OK, COUNTED, {}))
-            case api.SetTimer():
-                self._later(action.delay, api.TimerFired(action.token))
+                self._later(COUNTED, model.HealthChecked(action.endpoint, model.CallStatus.OK, COUNTED, {}))
+            case model.SetTimer():
+                self._later(action.delay, model.TimerFired(action.token))
 
-    def _total(self, action: api.Count) -> float:
+    def _total(self, action: model.IncrementCounter) -> float:
         """What the counter holds: this limiter's units, and the even use of the others up to the quota."""
         # Of those that are gone what is owed is still told: by the mean, for nobody asks for them any more.
-        customer = self._customers.get(action.name)
+        customer = self._customers.get(action.counter_id)
         demand = min(1.0, self.mix.demand if customer is None else self.mix.of(customer))
         others = self.quota * demand * (self.spread - 1) / self.spread
-        total, at, began = self._totals.get(action.name, (0.0, self.now, self.now))
+        total, at, began = self._totals.get(action.counter_id, (0.0, self.now, self.now))
         if self.now - began > action.lifetime:
             total, at, began = 0.0, self.now, self.now
         total += others * (self.now - at) + action.amount
-        self._totals[action.name] = total, self.now, began
+        self._totals[action.counter_id] = total, self.now, began
         return total
--- a/scale/latency.py
+++ b/scale/latency.py
@@ -26,7 +26,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.decide import Gateway
 from quota_gateway.settings import settings_from
 from scale import fit
@@ -299,42 +299,49 @@
 def decide(size: Size, servers: int, rate: float, seconds: float, seed: int) -> Decision:
     """Time ``Gateway.handle`` alone, under the load of ``measure``; counter and servers answer at once."""
     rng, gateway = Random(seed), Gateway(settings_from(wire_settings(size, rate, True)), seed, 0.0)
-    due, order = list[tuple[float, int, api.Event, int]](), count()
+    due, order = list[tuple[float, int, model.Event, int]](), count()
     spent, ticks = defaultdict[int, float](float), list[float]()
     counted = dict[int, int]()  # who asked for a number last
 
-    def put(when: float, event: api.Event, owner: int) -> None:
+    def put(when: float, event: model.Event, owner: int) -> None:
         heappush(due, (when, next(order), event, owner))
 
     entries = tuple(
-        api.ServerEntry(host.name, api.Health.UP, host.site) for host in hosts_of(servers, ["127.0.0.1:1"])
+        model.Endpoint(host.name, model.EndpointHealth.HEALTHY, host.site)
+        for host in hosts_of(servers, ["127.0.0.1:1"])
     )
-    gateway.handle(0.0, api.ServerList(entries, True))
+    gateway.handle(0.0, model.EndpointUpdate(entries, True))
     tenants = tenants_of(size)
     for id, (at, tenant) in enumerate(schedule(rng, rate, seconds, tenants)):
         plan = plan_of(tenant, tenants)
-        put(at, api.Request(id, "read", plan, TTL, f"{tenant:016x}", gateways=size.spread), id)
-    put(0.0, api.TimerFired(0), -1)
+        put(at, model.Request(id, "read", plan, TTL, f"{tenant:016x}", serving_gateways=size.spread), id)
+    put(0.0, model.TimerFired(0), -1)
     begin = time.process_time()
     while due and due[0][0] < seconds:
         now, _, event, owner = heappop(due)
         started = time.perf_counter()
         actions = gateway.handle(now, event)
         took = time.perf_counter() - started
-        if isinstance(event, api.TimerFired):
+        if isinstance(event, model.TimerFired):
             ticks.append(took)
         else:
             spent[owner] += took
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, model.Forward):
                 wait = rng.uniform(0.004, 0.016)
-                done = api.Outcome(action.id, 0, action.server, api.Status.OK, wait, True, {})
-                put(now + wait, done, action.id)
-            elif isinstance(action, api.Count):
-                counted[action.name] = owner
-                put(now + 0.001, api.Counted(action.name, api.Status.OK, action.amount), owner)
-            elif isinstance(action, api.SetTimer):
-                put(now + action.delay, api.TimerFired(action.token), -1)
+                done = model.AttemptCompleted(
+                    action.request_id, 0, action.endpoint, model.CallStatus.OK, wait, True, {}
+                )
+                put(now + wait, done, action.request_id)
+            elif isinstance(action, model.IncrementCounter):
+                counted[action.counter_id] = owner
+                put(
+                    now + 0.001,
+                    model.CounterReplied(action.counter_id, model.CallStatus.OK, action.amount),
+                    owner,
+                )
+            elif isinstance(action, model.SetTimer):
+                put(now + action.delay, model.TimerFired(action.token), -1)
     cpu = time.process_time() - begin
     return Decision(percentiles(spent.values()), percentiles(ticks), cpu / max(1, len(spent)))
 
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.net.counter import CounterClient
 from quota_gateway.net.discovery import Discovery, Listing, listing_from
 from quota_gateway.net.node import Node, unix_clock
@@ -109,10 +109,10 @@
             client.start()
             left, over = CALLS, asyncio.get_running_loop().create_future()
 
-            def done(status: api.Status, _total: float) -> None:
+            def done(status: model.CallStatus, _total: float) -> None:
                 nonlocal left
                 left -= 1
-                if not over.done() and status is not api.Status.OK:
+                if not over.done() and status is not model.CallStatus.OK:
                     over.set_exception(ConnectionError(f"a call ended as {status.value}"))
                 elif not over.done() and not left:
                     over.set_result(None)
@@ -134,12 +134,12 @@
 
     class Probing:
         def __init__(self) -> None:
-            self.ended: asyncio.Future[api.Status] = asyncio.get_running_loop().create_future()
+            self.ended: asyncio.Future[model.CallStatus] = asyncio.get_running_loop().create_future()
 
-        def handle(self, now: float, event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Probed):
+        def handle(self, now: float, event: model.Event) -> list[model.Action]:
+            if isinstance(event, model.HealthChecked):
                 self.ended.set_result(event.status)
-            return [api.Probe("s-00000000")] if isinstance(event, api.TimerFired) else []
+            return [model.CheckHealth("s-00000000")] if isinstance(event, model.TimerFired) else []
 
     async def server(tap: Tap, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -152,9 +152,9 @@
             upstream = Upstream(unix_clock(), PATIENCE, 30.0, 8)
             upstream.update("s-00000000", f"{host}:{port}", True)
             node = Node(settings_from(settings(3, 1.0)), probing, unix_clock(), upstream, None)
-            node.feed(api.TimerFired(0))
+            node.feed(model.TimerFired(0))
             status = await tap.wait(probing.ended)
-            if status is not api.Status.OK:
+            if status is not model.CallStatus.OK:
                 raise ConnectionError(f"the probe ended as {status.value}")
             upstream.close()
         return {"asked": float(tap.heard), "answered": float(tap.said)}
--- a/scale/state.py
+++ b/scale/state.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from quota_gateway import __main__ as _program  # noqa: F401  all of the program is in a limiter's memory
-from quota_gateway import interface as api
+from quota_gateway import model
 from quota_gateway.decide import Gateway
 from quota_gateway.net.counter import CounterClient
 from quota_gateway.net.discovery import listing_from
@@ -47,8 +47,8 @@
 class Refusing:
     """Decisions that turn each request away: all that is kept then is the connection's."""
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        return [api.Refuse(event.id, 0.1)] if isinstance(event, api.Request) else []
+    def handle(self, now: float, event: model.Event) -> list[model.Action]:
+        return [model.Reject(event.id, 0.1)] if isinstance(event, model.Request) else []
 
 
 # Jobs: each runs in a process of its own.
@@ -64,7 +64,7 @@
         text = whole_list(whole)
         tracemalloc.start()
         listing = listing_from(json.loads(text))
-        for entry in listing.servers.entries:
+        for entry in listing.servers.endpoints:
             upstream.update(entry.name, listing.dials[entry.name], True)
         gateway.handle(0.0, listing.servers)
         del listing, entry
@@ -84,15 +84,17 @@
     for i in range(count):
         now = 1.0 + i * 1e-3
         todo = gateway.handle(
-            now, api.Request(i, "class-0", PLAN, TTL, f"{i:016x}", gateways=min(3, whole.limiters))
+            now, model.Request(i, "class-0", PLAN, TTL, f"{i:016x}", serving_gateways=min(3, whole.limiters))
         )
         while todo:
             action = todo.pop()
-            if isinstance(action, api.Send):
-                done = api.Outcome(i, 0, action.server, api.Status.OK, 0.04, True, {})
+            if isinstance(action, model.Forward):
+                done = model.AttemptCompleted(i, 0, action.endpoint, model.CallStatus.OK, 0.04, True, {})
                 todo += gateway.handle(now, done)
-            elif isinstance(action, api.Count):
-                todo += gateway.handle(now, api.Counted(action.name, api.Status.OK, action.amount))
+            elif isinstance(action, model.IncrementCounter):
+                todo += gateway.handle(
+                    now, model.CounterReplied(action.counter_id, model.CallStatus.OK, action.amount)
+                )
     return traced()
 
 
@@ -183,7 +185,7 @@
         def done(exchange: Exchange) -> None:
             nonlocal left
             left -= 1
-            if not over.done() and exchange.status is not api.Status.OK:
+            if not over.done() and exchange.status is not model.CallStatus.OK:
                 over.set_exception(ConnectionError(f"a request ended as {exchange.status.value}"))
             elif not over.done() and not left:
                 over.set_result(None)
@@ -223,8 +225,10 @@
             listing = listing_from(json.loads(text))
             if listing.servers.complete:
                 upstream.keep_only(set(listing.dials))
-            for entry in listing.servers.entries:
-                upstream.update(entry.name, listing.dials[entry.name], entry.health is api.Health.UP)
+            for entry in listing.servers.endpoints:
+                upstream.update(
+                    entry.name, listing.dials[entry.name], entry.health is model.EndpointHealth.HEALTHY
+                )
             limiter.feed(listing.servers)
 
         limiter.begin()
