--- /dev/null
+++ b/tests/test_wire_formats.py
@@ -0,0 +1,366 @@
+"""The forms on disk and on the wire as literals, so that a renamed Python name cannot change a byte of them.
+
+A limiter of one version and one of another exchange these files in one folder while both run; the calling
+programs are built for these texts. Forms that other tests hold as literals already are not repeated here.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import fcntl
+import importlib.util
+import json
+import os
+import re
+import threading
+import time
+import tomllib
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from cypresspulley import interface as api
+from cypresspulley.__main__ import config_from
+from cypresspulley.decide import Gateway
+from cypresspulley.net.discovery import Discovery, Listing
+from cypresspulley.net.figures import Figures
+from cypresspulley.net.mgmt import Mgmt
+from cypresspulley.net.node import Node, unix_clock
+from cypresspulley.net.shared import Shared
+from cypresspulley.net.upstream import Upstream
+from cypresspulley.settings import Timing, check_retuned, settings_from, timing_from
+from tests.loopback import SETTINGS, Limiter, Script, listening, run, send_on
+from tests.loopback import listing as listing_of
+
+ROOT = Path(__file__).parent.parent
+OTHER = "process-31-0a1b2c3d"  # the file of a process of another version
+NOTES_TEXT = """{"done_rate": 0.5, "mean": 0.125, "units": 2.5, "bases": {"read": 0.04, "write": 0.08},
+ "servers": [
+  {"name": "s0", "born": 1.5, "cold_at": null, "answers": 3, "pace": 1.25, "slow": 1.125, "rate": 0.2},
+  {"name": "s1", "born": 2.5, "cold_at": 9.5, "answers": 4, "pace": 1.75, "slow": 1.375, "rate": 0.3}],
+ "accounts": [
+  {"plan": "basic", "account": "00000000b4d65521", "gateways": 2, "level": 3.5, "floor": 1.5,
+   "ceiling": 0.75, "others": 0.1, "synced": 7.5, "total": null},
+  {"plan": "large", "account": "00000000c0ffee11", "gateways": 5, "level": 4.5, "floor": 2.25,
+   "ceiling": 0.625, "others": 0.7, "synced": 8.5, "total": 6.5}]}"""
+NOTES = api.Learned(
+    0.5, 0.125, 2.5, {"read": 0.04, "write": 0.08},
+    (
+        api.ServerNotes("s0", 1.5, None, 3, 1.25, 1.125, 0.2),
+        api.ServerNotes("s1", 2.5, 9.5, 4, 1.75, 1.375, 0.3),
+    ),
+    (
+        api.AccountNotes("basic", "00000000b4d65521", 2, 3.5, 1.5, 0.75, 0.1, 7.5, None),
+        api.AccountNotes("large", "00000000c0ffee11", 5, 4.5, 2.25, 0.625, 0.7, 8.5, 6.5),
+    ),
+)  # fmt: skip
+
+
+def lock(path: Path, flags: int = fcntl.LOCK_EX | fcntl.LOCK_NB) -> int:
+    """The descriptor of a file, made where it is missing and locked as a process of another version does."""
+    descriptor = os.open(path, os.O_RDWR | os.O_CREAT)
+    fcntl.flock(descriptor, flags)
+    return descriptor
+
+
+def names_in(folder: Path) -> list[str]:
+    return sorted(path.name for path in folder.iterdir())
+
+
+@pytest.mark.parametrize(
+    ("name", "folder"),
+    [
+        ("n1", "cypresspulley-6e31"), ("", "cypresspulley-"), ("ü/x", "cypresspulley-c3bc2f78"),
+        ("a" * 40, "cypresspulley-" + "61" * 32),
+    ],
+)  # fmt: skip
+def test_the_folder_and_the_file_of_a_process(name: str, folder: str, tmp_path: Path) -> None:
+    shared = Shared(str(tmp_path), name)
+    assert names_in(tmp_path) == [folder]
+    (own,) = (tmp_path / folder).iterdir()
+    assert re.fullmatch(f"process-{os.getpid()}-[0-9a-f]{{8}}", own.name)
+    assert (tmp_path / folder).stat().st_mode & 0o777 == 0o700
+    assert own.stat().st_mode & 0o777 == 0o600
+    with pytest.raises(BlockingIOError):
+        lock(own, fcntl.LOCK_SH | fcntl.LOCK_NB)  # even a shared lock is refused: this one is exclusive
+    shared.close()
+    assert names_in(tmp_path / folder) == []
+
+
+def test_the_file_of_another_process_is_alive_while_it_is_locked(tmp_path: Path) -> None:
+    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    held = lock(folder / OTHER)
+    (folder / f"notes-for-{OTHER}").write_text(NOTES_TEXT)
+    (folder / "other-31-0a1b2c3d").touch()
+    assert shared.processes == 2
+    os.close(held)
+    assert shared.processes == 1
+    assert [name for name in names_in(folder) if name.endswith("0a1b2c3d")] == ["other-31-0a1b2c3d"]
+    shared.close()
+
+
+def test_the_notes_written_for_another_process(tmp_path: Path) -> None:
+    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    held = lock(folder / OTHER)
+    shared.hand(NOTES)
+    shared.close()
+    assert names_in(folder) == [f"notes-for-{OTHER}", OTHER]
+    assert json.loads((folder / f"notes-for-{OTHER}").read_bytes()) == json.loads(NOTES_TEXT)
+    os.close(held)
+
+
+def test_the_notes_that_another_process_has_written(tmp_path: Path) -> None:
+    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    (own,) = names_in(folder)
+    (folder / f"notes-for-{own}").write_text(NOTES_TEXT)
+    assert shared.notes() == NOTES
+    assert names_in(folder) == [own]
+    shared.close()
+
+
+def test_the_file_of_servers_out_by_hand_is_written_and_read(tmp_path: Path) -> None:
+    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    (own,) = names_in(folder)
+    shared.change("s2", True)
+    shared.change("s1", True)
+    assert (folder / "bans.json").read_bytes() == b'{"out": ["s1", "s2"]}'
+    assert names_in(folder) == ["bans.json", "bans.lock", own]
+    (folder / "fresh").write_text('{"out": ["s7", "s3"]}')
+    (folder / "fresh").rename(folder / "bans.json")
+    assert shared.bans() == {"s3", "s7"}
+    assert shared.change("s7", False) == {"s3"}
+    assert (folder / "bans.json").read_bytes() == b'{"out": ["s3"]}'
+    shared.close()
+
+
+def test_a_change_of_the_servers_out_by_hand_waits_for_the_lock_file(tmp_path: Path) -> None:
+    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    held = lock(folder / "bans.lock")
+    change = threading.Thread(target=shared.change, args=("s1", True))
+    change.start()
+    time.sleep(0.2)
+    waited = not (folder / "bans.json").exists()
+    os.close(held)
+    change.join()
+    assert waited
+    assert (folder / "bans.json").exists()
+    shared.close()
+
+
+FIGURES_TEXT = """app.handled.lookup.passed=1
+app.handled.lookup.dropped=2
+app.handled.lookup.bad_gateway=3
+app.handled.post.passed=0
+app.handled.post.dropped=1
+app.handled.post.bad_gateway=0
+app.upstream_tries=11
+app.in_progress=4
+app.known_servers=2
+app.skipped_servers=1
+app.loads=6
+app.load_errors=7
+EOT
+"""
+
+
+def test_the_replies_at_the_second_address() -> None:
+    async def main() -> None:
+        figures, clock = Figures(["lookup", "post"]), unix_clock()
+        for status in (200, 429, 503, 502, 504, 400):
+            figures.ended("lookup", status)
+        figures.ended("post", 429)
+        figures.tries, figures.streams, figures.loads, figures.load_errors = 11, 4, 6, 7
+        upstream = Upstream(clock, 0.25, 30.0, 64)
+        node = Node(SETTINGS, Gateway(SETTINGS, 1, clock()), clock, upstream, None, figures)
+        mgmt = Mgmt(node)
+        address = await mgmt.listen("127.0.0.1", 0)
+
+        async def call(line: bytes) -> str:
+            reader, writer = await asyncio.open_connection(*address)
+            writer.write(line)
+            reply = await reader.read()
+            writer.close()
+            return reply.decode()
+
+        assert await call(b"STATUS\n") == "FAILURE\n"
+        node.listed(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
+        assert await call(b"STATUS\n") == "SUCCESS\n"
+        assert await call(b"SUSPEND s1\n") == "SUCCESS\n"
+        assert await call(b"METRICS\n") == FIGURES_TEXT
+        assert await call(b"RESTORE s1\n") == "SUCCESS\n"
+        assert await call(b"RESTORE s1\n") == "SUCCESS\n"
+        assert await call(b"SUSPEND s9\n") == "FAILURE\n"
+        assert await call(b"METRICS\n") == FIGURES_TEXT.replace("skipped_servers=1", "skipped_servers=0")
+        mgmt.close()
+        upstream.close()
+
+    run(main())
+
+
+SETTINGS_TEXT = """{
+ "me": 2, "n_instances": 7, "my_zone": "b", "discovery": "ask",
+ "classes": [
+  {"name": "read", "aim_s": 1.5, "worth": 2.5, "effect": "idempotent", "late_worth": 0.25, "group": "all",
+   "window_s": 3.5, "hard_limit_s": 4.5},
+  {"name": "pay", "aim_s": 5.5, "worth": 6.5, "effect": "deduplicated", "late_worth": 0.5, "group": "zone",
+   "window_s": 7.5, "hard_limit_s": 8.5},
+  {"name": "post", "aim_s": 9.5, "worth": 10.5, "effect": "at_most_once", "late_worth": 0.75,
+   "group": "cell", "window_s": 11.5, "hard_limit_s": 12.5}],
+ "tariffs": [
+  {"name": "basic", "price": 1.25, "quota_rate": 2.25, "store_size": 3.25, "parallel": 4, "over_worth": 5.25,
+   "over_cost": 6.25, "never_over_rate": 7.25, "hard_burst": 8.25}],
+ "limits": {"max_attempts": 3, "may_duplicate": true, "cancel": true, "probes": true, "retry_after": true,
+  "max_retry_after_s": 1.75, "dial_timeout_s": 0.375, "conn_idle_s": 21.5},
+ "report": {"how": "on_probe"},
+ "specifics": {"has_counter": true, "count_wait_s": 0.0625, "max_units": 16.5},
+ "contract": {"cold_from": 0.2, "warm_after_s": 5.125, "fall_multiple": 2.125, "fall_s": 2.375,
+  "stop_sending_within_s": 2.0}}"""
+SETTINGS_READ = api.Settings(
+    2, 7, "b",
+    (
+        api.RequestClass("read", 1.5, 2.5, api.Effect.SAFE, 0.25, api.Scope.ALL, 3.5, 4.5),
+        api.RequestClass("pay", 5.5, 6.5, api.Effect.KEYED, 0.5, api.Scope.ZONE, 7.5, 8.5),
+        api.RequestClass("post", 9.5, 10.5, api.Effect.UNSAFE, 0.75, api.Scope.CELL, 11.5, 12.5),
+    ),
+    (api.Plan("basic", 1.25, 2.25, 3.25, 4, 5.25, 6.25, 7.25, 8.25),),
+    3, True, True, True, True, True, 0.0625, 16.5, 1.75, 0.2, 5.125, 2.125, 2.375,
+)  # fmt: skip
+
+
+def test_every_key_of_the_settings_object() -> None:
+    raw = json.loads(SETTINGS_TEXT)
+    assert settings_from(raw) == SETTINGS_READ
+    assert timing_from(raw) == Timing(0.375, 21.5, 7, 3.0, 4.5)
+    assert timing_from(raw | {"discovery": "push"}) == Timing(0.375, 21.5, 1, 0.6, 1.2)
+    off = {"limits": raw["limits"] | {"retry_after": False}, "report": {"how": "on_answer"}}
+    assert settings_from(raw | off) == replace(SETTINGS_READ, max_retry_after=0.0, load_on_probe=False)
+
+
+def test_the_one_key_of_a_class_that_may_be_missing_from_new_settings() -> None:
+    raw = json.loads(SETTINGS_TEXT)
+    check_retuned(raw, raw | {"classes": [row | {"aim_stretch": 2.0} for row in raw["classes"]]})
+
+
+@pytest.mark.parametrize("by_environment", [False, True])
+def test_every_key_of_the_configuration(by_environment: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    raw: dict[str, Any] = {
+        "name": "n4", "listen": "127.0.0.1:7001", "discovery": "127.0.0.1:7002", "counter": "127.0.0.1:7003",
+        "mgmt": "127.0.0.1:7004", "seed": "1f", "limits": {"sockets": 333},
+        "known": {"seq": 41, "whole": True, "hosts": [{"host": "s1", "dial": "[::1]:70", "health": "ready"}]},
+        "settings": json.loads(SETTINGS_TEXT),
+    }  # fmt: skip
+    for variable in ("LB_NAME", "LB_MGMT"):
+        monkeypatch.delenv(variable, raising=False)
+    name, mgmt = "n4", 7004
+    if by_environment:
+        name, mgmt = "n5", 7005
+        del raw["name"]
+        monkeypatch.setenv("LB_NAME", "n5")
+        monkeypatch.setenv("LB_MGMT", "127.0.0.1:7005")
+    read = config_from(raw)
+    assert (read.name, read.seed, read.sockets) == (name, 31, 333)
+    addresses = read.listen, read.discovery, read.counter, read.mgmt
+    assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
+    entry = api.ServerEntry("s1", api.Health.UP, "")
+    assert read.known == Listing(41, api.ServerList((entry,), True), {"s1": "[::1]:70"})
+    assert read.settings == SETTINGS_READ and read.timing == timing_from(raw["settings"])
+
+
+@pytest.mark.parametrize(("since", "query"), [(None, b""), (41, b"&since=41")])
+def test_the_call_to_discovery_and_a_line_of_it(since: int | None, query: bytes) -> None:
+    line = (
+        b'{"seq": 58, "whole": false, "hosts": [{"host": "s1", "dial": "10.1.0.18:7070", "site": "a", '
+        b'"class": "m2", "block": 3, "health": "ready", "share": 1.5, "born_ms": 1800000000250}, '
+        b'{"host": "s2", "dial": "10.1.0.19:7071", "site": "b", "block": 4, "health": "draining", '
+        b'"share": 2.5, "born_ms": 1250}, {"host": "s3", "dial": "", "health": "gone"}]}\n'
+    )
+    entries = (
+        api.ServerEntry("s1", api.Health.UP, "a", 3, 1.5, 1_800_000_000.25),
+        api.ServerEntry("s2", api.Health.DRAINING, "b", 4, 2.5, 1.25),
+        api.ServerEntry("s3", api.Health.GONE, ""),
+    )
+    dials = {"s1": "10.1.0.18:7070", "s2": "10.1.0.19:7071", "s3": ""}
+
+    async def main() -> None:
+        asked, told = asyncio.Queue[bytes](), asyncio.Queue[Listing]()
+
+        async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            asked.put_nowait(await reader.readuntil(b"\r\n\r\n"))
+            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            writer.write(b"%x\r\n%b\r\n" % (len(line), line))
+            await asyncio.Event().wait()
+
+        async with listening(agent) as address:
+            host, port = address.split(":")
+            task = asyncio.create_task(Discovery(host, int(port), since, told.put_nowait).follow())
+            assert await told.get() == Listing(58, api.ServerList(entries, False), dials)
+            request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
+            assert await asked.get() == request
+            task.cancel()
+
+    run(main())
+
+
+def test_the_request_to_a_server_the_probes_and_the_answers_to_a_client() -> None:
+    async def main() -> None:
+        heads, served = list[bytes](), asyncio.Queue[None]()
+
+        def decide(event: api.Event) -> list[api.Action]:
+            return [api.Probe("s1")] if isinstance(event, api.ServerList) else send_on(event)
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            while True:
+                heads.append(await reader.readuntil(b"\r\n\r\n"))
+                status = b"200 OK" if len(heads) < 4 else b"500 Error"
+                writer.write(b"HTTP/1.1 %b\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi" % status)
+                served.put_nowait(None)
+
+        ask = (
+            b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
+            b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
+            b"X-Timeout-Ms: 5000\r\nX-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\n%b\r\n"
+        )
+        async with listening(talk) as dial, Limiter(Script(decide), {"s1": dial}) as limiter:
+            await served.get()
+            limiter.node.settings = replace(SETTINGS, load_on_probe=True)
+            limiter.node.listed(listing_of({"s1": dial}))
+            await served.get()
+            reader, writer = await limiter.connect()
+            writer.write(ask % (1, b""))
+            good = await reader.readuntil(b"hi")
+            writer.write(ask % (2, b"Connection: close\r\n"))
+            refused = await reader.read()
+            writer.close()
+        assert good == b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi"
+        refusal = b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nConnection: close\r\n"
+        assert refused == refusal + b"Content-Length: 0\r\n\r\n"
+        # The time that is left stands last, and is the one part that differs from run to run.
+        lookup = (
+            b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
+            b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
+            b"X-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\nX-Timeout-Ms: N\r\n\r\n"
+        )
+        assert [re.sub(rb": [0-9]+\r\n\r\n$", b": N\r\n\r\n", head) for head in heads] == [
+            b"GET /healthz HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
+            b"GET /load HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
+            lookup % 1,
+            lookup % 2,
+        ]
+
+    run(main())
+
+
+def test_the_deploy_file_names_what_is_there() -> None:
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert sorted(deploy) == ["build", "node", "packages", "policy", "run", "sim"]
+    assert deploy["packages"] == []
+    for path in deploy["policy"] + deploy["node"]:
+        assert (ROOT / path).exists(), path
+    for key in ("run", "sim"):
+        module = re.fullmatch(r"exec \.venv/bin/python -m ([a-z_.]+)", deploy[key])
+        assert module
+        assert importlib.util.find_spec(module[1]) is not None, module[1]
+    for path in re.findall(r"(?:-r|cmp -s) (\S+)", deploy["build"]):
+        assert (ROOT / path).exists(), path
