--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -21,16 +21,16 @@
 
 import pytest
 
-from cypresspulley import interface as api
-from cypresspulley.__main__ import config_from
-from cypresspulley.decide import Gateway
-from cypresspulley.net.discovery import Discovery, Listing
-from cypresspulley.net.figures import Figures
-from cypresspulley.net.mgmt import Mgmt
-from cypresspulley.net.node import Node, unix_clock
-from cypresspulley.net.shared import Shared
-from cypresspulley.net.upstream import Upstream
-from cypresspulley.settings import Timing, check_retuned, settings_from, timing_from
+from quota_gateway import model
+from quota_gateway.__main__ import config_from
+from quota_gateway.decide import Gateway
+from quota_gateway.net.discovery import Discovery, Listing
+from quota_gateway.net.figures import Figures
+from quota_gateway.net.mgmt import Mgmt
+from quota_gateway.net.node import Node, unix_clock
+from quota_gateway.net.shared import Shared
+from quota_gateway.net.upstream import Upstream
+from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
 from tests.loopback import SETTINGS, Limiter, Script, listening, run, send_on
 from tests.loopback import listing as listing_of
 
@@ -45,15 +45,15 @@
    "ceiling": 0.75, "others": 0.1, "synced": 7.5, "total": null},
   {"plan": "large", "account": "00000000c0ffee11", "gateways": 5, "level": 4.5, "floor": 2.25,
    "ceiling": 0.625, "others": 0.7, "synced": 8.5, "total": 6.5}]}"""
-NOTES = api.Learned(
+NOTES = model.HandoverState(
     0.5, 0.125, 2.5, {"read": 0.04, "write": 0.08},
     (
-        api.ServerNotes("s0", 1.5, None, 3, 1.25, 1.125, 0.2),
-        api.ServerNotes("s1", 2.5, 9.5, 4, 1.75, 1.375, 0.3),
+        model.EndpointHandover("s0", 1.5, None, 3, 1.25, 1.125, 0.2),
+        model.EndpointHandover("s1", 2.5, 9.5, 4, 1.75, 1.375, 0.3),
     ),
     (
-        api.AccountNotes("basic", "00000000b4d65521", 2, 3.5, 1.5, 0.75, 0.1, 7.5, None),
-        api.AccountNotes("large", "00000000c0ffee11", 5, 4.5, 2.25, 0.625, 0.7, 8.5, 6.5),
+        model.AccountHandover("basic", "00000000b4d65521", 2, 3.5, 1.5, 0.75, 0.1, 7.5, None),
+        model.AccountHandover("large", "00000000c0ffee11", 5, 4.5, 2.25, 0.625, 0.7, 8.5, 6.5),
     ),
 )  # fmt: skip
 
@@ -217,16 +217,36 @@
  "specifics": {"has_counter": true, "count_wait_s": 0.0625, "max_units": 16.5},
  "contract": {"cold_from": 0.2, "warm_after_s": 5.125, "fall_multiple": 2.125, "fall_s": 2.375,
   "stop_sending_within_s": 2.0}}"""
-SETTINGS_READ = api.Settings(
-    2, 7, "b",
+SETTINGS_READ = model.Settings(
+    2,
+    7,
+    "b",
     (
-        api.RequestClass("read", 1.5, 2.5, api.Effect.SAFE, 0.25, api.Scope.ALL, 3.5, 4.5),
-        api.RequestClass("pay", 5.5, 6.5, api.Effect.KEYED, 0.5, api.Scope.ZONE, 7.5, 8.5),
-        api.RequestClass("post", 9.5, 10.5, api.Effect.UNSAFE, 0.75, api.Scope.CELL, 11.5, 12.5),
+        model.RequestClass(
+            "read", 1.5, 2.5, model.Idempotency.INHERENT, 0.25, model.DeduplicationScope.ALL, 3.5, 4.5
+        ),
+        model.RequestClass(
+            "pay", 5.5, 6.5, model.Idempotency.KEYED, 0.5, model.DeduplicationScope.ZONE, 7.5, 8.5
+        ),
+        model.RequestClass(
+            "post", 9.5, 10.5, model.Idempotency.NONE, 0.75, model.DeduplicationScope.CELL, 11.5, 12.5
+        ),
     ),
-    (api.Plan("basic", 1.25, 2.25, 3.25, 4, 5.25, 6.25, 7.25, 8.25),),
-    3, True, True, True, True, True, 0.0625, 16.5, 1.75, 0.2, 5.125, 2.125, 2.375,
-)  # fmt: skip
+    (model.Plan("basic", 1.25, 2.25, 3.25, 4, 5.25, 6.25, 7.25, 8.25),),
+    3,
+    True,
+    True,
+    True,
+    True,
+    True,
+    0.0625,
+    16.5,
+    1.75,
+    0.2,
+    5.125,
+    2.125,
+    2.375,
+)
 
 
 def test_every_key_of_the_settings_object() -> None:
@@ -235,7 +255,7 @@
     assert timing_from(raw) == Timing(0.375, 21.5, 7, 3.0, 4.5)
     assert timing_from(raw | {"discovery": "push"}) == Timing(0.375, 21.5, 1, 0.6, 1.2)
     off = {"limits": raw["limits"] | {"retry_after": False}, "report": {"how": "on_answer"}}
-    assert settings_from(raw | off) == replace(SETTINGS_READ, max_retry_after=0.0, load_on_probe=False)
+    assert settings_from(raw | off) == replace(SETTINGS_READ, max_retry_after=0.0, load_in_health_check=False)
 
 
 def test_the_one_key_of_a_class_that_may_be_missing_from_new_settings() -> None:
@@ -263,8 +283,8 @@
     assert (read.name, read.seed, read.sockets) == (name, 31, 333)
     addresses = read.listen, read.discovery, read.counter, read.mgmt
     assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
-    entry = api.ServerEntry("s1", api.Health.UP, "")
-    assert read.known == Listing(41, api.ServerList((entry,), True), {"s1": "[::1]:70"})
+    entry = model.Endpoint("s1", model.EndpointHealth.HEALTHY, "")
+    assert read.known == Listing(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
     assert read.settings == SETTINGS_READ and read.timing == timing_from(raw["settings"])
 
 
@@ -277,9 +297,9 @@
         b'"share": 2.5, "born_ms": 1250}, {"host": "s3", "dial": "", "health": "gone"}]}\n'
     )
     entries = (
-        api.ServerEntry("s1", api.Health.UP, "a", 3, 1.5, 1_800_000_000.25),
-        api.ServerEntry("s2", api.Health.DRAINING, "b", 4, 2.5, 1.25),
-        api.ServerEntry("s3", api.Health.GONE, ""),
+        model.Endpoint("s1", model.EndpointHealth.HEALTHY, "a", 3, 1.5, 1_800_000_000.25),
+        model.Endpoint("s2", model.EndpointHealth.DRAINING, "b", 4, 2.5, 1.25),
+        model.Endpoint("s3", model.EndpointHealth.REMOVED, ""),
     )
     dials = {"s1": "10.1.0.18:7070", "s2": "10.1.0.19:7071", "s3": ""}
 
@@ -295,7 +315,7 @@
         async with listening(agent) as address:
             host, port = address.split(":")
             task = asyncio.create_task(Discovery(host, int(port), since, told.put_nowait).follow())
-            assert await told.get() == Listing(58, api.ServerList(entries, False), dials)
+            assert await told.get() == Listing(58, model.EndpointUpdate(entries, False), dials)
             request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
             assert await asked.get() == request
             task.cancel()
@@ -307,8 +327,8 @@
     async def main() -> None:
         heads, served = list[bytes](), asyncio.Queue[None]()
 
-        def decide(event: api.Event) -> list[api.Action]:
-            return [api.Probe("s1")] if isinstance(event, api.ServerList) else send_on(event)
+        def decide(event: model.Event) -> list[model.Action]:
+            return [model.CheckHealth("s1")] if isinstance(event, model.EndpointUpdate) else send_on(event)
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -324,7 +344,7 @@
         )
         async with listening(talk) as dial, Limiter(Script(decide), {"s1": dial}) as limiter:
             await served.get()
-            limiter.node.settings = replace(SETTINGS, load_on_probe=True)
+            limiter.node.settings = replace(SETTINGS, load_in_health_check=True)
             limiter.node.listed(listing_of({"s1": dial}))
             await served.get()
             reader, writer = await limiter.connect()
