--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -18,16 +18,16 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.net.counter import CounterClient
-from quota_gateway.net.discovery import Follower, Listing, listing_from
-from quota_gateway.net.figures import Figures
-from quota_gateway.net.frontend import Frontend
-from quota_gateway.net.http import split_address
-from quota_gateway.net.mgmt import Mgmt
-from quota_gateway.net.node import Node, unix_clock
-from quota_gateway.net.shared import Shared
-from quota_gateway.net.upstream import Upstream
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.net.admin import AdminListener
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.discovery_client import DiscoveryClient, WatchEvent, parse_watch_event
+from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.http_common import split_address
+from quota_gateway.net.listener import ClientListener
+from quota_gateway.net.metrics import Metrics
+from quota_gateway.net.process_group import ProcessGroup
 from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
 
 log = logging.getLogger("quota_gateway")
@@ -52,7 +52,7 @@
     name: str
     seed: int
     sockets: int
-    known: Listing | None
+    known: WatchEvent | None
     settings: model.Settings
     timing: Timing
     raw: dict[str, Any] = field(repr=False, compare=False)
@@ -62,7 +62,7 @@
     """A configuration that cannot be run."""
 
 
-class LogLimit(logging.Filter):
+class LogRateLimit(logging.Filter):
     """Drops what exceeds so many lines a second, and tells how many."""
 
     def __init__(self, per_second: int) -> None:
@@ -93,7 +93,7 @@
             name=str(raw.get("name") or os.environ.get("LB_NAME") or ""),
             seed=int(str(raw.get("seed") or "0"), 16),
             sockets=int(limits.get("sockets") or 1024),
-            known=listing_from(raw["known"]) if raw.get("known") else None,
+            known=parse_watch_event(raw["known"]) if raw.get("known") else None,
             settings=settings_from(raw["settings"]),
             timing=timing_from(raw["settings"]),
             raw=raw,
@@ -150,9 +150,15 @@
     """SIGHUP: the file is read again, and taken whole or not at all."""
 
     def __init__(
-        self, config: Config, node: Node, frontend: Frontend, upstream: Upstream, follower: Follower,
-        counter: CounterClient | None, figures: Figures,
-    ) -> None:  # fmt: skip
+        self,
+        config: Config,
+        node: Dispatcher,
+        frontend: ClientListener,
+        upstream: ConnectionPool,
+        follower: DiscoveryClient,
+        counter: CounterClient | None,
+        figures: Metrics,
+    ) -> None:
         self._config, self._node, self._frontend, self._upstream = config, node, frontend, upstream
         self._follower, self._counter, self._figures = follower, counter, figures
 
@@ -165,18 +171,18 @@
                 raise ConfigError("counter is missing")
         except (ConfigError, ValueError) as error:
             # A half-written or wrong file must not end a limiter that serves.
-            self._figures.load_errors += 1
+            self._figures.reload_errors += 1
             log.error("the configuration was not reloaded: %s", error)
             return
-        self._figures.loads += 1
-        self._follower.follow(*new.discovery)
+        self._figures.reloads += 1
+        self._follower.watch(*new.discovery)
         if self._counter is not None and new.counter is not None:
-            self._counter.move(*new.counter)
-            self._counter.retime(new.settings.counter_timeout or self._config.settings.counter_timeout)
-        self._upstream.retime(new.timing.dial_timeout, new.timing.conn_idle)
+            self._counter.set_address(*new.counter)
+            self._counter.set_timeout(new.settings.counter_timeout or self._config.settings.counter_timeout)
+        self._upstream.set_timeouts(new.timing.dial_timeout, new.timing.conn_idle)
         if new.settings != self._config.settings:
-            self._frontend.reader.retune(new.settings)
-            self._node.retune(new.settings)
+            self._frontend.parser.reconfigure(new.settings)
+            self._node.reconfigure(new.settings)
         same = replace(
             self._config, discovery=new.discovery, counter=new.counter, known=new.known,
             settings=new.settings, timing=new.timing,
@@ -200,10 +206,10 @@
     )
     clock = unix_clock()
     # Where there is no second address nobody can take a server out, and no second process comes.
-    shared = Shared(os.environ.get("TMPDIR") if config.mgmt else None, config.name)
+    shared = ProcessGroup(os.environ.get("TMPDIR") if config.mgmt else None, config.name)
     clients, servers = share_of(config.sockets, 1)
-    timing, figures = config.timing, Figures(c.name for c in config.settings.classes)
-    upstream = Upstream(clock, timing.dial_timeout, timing.conn_idle, servers, figures)
+    timing, figures = config.timing, Metrics(c.name for c in config.settings.classes)
+    upstream = ConnectionPool(clock, timing.dial_timeout, timing.conn_idle, servers, figures)
     timeout = config.settings.counter_timeout
     rng = Random(config.seed)
     counter = CounterClient(*config.counter, timeout, rng) if config.counter and timeout else None
@@ -211,19 +217,19 @@
         gateway = Gateway(config.settings, config.seed, clock())
     except ValueError as error:
         raise ConfigError(str(error)) from None
-    node = Node(config.settings, gateway, clock, upstream, counter, figures, shared)
-    frontend = Frontend(node, config.settings, clients, figures)
-    mgmt = Mgmt(node) if config.mgmt else None
+    node = Dispatcher(config.settings, gateway, clock, upstream, counter, figures, shared)
+    frontend = ClientListener(node, config.settings, clients, figures)
+    mgmt = AdminListener(node) if config.mgmt else None
 
     def together(processes: int, bans: frozenset[str]) -> None:
         clients, servers = share_of(config.sockets, processes)
-        frontend.resize(clients)
-        upstream.resize(servers)
-        node.shared(processes, bans)
+        frontend.set_max_connections(clients)
+        upstream.set_max_connections(servers)
+        node.on_process_group_changed(processes, bans)
 
-    shared.watch(together, node.learned)
+    shared.watch(together, node.on_handover)
     if config.known is not None:
-        node.listed(config.known)
+        node.on_watch_event(config.known)
     try:
         # Where no socket is handed over, a new version can still stand beside the old one.
         await frontend.listen(*config.listen, inherited_socket(), beside=config.mgmt is not None)
@@ -232,8 +238,8 @@
     except OSError as error:
         raise ConfigError(f"cannot listen: {error}") from None
     since = config.known.version if config.known else None
-    follower = Follower(node.listed, timing.callers, rng, timing.answer, timing.call_again)
-    follower.follow(*config.discovery, since)
+    follower = DiscoveryClient(node.on_watch_event, timing.callers, rng, timing.answer, timing.call_again)
+    follower.watch(*config.discovery, since)
     if counter is not None:
         counter.start()
     loop.add_signal_handler(
@@ -249,14 +255,14 @@
     )  # fmt: skip
     await stop.wait()
     log.info("stopping")
-    frontend.drain()
-    node.leave()
+    frontend.start_draining()
+    node.begin_shutdown()
     answer_within = answer_time(node.settings)
-    if shared.processes > 1:
+    if shared.process_count > 1:
         # The other process takes what comes. Clients that hold connections here leave with their next answer;
         # closed sooner, one would cross a request on its way.
-        await frontend.stop()
-        await frontend.emptied(ACCEPT_FOR + answer_within)
+        await frontend.stop_accepting()
+        await frontend.wait_until_empty(ACCEPT_FOR + answer_within)
     else:
         await asyncio.sleep(ACCEPT_FOR)  # clients do not know yet: what they still open is taken and answered
         await frontend.close(answer_within)
@@ -273,7 +279,7 @@
 
 def main() -> int:
     handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(LogLimit(LOGS_A_SECOND))
+    handler.addFilter(LogRateLimit(LOGS_A_SECOND))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it: it must never end the process
     logging.basicConfig(level=logging.INFO, handlers=[handler], format="%(asctime)s %(name)s: %(message)s")
     try:
--- a/quota_gateway/decide.py
+++ b/quota_gateway/decisions/gateway.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from quota_gateway import model
+from quota_gateway.decisions.quota import Account, CounterBudget
 from quota_gateway.model import Action, CallStatus, Idempotency
-from quota_gateway.quota import Account, Calls
 
 REFERENCE, GAIN, RESET, INTERVAL, STALL = 0.8, 20.0, 2.8, 1.0, 2.5  # the design's loop; intervals of a stall
 AIM_SHARE, PLAIN_ROOM = 0.5, 0.5  # latency / aim that reads as the reference; load / reference of plain room
@@ -104,7 +104,7 @@
         self._units = 0.0  # mean units of a request
         self._mean, self._retries = 0.0, 10.0  # mean work of a request; further attempts that may be made
         self._filled = self._ticked = now
-        self._calls = Calls(now, settings.gateway_count, self._rng.random(), settings.counter_timeout)
+        self._calls = CounterBudget(now, settings.gateway_count, self._rng.random(), settings.counter_timeout)
         self._banned, self._parts = frozenset[str](), 1  # servers out by hand; processes of this limiter
         self._handed = False  # whether the process before has told what it knew
         self._told = self._leaving = False  # whether a list has come; whether this process is to end
--- a/quota_gateway/quota.py
+++ b/quota_gateway/decisions/quota.py
@@ -16,7 +16,7 @@
 LINE = 0.25  # of the time-out above the usual: answers that take so much longer have waited in a line
 
 
-class Calls:
+class CounterBudget:
     """How many calls the counter bears, and whether it answers at all."""
 
     def __init__(self, now: float, gateways: int, draw: float, timeout: float = 0.0) -> None:
--- a/quota_gateway/model.py
+++ b/quota_gateway/model.py
@@ -1,6 +1,6 @@
 """Settings, events and actions of the gateway: plain typed records, no logic.
 
-Times are seconds, rates are per second.  ``decide.Gateway`` takes ``Settings``
+Times are seconds, rates are per second.  ``decisions.gateway.Gateway`` takes ``Settings``
 and one event at a time and answers with a list of actions.
 """
 
--- a/quota_gateway/net/__init__.py
+++ b/quota_gateway/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real limiter's sockets, round the decisions of ``quota_gateway.decide``."""
+"""The real limiter's sockets, round the decisions of ``quota_gateway.decisions``."""
--- a/quota_gateway/net/mgmt.py
+++ b/quota_gateway/net/admin.py
@@ -23,15 +23,17 @@
 TAKES_ID = (model.AdminCommand.SUSPEND, model.AdminCommand.RESTORE)
 
 
-class Desk(Protocol):
+class AdminHandler(Protocol):
     """What answers the calls: the node."""
 
-    def called(self, verb: model.AdminCommand, server: str, done: Callable[[bool, str], None]) -> None:
+    def on_admin_command(
+        self, verb: model.AdminCommand, server: str, done: Callable[[bool, str], None]
+    ) -> None:
         """Answer by yes or no, and by the figures where they were asked for."""
 
 
-class _Caller(asyncio.Protocol):
-    def __init__(self, mgmt: Mgmt) -> None:
+class _AdminConnection(asyncio.Protocol):
+    def __init__(self, mgmt: AdminListener) -> None:
         self._mgmt, self._line, self._asked = mgmt, b"", False
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -39,13 +41,13 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
         self._timer = asyncio.get_running_loop().call_later(PATIENCE, self._give_up)
-        self._mgmt.came(self)
+        self._mgmt.connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
-        self._mgmt.left(self)
+        self._mgmt.disconnected(self)
 
     def data_received(self, data: bytes) -> None:
         if self._asked:
@@ -69,7 +71,9 @@
         if known is None or len(rest) != (known in TAKES_ID) or not all(rest):
             self._answer(False)
         else:
-            self._mgmt.desk.called(known, rest[0].decode("utf-8", "replace") if rest else "", self._answer)
+            self._mgmt.handler.on_admin_command(
+                known, rest[0].decode("utf-8", "replace") if rest else "", self._answer
+            )
 
     def _give_up(self) -> None:
         if not self._asked:
@@ -92,26 +96,26 @@
             self._transport.abort()
 
 
-class Mgmt:
+class AdminListener:
     """The listener of the second address."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
-        self._callers = dict[_Caller, None]()  # in the order of their coming
+    def __init__(self, desk: AdminHandler) -> None:
+        self.handler = desk
+        self._callers = dict[_AdminConnection, None]()  # in the order of their coming
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Caller(self), host, port)
+        self._server = await loop.create_server(lambda: _AdminConnection(self), host, port)
         address = self._server.sockets[0].getsockname()
         return address[0], address[1]
 
-    def came(self, caller: _Caller) -> None:
+    def connected(self, caller: _AdminConnection) -> None:
         if len(self._callers) >= MAX_CALLERS:
             next(iter(self._callers)).abort()
         self._callers[caller] = None
 
-    def left(self, caller: _Caller) -> None:
+    def disconnected(self, caller: _AdminConnection) -> None:
         self._callers.pop(caller, None)
 
     def close(self) -> None:
--- a/quota_gateway/net/upstream.py
+++ b/quota_gateway/net/connection_pool.py
@@ -23,9 +23,9 @@
 import httptools
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.bodies import Pipe
-from quota_gateway.net.figures import Figures
-from quota_gateway.net.http import MAX_BODY, MAX_HEAD, NOT_FORWARDED, PIECE, split_address
+from quota_gateway.net.body_stream import BodyStream
+from quota_gateway.net.http_common import MAX_BODY, MAX_HEAD, NOT_FORWARDED, PIECE, split_address
+from quota_gateway.net.metrics import Metrics
 
 log = logging.getLogger(__name__)
 
@@ -80,25 +80,29 @@
 class Exchange:
     """One request on its way to one server, and what came of it."""
 
-    server: str
-    head: bytes
-    body: bytes
-    expires: float
-    done: Callable[[Exchange], None]
-    begun: Callable[[Exchange, Pipe], bool] | None = None  # takes a long answer, or says that nobody does
-    upload: Pipe | None = None  # a long body; ``expires`` is known once it is whole
-    wait: float = math.inf  # and what the server is told until then
-    started: float = 0.0
-    written: bool = False
-    ended: bool = False
+    endpoint: str
+    request_head: bytes
+    request_body: bytes
+    expires_at: float
+    on_complete: Callable[[Exchange], None]
+    on_response_started: Callable[[Exchange, BodyStream], bool] | None = (
+        None  # takes a long answer, or says that nobody does
+    )
+    upload: BodyStream | None = None  # a long body; ``expires`` is known once it is whole
+    timeout: float = math.inf  # and what the server is told until then
+    started_at: float = 0.0
+    request_written: bool = False
+    completed: bool = False
     status: CallStatus = CallStatus.NOT_SENT
     elapsed: float = 0.0
-    answer_headers: bytes = b""
-    answer: bytes = b""
-    report: dict[str, float] = field(default_factory=dict)
-    charged: float | None = None  # the true units of the request
-    probe: bool = False
-    stays: Callable[[], bool] | None = None  # whether the client still waits; asked as it goes out
+    response_headers: bytes = b""
+    response_body: bytes = b""
+    load_report: dict[str, float] = field(default_factory=dict)
+    charged_units: float | None = None  # the true units of the request
+    is_health_check: bool = False
+    is_client_connected: Callable[[], bool] | None = (
+        None  # whether the client still waits; asked as it goes out
+    )
     connection: _Connection | None = None
     timer: asyncio.TimerHandle | None = None
 
@@ -115,7 +119,7 @@
 class _Connection(asyncio.Protocol):
     """A connection to a server; it carries one exchange at a time."""
 
-    def __init__(self, upstream: Upstream, server: _Server) -> None:
+    def __init__(self, upstream: ConnectionPool, server: _Server) -> None:
         self._upstream, self.server, self.address = upstream, server, server.address
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
@@ -124,7 +128,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._unwritten = self._keep_alive = self._begun = False
         self._late: asyncio.TimerHandle | None = None
-        self._pipe: Pipe | None = None  # the answer on its way through
+        self._pipe: BodyStream | None = None  # the answer on its way through
         self._held = False
         self.moved = 0.0  # when a long body last got on
         self._clear()
@@ -150,7 +154,7 @@
     def pause_writing(self) -> None:
         self._unwritten = True
         if self.exchange is not None and self.exchange.upload is not None and not self._all_out:
-            self.exchange.upload.go(False)
+            self.exchange.upload.set_writable(False)
 
     def resume_writing(self) -> None:
         self._unwritten = False
@@ -158,17 +162,17 @@
             return
         if exchange.upload is not None and not self._all_out:
             self.moved = self._upstream.clock()
-            exchange.upload.go(True)
+            exchange.upload.set_writable(True)
         else:
             self._whole(exchange)
 
     def _whole(self, exchange: Exchange) -> None:
         """The request is written whole: from now on it may run."""
-        exchange.written = True
+        exchange.request_written = True
         if exchange.upload is not None:
-            exchange.started = self._upstream.clock()
-            self._upstream.long.discard(self)
-        self._upstream.wrote(exchange)
+            exchange.started_at = self._upstream.clock()
+            self._upstream.streaming.discard(self)
+        self._upstream.record_request_written(exchange)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         assert self.transport is not None
@@ -176,39 +180,39 @@
         self.exchange, exchange.connection = exchange, self
         self.transport.write(data)
         if self.transport.is_closing():  # the write itself failed: nothing has left
-            self._upstream.end(exchange, CallStatus.RESET_BEFORE_REQUEST)
+            self._upstream.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
         elif exchange.upload is not None:
             self.moved = self._upstream.clock()
-            self._upstream.long.add(self)
+            self._upstream.streaming.add(self)
             exchange.upload.attach(self, not self._unwritten)
         elif not self._unwritten:
             self._whole(exchange)
 
     # The sink of a long body.
 
-    def piece(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         exchange = self.exchange
         if self.transport is not None and exchange is not None and exchange.upload is not None and data:
             self.moved = self._upstream.clock()
-            chunk = exchange.upload.length is None
+            chunk = exchange.upload.content_length is None
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if chunk else data)
 
-    def ended(self) -> None:
+    def finish(self) -> None:
         exchange = self.exchange
         if self.transport is None or exchange is None or exchange.upload is None or self._all_out:
             return
         self._all_out = True
-        if exchange.upload.length is None:
+        if exchange.upload.content_length is None:
             self.transport.write(b"0\r\n\r\n")
         if not self._unwritten:
             self._whole(exchange)
 
-    def cut(self) -> None:
+    def truncate(self) -> None:
         self.abort()  # and the server never starts it
 
     # The source of a long answer.
 
-    def hold(self, stop: bool) -> None:
+    def set_paused(self, stop: bool) -> None:
         if self.transport is None or self.transport.is_closing() or stop is self._held:
             return
         self._held, self.moved = stop, self._upstream.clock()
@@ -217,7 +221,7 @@
         else:
             self.transport.resume_reading()
 
-    def drop(self) -> None:
+    def abandon(self) -> None:
         self._pipe = None
         self.abort()
 
@@ -229,19 +233,21 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         if self.exchange is not None:
-            self._upstream.broke(self)
+            self._upstream.record_broken_connection(self)
             if self.idle_since is not None and self._received == 0:
-                self._upstream.was_stale(self)
-        self._upstream.lost(self)
+                self._upstream.record_stale_connection(self)
+        self._upstream.on_connection_lost(self)
         self._calm()
         if (pipe := self._pipe) is not None:
             self._pipe = None
             pipe.fail()
         if (exchange := self.exchange) is not None:
             self.exchange = None
-            self._upstream.end(
+            self._upstream.complete(
                 exchange,
-                CallStatus.RESET_AFTER_REQUEST if exchange.written else CallStatus.RESET_BEFORE_REQUEST,
+                CallStatus.RESET_AFTER_REQUEST
+                if exchange.request_written
+                else CallStatus.RESET_BEFORE_REQUEST,
             )
 
     def eof_received(self) -> None:
@@ -253,7 +259,7 @@
         if self.exchange is None and self._pipe is None:
             self.abort()  # nobody asked: whatever it is, it must not meet the next request
             return
-        if self.exchange is not None and not self.exchange.written:
+        if self.exchange is not None and not self.exchange.request_written:
             return self.abort()  # an answer before its request is whole is none, and the request never ran
         self._received += len(data)
         try:
@@ -301,24 +307,24 @@
     def _pass_on(self) -> None:
         """Hand a long answer to its client: with its first bytes the attempt has succeeded."""
         exchange = self.exchange
-        if self._parser.get_status_code() != 200 or exchange is None or exchange.begun is None:
+        if self._parser.get_status_code() != 200 or exchange is None or exchange.on_response_started is None:
             raise ValueError("too large")
         self._calm()
-        self._pipe = pipe = Pipe(self, self._length)
+        self._pipe = pipe = BodyStream(self, self._length)
         self._head_of(exchange)
         self.exchange = exchange.connection = None
         self.moved = self._upstream.clock()
-        self._upstream.long.add(self)
+        self._upstream.streaming.add(self)
         if self.transport is not None:
             peer = self.transport.get_extra_info("socket")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE)
-        wanted = exchange.begun(exchange, pipe)
-        self._upstream.end(exchange, CallStatus.OK)
+        wanted = exchange.on_response_started(exchange, pipe)
+        self._upstream.complete(exchange, CallStatus.OK)
         if not wanted:
-            return self.drop()
+            return self.abandon()
         body, self._body = self._body, []
         for part in body:
-            pipe.put(part)
+            pipe.write(part)
 
     def _calm(self) -> None:
         if self._late is not None:
@@ -329,12 +335,12 @@
         """An answer that cannot be read: the request may have run, and the server lives. All of them may
         answer like that on a bad day, so it must not count as a break, which speaks of a dead server."""
         exchange, self.exchange = self.exchange, None
-        self._upstream.noted(self.server.name, error)
+        self._upstream.record_malformed_response(self.server.name, error)
         if exchange is None:
             return self.abort()  # of what is passed on already the client is told when the connection ends
         exchange.connection = None
         self.abort()
-        self._upstream.end(exchange, CallStatus.ERROR)
+        self._upstream.complete(exchange, CallStatus.ERROR)
 
     @property
     def unread(self) -> bool:
@@ -390,7 +396,7 @@
         if self._surplus:
             return
         if self._pipe is not None:
-            return self._pipe.put(body)
+            return self._pipe.write(body)
         self._size += len(body)
         self._body.append(body)
         if self.exchange is not None and max(self._size, self._length or 0) > MAX_BODY:
@@ -409,27 +415,27 @@
             self._received = received
 
     def _head_of(self, exchange: Exchange) -> None:
-        exchange.answer_headers, exchange.charged = b"".join(self._headers), self._charged
+        exchange.response_headers, exchange.charged_units = b"".join(self._headers), self._charged
         if self._load is not None:
-            exchange.report = load_report(self._load.decode("latin-1"))
+            exchange.load_report = load_report(self._load.decode("latin-1"))
 
     def _complete(self, code: int) -> None:
         self._calm()
         if (pipe := self._pipe) is not None:
             self._pipe = None
-            self.hold(False)
-            self._upstream.long.discard(self)
+            self.set_paused(False)
+            self._upstream.streaming.discard(self)
             self._upstream.release(self, self._keep_alive and not self._surplus)
-            return pipe.end()
+            return pipe.finish()
         exchange, self.exchange = self.exchange, None
         if exchange is None:
             return self.abort()
         exchange.connection = None
         self._head_of(exchange)
-        exchange.answer = b"".join(self._body)
+        exchange.response_body = b"".join(self._body)
         # Bytes behind the answer, or of a request not yet out whole, must not meet the next request.
         self._upstream.release(self, self._keep_alive and not self._surplus and not self._unwritten)
-        self._upstream.end(exchange, self._outcome(code))
+        self._upstream.complete(exchange, self._outcome(code))
 
     def _outcome(self, code: int) -> CallStatus:
         if code == 200:
@@ -440,7 +446,7 @@
         return CallStatus.OVERLOADED if code in (503, 504) and self._not_processed else CallStatus.ERROR
 
 
-class Upstream:
+class ConnectionPool:
     """The servers by name and the connections to them."""
 
     def __init__(
@@ -449,23 +455,23 @@
         dial_timeout: float,
         conn_idle: float,
         max_connections: int,
-        figures: Figures | None = None,
+        figures: Metrics | None = None,
     ) -> None:
         self._clock, self._dial_timeout, self._max = clock, dial_timeout, max_connections
         self.clock = clock
-        self.long = set[_Connection]()  # those with a long body on its way
+        self.streaming = set[_Connection]()  # those with a long body on its way
         self._idle_for = conn_idle * IDLE_SHARE
         self._servers = dict[str, _Server]()
         self._open = 0
         self._shunned = frozenset[str]()  # servers out by hand
-        self._figures = figures or Figures()
+        self._figures = figures or Metrics()
         self._dials = set[asyncio.Task[None]]()
         self._seen, self._looks = Counter[str](), 0
         # Idle seconds that a kept connection has not outlived, until when that is heeded, and for how long.
         self._stale_after, self._stale_until, self._distrust = math.inf, 0.0, DISTRUST
         self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
 
-    def update(self, name: str, dial: str, up: bool) -> None:
+    def update_endpoint(self, name: str, dial: str, up: bool) -> None:
         """What discovery says of a server; idle connections to what is not up or has moved go at once."""
         address = split_address(dial) if dial else None
         server = self._servers.get(name)
@@ -479,7 +485,7 @@
             self._close_idle(server)
         self._drop(server)
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """A whole list: servers that it leaves out are gone."""
         for name, server in list(self._servers.items()):
             if name not in names:
@@ -487,20 +493,20 @@
                 self._close_idle(server)
                 self._drop(server)
 
-    def shun(self, names: frozenset[str]) -> None:
+    def exclude(self, names: frozenset[str]) -> None:
         """Servers out by hand: nothing new goes there, and kept connections do not outlive their restart."""
         self._shunned = names
         for name in names:
             if (server := self._servers.get(name)) is not None:
                 self._close_idle(server)
 
-    def resize(self, max_connections: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Another bound on connections; idle ones beyond it go at once."""
         self._max = max_connections
         while self._open > self._max and self._make_room():
             pass
 
-    def retime(self, dial_timeout: float, conn_idle: float) -> None:
+    def set_timeouts(self, dial_timeout: float, conn_idle: float) -> None:
         self._dial_timeout, self._idle_for = dial_timeout, conn_idle * IDLE_SHARE
 
     def _usable(self, server: _Server) -> bool:
@@ -517,10 +523,10 @@
 
     def start(self, exchange: Exchange) -> None:
         """Send a request; ``exchange.done`` is called once, maybe before this returns."""
-        exchange.started = self._clock()
-        server, wait = self._servers.get(exchange.server), exchange.expires - exchange.started
+        exchange.started_at = self._clock()
+        server, wait = self._servers.get(exchange.endpoint), exchange.expires_at - exchange.started_at
         if server is None or not self._usable(server) or wait <= 0:
-            return self.end(exchange, CallStatus.NOT_SENT)
+            return self.complete(exchange, CallStatus.NOT_SENT)
         loop = asyncio.get_running_loop()
         if wait < math.inf:
             exchange.timer = loop.call_later(wait, self._expired, exchange)
@@ -528,21 +534,21 @@
             self._seen["reused"] += 1
             return self._write(connection, exchange)
         if server.open >= PER_SERVER or (self._open >= self._max and not self._make_room()):
-            return self.end(exchange, CallStatus.OVERLOADED)
+            return self.complete(exchange, CallStatus.OVERLOADED)
         server.open, self._open = server.open + 1, self._open + 1
         self._seen["opened"] += 1
         dial = loop.create_task(self._dial(server, exchange))
         self._dials.add(dial)
         dial.add_done_callback(self._dials.discard)
 
-    def expire(self, exchange: Exchange, at: float) -> None:
+    def set_expiry(self, exchange: Exchange, at: float) -> None:
         """When to give up an attempt whose long body has become whole."""
-        if not exchange.ended:
-            exchange.expires = at
+        if not exchange.completed:
+            exchange.expires_at = at
             wait = max(0.0, at - self._clock())
             exchange.timer = asyncio.get_running_loop().call_later(wait, self._expired, exchange)
 
-    def withhold(self, exchange: Exchange) -> None:
+    def withdraw_unsent(self, exchange: Exchange) -> None:
         """Do not send what is not on a connection yet."""
         if exchange.connection is None:
             self._give_up(exchange, CallStatus.NOT_SENT)
@@ -551,17 +557,17 @@
         """Stop waiting; the connection goes with it, so that no late answer meets another request."""
         self._give_up(exchange, CallStatus.CANCELLED)
 
-    def end(self, exchange: Exchange, status: CallStatus) -> None:
+    def complete(self, exchange: Exchange, status: CallStatus) -> None:
         """Report an exchange once."""
-        if exchange.ended:
+        if exchange.completed:
             return
-        exchange.ended, exchange.status = True, status
-        exchange.elapsed = self._clock() - exchange.started
+        exchange.completed, exchange.status = True, status
+        exchange.elapsed = self._clock() - exchange.started_at
         if exchange.timer is not None:
             exchange.timer.cancel()
         if exchange.upload is not None:
             exchange.upload.detach()
-        exchange.done(exchange)
+        exchange.on_complete(exchange)
 
     def release(self, connection: _Connection, reusable: bool) -> None:
         """A connection whose exchange is over goes back to the idle ones, or is closed."""
@@ -574,20 +580,20 @@
         else:
             transport.close()
 
-    def noted(self, server: str, error: BaseException) -> None:
+    def record_malformed_response(self, server: str, error: BaseException) -> None:
         """An answer that cannot be read: one is shown, the rest counted until the next report."""
         if not self._seen["unreadable answers"]:
             log.warning("an answer of %s could not be read: %s", server, error)
         self._seen["unreadable answers"] += 1
 
-    def wrote(self, exchange: Exchange) -> None:
-        self._figures.tries += not exchange.probe
+    def record_request_written(self, exchange: Exchange) -> None:
+        self._figures.upstream_attempts += not exchange.is_health_check
 
-    def broke(self, connection: _Connection) -> None:
+    def record_broken_connection(self, connection: _Connection) -> None:
         """A connection broke under a request."""
         self._seen["broke fresh" if connection.idle_since is None else "broke kept"] += 1
 
-    def was_stale(self, connection: _Connection) -> None:
+    def record_stale_connection(self, connection: _Connection) -> None:
         """A kept connection broke under its next request. What closes idle ones is mostly one box or setting
         for all servers: what one teaches holds for all, or each of them would cost a request again."""
         now, rested = self._clock(), connection.rested
@@ -601,9 +607,9 @@
         self._stale_after = max(LEAST_REST, min(known, TRUSTED * rested))
         self._stale_until = now + self._distrust
 
-    def lost(self, connection: _Connection) -> None:
+    def on_connection_lost(self, connection: _Connection) -> None:
         """A connection has ended."""
-        self.long.discard(connection)
+        self.streaming.discard(connection)
         if connection in connection.server.idle:
             connection.server.idle.remove(connection)
         self._closed(connection.server)
@@ -626,14 +632,16 @@
             if connection.transport is None:  # no connection_lost will count it off
                 self._closed(server)
             if error.errno in WANTING:
-                return self.end(exchange, CallStatus.NOT_SENT)
+                return self.complete(exchange, CallStatus.NOT_SENT)
             # Only who has taken a connection can reset it; a port where nobody listens refuses.
             reset = isinstance(error, ConnectionResetError)
-            return self.end(exchange, CallStatus.RESET_BEFORE_REQUEST if reset else CallStatus.UNREACHABLE)
-        if exchange.ended:
+            return self.complete(
+                exchange, CallStatus.RESET_BEFORE_REQUEST if reset else CallStatus.UNREACHABLE
+            )
+        if exchange.completed:
             self.release(connection, True)  # nothing was written on it
         elif connection.transport is None:
-            self.end(
+            self.complete(
                 exchange, CallStatus.RESET_BEFORE_REQUEST
             )  # it came up and broke before this task was told
         else:
@@ -641,30 +649,30 @@
 
     def _write(self, connection: _Connection, exchange: Exchange) -> None:
         # Time has passed if this waited for a dial: the server may drain, the try may be over.
-        left = exchange.expires - self._clock()
+        left = exchange.expires_at - self._clock()
         moved = connection.address != connection.server.address
         if left <= 0 or moved or not self._usable(connection.server):
             self.release(connection, True)
-            return self.end(exchange, CallStatus.NOT_SENT)
-        if exchange.stays is not None and not exchange.stays():
+            return self.complete(exchange, CallStatus.NOT_SENT)
+        if exchange.is_client_connected is not None and not exchange.is_client_connected():
             self.release(connection, True)
-            return self.end(exchange, CallStatus.NOT_SENT)
-        timeout = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(min(left, exchange.wait) * 1000))
-        connection.send(exchange, exchange.head + timeout + exchange.body)
+            return self.complete(exchange, CallStatus.NOT_SENT)
+        timeout = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(min(left, exchange.timeout) * 1000))
+        connection.send(exchange, exchange.request_head + timeout + exchange.request_body)
 
     def _expired(self, exchange: Exchange) -> None:
         # Not yet written on a connection, it is known not to have run, and says nothing of the server.
         # Nor has a long body that is not out whole.
-        part = exchange.connection is None or (exchange.upload is not None and not exchange.written)
+        part = exchange.connection is None or (exchange.upload is not None and not exchange.request_written)
         self._give_up(exchange, CallStatus.NOT_SENT if part else CallStatus.TIMEOUT)
 
     def _give_up(self, exchange: Exchange, status: CallStatus) -> None:
-        if exchange.ended:
+        if exchange.completed:
             return
         if (connection := exchange.connection) is not None:
             connection.exchange = exchange.connection = None
             connection.abort()
-        self.end(exchange, status)
+        self.complete(exchange, status)
 
     def _take_idle(self, server: _Server) -> _Connection | None:
         """The freshest connection that has rested: the least likely to be closing at the other end."""
@@ -708,7 +716,7 @@
         self._sweep_at = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
         for server in self._servers.values():
             self._close_idle(server, self._clock() - self._idle_for)
-        for connection in [c for c in self.long if c.stalled(self._clock())]:
+        for connection in [c for c in self.streaming if c.stalled(self._clock())]:
             log.warning("a long body to or from %s has come to a stop", connection.server.name)
             connection.abort()
         self._looks += 1
--- a/quota_gateway/net/counter.py
+++ b/quota_gateway/net/counter_client.py
@@ -130,7 +130,7 @@
     return words or BEGUN.fullmatch(text) is not None
 
 
-def redial_wait(vain: int, draw: float) -> float:
+def reconnect_delay(vain: int, draw: float) -> float:
     """Exponential back-off with jitter after so many dials in vain."""
     return (0.5 + 0.5 * draw) * min(MOST_WAIT, FIRST_WAIT * 2.0 ** min(vain - 1, 16))
 
@@ -159,7 +159,7 @@
         """Connect, and from then on keep a connection."""
         self._check()
 
-    def move(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         """Go on at another address; the connection in use serves until the new one is up."""
         if (host, port) == self._address:
             return
@@ -176,10 +176,10 @@
     def now(self) -> float:
         return self._loop.time()
 
-    def retime(self, timeout: float) -> None:
+    def set_timeout(self, timeout: float) -> None:
         self._timeout = timeout
 
-    def call(self, name: int, amount: float, lifetime: float, done: Done) -> None:
+    def increment(self, name: int, amount: float, lifetime: float, done: Done) -> None:
         """Add to a number; ``done`` gets the status and the total, later than this call returns."""
         milliseconds = max(1, min(60_000, round(lifetime * 1000)))
         line = b"tally %d %.6f %d\r\n" % (name, amount, milliseconds)
@@ -308,7 +308,7 @@
             if not self._failing:  # once for a row of failures
                 log.warning("no connection to the counter: %r", error)
             self._failing, self._dial, self._vain = True, None, self._vain + 1
-            self._dial_from = self._loop.time() + redial_wait(self._vain, self._rng.random())
+            self._dial_from = self._loop.time() + reconnect_delay(self._vain, self._rng.random())
             return link.abort()
         except asyncio.CancelledError:
             return link.abort()  # whoever cancelled it has forgotten it
--- a/quota_gateway/net/discovery.py
+++ b/quota_gateway/net/discovery_client.py
@@ -15,7 +15,7 @@
 import httptools
 
 from quota_gateway import model
-from quota_gateway.net.http import split_address
+from quota_gateway.net.http_common import split_address
 
 log = logging.getLogger(__name__)
 
@@ -49,15 +49,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class WatchEvent:
     """One message of discovery: the list, or a part of it, and where to dial."""
 
     version: int
-    servers: model.EndpointUpdate
-    dials: dict[str, str]
+    update: model.EndpointUpdate
+    addresses: dict[str, str]
 
 
-def listing_from(raw: Any) -> Listing:
+def parse_watch_event(raw: Any) -> WatchEvent:
     """A message of discovery; ``ValueError`` where it cannot be read."""
     try:
         entries, dials = [], {}
@@ -70,7 +70,9 @@
             size, cell = float(row.get("share") or 1.0), int(row.get("block") or 0)
             entries.append(model.Endpoint(name, health, str(row.get("site") or ""), cell, size, born))
             dials[name] = dial
-        return Listing(int(raw["seq"]), model.EndpointUpdate(tuple(entries), bool(raw.get("whole"))), dials)
+        return WatchEvent(
+            int(raw["seq"]), model.EndpointUpdate(tuple(entries), bool(raw.get("whole"))), dials
+        )
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise ValueError(f"not a list of servers: {error!r:.80}") from None
 
@@ -90,7 +92,7 @@
 class _Watch:
     """One call to discovery, from its dial to the end of the watch that it becomes."""
 
-    def __init__(self, owner: Discovery) -> None:
+    def __init__(self, owner: EndpointWatcher) -> None:
         self._owner, self._buffer = owner, b""
         self._gap = False  # a line is lost
         self.told = False  # whether it has told a list or a change
@@ -161,8 +163,8 @@
         if not line:
             return
         try:
-            listing = listing_from(json.loads(line))
-            if listing.servers.complete and not listing.servers.endpoints:
+            listing = parse_watch_event(json.loads(line))
+            if listing.update.complete and not listing.update.endpoints:
                 raise ValueError("an empty list: the last one is kept")  # a discovery that has lost its state
         except ValueError as error:
             self._gap = True
@@ -171,7 +173,7 @@
         self._owner.told(listing, whole=not self._gap)
 
 
-class Discovery:
+class EndpointWatcher:
     """Follows the watch for ever; a broken or silent one is begun anew and the list kept.
 
     A call that has no answer yet is not given up when the next one begins, it waits beside it: overbooked,
@@ -180,7 +182,7 @@
     """
 
     def __init__(
-        self, host: str, port: int, since: int | None, tell: Callable[[Listing], None],
+        self, host: str, port: int, since: int | None, tell: Callable[[WatchEvent], None],
         callers: int = 1, rng: Random | None = None, answer: float = SILENCE, most: float = CALL_AGAIN,
     ) -> None:  # fmt: skip
         self._callers, self._rng, self.answer, self._most = callers, rng or Random(), answer, most
@@ -242,7 +244,7 @@
         self._odd = True
         self._note("dropped")
 
-    def told(self, listing: Listing, whole: bool) -> None:
+    def told(self, listing: WatchEvent, whole: bool) -> None:
         """A list or a change; ``whole`` where no line before it is lost."""
         if whole:
             self.since, self._odd = listing.version, False
@@ -260,11 +262,11 @@
             self._told_at = now
 
 
-class Follower:
+class DiscoveryClient:
     """Follows discovery at the newest address; the one before is followed until the newest has spoken."""
 
     def __init__(
-        self, tell: Callable[[Listing], None], callers: int = 1, rng: Random | None = None,
+        self, tell: Callable[[WatchEvent], None], callers: int = 1, rng: Random | None = None,
         answer: float = SILENCE, most: float = CALL_AGAIN,
     ) -> None:  # fmt: skip
         self._tell, self._callers, self._rng, self._waits = tell, callers, rng or Random(), (answer, most)
@@ -272,14 +274,14 @@
         self._coming: asyncio.Task[None] | None = None
         self._address: tuple[str, int] | None = None
 
-    def follow(self, host: str, port: int, since: int | None = None) -> None:
+    def watch(self, host: str, port: int, since: int | None = None) -> None:
         if (host, port) == self._address:
             return
         self._address = (host, port)
         if self._coming is not None:
             self._coming.cancel()  # told to move again before it said anything
         # Without a version another discovery tells the whole list: its numbers need not be the old one's.
-        watch = Discovery(
+        watch = EndpointWatcher(
             host,
             port,
             since,
@@ -295,7 +297,7 @@
             if task is not None:
                 task.cancel()
 
-    def _said(self, task: asyncio.Task[None], listing: Listing) -> None:
+    def _said(self, task: asyncio.Task[None], listing: WatchEvent) -> None:
         if task is self._coming:
             old, self._heard, self._coming = self._heard, task, None
             if old is not None:
--- a/quota_gateway/net/node.py
+++ b/quota_gateway/net/dispatcher.py
@@ -17,13 +17,13 @@
 from typing import Any, Protocol
 
 from quota_gateway import model
-from quota_gateway.net.bodies import Pipe
-from quota_gateway.net.counter import CounterClient
-from quota_gateway.net.discovery import Listing
-from quota_gateway.net.figures import Figures
-from quota_gateway.net.frontend import ClientRequest
-from quota_gateway.net.shared import Shared
-from quota_gateway.net.upstream import Exchange, Upstream, load_report
+from quota_gateway.net.body_stream import BodyStream
+from quota_gateway.net.connection_pool import ConnectionPool, Exchange, load_report
+from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.discovery_client import WatchEvent
+from quota_gateway.net.listener import ClientRequest
+from quota_gateway.net.metrics import Metrics
+from quota_gateway.net.process_group import ProcessGroup
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
 
 
 class Decisions(Protocol):
-    """What answers events with actions: ``decide.Gateway``."""
+    """What answers events with actions: ``decisions.gateway.Gateway``."""
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]: ...
 
@@ -56,7 +56,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
 
-class Node:
+class Dispatcher:
     """The decisions on real sockets."""
 
     def __init__(
@@ -64,12 +64,12 @@
         settings: model.Settings,
         gateway: Decisions,
         clock: Callable[[], float],
-        upstream: Upstream,
+        upstream: ConnectionPool,
         counter: CounterClient | None,
-        figures: Figures | None = None,
-        shared: Shared | None = None,
+        figures: Metrics | None = None,
+        shared: ProcessGroup | None = None,
     ) -> None:
-        self._figures, self._together = figures or Figures(), shared or Shared(None, "")
+        self._figures, self._together = figures or Metrics(), shared or ProcessGroup(None, "")
         self._calls, self._last_call = dict[int, tuple[model.AdminCommand, Callable[[bool, str], None]]](), 0
         self.settings, self._gateway, self._clock = settings, gateway, clock
         self._upstream, self._counter = upstream, counter
@@ -88,14 +88,14 @@
             model.Log: self._log,
             model.AdminReply: self._reply,
             model.RecordSuspension: self._ban,
-            model.HandOver: lambda action: self._together.hand(action.state),
+            model.HandOver: lambda action: self._together.write_handover(action.state),
         }
 
     @property
     def open_requests(self) -> int:
         return len(self._open)
 
-    def feed(self, event: model.Event) -> None:
+    def dispatch(self, event: model.Event) -> None:
         """Hand an event to the decisions and carry out their actions; events that these cause follow on."""
         self._events.append(event)
         if self._busy:
@@ -107,17 +107,17 @@
         finally:
             self._busy = False
 
-    def listed(self, listing: Listing) -> None:
+    def on_watch_event(self, listing: WatchEvent) -> None:
         """Discovery has told something: the sockets heed it before the decisions hear of it."""
-        if listing.servers.complete:
-            self._upstream.keep_only(set(listing.dials))
-        for entry in listing.servers.endpoints:
-            self._upstream.update(
-                entry.name, listing.dials[entry.name], entry.health is model.EndpointHealth.HEALTHY
+        if listing.update.complete:
+            self._upstream.retain_only(set(listing.addresses))
+        for entry in listing.update.endpoints:
+            self._upstream.update_endpoint(
+                entry.name, listing.addresses[entry.name], entry.health is model.EndpointHealth.HEALTHY
             )
-        self.feed(listing.servers)
+        self.dispatch(listing.update)
 
-    def arrived(self, request: ClientRequest) -> None:
+    def on_request(self, request: ClientRequest) -> None:
         event = request.event
         assert event is not None
         if self._over:
@@ -125,19 +125,19 @@
         margin = self._margin(event.timeout)
         if event.uploading:  # its time begins with its last byte
             self._open[event.id] = _Open(request, math.inf, self.settings.max_attempts)
-            return self.feed(replace(event, timeout=event.timeout - margin))
+            return self.dispatch(replace(event, timeout=event.timeout - margin))
         opened = self._open[event.id] = _Open(
             request, self._clock() + event.timeout - margin, self.settings.max_attempts
         )
         last = event.timeout - SILENT_SHARE * margin
         opened.timer = self._loop.call_later(last, self._abandon, event.id, 504)
-        self.feed(replace(event, timeout=event.timeout - margin))
+        self.dispatch(replace(event, timeout=event.timeout - margin))
 
     @staticmethod
     def _margin(ttl: float) -> float:
         return min(MARGIN, MARGIN_SHARE * ttl)
 
-    def uploaded(self, request: ClientRequest) -> None:
+    def on_upload_completed(self, request: ClientRequest) -> None:
         """The last byte of a long body has come."""
         event = request.event
         assert event is not None
@@ -148,55 +148,57 @@
         last = event.timeout - SILENT_SHARE * margin
         opened.timer = self._loop.call_later(last, self._abandon, event.id, 504)
         for attempt in opened.attempts:
-            self._upstream.expire(attempt, min(opened.deadline, now + attempt.wait))
-        self.feed(model.UploadCompleted(event.id))
+            self._upstream.set_expiry(attempt, min(opened.deadline, now + attempt.timeout))
+        self.dispatch(model.UploadCompleted(event.id))
 
-    def departed(self, request: ClientRequest) -> None:
+    def on_client_disconnected(self, request: ClientRequest) -> None:
         if request.event is not None and self._close(request.event.id) is not None:
-            self.feed(model.ClientDisconnected(request.event.id))
+            self.dispatch(model.ClientDisconnected(request.event.id))
 
-    def stranded(self, request: ClientRequest) -> None:
+    def on_client_maybe_gone(self, request: ClientRequest) -> None:
         """The client may have gone: nothing more is sent on, and what has not gone out yet does not."""
         if request.event is None or (opened := self._open.get(request.event.id)) is None:
             return
         opened.most = len(opened.attempts)
         for attempt in list(opened.attempts):
-            self._upstream.withhold(attempt)
+            self._upstream.withdraw_unsent(attempt)
 
-    def called(self, verb: model.AdminCommand, server: str, done: Callable[[bool, str], None]) -> None:
+    def on_admin_command(
+        self, verb: model.AdminCommand, server: str, done: Callable[[bool, str], None]
+    ) -> None:
         """An operator's call; ``done`` is told yes or no, and the figures where they were asked for."""
         self._last_call += 1
         self._calls[self._last_call] = verb, done
-        self.feed(model.AdminRequest(self._last_call, verb, server))
+        self.dispatch(model.AdminRequest(self._last_call, verb, server))
 
-    def shared(self, processes: int, bans: frozenset[str]) -> None:
+    def on_process_group_changed(self, processes: int, bans: frozenset[str]) -> None:
         """What the processes of this limiter know together has changed."""
         log.info("processes of this limiter: %d; servers out by hand: %s", processes, sorted(bans) or "none")
-        self.feed(model.ProcessCountChanged(processes))
-        self._upstream.shun(bans)
-        self.feed(model.SuspensionsChanged(bans))
+        self.dispatch(model.ProcessCountChanged(processes))
+        self._upstream.exclude(bans)
+        self.dispatch(model.SuspensionsChanged(bans))
 
-    def learned(self, notes: model.HandoverState) -> None:
+    def on_handover(self, notes: model.HandoverState) -> None:
         log.info(
             "another process told of %d servers, %d customers", len(notes.endpoints), len(notes.accounts)
         )
-        self.feed(notes)
+        self.dispatch(notes)
 
-    def retune(self, settings: model.Settings) -> None:
+    def reconfigure(self, settings: model.Settings) -> None:
         """New settings; what is under way keeps what it came with."""
         self.settings = settings
-        self._figures.know(c.name for c in settings.classes)
-        self.feed(settings)
+        self._figures.register_classes(c.name for c in settings.classes)
+        self.dispatch(settings)
 
-    def leave(self) -> None:
-        self.feed(model.ShutdownStarted())
+    def begin_shutdown(self) -> None:
+        self.dispatch(model.ShutdownStarted())
 
     def abandon_all(self) -> None:
         """Answer what is still open, and what comes from now on: the process is about to end, and a request
         must not end with it. What nobody has had whole can be tried elsewhere without harm."""
         self._over = True
         for id, opened in list(self._open.items()):
-            self._abandon(id, 504 if any(attempt.written for attempt in opened.attempts) else 503)
+            self._abandon(id, 504 if any(attempt.request_written for attempt in opened.attempts) else 503)
 
     def _step(self, event: model.Event) -> None:
         try:
@@ -209,7 +211,7 @@
                 self._calls.pop(event.id)[1](False, "")
             elif isinstance(event, model.TimerFired):
                 # The next timer was to come with these actions: without it they would never tick again.
-                self._loop.call_later(1.0, self.feed, event)
+                self._loop.call_later(1.0, self.dispatch, event)
             return
         for action in actions:
             try:
@@ -233,7 +235,7 @@
             log.warning("a request was answered %d in place of the decisions", status)
             again = min(AGAIN, self.settings.max_retry_after) if status == 503 else None
             opened.request.respond(status, retry_after=again)
-            self.feed(model.ClientDisconnected(id))
+            self.dispatch(model.ClientDisconnected(id))
 
     # Actions.
 
@@ -260,39 +262,39 @@
             begun,
             request.upload,
             wait,
-            stays=request.stays,
+            is_client_connected=request.is_client_connected,
         )
         opened.attempts.append(attempt)
         if number < min(opened.most, self.settings.max_attempts):
             self._upstream.start(attempt)
         else:
-            self._upstream.end(attempt, model.CallStatus.NOT_SENT)
+            self._upstream.complete(attempt, model.CallStatus.NOT_SENT)
 
-    def _begun(self, id: int, attempt: Exchange, pipe: Pipe) -> bool:
+    def _begun(self, id: int, attempt: Exchange, pipe: BodyStream) -> bool:
         """A long answer has begun: it is the client's now, and no deadline cuts it off."""
         if (opened := self._open.get(id)) is None:
             return False
         opened.attempts.remove(attempt)
         self._close(id)
-        opened.request.begin(attempt.answer_headers, pipe)
+        opened.request.begin_response(attempt.response_headers, pipe)
         return True
 
     def _attempted(self, id: int, number: int, attempt: Exchange) -> None:
         if attempt.status is model.CallStatus.OK and (opened := self._close(id)) is not None:
-            opened.request.respond(200, attempt.answer, attempt.answer_headers)
+            opened.request.respond(200, attempt.response_body, attempt.response_headers)
         finished = id not in self._open
-        again = attempt.upload is None or not attempt.upload.taken
+        again = attempt.upload is None or not attempt.upload.consumed
         # Only a good answer settles the units.
-        charged = attempt.charged if attempt.status is model.CallStatus.OK else None
-        self.feed(
+        charged = attempt.charged_units if attempt.status is model.CallStatus.OK else None
+        self.dispatch(
             model.AttemptCompleted(
                 id,
                 number,
-                attempt.server,
+                attempt.endpoint,
                 attempt.status,
                 attempt.elapsed,
                 finished,
-                attempt.report,
+                attempt.load_report,
                 charged,
                 again,
             )
@@ -314,46 +316,48 @@
     def _count(self, action: model.IncrementCounter) -> None:
         name = action.counter_id
         if self._counter is None:
-            self.feed(model.CounterReplied(name, model.CallStatus.UNREACHABLE))
+            self.dispatch(model.CounterReplied(name, model.CallStatus.UNREACHABLE))
         else:
-            self._counter.call(
+            self._counter.increment(
                 name,
                 action.amount,
                 action.lifetime,
-                lambda status, total: self.feed(model.CounterReplied(name, status, total)),
+                lambda status, total: self.dispatch(model.CounterReplied(name, status, total)),
             )
 
     def _probe(self, action: model.CheckHealth) -> None:
         path = b"/load" if self.settings.load_in_health_check else b"/healthz"
         head = b"GET %b HTTP/1.1\r\nHost: %b\r\n" % (path, action.endpoint.encode())
         expires = self._clock() + PROBE_TIMEOUT
-        self._upstream.start(Exchange(action.endpoint, head, b"", expires, self._probed, probe=True))
+        self._upstream.start(
+            Exchange(action.endpoint, head, b"", expires, self._probed, is_health_check=True)
+        )
 
     def _probed(self, probe: Exchange) -> None:
-        report = probe.report
+        report = probe.load_report
         if self.settings.load_in_health_check and probe.status is model.CallStatus.OK and not report:
-            report = load_report(probe.answer.decode("latin-1"))
-        self.feed(model.HealthChecked(probe.server, probe.status, probe.elapsed, report))
+            report = load_report(probe.response_body.decode("latin-1"))
+        self.dispatch(model.HealthChecked(probe.endpoint, probe.status, probe.elapsed, report))
 
     def _set_timer(self, action: model.SetTimer) -> None:
-        self._loop.call_later(action.delay, self.feed, model.TimerFired(action.token))
+        self._loop.call_later(action.delay, self.dispatch, model.TimerFired(action.token))
 
     def _reply(self, action: model.AdminReply) -> None:
         verb, done = self._calls.pop(action.request_id)
         taken = sum(opened.deadline < math.inf for opened in self._open.values())
-        self._figures.open = taken + self._figures.streams
+        self._figures.in_progress = taken + self._figures.streaming_responses
         done(
             action.ok,
-            self._figures.text(action.known_endpoints, action.avoided_endpoints)
+            self._figures.render(action.known_endpoints, action.avoided_endpoints)
             if verb is model.AdminCommand.METRICS
             else "",
         )
 
     def _ban(self, action: model.RecordSuspension) -> None:
         log.info("server %s: %s", action.endpoint, "out by hand" if action.suspended else "called back")
-        bans = self._together.change(action.endpoint, action.suspended)
-        self._upstream.shun(bans)
-        self.feed(model.SuspensionsChanged(bans))  # with those that another process was told of meanwhile
+        bans = self._together.set_suspended(action.endpoint, action.suspended)
+        self._upstream.exclude(bans)
+        self.dispatch(model.SuspensionsChanged(bans))  # with those that another process was told of meanwhile
 
     def _log(self, action: model.Log) -> None:
         log.info("%s", action.text)
--- a/quota_gateway/net/frontend.py
+++ b/quota_gateway/net/listener.py
@@ -19,9 +19,9 @@
 import httptools
 
 from quota_gateway import model
-from quota_gateway.net.bodies import Pipe
-from quota_gateway.net.figures import Figures
-from quota_gateway.net.http import MAX_BODY, MAX_HEAD, MAX_LONG, NOT_FORWARDED, PIECE
+from quota_gateway.net.body_stream import BodyStream
+from quota_gateway.net.http_common import MAX_BODY, MAX_HEAD, MAX_LONG, NOT_FORWARDED, PIECE
+from quota_gateway.net.metrics import Metrics
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -80,113 +80,124 @@
     """One try of a client, and the place in its connection where the answer goes."""
 
     __slots__ = (
-        "_chunked", "_client", "answer", "body", "event", "head", "id", "keep_alive", "moved", "old",
-        "pipe", "start", "upload",
+        "_chunked",
+        "_client",
+        "body",
+        "event",
+        "head",
+        "is_http_1_0",
+        "keep_alive",
+        "last_progress",
+        "request_id",
+        "response",
+        "response_head",
+        "response_stream",
+        "upload",
     )  # fmt: skip
 
     def __init__(self, client: _Client, keep_alive: bool, old: bool = False) -> None:
-        self._client, self.keep_alive, self.old = client, keep_alive, old
+        self._client, self.keep_alive, self.is_http_1_0 = client, keep_alive, old
         self.event: model.Request | None = None
-        self.upload: Pipe | None = None  # its body, where that is long
-        self.pipe: Pipe | None = None  # its answer, where that is long
-        self.start: bytes | None = None  # the head of that, until it is written
-        self._chunked, self.moved = False, 0.0
-        self.id = self.head = self.body = b""
-        self.answer: tuple[bytes, bytes] | None = None
+        self.upload: BodyStream | None = None  # its body, where that is long
+        self.response_stream: BodyStream | None = None  # its answer, where that is long
+        self.response_head: bytes | None = None  # the head of that, until it is written
+        self._chunked, self.last_progress = False, 0.0
+        self.request_id = self.head = self.body = b""
+        self.response: tuple[bytes, bytes] | None = None
 
     def respond(
         self, status: int, body: bytes = b"", headers: bytes = b"", retry_after: float | None = None
     ) -> None:
         """Give the one final answer; the connection writes it when its turn has come."""
-        if self.answer is not None or self.pipe is not None:
+        if self.response is not None or self.response_stream is not None:
             raise RuntimeError("a request was answered twice")
-        if self.upload is not None and not self.upload.whole:
+        if self.upload is not None and not self.upload.complete:
             self._client.refuse_rest()
             self.keep_alive = False
-        self._client.frontend.open_ids.discard(self.id)
+        self._client.frontend.open_request_ids.discard(self.request_id)
         if self.event is not None:
-            self._client.frontend.figures.ended(self.event.request_class, status)
+            self._client.frontend.metrics.record_request(self.event.request_class, status)
         retry = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
         length = b"Content-Length: %d\r\n\r\n" % len(body)
-        self.answer = b"".join((STATUS_LINES[status], headers, retry)), length + body
+        self.response = b"".join((STATUS_LINES[status], headers, retry)), length + body
         self._client.flush()
 
-    def begin(self, headers: bytes, pipe: Pipe) -> None:
+    def begin_response(self, headers: bytes, pipe: BodyStream) -> None:
         """Begin the one final answer with the first bytes of a long one; the rest comes by the pipe."""
-        if self.answer is not None or self.pipe is not None:
+        if self.response is not None or self.response_stream is not None:
             raise RuntimeError("a request was answered twice")
         client = self._client
-        client.frontend.open_ids.discard(self.id)
-        client.frontend.figures.streams += 1
-        self.pipe, self._chunked = pipe, pipe.length is None and not self.old
-        if pipe.length is not None:
-            framing = b"Content-Length: %d\r\n" % pipe.length
+        client.frontend.open_request_ids.discard(self.request_id)
+        client.frontend.metrics.streaming_responses += 1
+        self.response_stream, self._chunked = pipe, pipe.content_length is None and not self.is_http_1_0
+        if pipe.content_length is not None:
+            framing = b"Content-Length: %d\r\n" % pipe.content_length
         elif self._chunked:
             framing = b"Transfer-Encoding: chunked\r\n"
         else:
             framing, self.keep_alive = b"", False  # the end of the connection is the answer's
-        self.start = STATUS_LINES[200] + headers + framing
+        self.response_head = STATUS_LINES[200] + headers + framing
         client.flush()
 
-    def stays(self) -> bool:
+    def is_client_connected(self) -> bool:
         """Whether an attempt may begin: not for a client that has gone or ended its sending a while ago."""
-        return self._client.stays()
+        return self._client.is_connected()
 
     # The sink of the answer.
 
-    def piece(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         if data:
-            self.moved = self._client.frontend.clock()
+            self.last_progress = self._client.frontend.clock()
             self._client.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
 
-    def ended(self) -> None:
+    def finish(self) -> None:
         if self._chunked:
             self._client.write(b"0\r\n\r\n")
         self._over(200)
         self._client.finished(self)
 
-    def cut(self) -> None:
+    def truncate(self) -> None:
         """The answer will not become whole: the client sees its connection end before it."""
         self._over(502)
         self._client.abort()
 
     def _over(self, status: int) -> None:
-        figures = self._client.frontend.figures
-        self.pipe = None
-        figures.streams -= 1
+        figures = self._client.frontend.metrics
+        self.response_stream = None
+        figures.streaming_responses -= 1
         if self.event is not None:
-            figures.ended(self.event.request_class, status)
+            figures.record_request(self.event.request_class, status)
 
-    def left(self) -> None:
+    def on_client_disconnected(self) -> None:
         """The client has gone in the middle of its answer."""
-        if (pipe := self.pipe) is not None:
-            self.pipe = None
-            self._client.frontend.figures.streams -= 1
-            pipe.drop()
+        if (pipe := self.response_stream) is not None:
+            self.response_stream = None
+            self._client.frontend.metrics.streaming_responses -= 1
+            pipe.abandon()
 
 
-class Handler(Protocol):
+class RequestHandler(Protocol):
     """What the clients' side tells of its requests."""
 
-    def arrived(self, request: ClientRequest) -> None: ...
+    def on_request(self, request: ClientRequest) -> None: ...
 
-    def uploaded(self, request: ClientRequest) -> None: ...
+    def on_upload_completed(self, request: ClientRequest) -> None: ...
 
-    def departed(self, request: ClientRequest) -> None: ...
+    def on_client_disconnected(self, request: ClientRequest) -> None: ...
 
-    def stranded(self, request: ClientRequest) -> None: ...
+    def on_client_maybe_gone(self, request: ClientRequest) -> None: ...
 
 
-class RequestReader:
+class RequestParser:
     """Turns a request's headers and target into the event that the decisions want."""
 
     def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
         self._clock, self._last_id = clock, 0
         self._classes, self._plans = dict[str, bool](), set[str]()
         self._former, self._former_until = dict[str, bool](), 0.0
-        self.retune(settings)
+        self.reconfigure(settings)
 
-    def retune(self, settings: model.Settings) -> None:
+    def reconfigure(self, settings: model.Settings) -> None:
         """Classes and plans from now on. Those before are read for a while: requests are on the way."""
         self._former, self._former_until = self._classes, self._clock() + FORMER
         self._classes = {
@@ -195,7 +206,7 @@
         self._plans |= {p.name for p in settings.plans}
         self._gateways, self._max_units = settings.gateway_count, max(1.0, settings.max_units)
 
-    def read(
+    def parse(
         self, method: bytes, target: str, fields: dict[bytes, bytes], uploading: bool = False
     ) -> model.Request:
         path, _, query = target.partition("?")
@@ -242,7 +253,7 @@
 class _Client(asyncio.Protocol):
     """One client connection: parses requests, keeps their answers in order."""
 
-    def __init__(self, frontend: Frontend) -> None:
+    def __init__(self, frontend: ClientListener) -> None:
         self.frontend = frontend
         self._transport: asyncio.Transport | None = None
         self._lingering: asyncio.Transport | None = None  # it is being closed
@@ -258,7 +269,7 @@
         self.spoke = False
         self.since = frontend.clock()  # of the last thing that counts: coming, a request's begin, an answer
         self._drained, self._linger = 0, (LINGER, LINGER_BYTES)
-        self._upload: Pipe | None = None  # the long body that is being read
+        self._upload: BodyStream | None = None  # the long body that is being read
         self._held = False  # its server takes no more for now
         self._asked = False  # whether a request has come whole
         self._ended = False  # the client has closed its sending side
@@ -290,18 +301,18 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = self._lingering = None
-        self.frontend.spoken -= self.spoke
+        self.frontend.active_connections -= self.spoke
         self.frontend.disconnected(self)
         self._depart()
 
     def _depart(self) -> None:
         waiting, self._waiting = self._waiting, deque()
         for request in waiting:
-            if request.pipe is not None:
-                request.left()
-            elif request.answer is None:
-                self.frontend.open_ids.discard(request.id)
-                self.frontend.handler.departed(request)
+            if request.response_stream is not None:
+                request.on_client_disconnected()
+            elif request.response is None:
+                self.frontend.open_request_ids.discard(request.request_id)
+                self.frontend.handler.on_client_disconnected(request)
 
     def data_received(self, data: bytes) -> None:
         if self._rejected:
@@ -309,7 +320,7 @@
             if self._drained > self._linger[1]:
                 self.abort()
             return
-        self.frontend.spoken += not self.spoke
+        self.frontend.active_connections += not self.spoke
         self.spoke = True
         try:
             self._parser.feed_data(data)
@@ -352,7 +363,7 @@
             return
         self._probed = True
         first = self._waiting[0]
-        if first.pipe is None and not first.old and self._transport is not None:
+        if first.response_stream is None and not first.is_http_1_0 and self._transport is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         asyncio.get_running_loop().call_later(GONE, self._doubted)
 
@@ -365,12 +376,12 @@
         self._cleared = True
         self._strand()
         if self._released:
-            self.hold(False)
+            self.set_paused(False)
 
     def _strand(self) -> None:
         for request in list(self._waiting):
-            if request.answer is None and request.pipe is None:
-                self.frontend.handler.stranded(request)
+            if request.response is None and request.response_stream is None:
+                self.frontend.handler.on_client_maybe_gone(request)
 
     @property
     def _broken(self) -> bool:
@@ -448,7 +459,7 @@
         if self._upload is not None:
             if self._size > MAX_LONG:
                 raise BadRequestError(413, "body too large")
-            return self._upload.put(body)
+            return self._upload.write(body)
         self._body.append(body)
         if self._size > MAX_BODY:
             self._take_long()
@@ -458,9 +469,9 @@
         if self._parser.get_method() != b"POST":
             raise BadRequestError(413, "body too large")
         body, self._body = self._body, []
-        self._upload = Pipe(self, self._length)
+        self._upload = BodyStream(self, self._length)
         for part in body:
-            self._upload.put(part)
+            self._upload.write(part)
         if self._transport is not None:
             with contextlib.suppress(OSError):
                 peer = self._transport.get_extra_info("socket")
@@ -473,12 +484,12 @@
         self._reading, self._size, self._asked = False, 0, True
         if (upload := self._upload) is not None:
             self._upload, request = None, self._waiting[-1]
-            if request.answer is None:
-                self.frontend.handler.uploaded(request)
-            return upload.end()
+            if request.response is None:
+                self.frontend.handler.on_upload_completed(request)
+            return upload.finish()
         self._take(None)
 
-    def _take(self, upload: Pipe | None) -> None:
+    def _take(self, upload: BodyStream | None) -> None:
         old = self._parser.get_http_version() == "1.0"
         request = ClientRequest(self, self._parser.should_keep_alive(), old)
         request.upload = upload
@@ -505,50 +516,50 @@
         if target.partition("?")[0] == "/healthz":
             return request.respond(503 if self.frontend.draining else 200)
         request.body = b"".join(self._body)
-        if request.upload is not None and request.upload.length is None:
+        if request.upload is not None and request.upload.content_length is None:
             self._head.append(b"Transfer-Encoding: chunked\r\n")
         elif request.upload is not None:
-            self._head.append(b"Content-Length: %d\r\n" % (request.upload.length or 0))
+            self._head.append(b"Content-Length: %d\r\n" % (request.upload.content_length or 0))
         elif method == b"POST":
             self._head.append(b"Content-Length: %d\r\n" % len(request.body))
         elif request.body:
             raise BadRequestError(400, "a body where none belongs")
-        event = self.frontend.reader.read(method, target, self._fields, request.upload is not None)
+        event = self.frontend.parser.parse(method, target, self._fields, request.upload is not None)
         # One that is open here belongs to another: answers and outcomes must not meet the wrong one.
-        if (id := self._fields[REQUEST_ID].lower()) in self.frontend.open_ids:
+        if (id := self._fields[REQUEST_ID].lower()) in self.frontend.open_request_ids:
             raise BadRequestError(409, "the request id is in use")
-        self.frontend.open_ids.add(id)
-        request.id, request.event = id, event
+        self.frontend.open_request_ids.add(id)
+        request.request_id, request.event = id, event
         request.head = b"%b %b HTTP/1.1\r\n%b" % (method, self._target, b"".join(self._head))
-        self.frontend.handler.arrived(request)
+        self.frontend.handler.on_request(request)
 
     # Answers.
 
     def flush(self) -> None:
         """Write the answers whose turn has come."""
         while self._waiting and self._transport is not None:
-            if (pipe := self._waiting[0].pipe) is not None:
+            if (pipe := self._waiting[0].response_stream) is not None:
                 self._begin(self._waiting[0], pipe)
                 break  # what stands behind it follows when it is finished
-            if self._waiting[0].answer is None:
+            if self._waiting[0].response is None:
                 break
             request = self._waiting.popleft()
             self.since = self.frontend.clock()
-            assert request.answer is not None
-            start, rest = request.answer
+            assert request.response is not None
+            start, rest = request.response
             # Of what is pipelined only the last answer closes: what stands behind it has been taken too.
-            close = not self._waiting and (self.frontend.closing or self._ended)
+            close = not self._waiting and (self.frontend.closes_connections or self._ended)
             close = close or not request.keep_alive
             self._transport.write(start + (b"Connection: close\r\n" if close else b"") + rest)
             if close:
                 self._close()
         self._throttle()
 
-    def _begin(self, request: ClientRequest, pipe: Pipe) -> None:
-        if (start := request.start) is None:
+    def _begin(self, request: ClientRequest, pipe: BodyStream) -> None:
+        if (start := request.response_head) is None:
             return
-        request.start, request.moved = None, self.frontend.clock()
-        request.keep_alive = request.keep_alive and not self.frontend.closing
+        request.response_head, request.last_progress = None, self.frontend.clock()
+        request.keep_alive = request.keep_alive and not self.frontend.closes_connections
         self.write(start + (b"" if request.keep_alive else b"Connection: close\r\n") + b"\r\n")
         pipe.attach(request, not self._clogged)
 
@@ -577,13 +588,17 @@
         self._throttle()
 
     def _flow(self) -> None:
-        if self._waiting and (pipe := self._waiting[0].pipe) is not None and self._waiting[0].start is None:
-            self._waiting[0].moved = self.frontend.clock()
-            pipe.go(not self._clogged)
+        if (
+            self._waiting
+            and (pipe := self._waiting[0].response_stream) is not None
+            and self._waiting[0].response_head is None
+        ):
+            self._waiting[0].last_progress = self.frontend.clock()
+            pipe.set_writable(not self._clogged)
 
     # The source of a long body.
 
-    def hold(self, stop: bool) -> None:
+    def set_paused(self, stop: bool) -> None:
         self._released = False
         if self._held is stop:
             return
@@ -600,7 +615,7 @@
         self._body_since, self._body_at = now, self._size
         self._throttle()
 
-    def drop(self) -> None:
+    def abandon(self) -> None:
         """Its server is gone; what becomes of the request is decided elsewhere."""
 
     def refuse_rest(self) -> None:
@@ -678,7 +693,7 @@
             first = self._waiting[0]
             if self._paused and not self._ended:
                 self._look()
-            elif first.pipe is not None and self._clogged and now - first.moved > STALLED:
+            elif first.response_stream is not None and self._clogged and now - first.last_progress > STALLED:
                 log.warning("a client took nothing of its long answer")
                 self.abort()
         elif not self._reading:
@@ -706,7 +721,7 @@
                 self._ended_at = self._there_at
             self._doubt()
 
-    def stays(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether an attempt may begin: looked up where the loop may not have been told, and where the client
         was not there a moment ago. Who has just ended its sending may wait half-closed, and is served."""
         if self._transport is None or self._transport.is_closing():
@@ -727,7 +742,7 @@
         if self._held or age <= SLOW or self._size - self._body_at >= FLOW * age:
             return
         request = self._waiting[-1]
-        self.frontend.handler.departed(request)
+        self.frontend.handler.on_client_disconnected(request)
         request.respond(408)
 
     def evict(self) -> bool:
@@ -746,21 +761,25 @@
             self._lingering.abort()
 
 
-class Frontend:
+class ClientListener:
     """The listener and its connections."""
 
     def __init__(
-        self, handler: Handler, settings: model.Settings, max_connections: int, figures: Figures | None = None
+        self,
+        handler: RequestHandler,
+        settings: model.Settings,
+        max_connections: int,
+        figures: Metrics | None = None,
     ) -> None:
         self.clock = asyncio.get_running_loop().time
-        self.handler, self.reader = handler, RequestReader(settings, self.clock)
-        self.figures = figures or Figures()
+        self.handler, self.parser = handler, RequestParser(settings, self.clock)
+        self.metrics = figures or Metrics()
         self.draining = False
         self.ending = False  # no idle connection is kept any more
-        self.open_ids = set[bytes]()
+        self.open_request_ids = set[bytes]()
         self._max = max_connections
         self._crowd = CROWDED * max_connections
-        self.spoken = 0  # connections that have sent something
+        self.active_connections = 0  # connections that have sent something
         self._sweep_at: asyncio.TimerHandle | None = None
         self._clients = dict[_Client, None]()  # in the order of their coming
         self._server: asyncio.Server | None = None
@@ -811,20 +830,20 @@
             self._empty.set()
 
     @property
-    def closing(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether answers say that their connection closes."""
-        return self.draining or self.spoken > self._crowd
+        return self.draining or self.active_connections > self._crowd
 
-    def drain(self) -> None:
+    def start_draining(self) -> None:
         """From now on every answer says that its connection closes."""
         self.draining = True
 
-    def resize(self, max_connections: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Another bound, while another process holds the rest: clients leave the old one for good then, so
         that closing behind every answer would only make them connect twice."""
         self._max = max_connections
 
-    async def stop(self) -> None:
+    async def stop_accepting(self) -> None:
         """Take no more connections; the socket stays with whoever else holds it. Where nobody does, those in
         the accept queue are up already for their clients, and would be reset with what they have sent."""
         server, self._server = self._server, None
@@ -857,7 +876,7 @@
                     raise
             await asyncio.sleep(0.01)
 
-    async def emptied(self, grace: float) -> None:
+    async def wait_until_empty(self, grace: float) -> None:
         """Wait for all connections to end by their answers, or idle as on any day."""
         self._empty.clear()
         if self._clients:
@@ -867,10 +886,10 @@
     async def close(self, grace: float) -> None:
         """Stop listening, close what is idle, and wait for the rest to be answered and closed. The sweep
         goes on: a connection may become idle only now, and a slow sender is still owed its error."""
-        await self.stop()
+        await self.stop_accepting()
         await asyncio.sleep(0)  # what has just been accepted is known here then
         self.ending = True
         self._sweep()
-        await self.emptied(grace)
+        await self.wait_until_empty(grace)
         if self._sweep_at is not None:
             self._sweep_at.cancel()
--- a/quota_gateway/net/shared.py
+++ b/quota_gateway/net/process_group.py
@@ -108,7 +108,7 @@
     }
 
 
-class Shared:
+class ProcessGroup:
     """This process's place among those of its limiter. Without a folder that can be written it is alone."""
 
     def __init__(self, folder: str | None, name: str) -> None:
@@ -140,7 +140,7 @@
         return fd
 
     @property
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """This one and the others that live."""
         return 1 + len(self._others())
 
@@ -164,7 +164,7 @@
             log.warning("cannot look for another process: %s", error)
         return others
 
-    def hand(self, notes: model.HandoverState) -> None:
+    def write_handover(self, notes: model.HandoverState) -> None:
         """Write what this process has learnt for the one that has come; it is read once."""
         fresh = [name for name in self._others() if name not in self._given]
         if self._folder is None or len(fresh) != 1:
@@ -177,7 +177,7 @@
         except OSError as error:
             log.warning("what this process has learnt could not be written down: %s", error)
 
-    def notes(self) -> model.HandoverState | None:
+    def read_handover(self) -> model.HandoverState | None:
         """What another process has left for this one; None where it left nothing that can be read."""
         if self._folder is None:
             return None
@@ -193,7 +193,7 @@
             log.warning("what another process has left cannot be read: %s", error)
             return None
 
-    def bans(self) -> frozenset[str]:
+    def suspensions(self) -> frozenset[str]:
         """The servers that are out by hand; a damaged file changes nothing."""
         if self._folder is None:
             return self._bans
@@ -215,7 +215,7 @@
             self._damaged = True
         return self._bans
 
-    def change(self, server: str, out: bool) -> frozenset[str]:
+    def set_suspended(self, server: str, out: bool) -> frozenset[str]:
         """Keep a server out, or no longer, for all processes; gives what then holds."""
         if self._folder is None:
             self._bans = self._bans | {server} if out else self._bans - {server}
@@ -223,7 +223,7 @@
         lock: int | None = None
         try:
             lock = _locked(self._folder / LOCK, wait=True)  # held for a write of some bytes
-            names = self.bans()
+            names = self.suspensions()
             self._bans = names | {server} if out and len(names) < MOST_BANS else names - {server}
             fresh = self._folder / f"{BANS}.{self._own}"
             fresh.write_text(json.dumps({"out": sorted(self._bans)}))
@@ -240,11 +240,11 @@
         self, tell: Callable[[int, frozenset[str]], None], learn: Callable[[model.HandoverState], None]
     ) -> None:
         """Tell from now on when processes come or go, when bans change, and what another process has left."""
-        now = self.processes, self.bans()
+        now = self.process_count, self.suspensions()
         if now != self._told:
             self._told = now
             tell(*now)
-        if (notes := self.notes()) is not None:
+        if (notes := self.read_handover()) is not None:
             learn(notes)
         self._look_at = asyncio.get_running_loop().call_later(LOOK, self.watch, tell, learn)
 
--- a/quota_gateway/benchlink.py
+++ b/quota_gateway/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Adapter between the bench's wire and ``decide.Gateway``: translation only."""
+"""Adapter between the bench's wire and ``decisions.gateway.Gateway``: translation only."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Any, NoReturn, TextIO, TypeVar
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
+from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.settings import SettingsError, settings_from
 
 STATUS = {
@@ -160,7 +160,7 @@
 }
 
 
-class Link:
+class SimulatorAdapter:
     """The instances of one process; each batch goes in, its reply comes out."""
 
     def __init__(self) -> None:
@@ -224,7 +224,7 @@
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> None:
-    link = Link()
+    link = SimulatorAdapter()
     gc.freeze()
     for line in source:
         if not line.strip():
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -11,8 +11,8 @@
 from time import process_time_ns
 from typing import Any
 
-from quota_gateway.decide import FORGET
-from quota_gateway.net.discovery import listing_from
+from quota_gateway.decisions.gateway import FORGET
+from quota_gateway.net.discovery_client import parse_watch_event
 from quota_gateway.settings import check_retuned, settings_from
 from scale import day, fit
 from scale.hollow import Hollow
@@ -47,13 +47,13 @@
         found["counted"] = limiter.mean("Counted")
 
     def change(line: str) -> None:
-        limiter.feed(listing_from(json.loads(line)).servers)
+        limiter.feed(parse_watch_event(json.loads(line)).update)
 
     found["change"] = median(timed(partial(change, limiter.change())) for _ in range(CHANGES))
     whole = limiter.whole()
-    found["parse"] = median(timed(lambda: listing_from(json.loads(whole))) for _ in range(WHOLE))
-    listing = listing_from(json.loads(whole))
-    found["list"] = median(timed(lambda: limiter.feed(listing.servers)) for _ in range(WHOLE))
+    found["parse"] = median(timed(lambda: parse_watch_event(json.loads(whole))) for _ in range(WHOLE))
+    listing = parse_watch_event(json.loads(whole))
+    found["list"] = median(timed(lambda: limiter.feed(listing.update)) for _ in range(WHOLE))
     texts = []
     for i in range(RELOADS):
         limiter.settings["classes"][0]["worth"] = 7.0 + i
--- a/scale/fleet_limiters.py
+++ b/scale/fleet_limiters.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.net.discovery import SILENCE, pause
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.net.discovery_client import SILENCE, pause
 from scale import fleet_peers as peers
 from scale.demand import BEGIN, Demand
 from scale.lockstep import Exchange
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.net.discovery import listing_from
-from quota_gateway.quota import Account
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.decisions.quota import Account
+from quota_gateway.net.discovery_client import parse_watch_event
 from quota_gateway.settings import settings_from
 from scale.model import Size
 
@@ -118,7 +118,7 @@
 
     def begin(self) -> None:
         """The whole list, and the first arrival."""
-        self.feed(listing_from(json.loads(whole_list(self.size))).servers)
+        self.feed(parse_watch_event(json.loads(whole_list(self.size))).update)
         self._later(0.0, None)
 
     def fill(self, seconds: float) -> None:
--- a/scale/in_force.py
+++ b/scale/in_force.py
@@ -29,7 +29,7 @@
 
 import uvloop
 
-from quota_gateway.net.discovery import Follower, Listing
+from quota_gateway.net.discovery_client import DiscoveryClient, WatchEvent
 from quota_gateway.settings import timing_from
 from scale import fit
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
@@ -95,19 +95,19 @@
     def __init__(self, case: Case, seed: int) -> None:
         raw: dict[str, Any] = {"n_instances": case.limiters, "contract": {"stop_sending_within_s": 2.0}}
         timing = timing_from(raw | ({"discovery": "ask"} if case.ask else {}))
-        self._want: Callable[[Listing], bool] = lambda _listing: True
+        self._want: Callable[[WatchEvent], bool] = lambda _listing: True
         self._missing, self.when = set[int](), dict[int, float]()
         self._all = asyncio.Event()
         self.followers = [
-            Follower(
+            DiscoveryClient(
                 self._teller(number), timing.callers, Random((seed << 20) + number), timing.answer,
                 timing.call_again,
             )
             for number in range(case.limiters)
         ]  # fmt: skip
 
-    def _teller(self, number: int) -> Callable[[Listing], None]:
-        def tell(listing: Listing) -> None:
+    def _teller(self, number: int) -> Callable[[WatchEvent], None]:
+        def tell(listing: WatchEvent) -> None:
             if number in self._missing and self._want(listing):
                 self._missing.discard(number)
                 self.when[number] = time.monotonic()
@@ -116,7 +116,7 @@
 
         return tell
 
-    def expect(self, want: Callable[[Listing], bool]) -> None:
+    def expect(self, want: Callable[[WatchEvent], bool]) -> None:
         """From now on what counts is the first listing of this kind."""
         self._want, self._missing, self.when = want, set(range(len(self.followers))), {}
         self._all.clear()
@@ -131,7 +131,7 @@
         """All go there, so many seconds apart."""
         host, _, port = address.rpartition(":")
         for follower in self.followers:
-            follower.follow(host, int(port))
+            follower.watch(host, int(port))
             if apart:
                 await asyncio.sleep(apart)
 
--- a/scale/latency.py
+++ b/scale/latency.py
@@ -27,7 +27,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
+from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.settings import settings_from
 from scale import fit
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -14,10 +14,10 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.counter import CounterClient
-from quota_gateway.net.discovery import Discovery, Listing, listing_from
-from quota_gateway.net.node import Node, unix_clock
-from quota_gateway.net.upstream import Upstream
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.discovery_client import EndpointWatcher, WatchEvent, parse_watch_event
+from quota_gateway.net.dispatcher import Dispatcher, unix_clock
 from quota_gateway.settings import settings_from
 from scale import day, fit
 from scale.hollow import CALM, STORE, TENSE, Hollow, Mix, settings, told, whole_list
@@ -118,7 +118,7 @@
                     over.set_result(None)
 
             for _ in range(CALLS):
-                client.call(rng.getrandbits(63), rng.randrange(1, 5), 60.0, done)
+                client.increment(rng.getrandbits(63), rng.randrange(1, 5), 60.0, done)
             await tap.wait(over)
             asked, answered = tap.heard, tap.said
             await asyncio.sleep(idle)
@@ -149,10 +149,10 @@
     async def main() -> dict[str, float]:
         tap, probing = Tap(), Probing()
         async with tap.listening(server) as (host, port):
-            upstream = Upstream(unix_clock(), PATIENCE, 30.0, 8)
-            upstream.update("s-00000000", f"{host}:{port}", True)
-            node = Node(settings_from(settings(3, 1.0)), probing, unix_clock(), upstream, None)
-            node.feed(model.TimerFired(0))
+            upstream = ConnectionPool(unix_clock(), PATIENCE, 30.0, 8)
+            upstream.update_endpoint("s-00000000", f"{host}:{port}", True)
+            node = Dispatcher(settings_from(settings(3, 1.0)), probing, unix_clock(), upstream, None)
+            node.dispatch(model.TimerFired(0))
             status = await tap.wait(probing.ended)
             if status is not model.CallStatus.OK:
                 raise ConnectionError(f"the probe ended as {status.value}")
@@ -176,12 +176,12 @@
     async def main() -> dict[str, float]:
         tap, heard = Tap(), asyncio.get_running_loop().create_future()
 
-        def tell(listing: Listing) -> None:
+        def tell(listing: WatchEvent) -> None:
             if not heard.done():
-                heard.set_result(len(listing.dials))
+                heard.set_result(len(listing.addresses))
 
         async with tap.listening(discovery) as (host, port):
-            follower = asyncio.create_task(Discovery(host, port, None, tell).follow())
+            follower = asyncio.create_task(EndpointWatcher(host, port, None, tell).follow())
             servers = await tap.wait(heard)
             follower.cancel()
         if servers != whole.servers:
@@ -286,7 +286,7 @@
     limiter = Hollow(size, False, 1)
     lines = [limiter.change() for _ in range(300)]
     for line in lines:
-        listing_from(json.loads(line))  # what is counted is what the limiter reads
+        parse_watch_event(json.loads(line))  # what is counted is what the limiter reads
     change = mean(len(chunk(line)) for line in lines)
     put(Figure("a change of the list", "B", change, Origin.MEASURED, "mean of 300 lines as chunks"))
     alone = len(chunk(told([], 2, False)))
--- a/scale/staging.py
+++ b/scale/staging.py
@@ -51,7 +51,7 @@
         if not found.is_relative_to(Path(play.package).resolve()):
             raise RuntimeError("the checkout given has no decisions")
         # Only the decisions come from there: the test itself is this one.
-        import quota_gateway.decide
+        import quota_gateway.decisions.gateway
 
         sys.path.remove(play.package)
     from scale.fleet_limiters import Worker
--- a/scale/state.py
+++ b/scale/state.py
@@ -19,12 +19,12 @@
 
 from quota_gateway import __main__ as _program  # noqa: F401  all of the program is in a limiter's memory
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.net.counter import CounterClient
-from quota_gateway.net.discovery import listing_from
-from quota_gateway.net.frontend import Frontend, RequestReader
-from quota_gateway.net.node import Node, unix_clock
-from quota_gateway.net.upstream import Exchange, Upstream
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.net.connection_pool import ConnectionPool, Exchange
+from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.discovery_client import parse_watch_event
+from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.listener import ClientListener, RequestParser
 from quota_gateway.settings import settings_from
 from scale import day, fit
 from scale.hollow import PLAN, TTL, Hollow, settings, whole_list
@@ -60,13 +60,13 @@
     async def main() -> int:
         whole = replace(Size(**size), servers=count)
         gateway = Gateway(settings_from(settings(whole.limiters, 1.0)), 1, 0.0)
-        upstream = Upstream(unix_clock(), 0.25, 30.0, 64)
+        upstream = ConnectionPool(unix_clock(), 0.25, 30.0, 64)
         text = whole_list(whole)
         tracemalloc.start()
-        listing = listing_from(json.loads(text))
-        for entry in listing.servers.endpoints:
-            upstream.update(entry.name, listing.dials[entry.name], True)
-        gateway.handle(0.0, listing.servers)
+        listing = parse_watch_event(json.loads(text))
+        for entry in listing.update.endpoints:
+            upstream.update_endpoint(entry.name, listing.addresses[entry.name], True)
+        gateway.handle(0.0, listing.update)
         del listing, entry
         held = traced()
         upstream.close()
@@ -79,7 +79,7 @@
     """Bytes that the decisions hold for so many customers whose requests are over."""
     whole = Size(**size)
     gateway = Gateway(settings_from(settings(whole.limiters, 4.0)), 1, 0.0)
-    gateway.handle(0.0, listing_from(json.loads(whole_list(replace(whole, servers=20)))).servers)
+    gateway.handle(0.0, parse_watch_event(json.loads(whole_list(replace(whole, servers=20)))).update)
     tracemalloc.start()
     for i in range(count):
         now = 1.0 + i * 1e-3
@@ -105,7 +105,7 @@
         client = CounterClient("127.0.0.1", 1, 3600.0)  # never started: the calls stand in its queue
         tracemalloc.start()
         for i in range(count):
-            client.call(2**62 + i, 1.0, 60.0, lambda _status, _total: None)
+            client.increment(2**62 + i, 1.0, 60.0, lambda _status, _total: None)
         return traced()
 
     return uvloop.run(main())
@@ -117,7 +117,7 @@
     tracemalloc.start()
     raw = json.loads(text)
     read = settings_from(raw)
-    held = raw, Gateway(read, 1, 0.0), RequestReader(read)
+    held = raw, Gateway(read, 1, 0.0), RequestParser(read)
     size = traced()
     del held
     return size
@@ -142,10 +142,10 @@
 
     async def main() -> tuple[int, int]:
         read = settings_from(settings(3, 1.0))
-        upstream = Upstream(unix_clock(), 0.25, 30.0, 64)
-        node = Node(read, Refusing(), unix_clock(), upstream, None)
+        upstream = ConnectionPool(unix_clock(), 0.25, 30.0, 64)
+        node = Dispatcher(read, Refusing(), unix_clock(), upstream, None)
         # Ten times the room: a crowded frontend closes connections with their answers.
-        frontend = Frontend(node, read, 10 * count)
+        frontend = ClientListener(node, read, 10 * count)
         _, port = await frontend.listen("127.0.0.1", 0)
         begun = measured_from()
         with suppress(BrokenPipeError):  # it is dead: the wait for its word tells
@@ -177,9 +177,9 @@
                     one.sendall(OK)  # type: ignore[union-attr]
 
     async def main() -> tuple[int, int]:
-        upstream = Upstream(unix_clock(), PATIENCE, 10 * PATIENCE, count + 8)
+        upstream = ConnectionPool(unix_clock(), PATIENCE, 10 * PATIENCE, count + 8)
         for i in range(0, count, A_NAME):
-            upstream.update(f"s-{i}", address, True)
+            upstream.update_endpoint(f"s-{i}", address, True)
         left, over = count, asyncio.get_running_loop().create_future()
 
         def done(exchange: Exchange) -> None:
@@ -219,17 +219,17 @@
         seen = {"start": float(resident())}
         whole = Size(**size)
         limiter = Hollow(whole, wide, seed)
-        upstream = Upstream(unix_clock(), 0.25, 30.0, CONNECTIONS)
+        upstream = ConnectionPool(unix_clock(), 0.25, 30.0, CONNECTIONS)
 
         def tell(text: str) -> None:
-            listing = listing_from(json.loads(text))
-            if listing.servers.complete:
-                upstream.keep_only(set(listing.dials))
-            for entry in listing.servers.endpoints:
-                upstream.update(
-                    entry.name, listing.dials[entry.name], entry.health is model.EndpointHealth.HEALTHY
+            listing = parse_watch_event(json.loads(text))
+            if listing.update.complete:
+                upstream.retain_only(set(listing.addresses))
+            for entry in listing.update.endpoints:
+                upstream.update_endpoint(
+                    entry.name, listing.addresses[entry.name], entry.health is model.EndpointHealth.HEALTHY
                 )
-            limiter.feed(listing.servers)
+            limiter.feed(listing.update)
 
         limiter.begin()
         tell(limiter.whole())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,11 +11,11 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.counter import CounterClient
-from quota_gateway.net.discovery import Listing
-from quota_gateway.net.frontend import Frontend
-from quota_gateway.net.node import Node, unix_clock
-from quota_gateway.net.upstream import Upstream
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.discovery_client import WatchEvent
+from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.listener import ClientListener
 
 LIMIT = 20.0  # generous: only a hang takes this long
 Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -152,8 +152,8 @@
 
 def listing(
     dials: dict[str, str], health: model.EndpointHealth = model.EndpointHealth.HEALTHY, whole: bool = True
-) -> Listing:
-    return Listing(1, model.EndpointUpdate(tuple(entry(name, health) for name in dials), whole), dials)
+) -> WatchEvent:
+    return WatchEvent(1, model.EndpointUpdate(tuple(entry(name, health) for name in dials), whole), dials)
 
 
 class Limiter:
@@ -168,19 +168,19 @@
     ) -> None:
         clock = unix_clock()
         self.script = script
-        self.upstream = Upstream(clock, dial_timeout=0.25, conn_idle=conn_idle, max_connections=64)
-        self.node = Node(SETTINGS, script, clock, self.upstream, counter)
-        self.frontend = Frontend(self.node, SETTINGS, max_connections=64)
-        self.node.listed(listing(dials))
+        self.pool = ConnectionPool(clock, dial_timeout=0.25, conn_idle=conn_idle, max_connections=64)
+        self.dispatcher = Dispatcher(SETTINGS, script, clock, self.pool, counter)
+        self.listener = ClientListener(self.dispatcher, SETTINGS, max_connections=64)
+        self.dispatcher.on_watch_event(listing(dials))
         self._address = ("", 0)
 
     async def __aenter__(self) -> Limiter:
-        self._address = await self.frontend.listen("127.0.0.1", 0)
+        self._address = await self.listener.listen("127.0.0.1", 0)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.frontend.close(0.1)
-        self.upstream.close()
+        await self.listener.close(0.1)
+        self.pool.close()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self._address)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -10,7 +10,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.benchlink import Link, WireError, event_from
+from quota_gateway.simulator_adapter import SimulatorAdapter, WireError, event_from
 
 SETTINGS = {
     "classes": [{"name": "read", "aim_s": 1.0, "effect": "idempotent", "worth": 1.0, "group": "all"}],
@@ -24,7 +24,7 @@
 ASK = ["incoming", 11, "read", "basic", 2.0, 0, 2, 0, "00ff", 1]
 
 
-def batch(link: Link, now: float, *news: list[Any]) -> list[Any]:
+def batch(link: SimulatorAdapter, now: float, *news: list[Any]) -> list[Any]:
     reply = json.loads(
         link.batch(
             json.dumps({"moment_s": now, "n": 3, "parts": [{"limiter_id": "limiter_0", "news": news}]})
@@ -35,14 +35,14 @@
 
 
 def test_a_request_is_passed_on_and_its_outcome_taken() -> None:
-    link = Link()
+    link = SimulatorAdapter()
     commands = batch(link, 1.0, *BEGIN, ASK)
     assert ["pass_on", 11, 1.0, "s1"] in commands
     assert batch(link, 1.1, ["resolved", 11, 0, "s1", "OK", 0.1, True, None, None, {"qps": 3}]) == []
 
 
 def test_empty_batch_and_stop_and_begin_in_one() -> None:
-    link = Link()
+    link = SimulatorAdapter()
     assert json.loads(link.batch('{"moment_s":1.5,"n":9,"parts":[]}')) == {"n": 9, "parts": []}
     batch(link, 2.0, *BEGIN, ASK)
     commands = batch(link, 3.0, ["shutdown"], *BEGIN)
@@ -50,7 +50,7 @@
 
 
 def test_a_list_number_reused_in_one_batch_resolves_in_order() -> None:
-    link = Link()
+    link = SimulatorAdapter()
     other = ["register", 0, [[None, 1, 0, "k", "s2", "healthy", "a"]]]
     commands = batch(link, 1.0, *BEGIN, other, ["membership", "FULL", 0, 2], ASK)
     assert [c[3] for c in commands if c[0] == "pass_on"] == ["s2"]
@@ -69,7 +69,7 @@
     ],
 )
 def test_malformed_messages_are_named(news: list[Any], names: str) -> None:
-    link = Link()
+    link = SimulatorAdapter()
     batch(link, 1.0, *BEGIN)
     with pytest.raises(WireError, match=names):
         batch(link, 2.0, news)
@@ -78,7 +78,10 @@
 @pytest.mark.parametrize("line", ["not json", "[]", '{"n":1}', '{"moment_s":1,"parts":[{"news":[]}]}'])
 def test_a_bad_line_gives_one_plain_line_and_a_bad_exit(line: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "quota_gateway.benchlink"], input=line + "\n", capture_output=True, text=True
+        [sys.executable, "-m", "quota_gateway.simulator_adapter"],
+        input=line + "\n",
+        capture_output=True,
+        text=True,
     )
     assert done.returncode != 0
     assert done.stdout == ""
@@ -88,7 +91,7 @@
 def test_impossible_settings_stop_the_adapter_with_the_key() -> None:
     bad = dict(SETTINGS, n_instances=0)
     with pytest.raises(ValueError, match="gateway_count"):
-        batch(Link(), 1.0, ["begin", 1, bad])
+        batch(SimulatorAdapter(), 1.0, ["begin", 1, bad])
 
 
 def test_the_true_units_of_an_answer_reach_the_decisions() -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.http import MAX_BODY
+from quota_gateway.net.http_common import MAX_BODY
 from tests import world as w
 from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
 from tests.test_endings import LATE, WAYS, interim
@@ -124,7 +124,7 @@
             reader, writer = await limiter.connect()
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(ask())
-            while not any(connection._held for connection in limiter.upstream.long):
+            while not any(connection._held for connection in limiter.pool.streaming):
                 await asyncio.sleep(0.01)
             assert sent < whole  # the rest waits at the server, not here
             reader._transport.resume_reading()  # type: ignore[attr-defined]
@@ -132,7 +132,7 @@
             got = 0
             while got < int(headers["content-length"]):
                 got += len(await reader.read(1 << 20))
-            assert got == whole and not limiter.upstream.long
+            assert got == whole and not limiter.pool.streaming
 
     run(main())
 
@@ -180,9 +180,9 @@
             data = upload(form, LONG)
             writer.write(data[:200_000])
             await begun.wait()
-            (opened,) = limiter.node._open.values()
+            (opened,) = limiter.dispatcher._open.values()
             assert opened.deadline == math.inf and opened.timer is None  # the client's time has not begun
-            assert opened.attempts[0].timer is None and not opened.attempts[0].written
+            assert opened.attempts[0].timer is None and not opened.attempts[0].request_written
             writer.write(data[200_000:])
             assert (await read_message(reader))[2] == b"hi"
             assert seen == [LONG]
@@ -206,7 +206,7 @@
         async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(upload("length", body))
-            while not any(client._held for client in limiter.frontend._clients):
+            while not any(client._held for client in limiter.listener._clients):
                 await asyncio.sleep(0.01)
             release.set()
             assert (await read_message(reader))[2] == b"hi"
@@ -278,12 +278,15 @@
         async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
             client, piece, size = socket.create_connection(limiter._address), b"x" * 8192, 0
             client.sendall(ask(POST, b"x", 60_000, Content_Length="", Transfer_Encoding="chunked")[:-1])
-            while not limiter.frontend._clients:
+            while not limiter.listener._clients:
                 await asyncio.sleep(0)
-            (known,) = limiter.frontend._clients
+            (known,) = limiter.listener._clients
             client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # it is long, and sent on
             size += 0x10001
-            while not (opened := list(limiter.node._open.values())) or not opened[0].attempts[0].connection:
+            while (
+                not (opened := list(limiter.dispatcher._open.values()))
+                or not opened[0].attempts[0].connection
+            ):
                 await asyncio.sleep(0)
             while known._held or known._size < size:
                 await asyncio.sleep(0)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -19,7 +19,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
+from quota_gateway.decisions.gateway import Gateway
 from tests import world as w
 
 READ = model.RequestClass("read", 1.0, 1.0, model.Idempotency.INHERENT)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -10,8 +10,8 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net import counter
-from quota_gateway.net.counter import CounterClient, redial_wait
+from quota_gateway.net import counter_client
+from quota_gateway.net.counter_client import CounterClient, reconnect_delay
 from tests.loopback import listening, run
 
 
@@ -43,7 +43,7 @@
 
 def call(client: CounterClient, name: int, amount: float = 1.0) -> asyncio.Future[tuple[CallStatus, float]]:
     future = asyncio.get_running_loop().create_future()
-    client.call(name, amount, 4.0, lambda status, total: future.set_result((status, total)))
+    client.increment(name, amount, 4.0, lambda status, total: future.set_result((status, total)))
     return future
 
 
@@ -110,7 +110,7 @@
             other = Tally()
             async with listening(other.talk) as address:
                 host, port = address.split(":")
-                client.move(host, int(port))
+                client.set_address(host, int(port))
                 writer = await other.connections.get()
                 await other.connections.get()
                 served = call(client, 5)
@@ -193,7 +193,7 @@
             owed = call(client, 7)
             await here.lines.get()
             host, port = address.split(":")
-            client.move(host, int(port))
+            client.set_address(host, int(port))
             during = call(client, 8)  # the new one is not up: the old one still serves
             assert (await here.lines.get()).startswith(b"tally 8 ")
             new = await there.connections.get()
@@ -219,13 +219,13 @@
         there = Tally()
         async with connected(10.0) as (here, old, client), listening(there.talk) as address:
             host, port = address.split(":")
-            client.move("127.0.0.1", 1)
+            client.set_address("127.0.0.1", 1)
             first = call(client, 1)
             await here.lines.get()
             old.write(b"ok 1\r\n")
             assert await first == (CallStatus.OK, 1.0)
-            client.move("127.0.0.1", 2)
-            client.move(host, int(port))
+            client.set_address("127.0.0.1", 2)
+            client.set_address(host, int(port))
             (await there.connections.get()).write(b"")
 
     run(main())
@@ -234,9 +234,9 @@
 def test_an_idle_connection_is_kept_by_pings_and_a_silent_one_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(counter, "CHECK", 0.01)
-    monkeypatch.setattr(counter, "PING", 0.02)
-    monkeypatch.setattr(counter, "DEAD", 0.01)  # of the time-out below
+    monkeypatch.setattr(counter_client, "CHECK", 0.01)
+    monkeypatch.setattr(counter_client, "PING", 0.02)
+    monkeypatch.setattr(counter_client, "DEAD", 0.01)  # of the time-out below
 
     async def main() -> None:
         async with connected(10.0) as (tally, _, _):
@@ -258,7 +258,7 @@
             client.start()
             for name in range(3):
                 ended = asyncio.get_running_loop().create_future()
-                client.call(name, 1.0, 10.0, lambda status, _total, ended=ended: ended.set_result(status))  # type: ignore[misc]
+                client.increment(name, 1.0, 10.0, lambda status, _total, e=ended: e.set_result(status))  # type: ignore[misc]
                 assert await ended is CallStatus.MALFORMED
             client.close()
 
@@ -275,7 +275,7 @@
 ) -> None:
     async def main() -> None:
         async with connected(timeout) as (_, _, client):
-            client.call(1, 1.0, 10.0, lambda _status, _total: None)
+            client.increment(1, 1.0, 10.0, lambda _status, _total: None)
             while (link := client._link) is None or not link.written:
                 await asyncio.sleep(0.001)
             link.written[0].sent -= waited
@@ -288,8 +288,8 @@
 
 
 def test_dials_in_vain_are_spread_and_grow_rarer() -> None:
-    assert [redial_wait(n, 1.0) for n in (1, 2, 3, 4, 5, 5000)] == [0.1, 0.2, 0.4, 0.8, 0.8, 0.8]
-    waits = sorted(redial_wait(4, Random(seed).random()) for seed in range(40))
+    assert [reconnect_delay(n, 1.0) for n in (1, 2, 3, 4, 5, 5000)] == [0.1, 0.2, 0.4, 0.8, 0.8, 0.8]
+    waits = sorted(reconnect_delay(4, Random(seed).random()) for seed in range(40))
     assert max(sum(at <= wait < at + 0.1 for wait in waits) for at in (0.4, 0.5, 0.6, 0.7)) < 20
 
     async def main() -> None:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -16,7 +16,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import frontend
+from quota_gateway.net import listener
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 from tests.test_program import Program, config, free_port, started
 
@@ -131,11 +131,11 @@
             (event,) = await script.until(model.Request)
             script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
             with no_descriptor_left():
-                limiter.node.feed(model.TimerFired(1))
+                limiter.dispatcher.dispatch(model.TimerFired(1))
                 (outcome,) = await script.until(model.AttemptCompleted)
             assert outcome.status is model.CallStatus.NOT_SENT
             assert " 429 " in (await read_message(reader))[0]
-            assert limiter.upstream._open == 0
+            assert limiter.pool._open == 0
             script.answer = send_on
             assert " 200 " in (await limiter.fetch(ask()))[0]
             writer.close()
@@ -147,7 +147,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What is in the accept queue is taken once there are descriptors again, and the end is no crash."""
-    monkeypatch.setattr(frontend, "ROOM", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(listener, "ROOM", 10.0)  # a slow machine must not make it late
 
     async def main() -> None:
         script = Script(lambda e: [model.Reject(e.id, 0.1)] if isinstance(e, model.Request) else [])
@@ -155,9 +155,9 @@
             clients = [socket.create_connection(limiter._address) for _ in range(3)]
             for client in clients:  # up, and sent, while this loop has not turned once
                 client.sendall(ask())
-            limiter.frontend.drain()
-            assert limiter.frontend._server is not None
-            server: asyncio.Server = limiter.frontend._server
+            limiter.listener.start_draining()
+            assert limiter.listener._server is not None
+            server: asyncio.Server = limiter.listener._server
             lack, began = ExitStack(), asyncio.Event()
 
             class Listener:
@@ -170,12 +170,12 @@
                     lack.enter_context(no_descriptor_left())
                     began.set()
 
-            limiter.frontend._server = Listener()  # type: ignore[assignment]
-            closing = asyncio.create_task(limiter.frontend.close(1000))
+            limiter.listener._server = Listener()  # type: ignore[assignment]
+            closing = asyncio.create_task(limiter.listener.close(1000))
             await began.wait()
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert len(limiter.frontend._clients) < len(clients)  # the loop had taken one before
+            assert len(limiter.listener._clients) < len(clients)  # the loop had taken one before
             lack.close()
             for client in clients:
                 reader, writer = await asyncio.open_connection(sock=client)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,8 +10,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import discovery
-from quota_gateway.net.discovery import Discovery, Follower, Listing, listing_from
+from quota_gateway.net import discovery_client
+from quota_gateway.net.discovery_client import DiscoveryClient, EndpointWatcher, WatchEvent, parse_watch_event
 from quota_gateway.settings import timing_from
 from tests.loopback import listening, run
 
@@ -46,29 +46,29 @@
             await asyncio.Event().wait()
 
 
-async def follow(agent: Agent, count: int, connections: int = 1) -> list[Listing]:
-    heard, enough = list[Listing](), asyncio.Event()
+async def follow(agent: Agent, count: int, connections: int = 1) -> list[WatchEvent]:
+    heard, enough = list[WatchEvent](), asyncio.Event()
 
-    def tell(listing: Listing) -> None:
+    def tell(listing: WatchEvent) -> None:
         heard.append(listing)
         if len(heard) >= count and len(agent.asked) >= connections:
             enough.set()
 
     async with listening(agent.talk) as address:
         host, port = address.split(":")
-        task = asyncio.create_task(Discovery(host, int(port), 41, tell).follow())
+        task = asyncio.create_task(EndpointWatcher(host, int(port), 41, tell).follow())
         await enough.wait()
         task.cancel()
     return heard
 
 
 def test_an_entry_is_read_in_full() -> None:
-    listing = listing_from(json.loads(message(1)))
+    listing = parse_watch_event(json.loads(message(1)))
     born = 1_800_000_000.25
-    assert listing.servers.endpoints == (
+    assert listing.update.endpoints == (
         model.Endpoint("s1", model.EndpointHealth.HEALTHY, "a", 3, 1.5, born),
     )
-    assert listing.servers.complete and listing.version == 1 and listing.dials == {"s1": "10.1.0.18:7070"}
+    assert listing.update.complete and listing.version == 1 and listing.addresses == {"s1": "10.1.0.18:7070"}
 
 
 def test_chunks_end_where_they_like() -> None:
@@ -76,7 +76,7 @@
         data = message(42) + b"\n" + message(43, "draining") + message(44, "gone", dial="")
         pieces = [HEAD] + [chunk(data[at : at + 11]) for at in range(0, len(data), 11)]
         heard = await follow(Agent(pieces), 3)
-        states = [listing.servers.endpoints[0].health for listing in heard]
+        states = [listing.update.endpoints[0].health for listing in heard]
         assert states == [
             model.EndpointHealth.HEALTHY,
             model.EndpointHealth.DRAINING,
@@ -96,7 +96,7 @@
 
 
 def test_a_silent_watch_is_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 0.2)
+    monkeypatch.setattr(discovery_client, "SILENCE", 0.2)
 
     async def main() -> None:
         agent = Agent([HEAD], [HEAD, chunk(message(58))], end=False)
@@ -127,7 +127,7 @@
         heard = await follow(
             Agent([HEAD, chunk(empty * 30 + b"not json\n" * 30 + nothing_new + message(60))]), 2
         )
-        assert [(listing.version, listing.servers.complete) for listing in heard] == [
+        assert [(listing.version, listing.update.complete) for listing in heard] == [
             (59, False),
             (60, False),
         ]
@@ -139,7 +139,7 @@
 def test_a_row_of_calls_in_vain_is_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "LEAST_SPREAD", 0.001)
+    monkeypatch.setattr(discovery_client, "LEAST_SPREAD", 0.001)
 
     async def main() -> None:
         busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -173,22 +173,24 @@
     """Forty limiters call in the same moment and then in vain. All have to call within what is left of the
     6 s after a return, so that the mean of a second is the least that can be: no second gets twice that."""
     rngs = [Random(seed) for seed in range(40)]
-    first = [discovery.pause(40, 0, rng.random()) for rng in rngs]
+    first = [discovery_client.pause(40, 0, rng.random()) for rng in rngs]
     assert max(sum(at <= wait < at + 1 for wait in first) for at in range(3)) <= 24 and max(first) < 3.0
     at = list(first)
     for failed in range(1, 6):
-        at = [now + discovery.pause(40, failed, rng.random()) for now, rng in zip(at, rngs, strict=True)]
-    begin = max(at) - discovery.CALL_AGAIN / 2
+        at = [
+            now + discovery_client.pause(40, failed, rng.random()) for now, rng in zip(at, rngs, strict=True)
+        ]
+    begin = max(at) - discovery_client.CALL_AGAIN / 2
     calls = [now for rng, each in zip(rngs, at, strict=True) for now in later_calls(each, rng, 12)]
     seconds = [sum(begin + n <= call < begin + n + 1 for call in calls) for n in range(20)]
-    assert max(seconds) <= 2 * 40 / discovery.CALL_AGAIN, f"they call in step: {seconds}"
-    assert discovery.pause(3, 0, 0.99) <= 0.25 and discovery.pause(3, 9, 0.99) <= 1.0
+    assert max(seconds) <= 2 * 40 / discovery_client.CALL_AGAIN, f"they call in step: {seconds}"
+    assert discovery_client.pause(3, 0, 0.99) <= 0.25 and discovery_client.pause(3, 9, 0.99) <= 1.0
 
 
 def later_calls(at: float, rng: Random, count: int) -> list[float]:
     calls = [at]
     for _ in range(count):
-        calls.append(calls[-1] + discovery.pause(40, 9, rng.random()))
+        calls.append(calls[-1] + discovery_client.pause(40, 9, rng.random()))
     return calls
 
 
@@ -198,9 +200,9 @@
     waits = timing_from({"discovery": "ask", "n_instances": callers})
     for failed in range(1, 40):
         for spent in (0.0, 0.5, waits.answer, waits.call_again, 30.0):
-            apart = spent + discovery.pause(callers, failed, 1.0, waits.call_again, spent)
+            apart = spent + discovery_client.pause(callers, failed, 1.0, waits.call_again, spent)
             assert apart <= max(4.5, spent), "a return just after a call is found too late"
-    assert waits.answer <= waits.call_again <= 4.5 and waits.call_again == discovery.CALL_AGAIN
+    assert waits.answer <= waits.call_again <= 4.5 and waits.call_again == discovery_client.CALL_AGAIN
 
 
 def test_a_move_follows_the_old_until_the_new_has_spoken() -> None:
@@ -215,16 +217,16 @@
             writer.write(HEAD + chunk(message(3)))
             await asyncio.Event().wait()
 
-        def tell(listing: Listing) -> None:
+        def tell(listing: WatchEvent) -> None:
             versions.append(listing.version)
             heard.set()
 
         asked, came = list[str](), asyncio.Event()
         async with listening(old.talk) as first, listening(talk) as second:
-            follower = Follower(tell)
+            follower = DiscoveryClient(tell)
             for address in (first, "127.0.0.1:1", second, second):  # the third overtakes the second
                 host, port = address.split(":")
-                follower.follow(host, int(port), 41 if address == first else None)
+                follower.watch(host, int(port), 41 if address == first else None)
                 if address == first:
                     await heard.wait()
             await came.wait()
@@ -250,9 +252,9 @@
 def test_the_first_call_of_a_fleet_of_any_size_leaves_time_before_news_counts_as_told() -> None:
     """Told 6 s after a silence began and 4 s after a move; the answer comes in the rest."""
     for callers in (1, 40, 200, 1000):
-        assert discovery.SILENCE + discovery.pause(callers, 0, 1.0) < 5.5
-        assert discovery.pause(callers, 0, 1.0) < 2.5
-        assert discovery.pause(callers, 9, 1.0) <= 4.5
+        assert discovery_client.SILENCE + discovery_client.pause(callers, 0, 1.0) < 5.5
+        assert discovery_client.pause(callers, 0, 1.0) < 2.5
+        assert discovery_client.pause(callers, 9, 1.0) <= 4.5
     waits = timing_from({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
     assert waits.answer + waits.call_again < 1.0, "what the agent has counts as told, and a drain leaves 1 s"
     assert timing_from({"discovery": "ask"}).answer == 3.0
@@ -262,7 +264,7 @@
 def test_half_a_head_and_a_line_without_an_end_are_silence(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 0.3)
+    monkeypatch.setattr(discovery_client, "SILENCE", 0.3)
 
     async def main() -> None:
         asked, heard = list[str](), asyncio.Event()
@@ -281,7 +283,7 @@
 
         async with listening(talk) as address:
             host, port = address.split(":")
-            watch = Discovery(host, int(port), 41, lambda _listing: heard.set())
+            watch = EndpointWatcher(host, int(port), 41, lambda _listing: heard.set())
             watch.answer = 0.3
             task = asyncio.create_task(watch.follow())
             await heard.wait()
@@ -296,7 +298,7 @@
         agent = Agent([HEAD, chunk(message(57) + lost)], [HEAD, chunk(message(59, "draining"))], end=False)
         heard = await follow(agent, 3, 2)
         assert [listing.version for listing in heard] == [57, 59, 59]
-        assert heard[2].servers.endpoints[0].health is model.EndpointHealth.DRAINING
+        assert heard[2].update.endpoints[0].health is model.EndpointHealth.DRAINING
         assert agent.asked[1] == "/v1/servers?follow=1&since=57"
 
     run(main())
@@ -324,12 +326,12 @@
         """Seconds from the return until each has the list; one line serves the calls in turn."""
         begins = list[tuple[float, int]]()
         for n, rng in enumerate(self.rngs):
-            at, failed = discovery.pause(self.callers, 0, rng.random(), self.waits.call_again), 0
+            at, failed = discovery_client.pause(self.callers, 0, rng.random(), self.waits.call_again), 0
             while at < down:
                 # Half-open, what is called before the return is never answered; refused, it ends at once.
                 spent = 0.0 if mode == "refused" else self.waits.answer
                 failed += 1
-                at += spent + discovery.pause(
+                at += spent + discovery_client.pause(
                     self.callers, failed, rng.random(), self.waits.call_again, spent
                 )
             begins.append((at, n))
@@ -353,7 +355,7 @@
 
 def faster(monkeypatch: pytest.MonkeyPatch, scale: float) -> None:
     for name in ("SILENCE", "SPREAD", "LEAST_SPREAD", "FIRST_SPREAD"):
-        monkeypatch.setattr(discovery, name, getattr(discovery, name) * scale)
+        monkeypatch.setattr(discovery_client, name, getattr(discovery_client, name) * scale)
 
 
 def test_a_limiter_that_was_refused_for_long_has_the_list_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -374,11 +376,11 @@
         async def one(n: int) -> None:
             got = asyncio.Event()
 
-            def tell(_listing: Listing) -> None:
+            def tell(_listing: WatchEvent) -> None:
                 heard[n] = loop.time()
                 got.set()
 
-            watch = Discovery(
+            watch = EndpointWatcher(
                 host, int(port), 41, tell, 200, Random(n), waits.answer * scale, waits.call_again * scale
             )
             task = asyncio.create_task(watch.follow())
@@ -404,13 +406,13 @@
     """The new address counts as told 4 s after the signal, however long the old one was called in vain."""
     scale = 0.1
     faster(monkeypatch, scale)
-    failed, real = list[int](), discovery.pause
+    failed, real = list[int](), discovery_client.pause
 
     def noted(*args: Any) -> float:
         failed.append(args[1])
         return real(*args)
 
-    monkeypatch.setattr(discovery, "pause", noted)
+    monkeypatch.setattr(discovery_client, "pause", noted)
 
     async def main() -> None:
         loop, told = asyncio.get_running_loop(), asyncio.Event()
@@ -418,12 +420,12 @@
         waits = timing_from({"discovery": "ask", "n_instances": 200})
         async with listening(agent.talk) as address:
             times = waits.answer * scale, waits.call_again * scale
-            follower = Follower(lambda _listing: told.set(), 200, Random(3), *times)
-            follower.follow("127.0.0.1", 1, 41)
+            follower = DiscoveryClient(lambda _listing: told.set(), 200, Random(3), *times)
+            follower.watch("127.0.0.1", 1, 41)
             while max(failed, default=0) < 3:
                 await asyncio.sleep(0.01)
             begun, (host, port) = loop.time(), address.split(":")
-            follower.follow(host, int(port))
+            follower.watch(host, int(port))
             await told.wait()
             assert failed[-1] == 0 and loop.time() - begun < 4 * scale
             follower.close()
@@ -476,7 +478,7 @@
             for n in range(40):
                 heard = asyncio.Event()
                 told.append(heard)
-                watch = Discovery(
+                watch = EndpointWatcher(
                     host,
                     int(port),
                     41,
@@ -509,12 +511,12 @@
 
         async with listening(talk) as address:
             host, port = address.split(":")
-            watch = Discovery(host, int(port), 41, lambda _listing: None, 1, Random(1), 0.02, 0.03)
+            watch = EndpointWatcher(host, int(port), 41, lambda _listing: None, 1, Random(1), 0.02, 0.03)
             task = asyncio.create_task(watch.follow())
             while len(asked) < 12:
                 await asyncio.sleep(0.01)
             task.cancel()
-            assert max(asked) == discovery.MOST_CALLS
+            assert max(asked) == discovery_client.MOST_CALLS
             while line.open:  # its end takes all of them along
                 await asyncio.sleep(0.01)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,8 +14,8 @@
 
 from quota_gateway import __main__ as program
 from quota_gateway import model
-from quota_gateway.net import frontend, upstream
-from quota_gateway.net.frontend import MAX_PIPELINE
+from quota_gateway.net import connection_pool, listener
+from quota_gateway.net.listener import MAX_PIPELINE
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 # Draining.
@@ -29,8 +29,8 @@
             clients = [socket.create_connection(limiter._address) for _ in range(3)]
             for client in clients:  # up, and sent, while this loop has not turned once
                 client.sendall(ask())
-            limiter.frontend.drain()
-            closing = asyncio.create_task(limiter.frontend.close(1000))
+            limiter.listener.start_draining()
+            closing = asyncio.create_task(limiter.listener.close(1000))
             for client in clients:
                 reader, writer = await asyncio.open_connection(sock=client)
                 assert " 429 " in (await read_message(reader))[0]
@@ -56,9 +56,9 @@
             writer.write(ask())
             head = await reader.readuntil(b"\r\n\r\n")  # begun before the drain: it promises to stay open
             assert b"close" not in head
-            limiter.frontend.drain()
-            closing = asyncio.create_task(limiter.frontend.close(1000))
-            while limiter.frontend._server is not None:
+            limiter.listener.start_draining()
+            closing = asyncio.create_task(limiter.listener.close(1000))
+            while limiter.listener._server is not None:
                 await asyncio.sleep(0)
             finish.set()
             assert len(await reader.read()) == 100_000
@@ -69,16 +69,16 @@
 
 
 def test_half_a_head_is_still_answered_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "HEAD", 0.3)
+    monkeypatch.setattr(listener, "HEAD", 0.3)
 
     async def main() -> None:
         async with Limiter(Script(send_on), {}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask()[:40])
-            while not any(client._reading for client in limiter.frontend._clients):
+            while not any(client._reading for client in limiter.listener._clients):
                 await asyncio.sleep(0)
-            limiter.frontend.drain()
-            closing = asyncio.create_task(limiter.frontend.close(1000))
+            limiter.listener.start_draining()
+            closing = asyncio.create_task(limiter.listener.close(1000))
             assert " 408 " in (await read_message(reader))[0]
             writer.close()
             await closing
@@ -93,12 +93,12 @@
             reader, writer = await limiter.connect()
             request = ask()
             writer.write(request[:-2])
-            while not any(client._reading for client in limiter.frontend._clients):
+            while not any(client._reading for client in limiter.listener._clients):
                 await asyncio.sleep(0)
-            limiter.frontend.drain()
-            await limiter.frontend.close(0.01)
-            limiter.node.abandon_all()
-            closing = asyncio.create_task(limiter.frontend.close(1000))
+            limiter.listener.start_draining()
+            await limiter.listener.close(0.01)
+            limiter.dispatcher.abandon_all()
+            closing = asyncio.create_task(limiter.listener.close(1000))
             writer.write(request[-2:])
             status, headers, _ = await read_message(reader)
             assert (
@@ -118,8 +118,8 @@
             reader, writer = await limiter.connect()
             writer.write(ask())
             await script.until(model.Request)
-            limiter.frontend.drain()
-            limiter.node.abandon_all()
+            limiter.listener.start_draining()
+            limiter.dispatcher.abandon_all()
             status, headers, _ = await read_message(reader)
             assert " 503 " in status and "retry-after" in headers
 
@@ -164,13 +164,13 @@
 
         async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
             stranded = asyncio.Event()
-            mark = limiter.node.stranded
+            mark = limiter.dispatcher.on_client_maybe_gone
 
-            def seen(request: frontend.ClientRequest) -> None:
+            def seen(request: listener.ClientRequest) -> None:
                 mark(request)
                 stranded.set()
 
-            limiter.node.stranded = seen  # type: ignore[method-assign]
+            limiter.dispatcher.on_client_maybe_gone = seen  # type: ignore[method-assign]
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=15000))
             writer.write_eof()
@@ -189,20 +189,20 @@
         origin = Origin()
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             stranded = asyncio.Event()
-            mark = limiter.node.stranded
+            mark = limiter.dispatcher.on_client_maybe_gone
 
-            def seen(request: frontend.ClientRequest) -> None:
+            def seen(request: listener.ClientRequest) -> None:
                 mark(request)
                 stranded.set()
 
-            limiter.node.stranded = seen  # type: ignore[method-assign]
+            limiter.dispatcher.on_client_maybe_gone = seen  # type: ignore[method-assign]
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=15000))
             (event,) = await script.until(model.Request)  # it waits, as for the counter
             writer.write_eof()
             await stranded.wait()
             script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, _ = await interim(reader)
             assert " 429 " in status and not origin.seen
 
@@ -223,24 +223,24 @@
             await script.until(model.Request, number)
             how(client)
             assert len(await script.until(model.ClientDisconnected, number)) == number
-            assert not limiter.node.open_requests
+            assert not limiter.dispatcher.open_requests
 
     run(main())
 
 
 def test_a_half_closed_client_whose_input_is_not_read_is_asked_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "SWEEP", 0.01)
+    monkeypatch.setattr(listener, "SWEEP", 0.01)
 
     async def main() -> None:
         script = Script(lambda _event: [])
         async with Limiter(script, {}) as limiter:
-            looks, look = asyncio.Queue[None](), frontend._Client._look
+            looks, look = asyncio.Queue[None](), listener._Client._look
 
-            def counted(self: frontend._Client) -> None:
+            def counted(self: listener._Client) -> None:
                 look(self)
                 looks.put_nowait(None)
 
-            monkeypatch.setattr(frontend._Client, "_look", counted)
+            monkeypatch.setattr(listener._Client, "_look", counted)
             reader, writer = await limiter.connect()
             for _ in range(MAX_PIPELINE):
                 writer.write(ask(ttl=60000))
@@ -249,7 +249,7 @@
             for _ in range(20):
                 await looks.get()
             script.answer = lambda _event: [model.Fail(event.id) for event in events]
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             answers = await reader.read()
             assert answers.count(b"HTTP/1.1 100 ") == 1 and answers.count(b"HTTP/1.1 502 ") == MAX_PIPELINE
 
@@ -276,7 +276,7 @@
 
 async def keep_one(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection to the server is kept, so that the next attempt goes out in the step of its decision."""
-    monkeypatch.setattr(upstream, "REST", 0.0)
+    monkeypatch.setattr(connection_pool, "REST", 0.0)
     answer, limiter.script.answer = limiter.script.answer, send_on
     assert " 200 " in (await limiter.fetch(ask()))[0]
     limiter.script.answer = answer
@@ -313,9 +313,9 @@
                 else send_on(e)
             )
             leave(client, how)
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             await only_the_next_is_served(limiter, origin, 1)
-            assert not limiter.node.open_requests
+            assert not limiter.dispatcher.open_requests
 
     run(main())
 
@@ -331,10 +331,10 @@
             script.answer = lambda e: (
                 [model.Reject(first.id, 0.1)] if isinstance(e, model.TimerFired) else send_on(e)
             )
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             script.answer = lambda e: send_on(second) if isinstance(e, model.TimerFired) else send_on(e)
             leave(client, leave_unread)
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             await only_the_next_is_served(limiter, origin, 1)
 
     run(main())
@@ -350,13 +350,13 @@
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=60000))
             (event,) = await script.until(model.Request)
-            client = list(limiter.frontend._clients)[-1]
+            client = list(limiter.listener._clients)[-1]
             writer.write_eof()
             while not client._ended:
                 await asyncio.sleep(0)
             time.sleep(LATE)
             script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, _ = await interim(reader)
             assert " 429 " in status
             writer.close()
@@ -366,7 +366,7 @@
 
 
 def test_whoever_has_just_half_closed_is_still_sent_on_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "STILL", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(listener, "STILL", 10.0)  # a slow machine must not make it late
 
     async def main() -> None:
         script, origin = Script(lambda _event: []), Origin()
@@ -374,14 +374,14 @@
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=60000))
             (event,) = await script.until(model.Request)
-            (client,) = limiter.frontend._clients
+            (client,) = limiter.listener._clients
             writer.write_eof()
             while not client._ended:
                 await asyncio.sleep(0)
             script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
             # The dial would wait for the loop, and the look at half-closed clients come between.
-            monkeypatch.setattr(frontend, "GONE", 10.0)
-            limiter.node.feed(model.TimerFired(1))
+            monkeypatch.setattr(listener, "GONE", 10.0)
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, body = await interim(reader)
             assert " 200 " in status and body == b"hi"
 
@@ -413,7 +413,7 @@
             client.sendall(b"".join(ask(ttl=60000) for _ in range(number)))
             ended = await script.until(model.AttemptCompleted, 2)
             assert ended[0].status is model.CallStatus.ERROR and not gone
-            while limiter.node.open_requests:
+            while limiter.dispatcher.open_requests:
                 await asyncio.sleep(0)
             origin.reply = lambda _n: OK
             script.answer = send_on
@@ -451,7 +451,7 @@
     async def main() -> None:
         script, origin = Script(send_on), Origin()
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            monkeypatch.setattr(upstream, "asyncio", Asyncio())
+            monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
             client = socket.create_connection(limiter._address)
             gone.append(client)
             client.sendall(ask(ttl=60000))
@@ -466,11 +466,11 @@
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
             clients = [socket.create_connection(limiter._address) for _ in range(3)]
-            while len(limiter.frontend._clients) < 3:
+            while len(limiter.listener._clients) < 3:
                 await asyncio.sleep(0)
-            limiter.frontend.resize(3)
+            limiter.listener.set_max_connections(3)
             clients[0].sendall(ask())  # the longest silent of them, unread when the next one comes
-            limiter.frontend.connected(frontend._Client(limiter.frontend))
+            limiter.listener.connected(listener._Client(limiter.listener))
             first, _ = await asyncio.open_connection(sock=clients[0])
             second, _ = await asyncio.open_connection(sock=clients[1])
             assert " 429 " in (await read_message(first))[0]
@@ -485,17 +485,17 @@
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
             client = socket.create_connection(limiter._address)
-            look = frontend._Client._unread.fget  # type: ignore[attr-defined]
+            look = listener._Client._unread.fget  # type: ignore[attr-defined]
 
-            def cross(self: frontend._Client) -> bool:
+            def cross(self: listener._Client) -> bool:
                 unread: bool = look(self)
                 client.sendall(ask())
                 return unread
 
-            while not limiter.frontend._clients:
+            while not limiter.listener._clients:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(frontend._Client, "_unread", property(cross))
-            closing = asyncio.create_task(limiter.frontend.close(1000))
+            monkeypatch.setattr(listener._Client, "_unread", property(cross))
+            closing = asyncio.create_task(limiter.listener.close(1000))
             await closing
             client.settimeout(10)
             assert client.recv(10) == b""
@@ -510,10 +510,10 @@
             client = socket.create_connection(limiter._address)
             client.sendall(ask())
             (event,) = await script.until(model.Request)
-            limiter.frontend.drain()
+            limiter.listener.start_draining()
             client.sendall(b"x" * 1000)  # unread when the answer is written and the connection closed
             script.answer = lambda _event: [model.Reject(event.id, 0.1)]
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             reader, writer = await asyncio.open_connection(sock=client)
             assert " 429 " in (await read_message(reader))[0]
             assert await reader.read() == b""
@@ -554,7 +554,7 @@
     async def main() -> None:
         script = Script(send_on)
         async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            monkeypatch.setattr(upstream, "asyncio", Asyncio())
+            monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=60000))
             (outcome,) = await script.until(model.AttemptCompleted)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.quota import Calls
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.decisions.quota import CounterBudget
 from tests import world as w
 
 FLEET = 40
@@ -14,7 +14,7 @@
 
 def test_gateways_that_saw_one_silence_of_the_counter_do_not_come_back_as_one_crowd() -> None:
     rngs = [Random(seed) for seed in range(FLEET)]
-    fleet = [Calls(100.0, FLEET, rng.random()) for rng in rngs]
+    fleet = [CounterBudget(100.0, FLEET, rng.random()) for rng in rngs]
     ends = []
     for calls, rng in zip(fleet, rngs, strict=True):
         for at in (101.0, 102.0):
@@ -27,7 +27,7 @@
 
 
 def test_a_longer_silence_of_the_counter_is_tried_less_often() -> None:
-    calls, waits = Calls(100.0, FLEET, 0.5), []
+    calls, waits = CounterBudget(100.0, FLEET, 0.5), []
     at = 101.0
     for _ in range(6):
         calls.ended(at, model.CallStatus.TIMEOUT, at, 0.5)
@@ -37,7 +37,7 @@
 
 
 def test_counter_calls_grow_while_answers_are_quick_and_shrink_before_any_is_lost() -> None:
-    calls, at = Calls(100.0, FLEET, 0.0, timeout=0.03), 100.0
+    calls, at = CounterBudget(100.0, FLEET, 0.0, timeout=0.03), 100.0
     start = calls.rate
     for _ in range(40):
         at += 1 / calls.rate
@@ -52,7 +52,7 @@
 
 def test_calls_that_are_often_lost_become_few_at_a_small_rate_too() -> None:
     """One in five is lost: at the even share of forty the step up for the others must not outrun the cuts."""
-    calls, at = Calls(100.0, FLEET, 0.0, timeout=0.03), 100.0
+    calls, at = CounterBudget(100.0, FLEET, 0.0, timeout=0.03), 100.0
     start = calls.rate
     for n in range(200):
         at += 1 / calls.rate
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import frontend, upstream
+from quota_gateway.net import connection_pool, listener
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 POST = ask("/post?account=00000000b4d65521", b"xy")
@@ -212,7 +212,7 @@
         request = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
         async with Limiter(Script(refuse), {}) as limiter:
             assert " 200 " in (await limiter.fetch(request))[0]
-            limiter.frontend.drain()
+            limiter.listener.start_draining()
             assert " 503 " in (await limiter.fetch(request))[0]
 
     run(main())
@@ -226,11 +226,11 @@
             idle, _ = await limiter.connect()
             writer.write(ask() + ask())
             first, second = await script.until(model.Request, 2)
-            limiter.frontend.drain()
-            closing = asyncio.create_task(limiter.frontend.close(10))
+            limiter.listener.start_draining()
+            closing = asyncio.create_task(limiter.listener.close(10))
             assert await idle.read() == b""
             script.answer = lambda _event: [model.Fail(first.id), model.Reject(second.id, 0.1)]
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             assert "502" in (await read_message(reader))[0]
             status, headers, _ = await read_message(reader)
             assert "429" in status and headers["connection"] == "close"
@@ -240,7 +240,7 @@
 
 
 def test_a_client_that_does_not_read_is_not_read_either(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)  # one connection to the server serves them all
+    monkeypatch.setattr(connection_pool, "REST", 0.0)  # one connection to the server serves them all
 
     async def main() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
@@ -248,7 +248,7 @@
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             reader, writer = await limiter.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
-            sent, clients = 0, limiter.frontend._clients
+            sent, clients = 0, limiter.listener._clients
             while not any(client._clogged for client in clients):
                 writer.write(ask())
                 sent += 1
@@ -280,7 +280,7 @@
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, value in (("SWEEP", 0.01), ("IDLE", 0.1), ("SLOW", 0.1), ("LONGEST", 0.3)):
-        monkeypatch.setattr(frontend, name, value)
+        monkeypatch.setattr(listener, name, value)
 
 
 @pytest.mark.parametrize(
@@ -300,7 +300,7 @@
             answer = (await silent.read()).decode()
             assert (status in answer.splitlines()[0]) if status else answer == ""
             script.answer = lambda _event: [model.Reject(request.id, 0.1)]
-            limiter.node.feed(
+            limiter.dispatcher.dispatch(
                 model.TimerFired(1)
             )  # an open request keeps its connection however long it takes
             assert " 429 " in (await read_message(patient))[0]
@@ -311,7 +311,7 @@
 
 @pytest.mark.usefixtures("hasty")
 def test_a_body_in_steady_flow_may_take_longer_but_not_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "FLOW", 10)
+    monkeypatch.setattr(listener, "FLOW", 10)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -339,10 +339,10 @@
             (request,) = await script.until(model.Request)
             assert " 409 " in (await limiter.fetch(ask(X_Request_ID="00000000000000AB")))[0]
             script.answer = lambda event: refuse(event) or [model.Fail(request.id)]
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             assert " 502 " in (await read_message(reader))[0]
             assert " 429 " in (await limiter.fetch(ask(X_Request_ID="00000000000000ab")))[0]  # free again
-            assert not limiter.frontend.open_ids
+            assert not limiter.listener.open_request_ids
 
     run(main())
 
@@ -353,12 +353,12 @@
         async with Limiter(script, {}) as limiter:
             _, writer = await limiter.connect()
             writer.write(b"".join(ask() for _ in range(200)))
-            await script.until(model.Request, frontend.MAX_PIPELINE)
+            await script.until(model.Request, listener.MAX_PIPELINE)
             reader, other = await limiter.connect()
             script.answer = refuse
             other.write(ask())
             assert " 429 " in (await read_message(reader))[0]
-            assert len(await script.until(model.Request)) == frontend.MAX_PIPELINE + 1
+            assert len(await script.until(model.Request)) == listener.MAX_PIPELINE + 1
 
     run(main())
 
@@ -404,7 +404,7 @@
             usual_writer.write(ask())
             assert " 429 " in (await read_message(usual))[0]
             script.answer = lambda _event: [model.Fail(request.id)]
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             assert " 502 " in (await read_message(busy))[0]
 
     run(main())
@@ -426,7 +426,7 @@
             assert closed == 28  # half of the connections are kept; whoever comes then is answered and let go
             for writer in kept[:2]:
                 writer.close()
-            while limiter.frontend.spoken > 30:
+            while limiter.listener.active_connections > 30:
                 await asyncio.sleep(0)
             reader, writer = await limiter.connect()
             writer.write(ask())
@@ -451,15 +451,15 @@
                 reader, writer = await limiter.connect()
                 request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
                 writer.write(request[: len(request) - 60_000 + sent])
-                while not (known := list(limiter.frontend._clients)) or known[-1]._size < sent:
+                while not (known := list(limiter.listener._clients)) or known[-1]._size < sent:
                     await asyncio.sleep(0)
                 client = known[-1]
                 while not client._head_read:
                     await asyncio.sleep(0)
                 client.since = came = client._body_since - 2.3  # the head took so long
-                client.check(came + frontend.HEAD - 0.1)
+                client.check(came + listener.HEAD - 0.1)
                 assert not client._rejected
-                client.check(came + frontend.HEAD + 0.1)
+                client.check(came + listener.HEAD + 0.1)
                 assert client._rejected is late
                 if late:
                     assert " 408 " in (await read_message(reader))[0]
@@ -472,17 +472,17 @@
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
             _, writer = await limiter.connect()
-            while not limiter.frontend._clients:
+            while not limiter.listener._clients:
                 await asyncio.sleep(0.001)
-            (client,) = limiter.frontend._clients
+            (client,) = limiter.listener._clients
             client.since = came = client.since - 1.9
             writer.write(b"GET /lookup")
             while not client._reading:
                 await asyncio.sleep(0.001)
             assert client.since == came
-            client.check(came + frontend.HEAD - 0.1)
+            client.check(came + listener.HEAD - 0.1)
             assert not client._rejected
-            client.check(came + frontend.HEAD + 0.1)
+            client.check(came + listener.HEAD + 0.1)
             assert client._rejected
 
     run(main())
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from quota_gateway import model, quota
-from quota_gateway.decide import MOST_AHEAD, Gateway
+from quota_gateway import model
+from quota_gateway.decisions import quota
+from quota_gateway.decisions.gateway import MOST_AHEAD, Gateway
 from tests import world as w
 
 PLAN = model.Plan("small", rate=20.0, burst=40.0, over_quota_cost=0.5)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,8 +9,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.net.node import unix_clock
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.net.dispatcher import unix_clock
 from tests.loopback import (
     OK,
     SETTINGS,
@@ -50,7 +50,7 @@
                 model.CallStatus.OK,
                 True,
             )
-            assert limiter.node.open_requests == 0
+            assert limiter.dispatcher.open_requests == 0
 
     run(main())
 
@@ -188,7 +188,7 @@
         async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
             assert " 200 " in (await limiter.fetch(ask()))[0]
             told = listing({} if whole else {"s1": dial}, model.EndpointHealth.DRAINING, whole)
-            limiter.node.listed(told)
+            limiter.dispatcher.on_watch_event(told)
             await origin.left.wait()
             assert " 429 " in (await limiter.fetch(ask()))[0]
             assert len(origin.seen) == 1
@@ -212,7 +212,7 @@
             (good,) = await script.until(model.HealthChecked)
             assert (good.endpoint, good.status) == ("s1", model.CallStatus.OK)
             assert origin.seen[0][0] == "GET /healthz HTTP/1.1"
-            limiter.node.listed(listing({"s1": dial}))
+            limiter.dispatcher.on_watch_event(listing({"s1": dial}))
             assert (await script.until(model.HealthChecked, 2))[1].status is model.CallStatus.ERROR
             assert (
                 script.events.count(model.CounterReplied(5, model.CallStatus.UNREACHABLE)) == 2
@@ -231,11 +231,11 @@
             # A half-close is no departure: who has gone is told from who waits in test_endings.
             writer.transport.abort()
             await script.until(model.ClientDisconnected)
-            assert not limiter.node.open_requests and not limiter.frontend.open_ids
+            assert not limiter.dispatcher.open_requests and not limiter.listener.open_request_ids
             script.answer = lambda _event: [model.Reject(event.id, 0.1), model.Forward(event.id, "s1", 1.0)]
-            limiter.node.feed(model.TimerFired(1))
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             assert not await script.until(model.AttemptCompleted, 0)
-            while limiter.frontend._clients:
+            while limiter.listener._clients:
                 await asyncio.sleep(0)
             assert [r.getMessage() for r in caplog.records] == [
                 "a send for a request that has ended was dropped"
@@ -251,12 +251,12 @@
             reader, writer = await limiter.connect()
             writer.write(ask())
             await origin.got.wait()
-            limiter.frontend.drain()
-            await limiter.frontend.close(0.01)
-            limiter.node.abandon_all()
+            limiter.listener.start_draining()
+            await limiter.listener.close(0.01)
+            limiter.dispatcher.abandon_all()
             assert " 504 " in (await read_message(reader))[0]
             await script.until(model.ClientDisconnected)
-            await limiter.frontend.close(10)
+            await limiter.listener.close(10)
 
     run(main())
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -17,9 +17,9 @@
 
 from quota_gateway import model
 from quota_gateway.__main__ import share_of
-from quota_gateway.decide import Gateway
-from quota_gateway.net.shared import BANS, Shared
-from quota_gateway.quota import Account
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.decisions.quota import Account
+from quota_gateway.net.process_group import BANS, ProcessGroup
 from quota_gateway.settings import SettingsError, check_retuned, settings_from
 from tests import world as w
 from tests.loopback import Origin, ask, listening, read_message, run
@@ -218,29 +218,31 @@
 
 
 def test_what_processes_share_outlives_one_and_survives_damage(tmp_path: Path) -> None:
-    first = Shared(str(tmp_path), "n1")
-    assert first.processes == 1 and first.bans() == frozenset()
-    code = "import sys; from quota_gateway.net.shared import Shared; s = Shared(sys.argv[1], 'n1'); " \
-        "s.change('b', True); print(s.processes, flush=True); sys.stdin.read()"  # fmt: skip
-    first.change("a", True)
+    first = ProcessGroup(str(tmp_path), "n1")
+    assert first.process_count == 1 and first.suspensions() == frozenset()
+    code = "import sys; from quota_gateway.net.process_group import ProcessGroup as G; s = G(sys.argv[1], 'n1'); " \
+        "s.set_suspended('b', True); print(s.process_count, flush=True); sys.stdin.read()"  # fmt: skip
+    first.set_suspended("a", True)
     other = subprocess.Popen(
         [sys.executable, "-c", code, str(tmp_path)], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
     assert other.stdout is not None and other.stdout.readline() == "2\n"
-    assert first.processes == 2 and first.bans() == {"a", "b"}
+    assert first.process_count == 2 and first.suspensions() == {"a", "b"}
     other.kill()
     other.communicate()
-    assert first.processes == 1  # what a killed process left is stale, and is cleared away
-    assert Shared(str(tmp_path), "n2").bans() == frozenset()
+    assert first.process_count == 1  # what a killed process left is stale, and is cleared away
+    assert ProcessGroup(str(tmp_path), "n2").suspensions() == frozenset()
     folder = next(path.parent for path in tmp_path.rglob(BANS))
     for damage in (b"", b"{", b'{"out": 3}', b"[]", b"\xff", b'{"out": [1]}'):
         (folder / BANS).write_bytes(damage)
-        assert first.bans() == {"a", "b"}
-        fresh = Shared(str(tmp_path), "n1")
-        assert fresh.bans() == frozenset()
+        assert first.suspensions() == {"a", "b"}
+        fresh = ProcessGroup(str(tmp_path), "n1")
+        assert fresh.suspensions() == frozenset()
         fresh.close()
-    assert first.change("a", False) == {"b"} == first.bans()
-    assert Shared(str(tmp_path / "missing"), "n1").change("x", True) == {"x"}  # alone, and it still works
+    assert first.set_suspended("a", False) == {"b"} == first.suspensions()
+    assert ProcessGroup(str(tmp_path / "missing"), "n1").set_suspended("x", True) == {
+        "x"
+    }  # alone, and it still works
 
 
 def test_a_new_process_takes_over_what_the_old_one_has_learnt() -> None:
@@ -271,22 +273,22 @@
 
 
 def test_what_one_process_hands_over_is_read_once_and_damage_is_passed_over(tmp_path: Path) -> None:
-    old, new = Shared(str(tmp_path), "n1"), Shared(str(tmp_path), "n1")
+    old, new = ProcessGroup(str(tmp_path), "n1"), ProcessGroup(str(tmp_path), "n1")
     notes = model.HandoverState(
         0.5, 0.1, 2.0, {"read": 0.04}, (model.EndpointHandover("s0", 1.5, None, 3, 1.0, 1.1, 0.2),),
         (model.AccountHandover("basic", "00000000b4d65521", 2, 3.0, 1.0, 0.5, 0.1, 7.0, None),),
     )  # fmt: skip
-    old.hand(notes)
-    old.hand(notes)
-    assert new.notes() == notes and new.notes() is None and old.notes() is None
+    old.write_handover(notes)
+    old.write_handover(notes)
+    assert new.read_handover() == notes and new.read_handover() is None and old.read_handover() is None
     (folder,) = (path for path in tmp_path.iterdir() if path.is_dir())
     for damage in (b"", b"[]", b"{}", b"\xff", b'{"servers": [], "accounts": [3], "bases": {}}'):
         (folder / f"notes-for-{new._own}").write_bytes(damage)
-        assert new.notes() is None and not list(folder.glob("notes-for-*"))
-    third = Shared(str(tmp_path), "n1")
-    fourth = Shared(str(tmp_path), "n1")
-    old.hand(notes)  # two have come: a part of a ceiling is for one
-    assert third.notes() is None and fourth.notes() is None
+        assert new.read_handover() is None and not list(folder.glob("notes-for-*"))
+    third = ProcessGroup(str(tmp_path), "n1")
+    fourth = ProcessGroup(str(tmp_path), "n1")
+    old.write_handover(notes)  # two have come: a part of a ceiling is for one
+    assert third.read_handover() is None and fourth.read_handover() is None
 
 
 @pytest.mark.parametrize("handed", [True, False])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from quota_gateway.__main__ import LogLimit, config_from
+from quota_gateway.__main__ import LogRateLimit, config_from
 from tests.loopback import Origin, ask, listening, read_message, run
 
 WIRE_SETTINGS: dict[str, Any] = {
@@ -249,12 +249,12 @@
 def test_the_configuration_is_read() -> None:
     read = config_from(config("127.0.0.1:7070") | {"counter": "127.0.0.1:6400"})
     assert read.counter == ("127.0.0.1", 6400) and read.seed == 0x8C1F30D27A5BE964
-    assert read.known is not None and read.known.version == 41 and read.known.servers.complete
+    assert read.known is not None and read.known.version == 41 and read.known.update.complete
     assert read.timing.dial_timeout == 1.0 and read.settings.max_attempts == 2
 
 
 def test_a_flood_of_log_lines_is_cut() -> None:
-    limit = LogLimit(3)
+    limit = LogRateLimit(3)
     record = logging.LogRecord("x", 20, "", 0, "text", (), None)
     passed = sum(limit.filter(record) for _ in range(1000))
     assert 3 <= passed <= 9  # three a second, however slow this machine is
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -12,9 +12,9 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.net.counter import CounterClient
-from quota_gateway.quota import Calls
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.decisions.quota import CounterBudget
+from quota_gateway.net.counter_client import CounterClient
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, listing, run
 
 
@@ -93,7 +93,7 @@
                 for writer, task in zip(writers, (lookup, post), strict=True):
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     await task
-                limiter.node.listed(listing({"s1": one, "s2": two, "s3": three}))
+                limiter.dispatcher.on_watch_event(listing({"s1": one, "s2": two, "s3": three}))
                 server = script.gateway._servers["s1"]
                 while not server.trial:
                     script.now += 0.1
@@ -215,7 +215,7 @@
 
 
 def test_calls_that_time_out_together_are_one_sign_of_a_crowd_and_no_silence() -> None:
-    calls = Calls(100.0, 4, 0.0)
+    calls = CounterBudget(100.0, 4, 0.0)
     rate = calls.rate
     for n in range(8):  # out together behind one queue, they time out one after the other
         calls.ended(100.030 + n * 0.002, model.CallStatus.TIMEOUT, 100.0 + n * 0.002)
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -5,8 +5,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
-from quota_gateway.quota import Calls
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.decisions.quota import CounterBudget
 from tests import world as w
 
 
@@ -438,7 +438,7 @@
 
 
 def test_counter_calls_grow_with_time_and_not_with_each_answer() -> None:
-    calls = Calls(100.0, 4, 0.0)
+    calls = CounterBudget(100.0, 4, 0.0)
     before, at = calls.rate, 100.0
     for _ in range(150):  # two seconds of answers
         at += 1 / before
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,9 +9,9 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net import upstream
-from quota_gateway.net.node import unix_clock
-from quota_gateway.net.upstream import PER_SERVER, Exchange, Upstream, load_report
+from quota_gateway.net import connection_pool
+from quota_gateway.net.connection_pool import PER_SERVER, ConnectionPool, Exchange, load_report
+from quota_gateway.net.dispatcher import unix_clock
 from tests.loopback import OK, Origin, listening, read_message, run
 
 HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
@@ -24,8 +24,8 @@
         self, dial: str, conn_idle: float = 30.0, most: int = 200, dial_timeout: float = 5.0
     ) -> None:
         self.clock = unix_clock()
-        self.upstream = Upstream(self.clock, dial_timeout, conn_idle, most)
-        self.upstream.update("s1", dial, True)
+        self.upstream = ConnectionPool(self.clock, dial_timeout, conn_idle, most)
+        self.upstream.update_endpoint("s1", dial, True)
 
     def start(
         self, timeout: float = 10.0, server: str = "s1", body: bytes = b""
@@ -86,7 +86,7 @@
             pool = Pool(dial)
             done = await pool.fetch(0.3 if status is CallStatus.TIMEOUT else 10.0)
             assert done.status is status
-            assert done.answer == (b"hi" if status is CallStatus.OK else b"")
+            assert done.response_body == (b"hi" if status is CallStatus.OK else b"")
             pool.upstream.close()
 
     run(main())
@@ -151,7 +151,7 @@
             pool = Pool(dial)
             huge, ended = pool.start(body=b"x" * 32_000_000)  # more than the sockets' buffers hold
             await accepted.wait()
-            assert not huge.written
+            assert not huge.request_written
             drop.set()
             assert (await ended).status is CallStatus.RESET_BEFORE_REQUEST
             pool.upstream.close()
@@ -182,7 +182,7 @@
             answers, finished = list[bytes](), asyncio.Event()
 
             def again(done: Exchange) -> None:
-                answers.append(done.answer)
+                answers.append(done.response_body)
                 if len(answers) == 2:
                     finished.set()
                 else:  # in the very call that tells of the first answer
@@ -207,7 +207,7 @@
 def test_an_answer_that_begins_and_does_not_end_is_spoilt_and_no_silence(
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "BEGUN", 0.05)
+    monkeypatch.setattr(connection_pool, "BEGUN", 0.05)
 
     async def main() -> None:
         async with listening(Origin(lambda _n: begun).talk) as dial:
@@ -219,7 +219,7 @@
 
 
 def test_an_interim_answer_is_no_beginning(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "BEGUN", 0.02)
+    monkeypatch.setattr(connection_pool, "BEGUN", 0.02)
 
     async def main() -> None:
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -250,17 +250,19 @@
 
         async with listening(talk) as dial:
             pool = Pool(dial)
-            assert (await pool.fetch()).answer == b"hi"
+            assert (await pool.fetch()).response_body == b"hi"
             _, second = pool.start()  # at once, before the copy has come
             release.set()
-            assert (await second).answer == b"hi"
+            assert (await second).response_body == b"hi"
             pool.upstream.close()
 
     run(main())
 
 
 def test_nor_one_that_this_process_was_too_slow_to_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)  # as after a stall, when the rest is over and nothing was read
+    monkeypatch.setattr(
+        connection_pool, "REST", 0.0
+    )  # as after a stall, when the rest is over and nothing was read
 
     async def main() -> None:
         loop, listener = asyncio.get_running_loop(), socket.create_server(("127.0.0.1", 0))
@@ -271,7 +273,7 @@
             server, _ = await loop.sock_accept(listener)
             await loop.sock_recv(server, 4096)
             await loop.sock_sendall(server, OK)
-            assert (await answered).answer == b"hi"
+            assert (await answered).response_body == b"hi"
             server.send(OK.replace(b"hi", b"no"))  # and no turn of the loop until the next request
         pool.upstream.close()
         listener.close()
@@ -298,7 +300,7 @@
 def test_connections_are_used_again_the_freshest_first_until_they_age(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)
+    monkeypatch.setattr(connection_pool, "REST", 0.0)
 
     async def main() -> None:
         origin = Origin()
@@ -334,12 +336,14 @@
 @pytest.mark.parametrize(
     "tell",
     [
-        lambda u: u.update("s1", "127.0.0.1:1", False),
-        lambda u: u.update("s1", "", False),
-        lambda u: u.keep_only({"s2"}),
+        lambda u: u.update_endpoint("s1", "127.0.0.1:1", False),
+        lambda u: u.update_endpoint("s1", "", False),
+        lambda u: u.retain_only({"s2"}),
     ],
 )
-def test_a_drain_closes_idle_connections_and_stops_sends_at_once(tell: Callable[[Upstream], None]) -> None:
+def test_a_drain_closes_idle_connections_and_stops_sends_at_once(
+    tell: Callable[[ConnectionPool], None],
+) -> None:
     async def main() -> None:
         origin = Origin()
         async with listening(origin.talk) as dial:
@@ -360,7 +364,7 @@
         async with listening(origin.talk) as dial:
             pool = Pool(dial)
             _, ended = pool.start()
-            pool.upstream.update("s1", dial, False)
+            pool.upstream.update_endpoint("s1", dial, False)
             assert (await ended).status is CallStatus.NOT_SENT
             assert not origin.seen
             pool.upstream.close()
@@ -374,7 +378,7 @@
         async with listening(old.talk) as first, listening(new.talk) as second:
             pool = Pool(first)
             await pool.fetch()
-            pool.upstream.update("s1", second, True)
+            pool.upstream.update_endpoint("s1", second, True)
             await pool.fetch()
             assert (len(old.seen), len(new.seen)) == (1, 1)
             pool.upstream.close()
@@ -389,7 +393,7 @@
             pool = Pool(dial, most=PER_SERVER + 1)
             out = [pool.start()[0] for _ in range(PER_SERVER)]
             assert (await pool.fetch()).status is CallStatus.OVERLOADED
-            pool.upstream.update("s2", dial, True)
+            pool.upstream.update_endpoint("s2", dial, True)
             out.append(pool.start(server="s2")[0])
             assert (await pool.fetch(server="s2")).status is CallStatus.OVERLOADED
             for exchange in out:
@@ -405,7 +409,7 @@
         origin = Origin()
         async with listening(origin.talk) as dial:
             pool = Pool(dial, most=1)
-            pool.upstream.update("s2", dial, True)
+            pool.upstream.update_endpoint("s2", dial, True)
             assert (await pool.fetch()).status is CallStatus.OK
             assert (await pool.fetch(server="s2")).status is CallStatus.OK
             pool.upstream.close()
@@ -422,7 +426,7 @@
         origin = Origin(lambda _n: reply("200 OK", "X-Server-Load: queue=2\r\n"))
         async with listening(origin.talk) as dial:
             pool = Pool(dial)
-            assert (await pool.fetch()).report == {"queue": 2.0}
+            assert (await pool.fetch()).load_report == {"queue": 2.0}
             pool.upstream.close()
 
     run(main())
@@ -441,18 +445,20 @@
         async with listening(talk) as dial:
             pool = Pool(dial)
             busy, answered = pool.start()
-            while not busy.written:
+            while not busy.request_written:
                 await asyncio.sleep(0.001)
             for at in range(100):
-                pool.upstream.update(f"t{at}", dial, True)
-                pool.upstream.keep_only({f"t{at}"})
+                pool.upstream.update_endpoint(f"t{at}", dial, True)
+                pool.upstream.retain_only({f"t{at}"})
             assert set(pool.upstream._servers) == {"s1", "t99"}
             release.set()
             assert (await answered).status is CallStatus.OK  # what is out there may end
             while "s1" in pool.upstream._servers:
                 await asyncio.sleep(0.001)
             assert (await pool.fetch()).status is CallStatus.NOT_SENT
-            pool.upstream.update("s1", dial, True)  # a return, at an old address: it starts with nothing
+            pool.upstream.update_endpoint(
+                "s1", dial, True
+            )  # a return, at an old address: it starts with nothing
             assert pool.upstream._servers["s1"].open == 0
             assert (await pool.fetch()).status is CallStatus.OK
             pool.upstream.close()
@@ -463,7 +469,7 @@
 def test_where_kept_connections_break_at_the_next_request_none_is_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "REST", 0.0)
+    monkeypatch.setattr(connection_pool, "REST", 0.0)
 
     async def main() -> None:
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -506,7 +512,7 @@
         origin = Origin()
         async with listening(once) as dial, listening(origin.talk) as sound:
             pool = Pool(dial)
-            pool.upstream.update("s2", sound, True)
+            pool.upstream.update_endpoint("s2", sound, True)
             start = pool.clock()
             pool.upstream._clock = pool.clock = lambda: start
             assert (await breaks_after(pool, 0.2, into)).status is CallStatus.RESET_AFTER_REQUEST
@@ -525,7 +531,7 @@
         origin = Origin()
         async with listening(once) as dial, listening(origin.talk) as sound:
             pool = Pool(dial)
-            pool.upstream.update("s2", sound, True)
+            pool.upstream.update_endpoint("s2", sound, True)
             start = pool.clock()
             pool.upstream._clock = pool.clock = lambda: start
             for _ in range(5):  # each at the shortest rest there is
@@ -548,7 +554,7 @@
         origin = Origin(lambda _n: reply("200 OK", f"X-Units-Charged: {value}\r\n"))
         async with listening(origin.talk) as dial:
             pool = Pool(dial)
-            assert (await pool.fetch()).charged == charged
+            assert (await pool.fetch()).charged_units == charged
             pool.upstream.close()
 
     run(main())
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -23,13 +23,13 @@
 
 from quota_gateway import model
 from quota_gateway.__main__ import config_from
-from quota_gateway.decide import Gateway
-from quota_gateway.net.discovery import Discovery, Listing
-from quota_gateway.net.figures import Figures
-from quota_gateway.net.mgmt import Mgmt
-from quota_gateway.net.node import Node, unix_clock
-from quota_gateway.net.shared import Shared
-from quota_gateway.net.upstream import Upstream
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.net.admin import AdminListener
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.discovery_client import EndpointWatcher, WatchEvent
+from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.metrics import Metrics
+from quota_gateway.net.process_group import ProcessGroup
 from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
 from tests.loopback import SETTINGS, Limiter, Script, listening, run, send_on
 from tests.loopback import listing as listing_of
@@ -77,7 +77,7 @@
     ],
 )  # fmt: skip
 def test_the_folder_and_the_file_of_a_process(name: str, folder: str, tmp_path: Path) -> None:
-    shared = Shared(str(tmp_path), name)
+    shared = ProcessGroup(str(tmp_path), name)
     assert names_in(tmp_path) == [folder]
     (own,) = (tmp_path / folder).iterdir()
     assert re.fullmatch(f"process-{os.getpid()}-[0-9a-f]{{8}}", own.name)
@@ -90,21 +90,21 @@
 
 
 def test_the_file_of_another_process_is_alive_while_it_is_locked(tmp_path: Path) -> None:
-    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
     held = lock(folder / OTHER)
     (folder / f"notes-for-{OTHER}").write_text(NOTES_TEXT)
     (folder / "other-31-0a1b2c3d").touch()
-    assert shared.processes == 2
+    assert shared.process_count == 2
     os.close(held)
-    assert shared.processes == 1
+    assert shared.process_count == 1
     assert [name for name in names_in(folder) if name.endswith("0a1b2c3d")] == ["other-31-0a1b2c3d"]
     shared.close()
 
 
 def test_the_notes_written_for_another_process(tmp_path: Path) -> None:
-    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
     held = lock(folder / OTHER)
-    shared.hand(NOTES)
+    shared.write_handover(NOTES)
     shared.close()
     assert names_in(folder) == [f"notes-for-{OTHER}", OTHER]
     assert json.loads((folder / f"notes-for-{OTHER}").read_bytes()) == json.loads(NOTES_TEXT)
@@ -112,33 +112,33 @@
 
 
 def test_the_notes_that_another_process_has_written(tmp_path: Path) -> None:
-    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
     (own,) = names_in(folder)
     (folder / f"notes-for-{own}").write_text(NOTES_TEXT)
-    assert shared.notes() == NOTES
+    assert shared.read_handover() == NOTES
     assert names_in(folder) == [own]
     shared.close()
 
 
 def test_the_file_of_servers_out_by_hand_is_written_and_read(tmp_path: Path) -> None:
-    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
     (own,) = names_in(folder)
-    shared.change("s2", True)
-    shared.change("s1", True)
+    shared.set_suspended("s2", True)
+    shared.set_suspended("s1", True)
     assert (folder / "bans.json").read_bytes() == b'{"out": ["s1", "s2"]}'
     assert names_in(folder) == ["bans.json", "bans.lock", own]
     (folder / "fresh").write_text('{"out": ["s7", "s3"]}')
     (folder / "fresh").rename(folder / "bans.json")
-    assert shared.bans() == {"s3", "s7"}
-    assert shared.change("s7", False) == {"s3"}
+    assert shared.suspensions() == {"s3", "s7"}
+    assert shared.set_suspended("s7", False) == {"s3"}
     assert (folder / "bans.json").read_bytes() == b'{"out": ["s3"]}'
     shared.close()
 
 
 def test_a_change_of_the_servers_out_by_hand_waits_for_the_lock_file(tmp_path: Path) -> None:
-    shared, folder = Shared(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
+    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
     held = lock(folder / "bans.lock")
-    change = threading.Thread(target=shared.change, args=("s1", True))
+    change = threading.Thread(target=shared.set_suspended, args=("s1", True))
     change.start()
     time.sleep(0.2)
     waited = not (folder / "bans.json").exists()
@@ -167,14 +167,19 @@
 
 def test_the_replies_at_the_second_address() -> None:
     async def main() -> None:
-        figures, clock = Figures(["lookup", "post"]), unix_clock()
+        figures, clock = Metrics(["lookup", "post"]), unix_clock()
         for status in (200, 429, 503, 502, 504, 400):
-            figures.ended("lookup", status)
-        figures.ended("post", 429)
-        figures.tries, figures.streams, figures.loads, figures.load_errors = 11, 4, 6, 7
-        upstream = Upstream(clock, 0.25, 30.0, 64)
-        node = Node(SETTINGS, Gateway(SETTINGS, 1, clock()), clock, upstream, None, figures)
-        mgmt = Mgmt(node)
+            figures.record_request("lookup", status)
+        figures.record_request("post", 429)
+        figures.upstream_attempts, figures.streaming_responses, figures.reloads, figures.reload_errors = (
+            11,
+            4,
+            6,
+            7,
+        )
+        upstream = ConnectionPool(clock, 0.25, 30.0, 64)
+        node = Dispatcher(SETTINGS, Gateway(SETTINGS, 1, clock()), clock, upstream, None, figures)
+        mgmt = AdminListener(node)
         address = await mgmt.listen("127.0.0.1", 0)
 
         async def call(line: bytes) -> str:
@@ -185,7 +190,7 @@
             return reply.decode()
 
         assert await call(b"STATUS\n") == "FAILURE\n"
-        node.listed(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
+        node.on_watch_event(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
         assert await call(b"STATUS\n") == "SUCCESS\n"
         assert await call(b"SUSPEND s1\n") == "SUCCESS\n"
         assert await call(b"METRICS\n") == FIGURES_TEXT
@@ -284,7 +289,7 @@
     addresses = read.listen, read.discovery, read.counter, read.mgmt
     assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
     entry = model.Endpoint("s1", model.EndpointHealth.HEALTHY, "")
-    assert read.known == Listing(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
+    assert read.known == WatchEvent(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
     assert read.settings == SETTINGS_READ and read.timing == timing_from(raw["settings"])
 
 
@@ -304,7 +309,7 @@
     dials = {"s1": "10.1.0.18:7070", "s2": "10.1.0.19:7071", "s3": ""}
 
     async def main() -> None:
-        asked, told = asyncio.Queue[bytes](), asyncio.Queue[Listing]()
+        asked, told = asyncio.Queue[bytes](), asyncio.Queue[WatchEvent]()
 
         async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.put_nowait(await reader.readuntil(b"\r\n\r\n"))
@@ -314,8 +319,8 @@
 
         async with listening(agent) as address:
             host, port = address.split(":")
-            task = asyncio.create_task(Discovery(host, int(port), since, told.put_nowait).follow())
-            assert await told.get() == Listing(58, model.EndpointUpdate(entries, False), dials)
+            task = asyncio.create_task(EndpointWatcher(host, int(port), since, told.put_nowait).follow())
+            assert await told.get() == WatchEvent(58, model.EndpointUpdate(entries, False), dials)
             request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
             assert await asked.get() == request
             task.cancel()
@@ -344,8 +349,8 @@
         )
         async with listening(talk) as dial, Limiter(Script(decide), {"s1": dial}) as limiter:
             await served.get()
-            limiter.node.settings = replace(SETTINGS, load_in_health_check=True)
-            limiter.node.listed(listing_of({"s1": dial}))
+            limiter.dispatcher.settings = replace(SETTINGS, load_in_health_check=True)
+            limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
             await served.get()
             reader, writer = await limiter.connect()
             writer.write(ask % (1, b""))
--- a/tests/world.py
+++ b/tests/world.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from quota_gateway import model
-from quota_gateway.decide import Gateway
+from quota_gateway.decisions.gateway import Gateway
 
 NEVER_RAN = {
     model.CallStatus.OVERLOADED,
