--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -220,7 +220,8 @@
 def test_what_processes_share_outlives_one_and_survives_damage(tmp_path: Path) -> None:
     first = ProcessGroup(str(tmp_path), "n1")
     assert first.process_count == 1 and first.suspensions() == frozenset()
-    code = "import sys; from quota_gateway.net.process_group import ProcessGroup as G; s = G(sys.argv[1], 'n1'); " \
+    code = "import sys; from quota_gateway.net.process_group import ProcessGroup; " \
+        "s = ProcessGroup(sys.argv[1], 'n1'); " \
         "s.set_suspended('b', True); print(s.process_count, flush=True); sys.stdin.read()"  # fmt: skip
     first.set_suspended("a", True)
     other = subprocess.Popen(
