--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -22,12 +22,13 @@
 from quota_gateway.net.admin import AdminListener
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.discovery_client import DiscoveryClient, WatchEvent, parse_watch_event
+from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
 from quota_gateway.net.http_common import split_address
 from quota_gateway.net.listener import ClientListener
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
+from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
 from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
 
 log = logging.getLogger("quota_gateway")
--- a/quota_gateway/net/dispatcher.py
+++ b/quota_gateway/net/dispatcher.py
@@ -20,10 +20,10 @@
 from quota_gateway.net.body_stream import BodyStream
 from quota_gateway.net.connection_pool import ConnectionPool, Exchange, load_report
 from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.discovery_client import WatchEvent
 from quota_gateway.net.listener import ClientRequest
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
+from quota_gateway.net.watch_event import WatchEvent
 
 log = logging.getLogger(__name__)
 
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from quota_gateway.decisions.gateway import FORGET
-from quota_gateway.net.discovery_client import parse_watch_event
+from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import check_retuned, settings_from
 from scale import day, fit
 from scale.hollow import Hollow
--- a/scale/fleet_limiters.py
+++ b/scale/fleet_limiters.py
@@ -21,7 +21,8 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.net.discovery_client import SILENCE, pause
+from quota_gateway.net.backoff import pause
+from quota_gateway.net.endpoint_watch import SILENCE
 from scale import fleet_peers as peers
 from scale.demand import BEGIN, Demand
 from scale.lockstep import Exchange
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -16,7 +16,7 @@
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.decisions.quota import Account
-from quota_gateway.net.discovery_client import parse_watch_event
+from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import settings_from
 from scale.model import Size
 
--- a/scale/in_force.py
+++ b/scale/in_force.py
@@ -29,7 +29,8 @@
 
 import uvloop
 
-from quota_gateway.net.discovery_client import DiscoveryClient, WatchEvent
+from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.watch_event import WatchEvent
 from quota_gateway.settings import timing_from
 from scale import fit
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -16,8 +16,9 @@
 from quota_gateway import model
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.discovery_client import EndpointWatcher, WatchEvent, parse_watch_event
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.endpoint_watch import EndpointWatcher
+from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
 from quota_gateway.settings import settings_from
 from scale import day, fit
 from scale.hollow import CALM, STORE, TENSE, Hollow, Mix, settings, told, whole_list
--- a/scale/state.py
+++ b/scale/state.py
@@ -22,9 +22,9 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.connection_pool import ConnectionPool, Exchange
 from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.discovery_client import parse_watch_event
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
 from quota_gateway.net.listener import ClientListener, RequestParser
+from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import settings_from
 from scale import day, fit
 from scale.hollow import PLAN, TTL, Hollow, settings, whole_list
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,9 +13,9 @@
 from quota_gateway import model
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.discovery_client import WatchEvent
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
 from quota_gateway.net.listener import ClientListener
+from quota_gateway.net.watch_event import WatchEvent
 
 LIMIT = 20.0  # generous: only a hang takes this long
 Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/test_counter.py
+++ b/tests/test_counter_client.py
@@ -11,7 +11,8 @@
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net import counter_client
-from quota_gateway.net.counter_client import CounterClient, reconnect_delay
+from quota_gateway.net.backoff import reconnect_delay
+from quota_gateway.net.counter_client import CounterClient
 from tests.loopback import listening, run
 
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -26,10 +26,11 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.admin import AdminListener
 from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.discovery_client import EndpointWatcher, WatchEvent
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.endpoint_watch import EndpointWatcher
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
+from quota_gateway.net.watch_event import WatchEvent
 from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
 from tests.loopback import SETTINGS, Limiter, Script, listening, run, send_on
 from tests.loopback import listing as listing_of
