--- a/quota_gateway/net/backoff.py
+++ b/quota_gateway/net/backoff.py
@@ -1,36 +1,61 @@
-"""Back-off of the clients of the counter and of discovery."""
+"""Delays before the clients of the counter and of discovery connect or poll again.
+
+All limiters lose a shared service in the same moment and return to it together, so every delay has jitter.
+Durations are in seconds. ``draw`` is a random number from 0 to 1: the caller owns the generator.
+"""
 
 from __future__ import annotations
 
-# Seconds until the next dial after one in vain, which double up to the most, half of them drawn: all limiters
-# lose the counter together, and ten dials a second of each of forty would meet it when it returns.
-FIRST_WAIT, MOST_WAIT = 0.1, 0.8
-# All limiters lose discovery in the same moment, and it serves their calls in turn. Its line was ever full of
-# calls that had waited too long when their turn came, and it answered none. So calls are spread over a time
-# that grows with the number of limiters, and twice with each failure. Where it pushes, calls cost nothing.
-SPREAD, LEAST_SPREAD, MOST_GROWTH = 0.075, 0.25, 4  # seconds for each caller; least of all; times the first
-# However many call, news counts as told 6 s after a silence, and 4 s after a move. So the first call of a row
-# is spread over this at most, and each one in vain triples it.
-FIRST_SPREAD = 2.0
-# And 6 s after discovery had it and could be reached again, whatever became of the calls before: it may
-# return just after a call has begun that is lost. So from the begin of one call to that of the next, its wait
-# for an answer included, it takes this at most; 1.5 s are left for the answer.
-CALL_AGAIN = 4.5
-SETTLED, JITTER = 2, 0.25  # calls in vain from which the phases of a fleet differ; share of a wait then drawn
-
-
-def reconnect_delay(vain: int, draw: float) -> float:
-    """Exponential back-off with jitter after so many dials in vain."""
-    return (0.5 + 0.5 * draw) * min(MOST_WAIT, FIRST_WAIT * 2.0 ** min(vain - 1, 16))
-
-
-def pause(callers: int, failed: int, draw: float, most: float = CALL_AGAIN, spent: float = 0.0) -> float:
-    """Seconds until the next call after so many in vain, the last of which took ``spent`` seconds.
-
-    Exponential back-off with full jitter, later with a little (at full jitter a fleet calls twice as often,
-    and no sooner at the latest). ``most`` bounds the time from call to call.
+MAX_EXPONENT = 16  # keeps the powers finite; every delay has reached its bound long before
+
+# Without back-off, ten attempts a second from each of forty limiters would meet the counter when it returns.
+MIN_RECONNECT_DELAY = 0.1
+MAX_RECONNECT_DELAY = 0.8
+RECONNECT_JITTER = 0.5  # share of a reconnect delay that is drawn
+
+# Discovery answers polls one after the other. Unspread, its queue held only polls that had timed out by their
+# turn, and it answered none; so polls spread over a time that grows with the number of limiters.
+POLL_SPREAD_PER_CLIENT = 0.075
+MIN_POLL_SPREAD = 0.25
+MAX_POLL_SPREAD_GROWTH = 4.0  # times the spread of the first poll
+# An update must be known 6 s after discovery falls silent and 4 s after it moves, however many clients poll.
+# So the first poll is spread over this at most, and each failure multiplies that.
+MAX_FIRST_POLL_SPREAD = 2.0
+FIRST_POLL_SPREAD_GROWTH = 3.0
+# An update must be known 6 s after discovery returns, which may be just after a poll began that is lost.
+# So this is the most from the start of one poll to that of the next; 1.5 s are left for the answer.
+MAX_POLL_INTERVAL = 4.5
+SPREAD_OUT_FAILURES = 2  # consecutive failures from which the phases of a fleet differ
+SPREAD_OUT_JITTER = 0.25  # share of a poll delay that is drawn from then on
+
+
+def reconnect_delay(consecutive_failures: int, draw: float) -> float:
+    """Seconds until the next attempt to connect to the counter: exponential back-off with partial jitter."""
+    exponent = min(consecutive_failures - 1, MAX_EXPONENT)
+    delay = min(MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY * 2.0**exponent)
+    return (1 - RECONNECT_JITTER + RECONNECT_JITTER * draw) * delay
+
+
+def poll_delay(
+    client_count: int,
+    consecutive_failures: int,
+    draw: float,
+    max_interval: float = MAX_POLL_INTERVAL,
+    elapsed: float = 0.0,
+) -> float:
+    """Seconds until the next poll of discovery, whose last one took ``elapsed`` seconds.
+
+    Exponential back-off with full jitter, and with partial jitter once the polls of a fleet are spread out:
+    full jitter would poll twice as often then, and no sooner at the latest. ``max_interval`` bounds the time
+    from the start of one poll to that of the next.
     """
-    growth = 2.0 ** min(failed, 16)
-    spread = max(LEAST_SPREAD, SPREAD * callers) * min(MOST_GROWTH, growth)
-    spread = min(spread, FIRST_SPREAD * 3.0 ** min(failed, 16), max(0.0, most - spent))
-    return spread * (draw if failed < SETTLED else 1 - JITTER * draw)
+    exponent = min(consecutive_failures, MAX_EXPONENT)
+    first_spread = max(MIN_POLL_SPREAD, POLL_SPREAD_PER_CLIENT * client_count)
+    spread = min(
+        first_spread * min(MAX_POLL_SPREAD_GROWTH, 2.0**exponent),
+        MAX_FIRST_POLL_SPREAD * FIRST_POLL_SPREAD_GROWTH**exponent,
+        max(0.0, max_interval - elapsed),
+    )
+    if consecutive_failures < SPREAD_OUT_FAILURES:
+        return spread * draw
+    return spread * (1 - SPREAD_OUT_JITTER * draw)
--- a/quota_gateway/net/discovery_client.py
+++ b/quota_gateway/net/discovery_client.py
@@ -6,50 +6,70 @@
 from collections.abc import Callable
 from random import Random
 
-from quota_gateway.net.backoff import CALL_AGAIN
-from quota_gateway.net.endpoint_watch import SILENCE, EndpointWatcher
+from quota_gateway.net.backoff import MAX_POLL_INTERVAL
+from quota_gateway.net.endpoint_watch import SILENCE_TIMEOUT, EndpointWatcher
 from quota_gateway.net.watch_event import WatchEvent
 
 
 class DiscoveryClient:
-    """Follows discovery at the newest address; the one before is followed until the newest has spoken."""
+    """Follows discovery at the newest address, and at the previous one until the newest has sent an event."""
 
     def __init__(
-        self, tell: Callable[[WatchEvent], None], callers: int = 1, rng: Random | None = None,
-        answer: float = SILENCE, most: float = CALL_AGAIN,
-    ) -> None:  # fmt: skip
-        self._tell, self._callers, self._rng, self._waits = tell, callers, rng or Random(), (answer, most)
-        self._heard: asyncio.Task[None] | None = None  # the watch that has spoken last
-        self._coming: asyncio.Task[None] | None = None
+        self,
+        on_event: Callable[[WatchEvent], None],
+        client_count: int = 1,
+        rng: Random | None = None,
+        answer_timeout: float = SILENCE_TIMEOUT,
+        max_poll_interval: float = MAX_POLL_INTERVAL,
+    ) -> None:
+        """Prepare a client without an address; the parameters are those of ``EndpointWatcher``."""
+        self._on_event = on_event
+        self._client_count = client_count
+        self._rng = rng or Random()
+        self._answer_timeout = answer_timeout
+        self._max_poll_interval = max_poll_interval
         self._address: tuple[str, int] | None = None
+        self._established: asyncio.Task[None] | None = None  # the watch that sent the last event
+        self._candidate: asyncio.Task[None] | None = None  # the watch at the newest address, before its first
 
-    def watch(self, host: str, port: int, since: int | None = None) -> None:
+    def watch(self, host: str, port: int, since_version: int | None = None) -> None:
+        """Follow discovery at another address.
+
+        Without a version discovery sends the complete list: another one need not have the same versions.
+        """
         if (host, port) == self._address:
             return
         self._address = (host, port)
-        if self._coming is not None:
-            self._coming.cancel()  # told to move again before it said anything
-        # Without a version another discovery tells the whole list: its numbers need not be the old one's.
-        watch = EndpointWatcher(
+        if self._candidate is not None:
+            self._candidate.cancel()
+
+        def deliver(event: WatchEvent) -> None:
+            self._deliver(task, event)
+
+        watcher = EndpointWatcher(
             host,
             port,
-            since,
-            lambda listing: self._said(task, listing),
-            self._callers,
-            self._rng,
-            *self._waits,
+            since_version,
+            deliver,
+            client_count=self._client_count,
+            rng=self._rng,
+            answer_timeout=self._answer_timeout,
+            max_poll_interval=self._max_poll_interval,
         )
-        task = self._coming = asyncio.get_running_loop().create_task(watch.follow())
+        task = self._candidate = asyncio.get_running_loop().create_task(watcher.follow())
 
     def close(self) -> None:
-        for task in (self._heard, self._coming):
+        """Stop following."""
+        for task in (self._established, self._candidate):
             if task is not None:
                 task.cancel()
 
-    def _said(self, task: asyncio.Task[None], listing: WatchEvent) -> None:
-        if task is self._coming:
-            old, self._heard, self._coming = self._heard, task, None
-            if old is not None:
-                old.cancel()
-        if task is self._heard:  # else it was cancelled and has not noticed yet
-            self._tell(listing)
+    def _deliver(self, task: asyncio.Task[None], event: WatchEvent) -> None:
+        if task is self._candidate:
+            previous = self._established
+            self._established = task
+            self._candidate = None
+            if previous is not None:
+                previous.cancel()
+        if task is self._established:  # a cancelled watch may still send an event
+            self._on_event(event)
--- a/quota_gateway/net/watch_event.py
+++ b/quota_gateway/net/watch_event.py
@@ -1,4 +1,4 @@
-"""What discovery tells on its watch: the event and its parsing."""
+"""The events of discovery's watch and their parsing from JSON messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from quota_gateway import model
 from quota_gateway.net.http_common import split_address
 
-HEALTH = {
+HEALTH_STATES = {
     "ready": model.EndpointHealth.HEALTHY,
     "draining": model.EndpointHealth.DRAINING,
     "gone": model.EndpointHealth.REMOVED,
@@ -17,28 +17,38 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """One message of discovery: the list, or a part of it, and where to dial."""
+    """An endpoint list, complete or changes only, with the addresses of its endpoints."""
 
     version: int
     update: model.EndpointUpdate
-    addresses: dict[str, str]
+    addresses: dict[str, str]  # ``host:port`` by endpoint name; empty where a removed endpoint has none
 
 
 def parse_watch_event(raw: Any) -> WatchEvent:
-    """A message of discovery; ``ValueError`` where it cannot be read."""
+    """Return the event in a decoded message; raises ``ValueError`` where the message is malformed."""
     try:
-        entries, dials = [], {}
-        for row in raw["hosts"]:
-            health = HEALTH[row["health"]]
-            dial = str(row.get("dial") or "")
-            if dial or health is not model.EndpointHealth.REMOVED:
-                split_address(dial)
-            name, born = str(row["host"]), float(row.get("born_ms") or 0) / 1000
-            size, cell = float(row.get("share") or 1.0), int(row.get("block") or 0)
-            entries.append(model.Endpoint(name, health, str(row.get("site") or ""), cell, size, born))
-            dials[name] = dial
-        return WatchEvent(
-            int(raw["seq"]), model.EndpointUpdate(tuple(entries), bool(raw.get("whole"))), dials
-        )
+        endpoints = []
+        addresses = {}
+        for host in raw["hosts"]:
+            endpoint, address = _parse_host(host)
+            endpoints.append(endpoint)
+            addresses[endpoint.name] = address
+        version = int(raw["seq"])
+        update = model.EndpointUpdate(tuple(endpoints), complete=bool(raw.get("whole")))
+        return WatchEvent(version, update, addresses)
     except (KeyError, TypeError, AttributeError, ValueError) as error:
-        raise ValueError(f"not a list of servers: {error!r:.80}") from None
+        raise ValueError(f"not an endpoint list: {error!r:.80}") from None
+
+
+def _parse_host(host: dict[str, Any]) -> tuple[model.Endpoint, str]:
+    """Return an endpoint and its address, which only a removed endpoint can lack."""
+    health = HEALTH_STATES[host["health"]]
+    address = str(host.get("dial") or "")
+    if address or health is not model.EndpointHealth.REMOVED:
+        split_address(address)  # raises ValueError where it is malformed
+    name = str(host["host"])
+    started_at = float(host.get("born_ms") or 0) / 1000
+    weight = float(host.get("share") or 1.0)
+    cell = int(host.get("block") or 0)
+    zone = str(host.get("site") or "")
+    return model.Endpoint(name, health, zone, cell, weight, started_at), address
--- a/scale/fleet_limiters.py
+++ b/scale/fleet_limiters.py
@@ -21,8 +21,8 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.net.backoff import pause
-from quota_gateway.net.endpoint_watch import SILENCE
+from quota_gateway.net.backoff import poll_delay
+from quota_gateway.net.endpoint_watch import SILENCE_TIMEOUT
 from scale import fleet_peers as peers
 from scale.demand import BEGIN, Demand
 from scale.lockstep import Exchange
@@ -177,7 +177,7 @@
         # With an agent at its side a limiter always watches.
         self._watching, self._asked, self._asked_from, self._vain = not world.lists, 0, 0.0, 0
         if world.lists and world.region(self._zone):
-            self._later(world.timetable.cut[0] + SILENCE, "watch silent")
+            self._later(world.timetable.cut[0] + SILENCE_TIMEOUT, "watch silent")
 
     def _later(self, at: float, what: str, *more: Any) -> None:
         self._number += 1
@@ -252,7 +252,7 @@
             self._call_later(now)
 
     def _call_later(self, now: float) -> None:
-        wait = pause(self._world.size.limiters, self._vain, self._seeds.random())
+        wait = poll_delay(self._world.size.limiters, self._vain, self._seeds.random())
         self._later(now + wait, "call", self._life)
 
     def _discovery(self, now: float, m: Message) -> None:
@@ -261,7 +261,7 @@
             self._number += 1
             self._asked = self._number
             counts["list calls"] += 1
-            self._later(now + SILENCE, "call late", self._life, self._asked)
+            self._later(now + SILENCE_TIMEOUT, "call late", self._life, self._asked)
             if not world.cut(self._zone, 0, now):
                 way = world.delay(self._zone, 0, world.draw(self.index, 0))
                 self._out(DISCOVERY, self.index, now + way, "call", self._life, self._asked)
--- a/tests/discovery_server.py
+++ b/tests/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery as the tests of its client need it: scripted answers on a loopback socket."""
+"""Servers that act as discovery, on loopback sockets, and the messages that they send."""
 
 from __future__ import annotations
 
@@ -10,10 +10,12 @@
 
 from quota_gateway.net import backoff, endpoint_watch
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+OVERLOADED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 def message(seq: int, health: str = "ready", **changes: Any) -> bytes:
+    """A line of the watch, with one host; a complete list where ``seq`` is 1."""
     host = {
         "host": "s1", "dial": "10.1.0.18:7070", "site": "a", "class": "m2", "block": 3,
         "health": health, "share": 1.5, "born_ms": 1_800_000_000_250,
@@ -22,55 +24,72 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """A chunk of a response with chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Agent:
-    """Discovery's agent: each connection gets the next of the scripts, byte groups with pauses."""
+async def read_request_path(reader: asyncio.StreamReader) -> str:
+    """Read the head of a request; its path and query."""
+    head = await reader.readuntil(b"\r\n\r\n")
+    return head.decode().split()[1]
 
-    def __init__(self, *scripts: list[bytes], end: bool = True) -> None:
-        self.scripts, self.asked, self._end = list(scripts), list[str](), end
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
-        for piece in self.scripts.pop(0) if self.scripts else []:
-            writer.write(piece)
+class ScriptedDiscovery:
+    """Each connection gets the next of the scripts, whose chunks are written one by one.
+
+    Then it is closed if ``end`` is set, unless the script was the last one.
+    """
+
+    def __init__(self, *scripts: list[bytes], end: bool = True) -> None:
+        self.scripts = list(scripts)
+        self.request_paths = list[str]()
+        self._end = end
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self.request_paths.append(await read_request_path(reader))
+        for data in self.scripts.pop(0) if self.scripts else []:
+            writer.write(data)
             await writer.drain()
             await asyncio.sleep(0)
         if not self._end or not self.scripts:
             await asyncio.Event().wait()
 
 
-class Line:
-    """Discovery that serves calls one by one, those that have left as well."""
+class QueueingDiscovery:
+    """Answers requests one by one, those of clients that have disconnected as well."""
 
-    def __init__(self, per_second: float) -> None:
-        self.per_second, self.open = per_second, 0
+    def __init__(self, answers_per_second: float) -> None:
+        self.open_connections = 0
+        self._interval = 1 / answers_per_second
         self._queue = asyncio.Queue[asyncio.Event]()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
         await reader.readuntil(b"\r\n\r\n")
-        self.open += 1
+        self.open_connections += 1
         try:
             turn = asyncio.Event()
             await self._queue.put(turn)
-            gone = asyncio.create_task(reader.read())
-            waits = asyncio.create_task(turn.wait())
-            await asyncio.wait([waits, gone], return_when=asyncio.FIRST_COMPLETED)
+            disconnected = asyncio.create_task(reader.read())
+            has_turn = asyncio.create_task(turn.wait())
+            await asyncio.wait([has_turn, disconnected], return_when=asyncio.FIRST_COMPLETED)
             if turn.is_set():
-                writer.write(HEAD + chunk(message(58)))
-                await gone
+                writer.write(RESPONSE_HEAD + chunk(message(58)))
+                await disconnected
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
-    async def serve(self) -> None:
+    async def process_queue(self) -> None:
+        """Give the requests their turns until cancelled."""
         while True:
             turn = await self._queue.get()
-            await asyncio.sleep(1 / self.per_second)
+            await asyncio.sleep(self._interval)
             turn.set()
 
 
-def faster(monkeypatch: pytest.MonkeyPatch, scale: float) -> None:
-    monkeypatch.setattr(endpoint_watch, "SILENCE", endpoint_watch.SILENCE * scale)
-    for name in ("SPREAD", "LEAST_SPREAD", "FIRST_SPREAD"):
-        monkeypatch.setattr(backoff, name, getattr(backoff, name) * scale)
+def scale_times(monkeypatch: pytest.MonkeyPatch, factor: float) -> None:
+    """Multiply the time-outs and delays of the watch, so that a test takes less time."""
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", endpoint_watch.SILENCE_TIMEOUT * factor)
+    for name in ("POLL_SPREAD_PER_CLIENT", "MIN_POLL_SPREAD", "MAX_FIRST_POLL_SPREAD"):
+        monkeypatch.setattr(backoff, name, getattr(backoff, name) * factor)
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery's client over loopback sockets: moves to another address."""
+"""The client of discovery over loopback sockets: moves to another address."""
 
 from __future__ import annotations
 
@@ -8,80 +8,112 @@
 
 import pytest
 
-from quota_gateway.net import backoff, endpoint_watch
+from quota_gateway.net import endpoint_watch
+from quota_gateway.net.backoff import poll_delay
 from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.http_common import split_address
 from quota_gateway.net.watch_event import WatchEvent
 from quota_gateway.settings import timing_from
-from tests.discovery_server import HEAD, Agent, chunk, faster, message
+from tests.discovery_server import (
+    RESPONSE_HEAD,
+    ScriptedDiscovery,
+    chunk,
+    message,
+    read_request_path,
+    scale_times,
+)
 from tests.loopback import listening, run
 
 
-def test_a_move_follows_the_old_until_the_new_has_spoken() -> None:
+class DelayedDiscovery:
+    """Sends one event to each connection once ``may_answer`` is set."""
+
+    def __init__(self) -> None:
+        self.request_paths = list[str]()
+        self.polled = asyncio.Event()
+        self.may_answer = asyncio.Event()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self.request_paths.append(await read_request_path(reader))
+        self.polled.set()
+        await self.may_answer.wait()
+        writer.write(RESPONSE_HEAD + chunk(message(3)))
+        await asyncio.Event().wait()
+
+
+def test_move_follows_the_old_address_until_the_new_one_has_sent_an_event() -> None:
     async def main() -> None:
-        speak, versions, heard = asyncio.Event(), list[int](), asyncio.Event()
-        old = Agent([HEAD, chunk(message(57))], end=False)
-
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
-            came.set()
-            await speak.wait()
-            writer.write(HEAD + chunk(message(3)))
-            await asyncio.Event().wait()
-
-        def tell(listing: WatchEvent) -> None:
-            versions.append(listing.version)
-            heard.set()
-
-        asked, came = list[str](), asyncio.Event()
-        async with listening(old.talk) as first, listening(talk) as second:
-            follower = DiscoveryClient(tell)
-            for address in (first, "127.0.0.1:1", second, second):  # the third overtakes the second
+        old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], end=False)
+        new_discovery = DelayedDiscovery()
+        versions = list[int]()
+        notified = asyncio.Event()
+
+        def on_event(event: WatchEvent) -> None:
+            versions.append(event.version)
+            notified.set()
+
+        async with listening(old_discovery.serve) as old, listening(new_discovery.serve) as new:
+            client = DiscoveryClient(on_event)
+            for address in (old, "127.0.0.1:1", new, new):  # the third overtakes the second
                 host, port = address.split(":")
-                follower.watch(host, int(port), 41 if address == first else None)
-                if address == first:
-                    await heard.wait()
-            await came.wait()
-            assert follower._heard is not None and not follower._heard.cancelled()
-            task = follower._heard
-            heard.clear()
-            speak.set()
-            await heard.wait()
-            assert versions == [57, 3] and asked == ["/v1/servers?follow=1"]
-            await asyncio.wait([task])
-            assert task.cancelled()
-            follower.close()
+                client.watch(host, int(port), 41 if address == old else None)
+                if address == old:
+                    await notified.wait()
+            await new_discovery.polled.wait()
+            assert client._established is not None and not client._established.cancelled()
+            old_watch = client._established
+            notified.clear()
+            new_discovery.may_answer.set()
+            await notified.wait()
+            assert versions == [57, 3] and new_discovery.request_paths == ["/v1/servers?follow=1"]
+            await asyncio.wait([old_watch])
+            assert old_watch.cancelled()
+            client.close()
 
     run(main())
 
 
-def test_a_move_in_the_middle_of_a_row_of_failures_begins_a_row_of_its_own(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """The new address counts as told 4 s after the signal, however long the old one was called in vain."""
-    scale = 0.1
-    faster(monkeypatch, scale)
-    failed, real = list[int](), backoff.pause
+@pytest.fixture
+def failures(monkeypatch: pytest.MonkeyPatch) -> list[int]:
+    """The consecutive failures before each poll, as passed to the back-off."""
+    recorded = list[int]()
+
+    def recording_poll_delay(client_count: int, consecutive_failures: int, **options: Any) -> float:
+        recorded.append(consecutive_failures)
+        return poll_delay(client_count, consecutive_failures, **options)
 
-    def noted(*args: Any) -> float:
-        failed.append(args[1])
-        return real(*args)
+    monkeypatch.setattr(endpoint_watch, "poll_delay", recording_poll_delay)
+    return recorded
 
-    monkeypatch.setattr(endpoint_watch, "pause", noted)
+
+def test_move_after_consecutive_failures_polls_the_new_address_without_their_backoff(
+    monkeypatch: pytest.MonkeyPatch, failures: list[int]
+) -> None:
+    """The new address must be known 4 s after the signal, however long polls of the old one have failed."""
+    time_scale = 0.1
+    scale_times(monkeypatch, time_scale)
 
     async def main() -> None:
-        loop, told = asyncio.get_running_loop(), asyncio.Event()
-        agent = Agent([HEAD, chunk(message(1))], end=False)
-        waits = timing_from({"discovery": "ask", "n_instances": 200})
-        async with listening(agent.talk) as address:
-            times = waits.answer * scale, waits.call_again * scale
-            follower = DiscoveryClient(lambda _listing: told.set(), 200, Random(3), *times)
-            follower.watch("127.0.0.1", 1, 41)
-            while max(failed, default=0) < 3:
+        loop = asyncio.get_running_loop()
+        notified = asyncio.Event()
+        discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], end=False)
+        timing = timing_from({"discovery": "ask", "n_instances": 200})
+        async with listening(discovery.serve) as address:
+            client = DiscoveryClient(
+                lambda _event: notified.set(),
+                client_count=200,
+                rng=Random(3),
+                answer_timeout=timing.answer * time_scale,
+                max_poll_interval=timing.call_again * time_scale,
+            )
+            client.watch("127.0.0.1", 1, 41)
+            while max(failures, default=0) < 3:
                 await asyncio.sleep(0.01)
-            begun, (host, port) = loop.time(), address.split(":")
-            follower.watch(host, int(port))
-            await told.wait()
-            assert failed[-1] == 0 and loop.time() - begun < 4 * scale
-            follower.close()
+            moved_at = loop.time()
+            client.watch(*split_address(address))
+            await notified.wait()
+            assert failures[-1] == 0 and loop.time() - moved_at < 4 * time_scale
+            client.close()
 
     run(main())
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,8 +1,9 @@
-"""The watch on discovery over loopback sockets: chunks, versions, silence, odd lines."""
+"""Discovery's watch over loopback sockets: chunks, versions, silence, malformed lines, overload."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from random import Random
 
 import pytest
@@ -12,32 +13,93 @@
 from quota_gateway.net.endpoint_watch import EndpointWatcher
 from quota_gateway.net.watch_event import WatchEvent
 from quota_gateway.settings import timing_from
-from tests.discovery_server import HEAD, Agent, Line, chunk, faster, message
+from tests.discovery_server import (
+    OVERLOADED_RESPONSE,
+    RESPONSE_HEAD,
+    QueueingDiscovery,
+    ScriptedDiscovery,
+    chunk,
+    message,
+    read_request_path,
+    scale_times,
+)
 from tests.loopback import listening, run
 
+FLEET_SIZE = 200
 
-async def follow(agent: Agent, count: int, connections: int = 1) -> list[WatchEvent]:
-    heard, enough = list[WatchEvent](), asyncio.Event()
 
-    def tell(listing: WatchEvent) -> None:
-        heard.append(listing)
-        if len(heard) >= count and len(agent.asked) >= connections:
+async def follow(discovery: ScriptedDiscovery, count: int, connections: int = 1) -> list[WatchEvent]:
+    """Follow a discovery until there were so many events and so many connections; the events."""
+    events = list[WatchEvent]()
+    enough = asyncio.Event()
+
+    def on_event(event: WatchEvent) -> None:
+        events.append(event)
+        if len(events) >= count and len(discovery.request_paths) >= connections:
             enough.set()
 
-    async with listening(agent.talk) as address:
+    async with listening(discovery.serve) as address:
         host, port = address.split(":")
-        task = asyncio.create_task(EndpointWatcher(host, int(port), 41, tell).follow())
+        task = asyncio.create_task(EndpointWatcher(host, int(port), 41, on_event).follow())
         await enough.wait()
         task.cancel()
-    return heard
+    return events
+
+
+def make_watcher(
+    address: str,
+    on_event: Callable[[WatchEvent], None],
+    *,
+    client_count: int,
+    seed: int,
+    answer_timeout: float,
+    max_poll_interval: float,
+) -> EndpointWatcher:
+    """A watcher with its own times, in seconds, that has version 41."""
+    host, port = address.split(":")
+    return EndpointWatcher(
+        host,
+        int(port),
+        41,
+        on_event,
+        client_count=client_count,
+        rng=Random(seed),
+        answer_timeout=answer_timeout,
+        max_poll_interval=max_poll_interval,
+    )
+
+
+class FleetMember:
+    """A watcher that is one of ``FLEET_SIZE``, with its times multiplied by ``time_scale``.
+
+    ``first_event_at`` gets the event loop's time at its first event.
+    """
+
+    def __init__(self, address: str, seed: int, time_scale: float) -> None:
+        self._loop = asyncio.get_running_loop()
+        self.first_event_at: asyncio.Future[float] = self._loop.create_future()
+        timing = timing_from({"discovery": "ask", "n_instances": FLEET_SIZE})
+        watcher = make_watcher(
+            address,
+            self._on_event,
+            client_count=FLEET_SIZE,
+            seed=seed,
+            answer_timeout=timing.answer * time_scale,
+            max_poll_interval=timing.call_again * time_scale,
+        )
+        self.task = self._loop.create_task(watcher.follow())
+
+    def _on_event(self, _event: WatchEvent) -> None:
+        if not self.first_event_at.done():
+            self.first_event_at.set_result(self._loop.time())
 
 
-def test_chunks_end_where_they_like() -> None:
+def test_chunks_may_end_anywhere() -> None:
     async def main() -> None:
         data = message(42) + b"\n" + message(43, "draining") + message(44, "gone", dial="")
-        pieces = [HEAD] + [chunk(data[at : at + 11]) for at in range(0, len(data), 11)]
-        heard = await follow(Agent(pieces), 3)
-        states = [listing.update.endpoints[0].health for listing in heard]
+        script = [RESPONSE_HEAD] + [chunk(data[start : start + 11]) for start in range(0, len(data), 11)]
+        events = await follow(ScriptedDiscovery(script), 3)
+        states = [event.update.endpoints[0].health for event in events]
         assert states == [
             model.EndpointHealth.HEALTHY,
             model.EndpointHealth.DRAINING,
@@ -47,241 +109,232 @@
     run(main())
 
 
-def test_a_watch_that_ends_goes_on_from_the_last_version() -> None:
+def test_watch_that_ends_is_resumed_from_the_last_version() -> None:
     async def main() -> None:
-        agent = Agent([HEAD, chunk(message(57))], [HEAD, chunk(message(58))])
-        await follow(agent, 2, 2)
-        assert agent.asked == ["/v1/servers?follow=1&since=41", "/v1/servers?follow=1&since=57"]
+        discovery = ScriptedDiscovery(
+            [RESPONSE_HEAD, chunk(message(57))], [RESPONSE_HEAD, chunk(message(58))]
+        )
+        await follow(discovery, 2, 2)
+        assert discovery.request_paths == ["/v1/servers?follow=1&since=41", "/v1/servers?follow=1&since=57"]
 
     run(main())
 
 
-def test_a_silent_watch_is_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoint_watch, "SILENCE", 0.2)
+def test_silent_watch_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.2)
 
     async def main() -> None:
-        agent = Agent([HEAD], [HEAD, chunk(message(58))], end=False)
-        await follow(agent, 1, 2)
-        assert len(agent.asked) == 2
+        discovery = ScriptedDiscovery([RESPONSE_HEAD], [RESPONSE_HEAD, chunk(message(58))], end=False)
+        await follow(discovery, 1, 2)
+        assert len(discovery.request_paths) == 2
 
     run(main())
 
 
-def test_odd_lines_are_dropped_and_the_watch_goes_on() -> None:
+def test_malformed_lines_are_dropped_and_the_watch_goes_on() -> None:
     async def main() -> None:
-        odd = [
+        malformed = [
             b"not json\n", b"[]\n", b'{"seq":1}\n', b'{"seq":1,"whole":true,"hosts":[3]}\n', b"\xff\n",
             message(9, "upbeat"), message(9, dial="nowhere"), message(9, born_ms="then"),
         ]  # fmt: skip
-        heard = await follow(Agent([HEAD, chunk(b"".join(odd) + message(60))]), 1)
-        assert [listing.version for listing in heard] == [60]
+        script = [RESPONSE_HEAD, chunk(b"".join(malformed) + message(60))]
+        events = await follow(ScriptedDiscovery(script), 1)
+        assert [event.version for event in events] == [60]
 
     run(main())
 
 
-def test_an_empty_list_leaves_the_last_and_a_row_of_odd_lines_is_logged_once(
+def test_empty_list_is_ignored_and_consecutive_malformed_lines_are_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
-        empty = b'{"seq":58,"whole":true,"hosts":[]}\n'
-        nothing_new = b'{"seq":59,"whole":false,"hosts":[]}\n'
-        heard = await follow(
-            Agent([HEAD, chunk(empty * 30 + b"not json\n" * 30 + nothing_new + message(60))]), 2
-        )
-        assert [(listing.version, listing.update.complete) for listing in heard] == [
-            (59, False),
-            (60, False),
-        ]
+        empty_list = b'{"seq":58,"whole":true,"hosts":[]}\n'
+        no_change = b'{"seq":59,"whole":false,"hosts":[]}\n'
+        lines = empty_list * 30 + b"not json\n" * 30 + no_change + message(60)
+        events = await follow(ScriptedDiscovery([RESPONSE_HEAD, chunk(lines)]), 2)
+        assert [(event.version, event.update.complete) for event in events] == [(59, False), (60, False)]
 
     run(main())
-    assert len([r for r in caplog.records if "dropped a line" in r.getMessage()]) == 1
+    assert (
+        len([record for record in caplog.records if "dropped a malformed line" in record.getMessage()]) == 1
+    )
 
 
-def test_a_row_of_calls_in_vain_is_logged_once(
+def test_consecutive_failures_are_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backoff, "LEAST_SPREAD", 0.001)
+    monkeypatch.setattr(backoff, "MIN_POLL_SPREAD", 0.001)
 
     async def main() -> None:
-        busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-        heard = await follow(Agent(*[[busy]] * 12, [HEAD, chunk(message(58))]), 1, 13)
-        assert heard[0].version == 58
+        scripts = [[OVERLOADED_RESPONSE]] * 12
+        discovery = ScriptedDiscovery(*scripts, [RESPONSE_HEAD, chunk(message(58))])
+        events = await follow(discovery, 1, 13)
+        assert events[0].version == 58
 
     run(main())
-    assert len([r for r in caplog.records if "watch on discovery ended" in r.getMessage()]) == 1
+    ended = [record for record in caplog.records if "watch on discovery ended" in record.getMessage()]
+    assert len(ended) == 1
 
 
-def test_a_refused_version_is_not_asked_for_again() -> None:
+def test_rejected_version_is_not_requested_again() -> None:
     async def main() -> None:
-        agent = Agent([b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"], [HEAD, chunk(message(1))])
-        await follow(agent, 1, 2)
-        assert agent.asked[1] == "/v1/servers?follow=1"
+        rejection = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"
+        discovery = ScriptedDiscovery([rejection], [RESPONSE_HEAD, chunk(message(1))])
+        await follow(discovery, 1, 2)
+        assert discovery.request_paths[1] == "/v1/servers?follow=1"
 
     run(main())
 
 
-def test_a_watch_turned_away_as_too_busy_is_not_asked_for_the_whole_list() -> None:
+def test_overloaded_discovery_is_not_asked_for_the_complete_list() -> None:
     async def main() -> None:
-        busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-        agent = Agent([busy], [HEAD, chunk(message(58))])
-        await follow(agent, 1, 2)
-        assert agent.asked[1] == "/v1/servers?follow=1&since=41"
+        discovery = ScriptedDiscovery([OVERLOADED_RESPONSE], [RESPONSE_HEAD, chunk(message(58))])
+        await follow(discovery, 1, 2)
+        assert discovery.request_paths[1] == "/v1/servers?follow=1&since=41"
 
     run(main())
 
 
-@pytest.mark.parametrize("start", [b"HTTP/1.1 200 O", HEAD])
-def test_half_a_head_and_a_line_without_an_end_are_silence(
+@pytest.mark.parametrize("start", [b"HTTP/1.1 200 O", RESPONSE_HEAD])
+def test_incomplete_head_and_incomplete_line_are_silence(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(endpoint_watch, "SILENCE", 0.3)
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.3)
 
     async def main() -> None:
-        asked, heard = list[str](), asyncio.Event()
+        request_paths = list[str]()
+        notified = asyncio.Event()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
-            if len(asked) > 1:
-                writer.write(HEAD + chunk(message(58)))
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            request_paths.append(await read_request_path(reader))
+            if len(request_paths) > 1:
+                writer.write(RESPONSE_HEAD + chunk(message(58)))
                 await reader.read()
                 return
             writer.write(start)
-            while True:  # it trickles until the limiter ends the connection
-                writer.write(chunk(b"{") if start is HEAD else b"x")
+            while True:  # a trickle until the limiter closes the connection
+                writer.write(chunk(b"{") if start is RESPONSE_HEAD else b"x")
                 await writer.drain()
                 await asyncio.sleep(0.02)
 
-        async with listening(talk) as address:
+        async with listening(serve) as address:
             host, port = address.split(":")
-            watch = EndpointWatcher(host, int(port), 41, lambda _listing: heard.set())
-            watch.answer = 0.3
-            task = asyncio.create_task(watch.follow())
-            await heard.wait()
+            watcher = EndpointWatcher(host, int(port), 41, lambda _event: notified.set())
+            watcher.answer_timeout = 0.3
+            task = asyncio.create_task(watcher.follow())
+            await notified.wait()
             task.cancel()
 
     run(main())
 
 
-def test_the_change_in_an_unreadable_line_is_asked_for_again() -> None:
+def test_watch_is_restarted_for_the_change_in_a_malformed_line() -> None:
     async def main() -> None:
-        lost = message(58, "upbeat") + message(59, host="s2")
-        agent = Agent([HEAD, chunk(message(57) + lost)], [HEAD, chunk(message(59, "draining"))], end=False)
-        heard = await follow(agent, 3, 2)
-        assert [listing.version for listing in heard] == [57, 59, 59]
-        assert heard[2].update.endpoints[0].health is model.EndpointHealth.DRAINING
-        assert agent.asked[1] == "/v1/servers?follow=1&since=57"
+        malformed_and_next = message(58, "upbeat") + message(59, host="s2")
+        discovery = ScriptedDiscovery(
+            [RESPONSE_HEAD, chunk(message(57) + malformed_and_next)],
+            [RESPONSE_HEAD, chunk(message(59, "draining"))],
+            end=False,
+        )
+        events = await follow(discovery, 3, 2)
+        assert [event.version for event in events] == [57, 59, 59]
+        assert events[2].update.endpoints[0].health is model.EndpointHealth.DRAINING
+        assert discovery.request_paths[1] == "/v1/servers?follow=1&since=57"
 
     run(main())
 
 
-def test_a_line_that_stays_unreadable_is_not_asked_for_in_a_row() -> None:
+def test_watch_is_not_restarted_repeatedly_for_a_line_that_stays_malformed() -> None:
     async def main() -> None:
-        odd = message(58, "upbeat")
-        agent = Agent([HEAD, chunk(odd)], [HEAD, chunk(odd), chunk(message(60))], end=False)
-        heard = await follow(agent, 1, 2)
-        assert [listing.version for listing in heard] == [60] and len(agent.asked) == 2
+        malformed = message(58, "upbeat")
+        discovery = ScriptedDiscovery(
+            [RESPONSE_HEAD, chunk(malformed)],
+            [RESPONSE_HEAD, chunk(malformed), chunk(message(60))],
+            end=False,
+        )
+        events = await follow(discovery, 1, 2)
+        assert [event.version for event in events] == [60] and len(discovery.request_paths) == 2
 
     run(main())
 
 
-def test_a_limiter_that_was_refused_for_long_has_the_list_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On sockets, in a tenth of the time: nobody listens, then discovery is back where it was."""
-    waits, scale = timing_from({"discovery": "ask", "n_instances": 200}), 0.1
-    faster(monkeypatch, scale)
-
-    async def main() -> None:
-        loop, heard, late = asyncio.get_running_loop(), dict[int, float](), list[float]()
-        async with listening(Agent().talk) as address:
-            host, port = address.split(":")  # free again when this ends, and refused
-
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            writer.write(HEAD + chunk(message(58)))
-            await reader.read()
-
-        async def one(n: int) -> None:
-            got = asyncio.Event()
+async def answer_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Serve a connection as a discovery that is not loaded."""
+    await reader.readuntil(b"\r\n\r\n")
+    writer.write(RESPONSE_HEAD + chunk(message(58)))
+    await reader.read()
 
-            def tell(_listing: WatchEvent) -> None:
-                heard[n] = loop.time()
-                got.set()
 
-            watch = EndpointWatcher(
-                host, int(port), 41, tell, 200, Random(n), waits.answer * scale, waits.call_again * scale
-            )
-            task = asyncio.create_task(watch.follow())
-            await got.wait()
-            task.cancel()
+def test_watcher_that_was_refused_for_long_has_the_list_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """On sockets, in a tenth of the time: nobody listens, then discovery is back at its address."""
+    time_scale = 0.1
+    scale_times(monkeypatch, time_scale)
 
-        limiters = [asyncio.create_task(one(n)) for n in range(24)]
-        await asyncio.sleep(12 * scale)
-        assert not heard
-        back = loop.time()
-        server = await asyncio.start_server(talk, host, int(port))
-        await asyncio.wait(limiters)
+    async def main() -> None:
+        loop = asyncio.get_running_loop()
+        async with listening(ScriptedDiscovery().serve) as address:
+            host, port = address.split(":")  # nobody listens there from the end of this block on
+        fleet = [FleetMember(address, seed, time_scale) for seed in range(24)]
+        await asyncio.sleep(12 * time_scale)
+        assert not any(member.first_event_at.done() for member in fleet)
+        returned_at = loop.time()
+        server = await asyncio.start_server(answer_at_once, host, int(port))
+        delays = [await member.first_event_at - returned_at for member in fleet]
+        for member in fleet:
+            member.task.cancel()
         server.close()
-        late = [at - back for at in heard.values() if at - back > 6 * scale]
-        assert len(heard) == 24 and not late, late
+        late = [delay for delay in delays if delay > 6 * time_scale]
+        assert len(delays) == 24 and not late, late
 
     run(main())
 
 
-def test_an_overbooked_discovery_tells_all_in_the_order_of_their_coming(
+def test_overloaded_discovery_answers_all_in_the_order_of_arrival(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The line is eight times as long as a call waits for the next: who leaves it never comes to its head."""
-    scale = 0.1
-    faster(monkeypatch, scale)
-    waits = timing_from({"discovery": "ask", "n_instances": 200})
+    """The queue takes eight times the time between requests: who leaves it never gets to its head."""
+    time_scale = 0.1
+    scale_times(monkeypatch, time_scale)
 
     async def main() -> None:
-        line, told = Line(per_second=16.0), list[asyncio.Event]()
-        async with listening(line.talk) as address:
-            host, port = address.split(":")
-            tasks = [asyncio.create_task(line.serve())]
-            for n in range(40):
-                heard = asyncio.Event()
-                told.append(heard)
-                watch = EndpointWatcher(
-                    host,
-                    int(port),
-                    41,
-                    lambda _listing, heard=heard: heard.set(),  # type: ignore[misc]
-                    200,
-                    Random(n),
-                    waits.answer * scale,
-                    waits.call_again * scale,
-                )
-                tasks.append(asyncio.create_task(watch.follow()))
-            for heard in told:
-                await heard.wait()
-            for task in tasks:
+        discovery = QueueingDiscovery(answers_per_second=16.0)
+        async with listening(discovery.serve) as address:
+            queue_task = asyncio.create_task(discovery.process_queue())
+            fleet = [FleetMember(address, seed, time_scale) for seed in range(40)]
+            for member in fleet:
+                await member.first_event_at
+            for task in (queue_task, *(member.task for member in fleet)):
                 task.cancel()
 
     run(main())
 
 
-def test_few_calls_wait_beside_each_other_for_a_discovery_that_answers_none(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    faster(monkeypatch, 0.02)
+def test_unanswered_requests_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    scale_times(monkeypatch, 0.02)
 
     async def main() -> None:
-        asked, line = list[int](), Line(per_second=1.0)
-
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(len(watch._waiting))
-            await line.talk(reader, writer)
-
-        async with listening(talk) as address:
-            host, port = address.split(":")
-            watch = EndpointWatcher(host, int(port), 41, lambda _listing: None, 1, Random(1), 0.02, 0.03)
-            task = asyncio.create_task(watch.follow())
-            while len(asked) < 12:
+        unanswered = list[int]()
+        discovery = QueueingDiscovery(answers_per_second=1.0)
+
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            unanswered.append(len(watcher._unanswered))
+            await discovery.serve(reader, writer)
+
+        async with listening(serve) as address:
+            watcher = make_watcher(
+                address,
+                lambda _event: None,
+                client_count=1,
+                seed=1,
+                answer_timeout=0.02,
+                max_poll_interval=0.03,
+            )
+            task = asyncio.create_task(watcher.follow())
+            while len(unanswered) < 12:
                 await asyncio.sleep(0.01)
             task.cancel()
-            assert max(asked) == endpoint_watch.MOST_CALLS
-            while line.open:  # its end takes all of them along
+            assert max(unanswered) == endpoint_watch.MAX_UNANSWERED_REQUESTS
+            while discovery.open_connections:  # cancelling the watcher closes all of them
                 await asyncio.sleep(0.01)
 
     run(main())
