--- a/quota_gateway/net/counter_client.py
+++ b/quota_gateway/net/counter_client.py
@@ -1,4 +1,4 @@
-"""The client of the shared counter: pipelined calls, each answered once, in order for each name."""
+"""The client of the shared counter: pipelined calls, each completed once, in order for each counter."""
 
 from __future__ import annotations
 
@@ -8,207 +8,252 @@
 from random import Random
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.backoff import reconnect_delay
-from quota_gateway.net.counter_connection import Address, Done, _Call, _Link
+from quota_gateway.net.counter_connection import (
+    PING_REQUEST,
+    CallResult,
+    CompletionHandler,
+    CounterCall,
+    CounterConnection,
+    increment_request,
+)
+from quota_gateway.net.counter_connector import CounterConnector
 
 log = logging.getLogger(__name__)
 
-CHECK = 0.1  # seconds between two looks at the line
-REPORT = 100  # looks between two log lines on how the calls ended
-PING = 2.0  # silent seconds until a ping keeps the connection: an idle one is closed
-DEAD = 10  # time-outs that the oldest unanswered line may wait until the connection is given up
-DIAL_TIMEOUT = 0.25
-REDIAL = 0.05  # seconds between two dials after breaks, so that a peer that only closes is no busy loop
+CHECK_INTERVAL = 0.1  # seconds between checks of the connections
+CHECKS_PER_LOG_LINE = 100  # checks between log lines on how the calls ended
+PING_INTERVAL = 2.0  # idle seconds until a ping: the counter closes idle connections
+UNRESPONSIVE_TIMEOUTS = 10  # time-outs that the oldest call may wait until its connection is closed
+
+
+class CallOrder:
+    """Completes the calls of each counter in the order in which they were made.
+
+    The decisions match results to calls by this order. With one connection draining and a new one in use, a
+    result that overtakes another waits here, for the time-out of a call at most.
+    """
+
+    __slots__ = ("_calls",)
+
+    def __init__(self) -> None:
+        """Begin without calls."""
+        self._calls = dict[int, deque[CounterCall]]()
+
+    def __len__(self) -> int:
+        """Count the counters that have calls."""
+        return len(self._calls)
+
+    def add(self, counter_id: int, call: CounterCall) -> None:
+        """Take a new call, behind the earlier ones of its counter."""
+        self._calls.setdefault(counter_id, deque()).append(call)
+
+    def deliver(self, counter_id: int) -> None:
+        """Notify the handlers of the counter's calls whose turn has come."""
+        calls = self._calls[counter_id]
+        while calls and (result := calls[0].result) is not None:
+            first = calls.popleft()
+            if not calls:
+                del self._calls[counter_id]  # clients choose the counters: idle ones must not pile up
+            assert first.on_complete is not None
+            first.on_complete(*result)
 
 
 class CounterClient:
-    """Keeps a connection to the counter, and moves to another one without a gap."""
+    """Keeps a connection to the counter and a standby, and moves to another address without a gap."""
 
     def __init__(self, host: str, port: int, timeout: float, rng: Random | None = None) -> None:
-        self._address, self._timeout, self._rng = (host, port), timeout, rng or Random()
-        self._vain, self._dial_from = 0, 0.0  # dials in vain, one behind the other; when the next may be
+        """Prepare a client of the counter at an address; a call times out after ``timeout`` seconds."""
         self._loop = asyncio.get_running_loop()
-        self._link: _Link | None = None
-        # Connections go blind one by one while the counter serves: the next one is at hand when that shows.
-        self._spare: _Link | None = None
-        self._left = set[_Link]()  # they only answer what they owe
-        self._queued = deque[_Call]()
-        # The decisions match results to calls by their order for a name: with two connections, one left
-        # and one new, an answer that overtakes another waits for it here (for the time-out at most).
-        self._order = dict[int, deque[_Call]]()
-        self._failing, self._dialed, self._closed = False, 0.0, False
-        self._seen, self._looks = Counter[str](), 0
-        self._dial: asyncio.Task[None] | None = None
-        self._check_at: asyncio.TimerHandle | None = None
+        self._timeout = timeout
+        self._connector = CounterConnector((host, port), self, self._on_connected, rng or Random())
+        self._active: CounterConnection | None = None
+        # Connections become unresponsive one by one while the counter serves others: the next one is ready.
+        self._standby: CounterConnection | None = None
+        self._draining = set[CounterConnection]()
+        self._unsent = deque[CounterCall]()
+        self._order = CallOrder()
+        self._event_counts = Counter[str]()  # since the last log line
+        self._checks = 0
+        self._check_timer: asyncio.TimerHandle | None = None
+        self._closed = False
 
     def start(self) -> None:
-        """Connect, and from then on keep a connection."""
+        """Connect, and from then on keep connections open."""
         self._check()
 
     def set_address(self, host: str, port: int) -> None:
-        """Go on at another address; the connection in use serves until the new one is up."""
-        if (host, port) == self._address:
+        """Move to another address; the active connection serves until the new one is open."""
+        if (host, port) == self._connector.address:
             return
-        self._address = (host, port)
-        self._vain, self._dial_from = 0, 0.0
-        if self._dial is not None:
-            self._dial.cancel()
-            self._dial = None
-        if (spare := self._spare) is not None:
-            self._spare = None
-            spare.abort()
-        self._redial()
-
-    def now(self) -> float:
-        return self._loop.time()
+        self._connector.set_address((host, port))
+        standby = self._standby
+        if standby is not None:
+            self._standby = None
+            standby.abort()
+        self._open_missing_connections()
 
     def set_timeout(self, timeout: float) -> None:
+        """Set the seconds until a call times out, for the calls made from now on."""
         self._timeout = timeout
 
-    def increment(self, name: int, amount: float, lifetime: float, done: Done) -> None:
-        """Add to a number; ``done`` gets the status and the total, later than this call returns."""
-        milliseconds = max(1, min(60_000, round(lifetime * 1000)))
-        line = b"tally %d %.6f %d\r\n" % (name, amount, milliseconds)
-        call = _Call(line, self._loop.time(), name, done)
-        call.timer = self._loop.call_later(self._timeout, self._give_up, call)
-        self._order.setdefault(name, deque()).append(call)
-        self._put(call)
+    def increment(
+        self, counter_id: int, amount: float, lifetime: float, on_complete: CompletionHandler
+    ) -> None:
+        """Add ``amount`` to a counter, for ``lifetime`` seconds.
+
+        ``on_complete`` gets the status and the counter's total, after this method has returned.
+        """
+        request = increment_request(counter_id, amount, lifetime)
+        call = CounterCall(request, self._loop.time(), counter_id, on_complete)
+        call.timeout_timer = self._loop.call_later(self._timeout, self._on_timeout, call)
+        self._order.add(counter_id, call)
+        self._enqueue(call)
 
     def close(self) -> None:
+        """Close all connections; calls in flight complete as reset, unsent ones time out."""
         self._closed = True
-        if self._check_at is not None:
-            self._check_at.cancel()
-        if self._dial is not None:
-            self._dial.cancel()
-        for link in (*self._left, self._link, self._spare):
-            if link is not None:
-                link.abort()
-
-    def flush(self) -> None:
-        # One line at a time goes to the transport: what stands in the queue is known not to be written.
-        while self._queued and (link := self._link) is not None and link.usable and not link.paused:
-            link.write(self._queued.popleft(), self._loop.time())
-
-    def finish(self, call: _Call, status: CallStatus, total: float = 0.0) -> None:
-        """Settle a call once, behind the earlier ones for its name."""
-        if call.result is not None or call.name is None:
+        if self._check_timer is not None:
+            self._check_timer.cancel()
+        self._connector.cancel()
+        for connection in (*self._draining, self._active, self._standby):
+            if connection is not None:
+                connection.abort()
+
+    def now(self) -> float:
+        """Return the seconds of the event loop's clock."""
+        return self._loop.time()
+
+    def on_writable(self) -> None:
+        """Send what the active connection takes.
+
+        One request at a time goes to the transport: those that are queued here are known not to be written.
+        """
+        while self._unsent:
+            connection = self._active
+            if connection is None or not connection.usable or connection.write_paused:
+                return
+            connection.send(self._unsent.popleft(), self._loop.time())
+
+    def complete(self, call: CounterCall, result: CallResult) -> None:
+        """Complete a call unless it has completed before, behind the earlier ones of its counter."""
+        if call.result is not None or call.counter_id is None:
             return
-        call.result = status, total
-        self._seen[status.value] += 1
-        if call.timer is not None:
-            call.timer.cancel()
-        line = self._order[call.name]
-        while line and (result := line[0].result) is not None:
-            first = line.popleft()
-            if not line:
-                del self._order[call.name]  # names come from outside: those at rest are not kept
-            assert first.done is not None
-            first.done(*result)
-
-    def lost(self, link: _Link) -> None:
-        """A connection has ended: the one in use is replaced at once, and what waits goes out on the next."""
-        self._seen["connections ended"] += 1
-        self._left.discard(link)
-        if link is self._link:
-            self._link, self._spare = self._spare, None
-            self.flush()
-        elif link is self._spare:
-            self._spare = None
+        call.result = result
+        self._event_counts[result.status.name.lower()] += 1
+        if call.timeout_timer is not None:
+            call.timeout_timer.cancel()
+        self._order.deliver(call.counter_id)
+
+    def on_connection_lost(self, connection: CounterConnection) -> None:
+        """Replace a lost connection; what is queued goes out on the standby."""
+        self._event_counts["connections closed"] += 1
+        self._draining.discard(connection)
+        if connection is self._active:
+            self._active = self._standby
+            self._standby = None
+            self.on_writable()
+        elif connection is self._standby:
+            self._standby = None
         else:
             return
         if not self._closed:
-            self._loop.call_later(max(0.0, self._dialed + REDIAL - self._loop.time()), self._redial)
-
-    def noted(self, line: bytes) -> None:
-        """Unreadable. A bad counter sends several such lines a second: one is shown, all are counted."""
-        if not self._seen["unreadable lines"]:
-            log.warning("an unreadable counter line: connecting anew: %.80r", line)
-        self._seen["unreadable lines"] += 1
-
-    def _put(self, call: _Call) -> None:
-        self._queued.append(call)
-        self.flush()
-
-    def _give_up(self, call: _Call) -> None:
-        if call in self._queued:
-            self._queued.remove(call)
-            self.finish(call, CallStatus.UNREACHABLE)
+            self._loop.call_later(self._connector.remaining_interval(), self._open_missing_connections)
+
+    def on_malformed_answer(self, line: bytes) -> None:
+        """Count a malformed answer. A faulty counter sends several a second: one is logged."""
+        if not self._event_counts["malformed lines"]:
+            log.warning("malformed answer of the counter, reconnecting: %.80r", line)
+        self._event_counts["malformed lines"] += 1
+
+    def _enqueue(self, call: CounterCall) -> None:
+        self._unsent.append(call)
+        self.on_writable()
+
+    def _on_timeout(self, call: CounterCall) -> None:
+        if call in self._unsent:
+            self._unsent.remove(call)
+            self.complete(call, CallResult(CallStatus.UNREACHABLE))
         else:
-            self.finish(call, CallStatus.TIMEOUT)  # it keeps its place: its answer is still to come
-            self._doubt(call)
+            self.complete(
+                call, CallResult(CallStatus.TIMEOUT)
+            )  # it stays in flight: its answer may still come
+            self._fail_over_from_unresponsive(call)
 
-    def _doubt(self, call: _Call) -> None:
-        """Nothing has come since a call was written: the next calls go out where something may come."""
-        link, spare = self._link, self._spare
-        if link is None or spare is None or not spare.usable or spare.written:
+    def _fail_over_from_unresponsive(self, call: CounterCall) -> None:
+        """Make the standby active if nothing was received since ``call`` was sent."""
+        active = self._active
+        standby = self._standby
+        if active is None or standby is None or not standby.usable or standby.in_flight:
             return
-        if link.heard < call.sent and call in link.written:
-            self._seen["connections doubted"] += 1
-            self._link, self._spare = spare, None
-            self._left.add(link)
-            link.leave()
-            self.flush()
-            self._redial()
+        if active.last_received_at < call.sent_at and call in active.in_flight:
+            self._event_counts["failovers to standby"] += 1
+            self._active = standby
+            self._standby = None
+            self._drain(active)
+            self.on_writable()
+            self._open_missing_connections()
+
+    def _drain(self, connection: CounterConnection) -> None:
+        self._draining.add(connection)
+        connection.drain()
 
     def _check(self) -> None:
-        """Redial a lost connection, ping an idle one, give up a silent one."""
-        self._check_at = self._loop.call_later(CHECK, self._check)
-        self._looks += 1
-        if self._looks % REPORT == 0 and self._seen:
-            told = ", ".join(f"{what} {number}" for what, number in sorted(self._seen.items()))
-            log.info("counter calls: %s", told)
-            self._seen.clear()
-        now, link, dead = self._loop.time(), self._link, DEAD * self._timeout
-        for left in list(self._left):
-            if left.written and now - left.written[0].sent > dead:
-                left.abort()
-        if link is not None and link.written and now - link.written[0].sent > dead:
-            log.warning("the counter is silent: connecting anew")
-            link.abort()
-        elif link is not None and now - link.used > PING:
-            self._put(_Call(b"ping\r\n", now))
-        if (spare := self._spare) is not None:
-            if spare.written and now - spare.written[0].sent > dead:
-                spare.abort()
-            elif now - spare.used > PING and not spare.written:
-                spare.write(_Call(b"ping\r\n", now), now)
-        self._redial()
-
-    def _redial(self) -> None:
-        settled = all(
-            link is not None and link.address == self._address for link in (self._link, self._spare)
-        )
-        if self._check_at is None or self._check_at.cancelled() or self._dial is not None or settled:
+        """Close unresponsive connections, ping idle ones and open those that are missing."""
+        self._check_timer = self._loop.call_later(CHECK_INTERVAL, self._check)
+        self._log_event_counts()
+        now = self._loop.time()
+        answer_timeout = UNRESPONSIVE_TIMEOUTS * self._timeout
+        for connection in list(self._draining):
+            if connection.is_unresponsive(now, answer_timeout):
+                connection.abort()
+        self._check_active(now, answer_timeout)
+        self._check_standby(now, answer_timeout)
+        self._open_missing_connections()
+
+    def _check_active(self, now: float, answer_timeout: float) -> None:
+        active = self._active
+        if active is None:
             return
-        if self._loop.time() < self._dial_from:
+        if active.is_unresponsive(now, answer_timeout):
+            log.warning("the counter does not answer, reconnecting")
+            active.abort()
+        elif now - active.last_used_at > PING_INTERVAL:
+            self._enqueue(CounterCall(PING_REQUEST, now))
+
+    def _check_standby(self, now: float, answer_timeout: float) -> None:
+        standby = self._standby
+        if standby is None:
             return
-        self._dialed = self._loop.time()
-        self._dial = self._loop.create_task(self._connect(self._address))
-
-    async def _connect(self, address: Address) -> None:
-        link = _Link(self, address)
-        try:
-            async with asyncio.timeout(DIAL_TIMEOUT):
-                await self._loop.create_connection(lambda: link, *address)
-        except (OSError, TimeoutError) as error:
-            if not self._failing:  # once for a row of failures
-                log.warning("no connection to the counter: %r", error)
-            self._failing, self._dial, self._vain = True, None, self._vain + 1
-            self._dial_from = self._loop.time() + reconnect_delay(self._vain, self._rng.random())
-            return link.abort()
-        except asyncio.CancelledError:
-            return link.abort()  # whoever cancelled it has forgotten it
-        self._dial, self._failing, self._vain, link.used = None, False, 0, self._loop.time()
-        old = self._link
-        if old is not None and old.address == address:
-            self._spare = link
+        if standby.is_unresponsive(now, answer_timeout):
+            standby.abort()
+        elif now - standby.last_used_at > PING_INTERVAL and not standby.in_flight:
+            standby.send(CounterCall(PING_REQUEST, now), now)
+
+    def _log_event_counts(self) -> None:
+        self._checks += 1
+        if self._checks % CHECKS_PER_LOG_LINE == 0 and self._event_counts:
+            counts = ", ".join(f"{event} {count}" for event, count in sorted(self._event_counts.items()))
+            log.info("counter calls: %s", counts)
+            self._event_counts.clear()
+
+    def _open_missing_connections(self) -> None:
+        if self._check_timer is None or self._check_timer.cancelled():
+            return  # not started, or closed
+        for connection in (self._active, self._standby):
+            if connection is None or connection.address != self._connector.address:
+                self._connector.connect()
+                return
+
+    def _on_connected(self, connection: CounterConnection) -> None:
+        previous = self._active
+        if previous is not None and previous.address == connection.address:
+            self._standby = connection
         else:
-            self._link = link
-            if old is not None:
-                self._left.add(old)
-                old.leave()
-        if not link.usable:
-            self.lost(link)  # it broke before it was known here
-        elif link is self._link:
-            self.flush()
-            self._redial()  # the spare one
+            self._active = connection
+            if previous is not None:
+                self._drain(previous)
+        if not connection.usable:
+            self.on_connection_lost(connection)  # it was lost before it was known here
+        elif connection is self._active:
+            self.on_writable()
+            self._open_missing_connections()  # the standby
