--- /dev/null
+++ b/tests/discovery_server.py
@@ -0,0 +1,95 @@
+"""Servers that act as discovery, on loopback sockets, and the messages that they send."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any
+
+import pytest
+
+from quota_gateway.net import backoff, endpoint_watch
+
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+OVERLOADED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+
+
+def message(seq: int, health: str = "ready", **changes: Any) -> bytes:
+    """A line of the watch, with one host; a complete list where ``seq`` is 1."""
+    host = {
+        "host": "s1", "dial": "10.1.0.18:7070", "site": "a", "class": "m2", "block": 3,
+        "health": health, "share": 1.5, "born_ms": 1_800_000_000_250,
+    } | changes  # fmt: skip
+    return json.dumps({"seq": seq, "whole": seq == 1, "hosts": [host]}).encode() + b"\n"
+
+
+def chunk(data: bytes) -> bytes:
+    """A chunk of a response with chunked transfer encoding."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+async def read_request_path(reader: asyncio.StreamReader) -> str:
+    """Read the head of a request; its path and query."""
+    head = await reader.readuntil(b"\r\n\r\n")
+    return head.decode().split()[1]
+
+
+class ScriptedDiscovery:
+    """Each connection gets the next of the scripts, whose chunks are written one by one.
+
+    Then it is closed if ``end`` is set, unless the script was the last one.
+    """
+
+    def __init__(self, *scripts: list[bytes], end: bool = True) -> None:
+        self.scripts = list(scripts)
+        self.request_paths = list[str]()
+        self._end = end
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self.request_paths.append(await read_request_path(reader))
+        for data in self.scripts.pop(0) if self.scripts else []:
+            writer.write(data)
+            await writer.drain()
+            await asyncio.sleep(0)
+        if not self._end or not self.scripts:
+            await asyncio.Event().wait()
+
+
+class QueueingDiscovery:
+    """Answers requests one by one, those of clients that have disconnected as well."""
+
+    def __init__(self, answers_per_second: float) -> None:
+        self.open_connections = 0
+        self._interval = 1 / answers_per_second
+        self._queue = asyncio.Queue[asyncio.Event]()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        await reader.readuntil(b"\r\n\r\n")
+        self.open_connections += 1
+        try:
+            turn = asyncio.Event()
+            await self._queue.put(turn)
+            disconnected = asyncio.create_task(reader.read())
+            has_turn = asyncio.create_task(turn.wait())
+            await asyncio.wait([has_turn, disconnected], return_when=asyncio.FIRST_COMPLETED)
+            if turn.is_set():
+                writer.write(RESPONSE_HEAD + chunk(message(58)))
+                await disconnected
+        finally:
+            self.open_connections -= 1
+
+    async def process_queue(self) -> None:
+        """Give the requests their turns until cancelled."""
+        while True:
+            turn = await self._queue.get()
+            await asyncio.sleep(self._interval)
+            turn.set()
+
+
+def scale_times(monkeypatch: pytest.MonkeyPatch, factor: float) -> None:
+    """Multiply the time-outs and delays of the watch, so that a test takes less time."""
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", endpoint_watch.SILENCE_TIMEOUT * factor)
+    for name in ("POLL_SPREAD_PER_CLIENT", "MIN_POLL_SPREAD", "MAX_FIRST_POLL_SPREAD"):
+        monkeypatch.setattr(backoff, name, getattr(backoff, name) * factor)
