--- /dev/null
+++ b/quota_gateway/net/shared_files.py
@@ -0,0 +1,59 @@
+"""Files that several processes use at once: advisory locks and atomic replacement."""
+
+from __future__ import annotations
+
+import fcntl
+import os
+from pathlib import Path
+from types import TracebackType
+
+LOCK_FILE_MODE = 0o600  # readable by the owner alone
+
+
+class FileLock:
+    """An exclusive ``flock`` on a file, which is created where it is missing; released by ``close``.
+
+    The kernel releases it as well when the process ends, however it ends. ``acquired`` is false where another
+    process holds the lock. Raises ``OSError`` where the file cannot be opened.
+    """
+
+    __slots__ = ("_descriptor", "acquired")
+
+    def __init__(self, path: Path, *, blocking: bool) -> None:
+        """Open the file and try to lock it; with ``blocking`` wait while another process holds the lock."""
+        self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
+        self.acquired = False
+        operation = fcntl.LOCK_EX if blocking else fcntl.LOCK_EX | fcntl.LOCK_NB
+        try:
+            fcntl.flock(self._descriptor, operation)
+            self.acquired = True
+        except OSError:
+            os.close(self._descriptor)
+
+    def close(self) -> None:
+        """Release the lock; a second call does nothing."""
+        if self.acquired:
+            self.acquired = False
+            os.close(self._descriptor)
+
+    def __enter__(self) -> FileLock:
+        """Enter a block at whose end the lock is released; ``acquired`` tells whether it is held."""
+        return self
+
+    def __exit__(
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
+        """Release the lock."""
+        self.close()
+
+
+def replace_file(path: Path, text: str, *, temporary: Path) -> None:
+    """Write a file of the same folder and rename it, so that readers find the old text or the new one.
+
+    Raises ``OSError`` where either step fails.
+    """
+    temporary.write_text(text)
+    temporary.rename(path)
--- /dev/null
+++ b/tests/test_handover_codec.py
@@ -0,0 +1,72 @@
+"""Tests of the codec of the handover file; its bytes are held by ``test_wire_formats.py``."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+
+from quota_gateway import model
+from quota_gateway.net.handover_codec import HandoverFormatError, decode_handover, encode_handover
+
+STATE = model.HandoverState(
+    completion_rate=0.5,
+    mean_work=0.1,
+    mean_units=2.0,
+    base_latencies={"read": 0.04},
+    endpoints=(model.EndpointHandover("s0", 1.5, None, 3, 1.0, 1.1, 0.2),),
+    accounts=(model.AccountHandover("basic", "00000000b4d65521", 2, 3.0, 1.0, 0.5, 0.1, 7.0, None),),
+)
+
+
+def document() -> dict[str, Any]:
+    decoded: dict[str, Any] = json.loads(encode_handover(STATE))
+    return decoded
+
+
+def test_a_state_is_decoded_as_it_was_encoded() -> None:
+    assert decode_handover(encode_handover(STATE).encode()) == STATE
+
+
+def test_numbers_out_of_range_are_clamped() -> None:
+    raw = document()
+    raw |= {"done_rate": -1, "mean": -2.5, "units": -3}
+    raw["accounts"][0] |= {"gateways": 0, "ceiling": -0.5}
+    state = decode_handover(json.dumps(raw).encode())
+    assert (state.completion_rate, state.mean_work, state.mean_units) == (0.0, 0.0, 0.0)
+    assert state.accounts[0].serving_gateways == 1
+    assert state.accounts[0].ceiling_tokens == 0.0
+
+
+@pytest.mark.parametrize(
+    ("data", "location", "expected"),
+    [
+        (b"", "file", "JSON"),
+        (b"\xff", "file", "JSON"),
+        (b"[]", "file", "an object"),
+        (b"null", "file", "an object"),
+        (b"{}", "file.servers", "a value"),
+        (b'{"servers": 3}', "file.servers", "an array"),
+        (b'{"servers": ["s0"]}', "file.servers[0]", "an object"),
+        (b'{"servers": [], "accounts": [3]}', "file.accounts[0]", "an object"),
+        (b'{"servers": [], "accounts": [], "bases": {"read": null}}', "file.bases.read", "a finite number"),
+    ],
+)
+def test_a_malformed_file_is_named_with_its_place(data: bytes, location: str, expected: str) -> None:
+    with pytest.raises(HandoverFormatError) as caught:
+        decode_handover(data)
+    assert caught.value.location == location
+    assert caught.value.expected == expected
+    assert str(caught.value) == f"{location}: expected {expected}, found {caught.value.found}"
+
+
+@pytest.mark.parametrize("value", [True, "3", None, [], float("nan"), float("inf")])
+def test_a_value_that_is_no_finite_number_is_named_with_its_place(value: object) -> None:
+    raw = document()
+    raw["servers"][0]["born"] = value
+    with pytest.raises(HandoverFormatError) as caught:
+        decode_handover(json.dumps(raw).encode())
+    assert caught.value.location == "file.servers[0].born"
+    assert caught.value.found == repr(value)
+    assert caught.value.expected == "a finite number"
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -1,58 +1,155 @@
-"""What the processes of one limiter share in files."""
+"""Tests of the process group: liveness, suspended endpoints and the handover file."""
 
 from __future__ import annotations
 
 import subprocess
 import sys
+from collections.abc import Iterator
 from pathlib import Path
 
+import pytest
+
 from quota_gateway import model
-from quota_gateway.net.process_group import BANS, ProcessGroup
+from quota_gateway.net.process_group import ProcessGroup
+from quota_gateway.net.suspension_file import FILE_NAME
+
+HANDOVER_STATE = model.HandoverState(
+    completion_rate=0.5,
+    mean_work=0.1,
+    mean_units=2.0,
+    base_latencies={"read": 0.04},
+    endpoints=(
+        model.EndpointHandover(
+            name="s0",
+            started_at=1.5,
+            warming_since=None,
+            responses=3,
+            mean_slowdown=1.0,
+            slowdown=1.1,
+            work_rate=0.2,
+        ),
+    ),
+    accounts=(
+        model.AccountHandover(
+            plan="basic",
+            account="00000000b4d65521",
+            serving_gateways=2,
+            tokens=3.0,
+            guaranteed_tokens=1.0,
+            ceiling_tokens=0.5,
+            remote_usage_rate=0.1,
+            last_synchronised=7.0,
+            counter_total=None,
+        ),
+    ),
+)
+# Joins the group, suspends an endpoint, prints the number of processes and waits to be killed.
+OTHER_PROCESS = """
+import sys
+from quota_gateway.net.process_group import ProcessGroup
+
+group = ProcessGroup(sys.argv[1], "n1")
+group.set_suspended("b", True)
+print(group.process_count, flush=True)
+sys.stdin.read()
+"""
+
+
+@pytest.fixture
+def group(tmp_path: Path) -> Iterator[ProcessGroup]:
+    group = ProcessGroup(str(tmp_path), "n1")
+    yield group
+    group.close()
+
 
+@pytest.fixture
+def successor(tmp_path: Path, group: ProcessGroup) -> Iterator[ProcessGroup]:
+    """A process that joins after ``group``."""
+    successor = ProcessGroup(str(tmp_path), "n1")
+    yield successor
+    successor.close()
 
-def test_what_processes_share_outlives_one_and_survives_damage(tmp_path: Path) -> None:
-    first = ProcessGroup(str(tmp_path), "n1")
-    assert first.process_count == 1 and first.suspensions() == frozenset()
-    code = "import sys; from quota_gateway.net.process_group import ProcessGroup; " \
-        "s = ProcessGroup(sys.argv[1], 'n1'); " \
-        "s.set_suspended('b', True); print(s.process_count, flush=True); sys.stdin.read()"  # fmt: skip
-    first.set_suspended("a", True)
+
+def group_folder(tmp_path: Path) -> Path:
+    (folder,) = (path for path in tmp_path.iterdir() if path.is_dir())
+    return folder
+
+
+def suspend_in_another_process(tmp_path: Path, group: ProcessGroup) -> None:
+    """Let another process suspend endpoint ``b``, check what both see, and kill it."""
     other = subprocess.Popen(
-        [sys.executable, "-c", code, str(tmp_path)], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+        [sys.executable, "-c", OTHER_PROCESS, str(tmp_path)],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
     )
-    assert other.stdout is not None and other.stdout.readline() == "2\n"
-    assert first.process_count == 2 and first.suspensions() == {"a", "b"}
+    assert other.stdout is not None
+    assert other.stdout.readline() == "2\n"
+    assert group.process_count == 2
+    assert group.suspensions() == {"a", "b"}
     other.kill()
     other.communicate()
-    assert first.process_count == 1  # what a killed process left is stale, and is cleared away
+
+
+def test_suspensions_outlive_the_process_that_recorded_them(tmp_path: Path, group: ProcessGroup) -> None:
+    assert group.process_count == 1
+    assert group.suspensions() == frozenset()
+    group.set_suspended("a", True)
+    suspend_in_another_process(tmp_path, group)
+    assert group.process_count == 1  # the file of a killed process is stale, and is deleted
+    assert group.suspensions() == {"a", "b"}
+
+
+def test_limiters_of_other_names_have_suspensions_of_their_own(tmp_path: Path, group: ProcessGroup) -> None:
+    group.set_suspended("a", True)
     assert ProcessGroup(str(tmp_path), "n2").suspensions() == frozenset()
-    folder = next(path.parent for path in tmp_path.rglob(BANS))
-    for damage in (b"", b"{", b'{"out": 3}', b"[]", b"\xff", b'{"out": [1]}'):
-        (folder / BANS).write_bytes(damage)
-        assert first.suspensions() == {"a", "b"}
-        fresh = ProcessGroup(str(tmp_path), "n1")
-        assert fresh.suspensions() == frozenset()
-        fresh.close()
-    assert first.set_suspended("a", False) == {"b"} == first.suspensions()
-    assert ProcessGroup(str(tmp_path / "missing"), "n1").set_suspended("x", True) == {
-        "x"
-    }  # alone, and it still works
-
-
-def test_what_one_process_hands_over_is_read_once_and_damage_is_passed_over(tmp_path: Path) -> None:
-    old, new = ProcessGroup(str(tmp_path), "n1"), ProcessGroup(str(tmp_path), "n1")
-    notes = model.HandoverState(
-        0.5, 0.1, 2.0, {"read": 0.04}, (model.EndpointHandover("s0", 1.5, None, 3, 1.0, 1.1, 0.2),),
-        (model.AccountHandover("basic", "00000000b4d65521", 2, 3.0, 1.0, 0.5, 0.1, 7.0, None),),
-    )  # fmt: skip
-    old.write_handover(notes)
-    old.write_handover(notes)
-    assert new.read_handover() == notes and new.read_handover() is None and old.read_handover() is None
-    (folder,) = (path for path in tmp_path.iterdir() if path.is_dir())
-    for damage in (b"", b"[]", b"{}", b"\xff", b'{"servers": [], "accounts": [3], "bases": {}}'):
-        (folder / f"notes-for-{new._own}").write_bytes(damage)
-        assert new.read_handover() is None and not list(folder.glob("notes-for-*"))
+
+
+def test_a_malformed_suspension_file_changes_nothing_in_a_running_process(
+    tmp_path: Path, group: ProcessGroup
+) -> None:
+    group.set_suspended("a", True)
+    suspend_in_another_process(tmp_path, group)
+    file = group_folder(tmp_path) / FILE_NAME
+    for malformed in (b"", b"{", b'{"out": 3}', b"[]", b"\xff", b'{"out": [1]}'):
+        file.write_bytes(malformed)
+        assert group.suspensions() == {"a", "b"}
+        started_now = ProcessGroup(str(tmp_path), "n1")
+        assert started_now.suspensions() == frozenset()
+        started_now.close()
+    assert group.set_suspended("a", False) == {"b"}
+    assert group.suspensions() == {"b"}
+
+
+def test_suspensions_stay_in_memory_without_a_folder(tmp_path: Path) -> None:
+    assert ProcessGroup(str(tmp_path / "missing"), "n1").set_suspended("x", True) == {"x"}
+
+
+def test_the_handover_state_is_read_once(group: ProcessGroup, successor: ProcessGroup) -> None:
+    group.write_handover(HANDOVER_STATE)
+    group.write_handover(HANDOVER_STATE)
+    assert successor.read_handover() == HANDOVER_STATE
+    assert successor.read_handover() is None
+    assert group.read_handover() is None
+
+
+def test_a_malformed_handover_file_is_deleted(tmp_path: Path, successor: ProcessGroup) -> None:
+    folder = group_folder(tmp_path)
+    for malformed in (b"", b"[]", b"{}", b"\xff", b'{"servers": [], "accounts": [3], "bases": {}}'):
+        (folder / f"notes-for-{successor._process_file}").write_bytes(malformed)
+        assert successor.read_handover() is None
+        assert not list(folder.glob("notes-for-*"))
+
+
+def test_no_handover_state_is_written_for_two_processes(
+    tmp_path: Path, group: ProcessGroup, successor: ProcessGroup
+) -> None:
+    group.write_handover(HANDOVER_STATE)
+    assert successor.read_handover() == HANDOVER_STATE
     third = ProcessGroup(str(tmp_path), "n1")
     fourth = ProcessGroup(str(tmp_path), "n1")
-    old.write_handover(notes)  # two have come: a part of a ceiling is for one
-    assert third.read_handover() is None and fourth.read_handover() is None
+    group.write_handover(HANDOVER_STATE)  # a part of a ceiling is for one process alone
+    assert third.read_handover() is None
+    assert fourth.read_handover() is None
+    third.close()
+    fourth.close()
