--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -1,125 +1,147 @@
-"""The second address: operators ask one line a connection, and get one answer at once.
+"""The admin address: operators send one command on a connection, and get one reply at once.
 
-It has connections of its own, so neither load nor clients on the first address reach it. Callers that
-stall hold a connection for some seconds and nothing else; there is a bound on them, and the oldest goes.
+It has connections of its own, so that neither load nor clients on the first address reach it. A client that
+stalls holds one connection for some seconds and nothing else; beyond a bound the oldest one is closed.
 """
 
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Callable
 from typing import Protocol, cast
 
 from quota_gateway import model
 
-log = logging.getLogger(__name__)
+MAX_COMMAND_LENGTH = 256  # bytes, without the line's end
+MAX_CONNECTIONS = 16
+COMMAND_TIMEOUT = 5.0  # seconds that a client may take to send its command
+LINGER_TIME = 0.5  # seconds that further input is read after the reply, or a reset would discard the reply
 
-MAX_LINE = 256
-MAX_CALLERS = 16
-PATIENCE = 5.0  # seconds that a caller may take for its line
-LINGER = 0.5  # seconds that a caller's further input is read, or a reset would eat the answer
-VERBS = {verb.value.encode(): verb for verb in model.AdminCommand}
-TAKES_ID = (model.AdminCommand.SUSPEND, model.AdminCommand.RESTORE)
+COMMANDS = {command.value.encode(): command for command in model.AdminCommand}
+COMMANDS_WITH_ENDPOINT = (model.AdminCommand.SUSPEND, model.AdminCommand.RESTORE)
+SUCCESS_REPLY = "SUCCESS\n"
+FAILURE_REPLY = "FAILURE\n"
+END_OF_METRICS = "EOT\n"
+
+# Called with whether the command succeeded, and with the metrics as text where the command asked for them.
+ReplyCallback = Callable[[bool, str], None]
 
 
 class AdminHandler(Protocol):
-    """What answers the calls: the node."""
+    """What executes the commands: the dispatcher."""
 
-    def on_admin_command(
-        self, verb: model.AdminCommand, server: str, done: Callable[[bool, str], None]
-    ) -> None:
-        """Answer by yes or no, and by the figures where they were asked for."""
+    def on_admin_command(self, command: model.AdminCommand, endpoint: str, reply: ReplyCallback) -> None:
+        """Execute a command and call ``reply`` once; ``endpoint`` is empty where the command takes none."""
 
 
 class _AdminConnection(asyncio.Protocol):
-    def __init__(self, mgmt: AdminListener) -> None:
-        self._mgmt, self._line, self._asked = mgmt, b"", False
+    """One connection to the admin address, which carries one command."""
+
+    def __init__(self, listener: AdminListener) -> None:
+        self._listener = listener
+        self._command_text = b""
+        self._is_input_complete = False  # the command has come, or what came has been rejected
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        self._timer = asyncio.get_running_loop().call_later(PATIENCE, self._give_up)
-        self._mgmt.connected(self)
+        """Start the command's time-out."""
+        self._transport = cast(asyncio.Transport, transport)  # those of uvloop are no subclass of it
+        self._timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT, self._on_timeout)
+        self._listener.connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
-        self._mgmt.disconnected(self)
+        self._listener.disconnected(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._asked:
+        """Collect the command up to the end of its line, within the bound on its length."""
+        if self._is_input_complete:
             return
-        line, end, _ = (self._line + data).partition(b"\n")
-        self._line = line[: MAX_LINE + 1]
-        if len(self._line) > MAX_LINE:
-            self._answer(False)
-        elif end:
-            self._ask()
+        command_text, newline, _ = (self._command_text + data).partition(b"\n")
+        self._command_text = command_text[: MAX_COMMAND_LENGTH + 1]
+        if len(self._command_text) > MAX_COMMAND_LENGTH:
+            self._reply(False)
+        elif newline:
+            self._execute()
 
     def eof_received(self) -> bool:
-        if not self._asked:
-            self._ask()  # the end of its input ends the line as well
-        return True  # the answer still goes out
-
-    def _ask(self) -> None:
-        self._asked = True
-        verb, *rest = self._line.removesuffix(b"\r").split(b" ")
-        known = VERBS.get(verb)
-        if known is None or len(rest) != (known in TAKES_ID) or not all(rest):
-            self._answer(False)
-        else:
-            self._mgmt.handler.on_admin_command(
-                known, rest[0].decode("utf-8", "replace") if rest else "", self._answer
-            )
+        """Take the end of the input for the end of the line; the transport stays open for the reply."""
+        if not self._is_input_complete:
+            self._execute()
+        return True
+
+    def _execute(self) -> None:
+        self._is_input_complete = True
+        name, *arguments = self._command_text.removesuffix(b"\r").split(b" ")
+        command = COMMANDS.get(name)
+        argument_count = 1 if command in COMMANDS_WITH_ENDPOINT else 0
+        if command is None or len(arguments) != argument_count or not all(arguments):
+            self._reply(False)
+            return
+        endpoint = arguments[0].decode("utf-8", "replace") if arguments else ""
+        self._listener.handler.on_admin_command(command, endpoint, self._reply)
 
-    def _give_up(self) -> None:
-        if not self._asked:
-            self._answer(False)
+    def _on_timeout(self) -> None:
+        if not self._is_input_complete:
+            self._reply(False)
 
-    def _answer(self, ok: bool, figures: str = "") -> None:
-        self._asked = True
+    def _reply(self, succeeded: bool, metrics: str = "") -> None:
+        self._is_input_complete = True
         if self._transport is None or self._transport.is_closing():
             return
         if self._timer is not None:
             self._timer.cancel()
-        reply = f"{figures}EOT\n" if ok and figures else "SUCCESS\n" if ok else "FAILURE\n"
-        self._transport.write(reply.encode())
+        if not succeeded:
+            text = FAILURE_REPLY
+        elif metrics:
+            text = metrics + END_OF_METRICS
+        else:
+            text = SUCCESS_REPLY
+        self._transport.write(text.encode())
         if self._transport.can_write_eof():
             self._transport.write_eof()
-        self._timer = asyncio.get_running_loop().call_later(LINGER, self.abort)
+        self._timer = asyncio.get_running_loop().call_later(LINGER_TIME, self.abort)
 
     def abort(self) -> None:
+        """Close the connection without sending what is left."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class AdminListener:
-    """The listener of the second address."""
+    """Listens on the admin address and keeps its connections within a bound."""
 
-    def __init__(self, desk: AdminHandler) -> None:
-        self.handler = desk
-        self._callers = dict[_AdminConnection, None]()  # in the order of their coming
+    def __init__(self, handler: AdminHandler) -> None:
+        """``handler`` executes the commands of all connections."""
+        self.handler = handler
+        self._connections = dict[_AdminConnection, None]()  # the oldest first
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
+        """Listen, and return the host and port bound; raises ``OSError`` where the address is taken."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _AdminConnection(self), host, port)
-        address = self._server.sockets[0].getsockname()
-        return address[0], address[1]
+        host, port, *_ = self._server.sockets[0].getsockname()
+        return host, port
 
-    def connected(self, caller: _AdminConnection) -> None:
-        if len(self._callers) >= MAX_CALLERS:
-            next(iter(self._callers)).abort()
-        self._callers[caller] = None
+    def connected(self, connection: _AdminConnection) -> None:
+        """Add a connection; at the bound the oldest one gives way to it."""
+        if len(self._connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self._connections))
+            oldest.abort()
+        self._connections[connection] = None
 
-    def disconnected(self, caller: _AdminConnection) -> None:
-        self._callers.pop(caller, None)
+    def disconnected(self, connection: _AdminConnection) -> None:
+        """Remove a connection that has ended."""
+        self._connections.pop(connection, None)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
-        for caller in list(self._callers):
-            caller.abort()
+        for connection in list(self._connections):
+            connection.abort()
--- a/tests/admin_client.py
+++ b/tests/admin_client.py
@@ -3,25 +3,51 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 
+RETRY_INTERVAL = 0.02  # seconds
+STALLED_CONNECTIONS = 40  # more than the admin address keeps open
 
-async def call(port: int, line: bytes, end: bytes = b"\n") -> str:
-    """One call at the second address; retried while nobody listens there yet."""
+
+async def send_command(port: int, command: bytes, terminator: bytes = b"\n") -> str:
+    """The reply to one command; connects again while nobody listens there yet."""
     while True:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             break
         except ConnectionRefusedError:
-            await asyncio.sleep(0.02)
-    writer.write(line + end)
-    if not end:
+            await asyncio.sleep(RETRY_INTERVAL)
+    writer.write(command + terminator)
+    if not terminator:
         writer.write_eof()
-    answer = await reader.read()
+    reply = await reader.read()
     writer.close()
-    return answer.decode()
+    return reply.decode()
 
 
-def figures(text: str) -> dict[str, int]:
+def parse_metrics(text: str) -> dict[str, int]:
+    """The metrics in a reply to METRICS, by name."""
     lines = text.splitlines()
     assert lines[-1] == "EOT"
     return {name: int(value) for name, value in (line.split("=") for line in lines[:-1])}
+
+
+async def fetch_metrics(port: int) -> dict[str, int]:
+    """The metrics that a limiter replies with, by name."""
+    return parse_metrics(await send_command(port, b"METRICS"))
+
+
+@asynccontextmanager
+async def stalled_connections(port: int) -> AsyncIterator[None]:
+    """Connections to the admin address that have sent the beginning of a command, and send no more."""
+    await send_command(port, b"STATUS")  # waits until the address is listened on
+    writers = list[asyncio.StreamWriter]()
+    for _ in range(STALLED_CONNECTIONS):
+        _, writer = await asyncio.open_connection("127.0.0.1", port)
+        writers.append(writer)
+    for writer in writers:
+        writer.write(b"STAT")
+    yield
+    for writer in writers:
+        writer.close()
--- /dev/null
+++ b/tests/test_metrics.py
@@ -0,0 +1,88 @@
+"""Tests of the metrics; the bytes of their text are held by ``test_wire_formats.py``."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from quota_gateway.net.metrics import Metrics
+from tests.admin_client import fetch_metrics, parse_metrics, send_command, stalled_connections
+from tests.loopback import OK, Origin, ask, listening, read_message, run
+from tests.test_program import Program, config, free_port, started
+
+
+def rendered(metrics: Metrics) -> dict[str, int]:
+    return parse_metrics(metrics.render(known_endpoints=3, avoided_endpoints=1) + "EOT\n")
+
+
+@pytest.mark.parametrize(
+    ("status", "name"),
+    [(200, "passed"), (429, "dropped"), (503, "dropped"), (502, "bad_gateway"), (504, "bad_gateway")],
+)
+def test_a_request_is_counted_by_the_status_of_its_response(status: int, name: str) -> None:
+    metrics = Metrics(["lookup"])
+    metrics.record_request("lookup", status)
+    counts = {key: value for key, value in rendered(metrics).items() if key.startswith("app.handled.")}
+    assert counts.pop(f"app.handled.lookup.{name}") == 1
+    assert list(counts.values()) == [0, 0]
+
+
+def test_a_class_that_is_registered_again_keeps_its_counts() -> None:
+    metrics = Metrics(["lookup"])
+    metrics.record_request("lookup", 200)
+    metrics.record_request("fresh", 200)  # not registered yet
+    metrics.register_classes(["fresh", "lookup"])
+    assert rendered(metrics)["app.handled.lookup.passed"] == 1
+    assert rendered(metrics)["app.handled.fresh.passed"] == 0
+
+
+def break_second_response(count: int) -> bytes:
+    return b"" if count == 2 else OK
+
+
+async def request(program: Program) -> str:
+    """The first line of the response to one request."""
+    reader, writer = await program.connect()
+    writer.write(ask())
+    status_line, _, _ = await read_message(reader)
+    return status_line
+
+
+async def check_metrics_of_requests(program: Program, port: int) -> None:
+    before = await fetch_metrics(port)
+    assert before["app.handled.lookup.passed"] == 0
+    assert before["app.upstream_tries"] == 0
+    assert before["app.loads"] == 0
+    assert before["app.known_servers"] == 1
+    assert before["app.skipped_servers"] == 0
+    for _ in range(2):
+        await request(program)
+    after = await fetch_metrics(port)
+    assert after["app.handled.lookup.passed"] == 2
+    assert after["app.upstream_tries"] == 3
+    assert after["app.in_progress"] == 0
+    assert after["app.handled.lookup.dropped"] == 0
+
+
+async def check_metrics_of_a_suspended_endpoint(program: Program, port: int) -> None:
+    for _ in range(2):
+        assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
+    assert (await fetch_metrics(port))["app.skipped_servers"] == 1
+    assert " 429 " in await request(program)
+    assert (await fetch_metrics(port))["app.handled.lookup.dropped"] == 1
+    assert await send_command(port, b"RESTORE s1") == "SUCCESS\n"
+
+
+def test_the_metrics_of_a_running_limiter(tmp_path: Path) -> None:
+    async def main() -> None:
+        port = free_port()
+        async with (
+            listening(Origin(break_second_response).talk) as address,
+            started(config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)) as program,
+            stalled_connections(port),
+        ):
+            await check_metrics_of_requests(program, port)
+            await check_metrics_of_a_suspended_endpoint(program, port)
+
+    run(main())
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -14,7 +14,7 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.decisions.quota import Account
 from tests import world as w
-from tests.admin_client import call, figures
+from tests.admin_client import parse_metrics, send_command
 from tests.loopback import ask, listening, read_message, run
 from tests.test_program import Program, config, free_port, started
 
@@ -128,19 +128,19 @@
 
             async with listening(talk) as dial, beside(dial, ports[0]) as old:  # type: ignore[attr-defined]
                 assert isinstance(old, Program)
-                assert await call(ports[0], b"STATUS") == "SUCCESS\n"
+                assert await send_command(ports[0], b"STATUS") == "SUCCESS\n"
                 kept, kept_writer = await old.connect()
                 kept_writer.write(ask())
                 await taken.wait()
-                assert await call(ports[0], b"SUSPEND s1") == "SUCCESS\n"
+                assert await send_command(ports[0], b"SUSPEND s1") == "SUCCESS\n"
                 async with beside(dial, ports[1]) as new:  # type: ignore[attr-defined]
-                    while await call(ports[1], b"STATUS") != "SUCCESS\n":
+                    while await send_command(ports[1], b"STATUS") != "SUCCESS\n":
                         pass
-                    assert figures(await call(ports[1], b"METRICS"))["app.skipped_servers"] == 1
+                    assert parse_metrics(await send_command(ports[1], b"METRICS"))["app.skipped_servers"] == 1
                     old.process.send_signal(signal.SIGTERM)
-                    while await call(ports[0], b"STATUS") == "SUCCESS\n":
+                    while await send_command(ports[0], b"STATUS") == "SUCCESS\n":
                         pass
-                    assert await call(ports[1], b"RESTORE s1") == "SUCCESS\n"
+                    assert await send_command(ports[1], b"RESTORE s1") == "SUCCESS\n"
                     release.set()
                     status, headers, body = await read_message(kept)
                     assert " 200 " in status and body == b"hi" and headers["connection"] == "close"
@@ -148,6 +148,6 @@
                     reader, writer = await new.connect()
                     writer.write(ask())
                     assert (await read_message(reader))[2] == b"hi"
-                    assert await call(ports[1], b"STATUS") == "SUCCESS\n"
+                    assert await send_command(ports[1], b"STATUS") == "SUCCESS\n"
 
     run(main())
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -14,7 +14,7 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.settings import SettingsError, check_retuned, settings_from
 from tests import world as w
-from tests.admin_client import call, figures
+from tests.admin_client import parse_metrics, send_command
 from tests.loopback import Origin, ask, listening, read_message, run
 from tests.test_program import WIRE_SETTINGS, config, free_port, started
 
@@ -99,7 +99,7 @@
                     (tmp_path / "config.json").write_text(new if isinstance(new, str) else json.dumps(new))
                     program.process.send_signal(signal.SIGHUP)
                     while True:
-                        now = figures(await call(port, b"METRICS"))
+                        now = parse_metrics(await send_command(port, b"METRICS"))
                         if all(now[f"app.{name}"] == value for name, value in want.items()):
                             return
 
@@ -116,7 +116,7 @@
                 assert " 404 " in await status("fresh")
                 await tell(raw | {"settings": raw["settings"] | {"classes": more}}, loads=1)
                 assert " 200 " in await status("fresh") and " 200 " in await status("lookup")
-                assert figures(await call(port, b"METRICS"))["app.handled.fresh.passed"] == 1
+                assert parse_metrics(await send_command(port, b"METRICS"))["app.handled.fresh.passed"] == 1
                 await tell(broken, load_errors=3, loads=1)
                 assert " 200 " in await status("lookup")
 
