--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Decisions on readiness."""
+"""Tests of the decisions on readiness, which the admin command STATUS replies with."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from tests import world as w
 
 
-def test_readiness_begins_with_a_list_and_ends_with_leaving() -> None:
-    gateway = Gateway(w.settings(), 1, 0.0)
+def is_ready(gateway: Gateway) -> bool:
+    actions = gateway.handle(0.0, model.AdminRequest(1, model.AdminCommand.STATUS))
+    return [action.ok for action in actions if isinstance(action, model.AdminReply)] == [True]
 
-    def ready() -> bool:
-        actions = gateway.handle(0.0, model.AdminRequest(1, model.AdminCommand.STATUS))
-        return [a.ok for a in actions if isinstance(a, model.AdminReply)] == [True]
 
-    assert not ready()
+def test_a_gateway_is_ready_from_its_first_endpoint_list_until_its_shutdown() -> None:
+    gateway = Gateway(w.settings(), 1, 0.0)
+    assert not is_ready(gateway)
     gateway.handle(0.0, w.servers("s0"))
-    assert ready()
+    assert is_ready(gateway)
     gateway.handle(0.0, model.ShutdownStarted())
-    assert not ready()
+    assert not is_ready(gateway)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,59 +1,73 @@
-"""Decisions on endpoints that operators have suspended."""
+"""Tests of the decisions on endpoints that operators have suspended."""
 
 from __future__ import annotations
 
+import pytest
+
 from quota_gateway import model
 from tests import world as w
 
 
-def test_a_ban_holds_whatever_the_list_says_until_the_call_back() -> None:
+@pytest.fixture
+def world() -> w.World:
+    """A gateway that knows the endpoints ``s0`` and ``s1``."""
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1"))
+    return world
+
+
+def execute(world: w.World, command: model.AdminCommand, endpoint: str) -> bool:
+    """Whether a command of an operator succeeds."""
+    *_, reply = world.feed(model.AdminRequest(1, command, endpoint))
+    assert isinstance(reply, model.AdminReply)
+    return reply.ok
+
+
+def endpoints_used(world: w.World, first_id: int) -> set[str]:
+    """The endpoints that 40 requests are forwarded to."""
+    forwarded_before = len(world.sends)
+    for request_id in range(first_id, first_id + 40):
+        world.feed(w.request(request_id))
+        if request_id % 2:  # two at once, or one endpoint would have capacity for all
+            world.serve()
+        world.advance(world.now + 0.05)
+    return {endpoint for _, endpoint, _ in world.sends[forwarded_before:]}
 
-    def ring(verb: model.AdminCommand, server: str) -> bool:
-        *_, reply = world.feed(model.AdminRequest(1, verb, server))
-        assert isinstance(reply, model.AdminReply)
-        return reply.ok
-
-    def used(first: int) -> set[str]:
-        before = len(world.sends)
-        for id in range(first, first + 40):
-            world.feed(w.request(id))
-            if id % 2:  # two at once, or one place would do
-                world.serve()
-            world.advance(world.now + 0.05)
-        return {server for _, server, _ in world.sends[before:]}
-
-    assert ring(model.AdminCommand.SUSPEND, "s0") and ring(model.AdminCommand.SUSPEND, "s0")
-    assert used(0) == {"s1"}
-    world.feed(w.servers("s1"))  # it goes from the list, restarts and comes back
+
+def test_a_suspension_holds_whatever_the_endpoint_list_says_until_it_is_lifted(world: w.World) -> None:
+    assert execute(world, model.AdminCommand.SUSPEND, "s0")
+    assert execute(world, model.AdminCommand.SUSPEND, "s0")
+    assert endpoints_used(world, 0) == {"s1"}
+    world.feed(w.servers("s1"))  # s0 goes from the list, restarts and comes back
     world.feed(w.servers("s0", "s1", born=world.now))
-    assert used(100) == {"s1"}
+    assert endpoints_used(world, 100) == {"s1"}
     world.feed(model.EndpointUpdate((), True))
     world.advance(world.now + 3)
-    assert ring(model.AdminCommand.RESTORE, "s0")  # nobody lists it, but it was out by hand
-    assert not ring(model.AdminCommand.RESTORE, "s0") and not ring(model.AdminCommand.SUSPEND, "s7")
+    assert execute(world, model.AdminCommand.RESTORE, "s0")  # it is on no list, but it was suspended
+    assert not execute(world, model.AdminCommand.RESTORE, "s0")
+    assert not execute(world, model.AdminCommand.SUSPEND, "s7")
     world.feed(w.servers("s0", "s1"))
-    assert used(200) == {"s0", "s1"}
+    assert endpoints_used(world, 200) == {"s0", "s1"}
 
 
-def test_a_server_called_back_is_cold_and_forgiven() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1"))
+def test_a_restored_endpoint_warms_up_and_its_failures_are_forgotten(world: w.World) -> None:
     world.feed(model.SuspensionsChanged(frozenset({"s0"})))
-    server = world.gateway._servers["s0"]
-    server.out_until, server.trial, server.lost = world.now + 60, True, True
+    endpoint = world.gateway._servers["s0"]
+    endpoint.out_until = world.now + 60
+    endpoint.trial = True
+    endpoint.lost = True
     world.feed(model.SuspensionsChanged(frozenset()))
-    assert server.cold_at == world.now and server.out_until <= world.now
-    assert not server.trial and not server.lost
+    assert endpoint.cold_at == world.now
+    assert endpoint.out_until <= world.now
+    assert not endpoint.trial
+    assert not endpoint.lost
 
 
-def test_a_server_out_by_hand_is_not_even_probed() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1"))
-    server = world.gateway._servers["s0"]
-    for names, probes in ((set[str](), 1), ({"s0"}, 0)):
-        server.lost = server.trial = True
-        world.feed(model.SuspensionsChanged(frozenset(names)))
+def test_the_health_of_a_suspended_endpoint_is_not_checked(world: w.World) -> None:
+    endpoint = world.gateway._servers["s0"]
+    for suspended, health_checks in ((set[str](), 1), ({"s0"}, 0)):
+        endpoint.lost = True
+        endpoint.trial = True
+        world.feed(model.SuspensionsChanged(frozenset(suspended)))
         actions = world.feed(model.TimerFired(world.gateway._timer))
-        assert sum(isinstance(a, model.CheckHealth) for a in actions) == probes
+        assert sum(isinstance(action, model.CheckHealth) for action in actions) == health_checks
