--- a/tests/admin_client.py
+++ b/tests/admin_client.py
@@ -48,6 +48,8 @@
         writers.append(writer)
     for writer in writers:
         writer.write(b"STAT")
-    yield
-    for writer in writers:
-        writer.close()
+    try:
+        yield
+    finally:
+        for writer in writers:
+            writer.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,10 +1,17 @@
-"""Tests of the admin address of a running limiter."""
+"""Tests of the admin address, alone and of a running limiter."""
 
 from __future__ import annotations
 
+import asyncio
 import os
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 
+import pytest
+
+from quota_gateway import model
+from quota_gateway.net import admin
 from tests.admin_client import send_command, stalled_connections
 from tests.loopback import Origin, listening, run
 from tests.test_program import config, free_port, started
@@ -22,6 +29,66 @@
 COMMANDS_FOR_UNKNOWN_ENDPOINTS = (b"SUSPEND nobody", b"RESTORE nobody", b"SUSPEND " + b"s" * 100_000)
 
 
+class EchoHandler:
+    """Replies to each command with its name and endpoint in place of metrics."""
+
+    def on_admin_command(
+        self, command: model.AdminCommand, endpoint: str, reply: admin.ReplyCallback
+    ) -> None:
+        reply(True, f"{command.value} {endpoint}\n")
+
+
+@asynccontextmanager
+async def listening_admin() -> AsyncIterator[tuple[str, int]]:
+    listener = admin.AdminListener(EchoHandler())
+    try:
+        yield await listener.listen("127.0.0.1", 0)
+    finally:
+        listener.close()
+
+
+def test_a_command_is_passed_to_the_handler_with_its_endpoint() -> None:
+    async def main() -> None:
+        async with listening_admin() as (_, port):
+            assert await send_command(port, b"RESTORE s1") == "RESTORE s1\nEOT\n"
+            assert await send_command(port, b"STATUS") == "STATUS \nEOT\n"
+
+    run(main())
+
+
+@pytest.mark.parametrize("command", MALFORMED_COMMANDS)
+def test_a_malformed_command_is_not_passed_to_the_handler(command: bytes) -> None:
+    async def main() -> None:
+        async with listening_admin() as (_, port):
+            assert await send_command(port, command) == "FAILURE\n"
+
+    run(main())
+
+
+def test_the_oldest_connection_is_closed_at_the_bound() -> None:
+    async def main() -> None:
+        async with listening_admin() as (host, port):
+            streams = [await asyncio.open_connection(host, port) for _ in range(admin.MAX_CONNECTIONS + 1)]
+            oldest_reader, _ = streams[0]
+            assert await oldest_reader.read() == b""
+            second_reader, second_writer = streams[1]
+            second_writer.write(b"STATUS\n")
+            assert await second_reader.read() == b"STATUS \nEOT\n"
+
+    run(main())
+
+
+def test_a_connection_without_a_command_fails_after_the_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def main() -> None:
+        async with listening_admin() as (host, port):
+            reader, writer = await asyncio.open_connection(host, port)
+            writer.write(b"STAT")
+            assert await reader.read() == b"FAILURE\n"
+
+    monkeypatch.setattr(admin, "COMMAND_TIMEOUT", 0.05)
+    run(main())
+
+
 def test_commands_are_answered_beside_stalled_connections(tmp_path: Path) -> None:
     async def main() -> None:
         port = free_port()
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -133,6 +133,15 @@
     assert group.read_handover() is None
 
 
+def test_the_handover_state_is_written_once_for_each_process(
+    group: ProcessGroup, successor: ProcessGroup
+) -> None:
+    group.write_handover(HANDOVER_STATE)
+    assert successor.read_handover() == HANDOVER_STATE
+    group.write_handover(HANDOVER_STATE)
+    assert successor.read_handover() is None
+
+
 def test_a_malformed_handover_file_is_deleted(tmp_path: Path, successor: ProcessGroup) -> None:
     folder = group_folder(tmp_path)
     for malformed in (b"", b"[]", b"{}", b"\xff", b'{"servers": [], "accounts": [3], "bases": {}}'):
