--- /dev/null
+++ b/tests/test_reconfiguration.py
@@ -0,0 +1,167 @@
+"""Tests of new settings for a running limiter: the decisions, the check of the settings, SIGHUP."""
+
+from __future__ import annotations
+
+import json
+import signal
+from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from quota_gateway import model
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.settings import SettingsError, check_retuned, settings_from
+from tests import world as w
+from tests.admin_client import fetch_metrics
+from tests.loopback import Origin, ask, listening, read_message, run
+from tests.test_program import WIRE_SETTINGS, Program, config, free_port, started
+
+RUNNING_SETTINGS = json.dumps(
+    WIRE_SETTINGS
+    | {"classes": [WIRE_SETTINGS["classes"][0] | {"hard_limit_s": 6.0}], "contract": {"cold_from": 0.5}}
+)
+Change = Callable[[dict[str, Any]], None]
+
+
+def test_requests_in_flight_keep_their_class_and_fewer_attempts_apply_at_once() -> None:
+    world = w.World(w.settings(max_attempts=3))
+    world.feed(w.servers("s0", "s1", "s2"))
+    world.feed(w.request(1))
+    unsafe = replace(w.SAFE, idempotency=model.Idempotency.NONE)
+    fresh = model.RequestClass("fresh", 1.0, 1.0, model.Idempotency.INHERENT)
+    world.feed(w.settings(max_attempts=3, classes=(unsafe, fresh)))
+    world.feed(w.request(2))
+    world.feed(w.request(3, "fresh"))
+    world.config = replace(world.config, classes=(unsafe, fresh))
+    forwarded = len(world.sends)
+    endpoints = {request_id: endpoint for (request_id, _), (endpoint, _) in world.out.items()}
+    world.feed(w.outcome(2, 0, endpoints[2], model.CallStatus.RESET_AFTER_REQUEST))
+    assert world.answered[2] == "failed"  # unsafe now: it may have run
+    assert len(world.sends) == forwarded
+    world.config = replace(world.config, classes=(w.SAFE, fresh))
+    world.feed(w.outcome(1, 0, endpoints[1], model.CallStatus.ERROR))
+    assert len(world.sends) == forwarded + 1  # it came as an idempotent one
+    world.feed(w.settings(max_attempts=1, classes=(unsafe, fresh)))
+    world.feed(w.outcome(3, 0, endpoints[3], model.CallStatus.ERROR))
+    assert world.answered[3] == "refused"
+    assert len(world.sends) == forwarded + 1
+
+
+def without(path: str) -> Change:
+    """Removes a key, given with its parents and separated by dots; a number is an index of a list."""
+
+    def change(raw: dict[str, Any]) -> None:
+        *parents, key = path.split(".")
+        container: Any = raw
+        for parent in parents:
+            container = container[int(parent)] if isinstance(container, list) else container[parent]
+        del container[key]
+
+    return change
+
+
+def with_limit(key: str, value: object) -> Change:
+    def change(raw: dict[str, Any]) -> None:
+        raw["limits"][key] = value
+
+    return change
+
+
+def with_class_value(key: str, value: object) -> Change:
+    def change(raw: dict[str, Any]) -> None:
+        raw["classes"][0][key] = value
+
+    return change
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        without("classes"),
+        without("limits"),
+        without("contract"),
+        without("contract.cold_from"),
+        without("limits.max_attempts"),
+        without("tariffs.0.quota_rate"),
+        without("classes.0.hard_limit_s"),
+        without("classes.0.effect"),
+        without("me"),
+        with_class_value("hard_limit_s", 0),
+        with_class_value("hard_limit_s", -1.0),
+        with_class_value("hard_limit_s", "6"),
+        with_class_value("aim_s", None),
+        with_class_value("aim_s", -2),
+        with_limit("max_attempts", 0),
+        with_limit("max_attempts", True),
+        with_limit("max_attempts", None),
+        lambda raw: raw.update(classes=[]),
+        lambda raw: raw.update(classes=[3]),
+        lambda raw: raw.update(contract=7),
+        lambda raw: raw.update(tariffs=None),
+    ],
+)
+def test_incomplete_settings_are_rejected(change: Change) -> None:
+    raw = json.loads(RUNNING_SETTINGS)
+    check_retuned(raw, json.loads(RUNNING_SETTINGS))
+    change(raw)
+    with pytest.raises(SettingsError):
+        check_retuned(raw, json.loads(RUNNING_SETTINGS))
+        Gateway.check(settings_from(raw))
+
+
+class ReloadingLimiter:
+    """A limiter whose configuration file is replaced while it runs."""
+
+    def __init__(self, program: Program, path: Path, admin_port: int) -> None:
+        self._program = program
+        self._path = path
+        self._admin_port = admin_port
+
+    async def reload(self, text: str, **expected_metrics: int) -> None:
+        """Replace the file, send SIGHUP and wait until the metrics are as expected."""
+        self._path.write_text(text)
+        self._program.process.send_signal(signal.SIGHUP)
+        while True:
+            metrics = await self.metrics()
+            if all(metrics[f"app.{name}"] == value for name, value in expected_metrics.items()):
+                return
+
+    async def metrics(self) -> dict[str, int]:
+        return await fetch_metrics(self._admin_port)
+
+    async def request(self, request_class: str) -> str:
+        """The first line of the response to a request of a class."""
+        reader, writer = await self._program.connect()
+        writer.write(ask(f"/{request_class}?account=00000000b4d65521"))
+        status_line, _, _ = await read_message(reader)
+        return status_line
+
+
+async def check_reloads(limiter: ReloadingLimiter, raw: dict[str, Any]) -> None:
+    lookup = raw["settings"]["classes"][0]
+    fresh = lookup | {"name": "fresh"}
+    valid = json.dumps(raw | {"settings": raw["settings"] | {"classes": [lookup, fresh]}})
+    invalid = json.dumps(raw | {"settings": raw["settings"] | {"classes": [fresh | {"aim_s": 0}]}})
+    await limiter.reload("", load_errors=1)
+    await limiter.reload(invalid, load_errors=2)
+    assert " 404 " in await limiter.request("fresh")
+    await limiter.reload(valid, loads=1)
+    assert " 200 " in await limiter.request("fresh")
+    assert " 200 " in await limiter.request("lookup")
+    assert (await limiter.metrics())["app.handled.fresh.passed"] == 1
+    await limiter.reload(invalid, load_errors=3, loads=1)
+    assert " 200 " in await limiter.request("lookup")
+
+
+def test_sighup_loads_new_classes_and_nothing_of_an_invalid_file(tmp_path: Path) -> None:
+    async def main() -> None:
+        port = free_port()
+        async with listening(Origin().talk) as address:
+            raw = config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
+            async with started(raw, tmp_path, TMPDIR=str(tmp_path)) as program:
+                await check_reloads(ReloadingLimiter(program, tmp_path / "config.json", port), raw)
+
+    run(main())
