--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -167,7 +167,7 @@
         try:
             new = load_config(os.environ.get("LB_CONFIG"))
             check_retuned(new.raw["settings"], self._config.raw["settings"])
-            Gateway.check(new.settings)
+            new.settings.validate()
             if self._config.counter is not None and new.counter is None:
                 raise ConfigError("counter is missing")
         except (ConfigError, ValueError) as error:
--- a/quota_gateway/decisions/quota.py
+++ b/quota_gateway/decisions/quota.py
@@ -1,184 +1,103 @@
-"""One customer's quota at one gateway, and the calls to the counter that all gateways share."""
+"""A customer's quota as one gateway estimates it: demand here, usage elsewhere, and what is worth leasing."""
 
-from hashlib import blake2b
+from dataclasses import dataclass, field
 from math import exp
 
-from quota_gateway import model
-from quota_gateway.model import CallStatus
-
-CALLS = 300.0  # calls a second to the counter, thought possible at first by all, and at most by one
-# Calls a second that one may make more, a second later, while the counter answers quickly, and at most by
-# each answer: who hears of the line four times a second must not outrun what it hears.
-RISE = 5.0
-STEP = 0.01  # of the rate, as cuts are a share of it: at small rates a fixed step outran them
-DEMAND = 2.0  # seconds that the demand of a customer here is a mean of
-LEASED = 0.5  # of a gateway's part of what a store holds: the rest is for who comes meanwhile
-LINE = 0.25  # of the time-out above the usual: answers that take so much longer have waited in a line
-
-
-class CounterBudget:
-    """How many calls the counter bears, and whether it answers at all."""
-
-    def __init__(self, now: float, gateways: int, draw: float, timeout: float = 0.0) -> None:
-        self.rate, self.least = CALLS / gateways, 2 * CALLS / gateways / 100
-        self.usual, self.line = 0.0, LINE * timeout if timeout > 0 else float("inf")
-        self.room = 0.2 * self.rate + draw  # in random debt: fresh fleets call in turn
-        self.at, self.sign, self.silent_until, self.misses = now, now, 0.0, 0
-
-    def left(self, now: float) -> float:
-        """Calls that may be made now."""
-        self.room = min(2 + 0.2 * self.rate, self.room + self.rate * max(0.0, now - self.at))
-        self.at = max(self.at, now)
-        return self.room if now >= self.silent_until else 0.0
-
-    def ended(self, now: float, status: CallStatus, made: float, draw: float = 0.5) -> None:
-        """One sign of silence is a queue or a break; two with no answer between are silence, for a while.
-
-        All gateways see a silence at the same moment. So its length is drawn by each for itself and grows
-        while nothing is answered, and who comes back has saved up no calls for it: after one second for all
-        they came back as one crowd, which was the next silence.
-
-        Calls that were out together end together, when their connection breaks or behind one queue: one
-        event, one sign. Where each time-out of a burst counted, a crowd of calls passed for a silent counter,
-        and when its second was over all gateways came back at once, with all they owed, to the next crowd.
-
-        A break tells nothing of what the counter bears. It serves as well behind a rough network or a
-        balancer that drops connections. It could do harm where a counter breaks each connection: every
-        second call is then made in vain, and each costs its request the time of a break.
-        """
-        took = now - made
-        if status is CallStatus.OK:
-            self.usual += (took - self.usual) * (0.02 if took > self.usual > 0 else 0.5)
-        slow = status is not CallStatus.OK or took > self.usual + self.line
-        fresh, self.sign = made >= self.sign, now if slow else self.sign
-        if status is CallStatus.OK:
-            self.misses = 0
-            # The line shows in the answers before it loses any. Where the rate rose until calls timed out, a
-            # fleet rose as fast as it is large; at a slower rise busy gateways wanted calls that were there.
-            if not slow:
-                self.rate = min(CALLS, self.rate + min(STEP * self.rate, RISE / self.rate))
-            elif fresh:
-                self.rate = max(self.least, 0.95 * self.rate)
-        elif status is not CallStatus.MALFORMED and fresh:
-            self.misses += status is not CallStatus.OVERLOADED
-            self.rate *= 1.0 if status is CallStatus.RESET_AFTER_REQUEST else 0.9
-            self.rate = max(self.least, self.rate)
-        if status not in (CallStatus.OK, CallStatus.OVERLOADED, CallStatus.MALFORMED) and self.misses > 1:
-            self.silent_until = now + (0.5 + draw) * min(2.0, 0.5 * self.misses)
-            self.at, self.room = self.silent_until, min(1.0, self.room)
-
-
-class Account:
-    """A customer's quota as this gateway knows it; many come once only, so it is kept small."""
-
-    __slots__ = (
-        "ahead", "asked", "at", "calls", "ceiling", "demand", "demand_at", "floor", "floor_cap",
-        "lease", "level", "name", "open", "others", "pending", "plan", "share", "synced", "thin", "total",
-        "ways",
-    )  # fmt: skip
-
-    def __init__(
-        self, now: float, ev: model.Request, plan: model.Plan, born: float, most: float, parts: int = 1
-    ) -> None:
-        self.plan, self.at, self.asked, self.synced = plan, now, now, born
-        self.share = share = max(1, ev.serving_gateways)
-        self.ways = share * parts  # two processes of one gateway have its share together
-        label = f"{ev.plan} {ev.account}".encode()
-        self.name = int.from_bytes(blake2b(label, digest_size=8).digest(), "big") >> 1
-        self.level = plan.burst + plan.rate * (now - born)  # of the whole store; a reading cuts it
-        self.replan(plan, most)
-        self.floor = self.floor_cap
-        # A restart finds the ceiling's store used, so the share fills from this instance's birth.
-        self.ceiling = min(plan.ceiling_burst, plan.ceiling_rate * (now - born)) / self.ways
-        self.total: float | None = None
-        self.others = plan.rate * (share - 1) / share * 0.3  # their use a second
-        self.pending, self.open = 0.0, 0  # own use that the counter has not been told; attempts out
-        self.calls = list[tuple[float, float, float]]()  # amount, the part of it that is to be leased, when
-        # Units that the counter has as used and this gateway may still grant; those that are asked for.
-        self.lease = self.ahead = 0.0
-        self.demand, self.demand_at = 0.0, now  # units a second asked for here, inside the quota or not
-
-    def replan(self, plan: model.Plan, most: float) -> None:
-        """The plan's terms, at first and when they change; what the stores hold is cut when they refill."""
-        self.plan = plan
-        self.thin = plan.burst < 2 * self.share  # the even share holds next to nothing
-        self.floor_cap = max(plan.burst / self.share, min(most, plan.burst) * self.thin)
-
-    def wanted(self, now: float, units: float) -> None:
-        """A request asks for so many units: the demand here is a mean that forgets within seconds."""
-        self.demand = self.demand_now(now) + units / DEMAND
-        self.demand_at = now
-
-    def demand_now(self, now: float) -> float:
-        return self.demand * exp((self.demand_at - now) / DEMAND)
-
-    def need(self, now: float, horizon: float) -> float:
-        """Units worth asking for ahead: those of so many seconds, as far as this gateway's part of what the
-        store holds covers them. A part by demand: an even one leaves the idle gateways' parts unused."""
-        demand = self.demand_now(now)
-        room = max(0.0, self.level - self.others * (now - self.synced))
-        return min(demand * horizon, LEASED * room * demand / max(1e-9, demand + self.others)) - self.lease
-
-    def give_back(self, units: float) -> None:
-        """Units of the lease that are not needed: the store has them again, and the counter is told."""
-        self.lease, self.level, self.pending = self.lease - units, self.level + units, self.pending - units
-
-    def split(self, parts: int) -> float:
-        """So many processes are this gateway: each has a part of what is left; gives that of one other."""
-        before, self.ways = self.ways, self.share * parts
-        if self.ways > before:
-            self.ceiling *= before / self.ways
-            return self.ceiling
-        return 0.0
-
-    def take(self, now: float, note: model.AccountHandover) -> None:
-        """The notes of the process before: its count, and the part of the ceiling that it gave away."""
-        self.refill(now)
-        self.ceiling = min(self.plan.ceiling_burst / self.ways, self.ceiling + note.ceiling_tokens)
-        self.floor = min(self.floor, note.guaranteed_tokens)
-        if (
-            self.total is None
-            and not self.calls
-            and note.counter_total is not None
-            and note.last_synchronised <= now
-        ):
-            self.total, self.synced, self.others = (
-                note.counter_total,
-                note.last_synchronised,
-                note.remote_usage_rate,
-            )
-            self.level = min(self.level, note.tokens) - self.pending
-
-    def refill(self, now: float) -> None:
-        plan, dt, self.at = self.plan, max(0.0, now - self.at), now
-        self.level = min(plan.burst + plan.rate * (now - self.synced), self.level + plan.rate * dt)
-        self.floor = min(self.floor_cap, self.floor + plan.rate / self.ways * dt)
-        whole = self.ceiling * self.ways + plan.ceiling_rate * dt
-        self.ceiling = min(plan.ceiling_burst, whole) / self.ways
-
-    def settle(self, more: float) -> None:
-        """The answer told the true units: the quota counts those, and so does what the counter is told."""
-        self.level -= more
-        self.floor = min(self.floor_cap, self.floor - more)
-        self.pending += more
-
-    def told(self, now: float, total: float, step: float, ahead: float) -> None:
-        """The count answers: what the others used since the last total, and so what the store holds."""
-        # A total that fell has expired, was flushed or restarted empty: what it holds came since. What was
-        # given back here is no such fall.
-        fallen = total - min(0.0, step) < (self.total or 0.0) * 0.5
-        others = max(0.0, total - step) if fallen else total - step - (self.total or 0.0)
-        age = max(0.05, now - self.synced)
-        self.others += min(1.0, age / 3) * (max(0.0, others) / age - self.others)
-        self.level -= others
-        if self.total is None and self.level < -self.plan.burst:
-            self.level = self.plan.burst / 2  # a count older than this instance tells nothing yet
-        if fallen:
-            self.pending += self.lease  # the counter has forgotten that this is taken
-        self.total, self.synced = total, now
-        # What a full store could not hold is counted as used: the count alone then tells the store.
-        lost = max(0.0, self.level + self.lease + ahead - self.plan.burst)
-        self.level -= lost
-        self.pending += lost * (
-            not self.thin or lost > 0.5 * self.plan.burst
-        )  # another may tell a thin gate's
+from quota_gateway.decisions.context import Context
+from quota_gateway.model import Plan
+from quota_gateway.state import Account, PendingCall
+
+DEMAND_WINDOW = 2.0  # seconds that the demand of a customer here is a mean of
+LEASED_FRACTION = 0.5  # of this gateway's part of the bucket: the rest is for who comes meanwhile
+NO_UNITS = 1e-9  # units that are only what is left of sums of floating numbers
+IDLE_TIME = 60.0  # seconds without a request until a customer is forgotten
+REMOTE_GUESS = 0.3  # of their even share that the other gateways are taken to use, until the counter tells
+REMOTE_WINDOW = 3.0  # seconds that the remote usage is a mean of
+MIN_TOTAL_AGE = 0.05  # seconds between two totals, taken at least
+RESET_FRACTION = 0.5  # a total below this share of the last one is a counter that expired or restarted
+SPARSE_OVERFLOW = 0.5  # share of a full bucket that a sparse gateway tells as lost: another may tell less
+
+
+def demand_now(now: float, account: Account) -> float:
+    """Units a second that are asked for here; the mean forgets within seconds."""
+    return account.demand * exp((account.demand_at - now) / DEMAND_WINDOW)
+
+
+def add_demand(now: float, account: Account, units: float) -> None:
+    """A request asks for units, inside the quota or not."""
+    account.demand = demand_now(now, account) + units / DEMAND_WINDOW
+    account.demand_at = now
+
+
+def lease_size(now: float, account: Account, horizon: float) -> float:
+    """Units worth leasing: the demand of ``horizon`` seconds, within this gateway's part of the bucket.
+
+    A part by demand: an even one would leave the parts of idle gateways unused.
+    """
+    demand = demand_now(now, account)
+    left = max(0.0, account.tokens - account.remote_usage * (now - account.last_synchronised))
+    part = LEASED_FRACTION * left * demand / max(NO_UNITS, demand + account.remote_usage)
+    return min(demand * horizon, part) - account.leased
+
+
+def synchronise(now: float, account: Account, total: float, call: PendingCall) -> None:
+    """Take the counter's total after a call: what the others used since the last one has left the bucket."""
+    burst = account.plan.burst
+    last_total = account.counter_total or 0.0
+    # A total that fell has expired, was flushed or restarted empty: what it holds came since. What was given
+    # back by this call is no such fall.
+    was_reset = total - min(0.0, call.amount) < last_total * RESET_FRACTION
+    remote = max(0.0, total - call.amount) if was_reset else total - call.amount - last_total
+    elapsed = max(MIN_TOTAL_AGE, now - account.last_synchronised)
+    weight = min(1.0, elapsed / REMOTE_WINDOW)
+    account.remote_usage += weight * (max(0.0, remote) / elapsed - account.remote_usage)
+    account.tokens -= remote
+    if account.counter_total is None and account.tokens < -burst:
+        account.tokens = burst / 2  # a count older than this instance tells nothing yet
+    if was_reset:
+        account.unreported_usage += account.leased  # the counter has forgotten that this is taken
+    account.counter_total = total
+    account.last_synchronised = now
+    # What a full bucket could not hold is counted as used: the count alone then tells what it holds.
+    overflow = max(0.0, account.tokens + account.leased + call.leased - burst)
+    account.tokens -= overflow
+    if not account.is_sparse or overflow > SPARSE_OVERFLOW * burst:
+        account.unreported_usage += overflow
+
+
+@dataclass(slots=True, eq=False)
+class AccountTable:
+    """All customers that this gateway has met lately."""
+
+    context: Context
+    accounts: dict[tuple[str, str], Account] = field(default_factory=dict)  # by plan and account
+    by_counter_id: dict[int, Account] = field(default_factory=dict)
+
+    def reconfigure(self, now: float) -> None:
+        """Take new plans; customers whose plan is gone keep their terms."""
+        for account in self.accounts.values():
+            account.refill(now)
+            plan = self.context.plans.get(account.plan.name, account.plan)
+            account.set_plan(plan, self.context.settings.max_units)
+
+    def find_or_create(self, now: float, plan_name: str, name: str, gateways: int) -> Account:
+        """The customer's account; one of an unknown plan has no quota."""
+        account = self.accounts.get((plan_name, name))
+        if account is None:
+            plan = self.context.plans.get(plan_name) or Plan(plan_name)
+            start = self.context.started_at
+            max_units = self.context.settings.max_units
+            account = Account(now, plan, name, gateways, start, max_units, self.context.process_count)
+            account.remote_usage = plan.rate * (account.gateways - 1) / account.gateways * REMOTE_GUESS
+            self.accounts[plan_name, name] = account
+            self.by_counter_id[account.counter_id] = account
+        return account
+
+    def forget_idle(self, now: float) -> None:
+        """Forget customers that have asked nothing for a minute."""
+        for key, account in list(self.accounts.items()):
+            is_idle = now - account.updated_at > IDLE_TIME and not account.open_attempts
+            # Not before the ceiling is full: a new account would start with more than was left.
+            if is_idle and account.is_ceiling_full(now):
+                del self.by_counter_id[account.counter_id]
+                del self.accounts[key]
--- /dev/null
+++ b/quota_gateway/state/rejections.py
@@ -0,0 +1,27 @@
+"""The log text on rejections."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from quota_gateway.state.account import Account
+from quota_gateway.state.endpoint import EndpointState
+
+
+def describe_rejections(
+    now: float,
+    rejections: Mapping[str, int],
+    ejections: Mapping[str, int],
+    ring: list[EndpointState],
+    lease_holders: Iterable[Account],
+) -> str:
+    """Rejections by reason and ejections by cause, with the leases and endpoints as they stand now."""
+    reasons = ", ".join(f"{reason} {count}" for reason, count in sorted(rejections.items()))
+    causes = "".join(f", {count} as {cause}" for cause, count in sorted(ejections.items()))
+    leases = [account.leased for account in lease_holders]
+    warming_up = sum(state.warming_since is not None for state in ring)
+    ejected = sum(state.ejected_until > now for state in ring)
+    return (
+        f"rejected: {reasons}; leased {sum(leases):.0f} for {len(leases)}; warming up {warming_up}"
+        f"; ejected {ejected} of {len(ring)}{causes}"
+    )
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -11,7 +11,7 @@
 from time import process_time_ns
 from typing import Any
 
-from quota_gateway.decisions.gateway import FORGET
+from quota_gateway.decisions.quota import IDLE_TIME
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import check_retuned, settings_from
 from scale import day, fit
@@ -111,7 +111,7 @@
 def shares(size: Size, budget: Budget, result: Result) -> None:
     """The costs at the size, and the share of a core that control takes of them."""
     by_name = {one.name: one for one in result.slopes}
-    steady = Hollow(size, True, 1).coming(FORGET)
+    steady = Hollow(size, True, 1).coming(IDLE_TIME)
     ends = (
         ("servers", size.servers, Hollow(size, False, 1).tenants, True),
         ("customers", size.tenants, size.tenants, True),
@@ -119,7 +119,7 @@
     )
     result.notes.append(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
-        f"{steady} of {size.tenants} come within the {FORGET:.0f} s after which one is forgotten: "
+        f"{steady} of {size.tenants} come within the {IDLE_TIME:.0f} s after which one is forgotten: "
         "the third share is the lines' at that number, the second that of a limiter that knows all"
     )
     for by, count, customers, measured in ends:
--- a/scale/fleet_limiters.py
+++ b/scale/fleet_limiters.py
@@ -289,9 +289,7 @@
         gateway = self.gateway
         assert gateway is not None
         causes = self._causes
-        if getattr(gateway, "_why", None) is not causes:  # a log line has begun it anew
-            causes.clear()
-            gateway._why = causes
+        gateway.forwarder.rejections = causes
         causes.last.clear()
         began = time.thread_time_ns()
         actions = gateway.handle(now, event)
@@ -399,7 +397,9 @@
 
     def cold(self) -> int:
         """Servers of its part that this limiter takes for cold."""
-        return sum(s.cold_at is not None for s in getattr(self.gateway, "_mine", ()))
+        return sum(
+            s.warming_since is not None for s in (self.gateway.endpoints.subset if self.gateway else ())
+        )
 
 
 class Worker:
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -15,9 +15,9 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.decisions.quota import Account
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import settings_from
+from quota_gateway.state import Account
 from scale.model import Size
 
 PLAN = "basic"
@@ -154,7 +154,7 @@
 
     def known(self) -> int:
         """Customers that the limiter knows: a figure that it tells nobody."""
-        return len(self.gateway._accounts)
+        return len(self.gateway.accounts.accounts)
 
     def whole(self) -> str:
         """The whole list as it stands now."""
@@ -210,7 +210,7 @@
         kind = f"class-{self._newest % CLASSES}"
         asked = model.Request(self._newest, kind, PLAN, TTL, f"{customer:016x}", serving_gateways=self.spread)
         # The counter must know whose number is told, and the number is the decisions' own hash.
-        name = Account(0.0, asked, model.Plan(PLAN), 0.0, 1.0).name
+        name = Account(0.0, model.Plan(PLAN), asked.account).counter_id
         self._customers.setdefault(name, customer)
         return asked
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -380,11 +380,11 @@
     world.requests[1] = (asked, world.now + 1000.0)  # the client's time has not begun
     for _ in range(100):
         world.advance(world.now + 0.1)
-    server = world.gateway._servers["s0"]
-    assert server.quiet is None and not world.answered and not world.gateway._load
+    server = world.gateway.endpoints.by_name["s0"]
+    assert server.unresponsive_since is None and not world.answered and not world.gateway.controller.readings
     world.requests[1] = (asked, world.now + 3.0)
     world.feed(model.UploadCompleted(1))
-    assert server.quiet == world.now
+    assert server.unresponsive_since == world.now
     world.feed(
         model.AttemptCompleted(1, 0, "s0", model.CallStatus.RESET_BEFORE_REQUEST, 0.1, False, {}, None, False)
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from quota_gateway import model
+from quota_gateway.decisions.counter_budget import CounterBudget
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.decisions.quota import CounterBudget
 from tests import world as w
 
 FLEET = 40
@@ -18,11 +18,11 @@
     ends = []
     for calls, rng in zip(fleet, rngs, strict=True):
         for at in (101.0, 102.0):
-            calls.left(at)
-            calls.ended(at, model.CallStatus.TIMEOUT, at - 0.01, rng.random())
-        ends.append(calls.silent_until)
-        assert calls.left(calls.silent_until - 1e-6) == 0
-        assert calls.left(calls.silent_until) <= 1, "it saved up calls while it made none"
+            calls.available(at)
+            calls.call_ended(at, model.CallStatus.TIMEOUT, at - 0.01, rng.random())
+        ends.append(calls.unavailable_until)
+        assert calls.available(calls.unavailable_until - 1e-6) == 0
+        assert calls.available(calls.unavailable_until) <= 1, "it saved up calls while it made none"
     assert max(sum(at <= end < at + 0.1 for end in ends) for at in (102.4 + n * 0.1 for n in range(12))) <= 10
 
 
@@ -30,9 +30,9 @@
     calls, waits = CounterBudget(100.0, FLEET, 0.5), []
     at = 101.0
     for _ in range(6):
-        calls.ended(at, model.CallStatus.TIMEOUT, at, 0.5)
-        waits.append(calls.silent_until - at)
-        at = max(at, calls.silent_until) + 0.1
+        calls.call_ended(at, model.CallStatus.TIMEOUT, at, 0.5)
+        waits.append(calls.unavailable_until - at)
+        at = max(at, calls.unavailable_until) + 0.1
     assert waits[1:] == sorted(waits[1:]) and waits[1] < waits[-1] <= 2.0
 
 
@@ -41,13 +41,13 @@
     start = calls.rate
     for _ in range(40):
         at += 1 / calls.rate
-        calls.ended(at, model.CallStatus.OK, at - 0.006)
+        calls.call_ended(at, model.CallStatus.OK, at - 0.006)
     quick = calls.rate
     assert quick > 1.3 * start  # a busy gateway takes what the quiet ones leave
     for _ in range(20):  # a line before the counter: late, but none is lost yet
         at += 1 / calls.rate
-        calls.ended(at, model.CallStatus.OK, at - 0.025)
-    assert calls.rate < 0.6 * quick and calls.left(at) > 0
+        calls.call_ended(at, model.CallStatus.OK, at - 0.025)
+    assert calls.rate < 0.6 * quick and calls.available(at) > 0
 
 
 def test_calls_that_are_often_lost_become_few_at_a_small_rate_too() -> None:
@@ -56,7 +56,7 @@
     start = calls.rate
     for n in range(200):
         at += 1 / calls.rate
-        calls.ended(at, model.CallStatus.TIMEOUT if n % 5 == 0 else model.CallStatus.OK, at - 0.006)
+        calls.call_ended(at, model.CallStatus.TIMEOUT if n % 5 == 0 else model.CallStatus.OK, at - 0.006)
     assert calls.rate < 0.5 * start
 
 
@@ -86,7 +86,9 @@
             w.settings(gateway_index=index, gateway_count=FLEET, plans=(model.Plan("free"),)), seed=index
         )
         world.feed(w.servers(*(f"s{n}" for n in range(60))))
-        errs = {s.entry.name for s in world.gateway._mine[:2]}  # of the few that this gateway keeps to
+        errs = {
+            s.endpoint.name for s in world.gateway.endpoints.subset[:2]
+        }  # of the few that this gateway keeps to
         for id in range(120):
             world.advance(world.now + 0.125)
             before = len(world.sends)
@@ -98,7 +100,7 @@
             if id >= 60:
                 late += 1
                 bad += sum(server in errs for _, server, _ in world.sends[before:])
-        out = {n for n, s in world.gateway._servers.items() if s.out_for > 0}
+        out = {n for n, s in world.gateway.endpoints.by_name.items() if s.ejection_time > 0}
         assert out <= errs, "a healthy server was put out"
     assert bad < 0.08 * late  # two of ten would get a fifth of the requests
 
@@ -115,7 +117,7 @@
     """Each took a customer that it did not know for a calm one, and let it in at its next try elsewhere."""
     gateway = thin_gateway()
     for id in range(40):
-        gateway._calls.room = 0.0
+        gateway.reporter.budget.tokens = 0.0
         asked = model.Request(id, "read", "small", 3.0, f"{id:016x}", 2.0, 200, is_retry=bool(id % 2))
         (first, *_) = gateway.handle(100.0, asked)
         assert isinstance(first, model.Reject if id % 2 else model.Forward), id
@@ -126,7 +128,7 @@
 def test_who_asks_counts_for_as_many_as_could_not() -> None:
     gateway, counts = thin_gateway(), list[model.IncrementCounter]()
     for id in range(200):
-        gateway._calls.room = 0.5  # one request in four asks
+        gateway.reporter.budget.tokens = 0.5  # one request in four asks
         asked = model.Request(id, "read", "small", 3.0, f"{id:016x}", 2.0, 200)
         for action in gateway.handle(100.0, asked):
             if isinstance(action, model.IncrementCounter):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,8 +7,10 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.decisions import quota
-from quota_gateway.decisions.gateway import MOST_AHEAD, Gateway
+from quota_gateway.decisions import counter_budget
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.decisions.leases import MAX_LEASE_TIME
+from quota_gateway.state import PendingCall
 from tests import world as w
 
 PLAN = model.Plan("small", rate=20.0, burst=40.0, over_quota_cost=0.5)
@@ -59,10 +61,10 @@
     def ask(self, n: int, units: float = 1.0) -> bool:
         """Whether it is sent on, decided in this very step."""
         self.ids += 1
-        gateway, before = self.gateways[n], self.gateways[n]._admitted
+        gateway, before = self.gateways[n], self.gateways[n].controller.admitted
         self.feed(n, model.Request(self.ids, "read", "small", 3.0, "a", units, len(self.gateways)))
-        assert self.ids not in gateway._requests, "it is held"
-        sent = gateway._admitted > before
+        assert self.ids not in gateway.forwarder.requests, "it is held"
+        sent = gateway.controller.admitted > before
         self.sent[n] += units * sent
         self.refused[n] += not sent
         return sent
@@ -88,12 +90,12 @@
         self.advance(until)
 
     def account(self, n: int = 0):  # type: ignore[no-untyped-def]
-        (account,) = self.gateways[n]._accounts.values()
+        (account,) = self.gateways[n].accounts.accounts.values()
         return account
 
     @property
     def leased(self) -> float:
-        return sum(a.lease for g in self.gateways for a in g._accounts.values())
+        return sum(a.leased for g in self.gateways for a in g.accounts.accounts.values())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -116,22 +118,22 @@
 def test_a_lease_answers_for_as_many_requests_as_the_calls_that_are_there_make_necessary(
     calls: float, share: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(quota, "CALLS", calls)
+    monkeypatch.setattr(counter_budget, "MAX_RATE", calls)
     fleet = Set()
     fleet.load(30.0, [18.0, 0.0, 0.0])  # near the quota, and inside
     assert fleet.calls < share * fleet.ids
     assert fleet.refused[0] <= 0.05 * fleet.ids
     account = fleet.account()
-    told, most = fleet.total + account.pending, PLAN.rate * 30.0 + PLAN.burst
+    told, most = fleet.total + account.unreported_usage, PLAN.rate * 30.0 + PLAN.burst
     # All that is used or leased; and at most what a full store could not hold, which is told as used.
-    assert fleet.sent[0] + account.lease - 2.0 <= told <= most + 2.0
+    assert fleet.sent[0] + account.leased - 2.0 <= told <= most + 2.0
 
 
 def test_what_is_not_used_goes_back_when_the_demand_has_gone() -> None:
     fleet = Set()
     fleet.load(6.0, [30.0, 0.0, 0.0])
     assert fleet.leased > 0 or fleet.account().ahead > 0
-    fleet.advance(fleet.now + 3 * MOST_AHEAD)
+    fleet.advance(fleet.now + 3 * MAX_LEASE_TIME)
     assert fleet.leased == 0
     fleet.load(0.5, [0.0, 30.0, 0.0])  # and another gateway has it
     assert fleet.sent[1] > 10
@@ -141,7 +143,11 @@
     fleet = Set()
     for _ in range(60):
         fleet.load(0.5, [30.0, 10.0, 1.0])
-        assert all(a.lease + a.ahead <= PLAN.burst for g in fleet.gateways for a in g._accounts.values())
+        assert all(
+            a.leased + a.lease_requested <= PLAN.burst
+            for g in fleet.gateways
+            for a in g.accounts.accounts.values()
+        )
         assert fleet.leased <= PLAN.burst
 
 
@@ -180,13 +186,13 @@
     fleet = Set()
     fleet.load(10.0, [18.0, 0.0, 0.0])
     account = fleet.account()
-    account.lease += 12.0  # whatever it was: this much is out
-    account.level -= 12.0
+    account.leased += 12.0  # whatever it was: this much is out
+    account.tokens -= 12.0
     fleet.total, before = 0.0, fleet.sent[0]
     fleet.load(3.0, [18.0, 0.0, 0.0])
-    fleet.advance(fleet.now + 4 * MOST_AHEAD)
-    assert account.lease == 0.0
-    assert fleet.total + account.pending == pytest.approx(fleet.sent[0] - before, abs=4.0)
+    fleet.advance(fleet.now + 4 * MAX_LEASE_TIME)
+    assert account.leased == 0.0
+    assert fleet.total + account.unreported_usage == pytest.approx(fleet.sent[0] - before, abs=4.0)
 
 
 @pytest.mark.parametrize(
@@ -206,13 +212,15 @@
     fleet.load(3.0, [18.0, 0.0, 0.0])
     fleet.advance(fleet.now + 0.1)
     account = fleet.account()
-    account.lease, account.ahead, account.pending, account.level = 0.0, 5.0, 0.0, 7.0
-    account.at = account.synced = fleet.now
-    account.calls[:] = [(6.0, 5.0, fleet.now)]  # one unit used, five ahead
-    fleet.feed(0, model.CounterReplied(account.name, status))
-    assert account.lease == (5.0 if granted else 0.0) and account.ahead == 0.0
-    assert account.level == pytest.approx(7.0 if granted else 12.0)
-    assert account.pending + sum(c[0] for c in account.calls) == pytest.approx(0.0 if granted else 1.0)
+    account.leased, account.lease_requested, account.unreported_usage, account.tokens = 0.0, 5.0, 0.0, 7.0
+    account.updated_at = account.last_synchronised = fleet.now
+    account.pending_calls[:] = [PendingCall(6.0, 5.0, fleet.now)]  # one unit used, five ahead
+    fleet.feed(0, model.CounterReplied(account.counter_id, status))
+    assert account.leased == (5.0 if granted else 0.0) and account.lease_requested == 0.0
+    assert account.tokens == pytest.approx(7.0 if granted else 12.0)
+    assert account.unreported_usage + sum(call.amount for call in account.pending_calls) == pytest.approx(
+        0.0 if granted else 1.0
+    )
 
 
 def test_a_store_that_holds_less_than_was_asked_for_takes_it_back() -> None:
@@ -220,26 +228,31 @@
     fleet.load(3.0, [18.0, 0.0, 0.0])
     fleet.advance(fleet.now + 0.1)
     account = fleet.account()
-    account.lease, account.ahead, account.pending, account.level = 0.0, 8.0, 0.0, 2.0
-    account.calls[:] = [(8.0, 8.0, fleet.now)]
-    account.at = account.synced = fleet.now
+    account.leased, account.lease_requested, account.unreported_usage, account.tokens = 0.0, 8.0, 0.0, 2.0
+    account.pending_calls[:] = [PendingCall(8.0, 8.0, fleet.now)]
+    account.updated_at = account.last_synchronised = fleet.now
     others = 7.0  # the store had ten, and the others have used seven of them
     fleet.feed(
-        0, model.CounterReplied(account.name, model.CallStatus.OK, (account.total or 0.0) + 8.0 + others)
+        0,
+        model.CounterReplied(
+            account.counter_id, model.CallStatus.OK, (account.counter_total or 0.0) + 8.0 + others
+        ),
+    )
+    assert account.leased == pytest.approx(3.0)
+    assert account.tokens == 0.0
+    assert account.unreported_usage + sum(call.amount for call in account.pending_calls) == pytest.approx(
+        -5.0
     )
-    assert account.lease == pytest.approx(3.0)
-    assert account.level == 0.0
-    assert account.pending + sum(c[0] for c in account.calls) == pytest.approx(-5.0)
 
 
 def test_a_gateway_that_is_told_to_end_gives_back_what_it_holds_at_once() -> None:
     fleet = Set()
     fleet.load(6.0, [30.0, 0.0, 0.0])
     account = fleet.account()
-    account.lease += 4.0
-    held, told = account.lease + account.ahead, fleet.total
+    account.leased += 4.0
+    held, told = account.leased + account.lease_requested, fleet.total
     fleet.feed(0, model.ShutdownStarted())
-    assert account.lease == 0.0 and fleet.total <= told - held + account.ahead + 1e-6
+    assert account.leased == 0.0 and fleet.total <= told - held + account.lease_requested + 1e-6
 
 
 def test_a_call_from_a_customer_of_a_wide_set_is_decided_at_once() -> None:
@@ -259,7 +272,7 @@
     gateway.handle(100.0, w.servers("s1", "s2", "s3"))
 
     def ask(id: int, now: float) -> type:
-        gateway._calls.room, gateway._calls.at = 0.0, now
+        gateway.reporter.budget.tokens, gateway.reporter.budget.refilled_at = 0.0, now
         (first, *_) = gateway.handle(now, model.Request(id, "read", "small", 3.0, "a", 2.0, 200))
         if isinstance(first, model.Forward):
             gateway.handle(now, w.outcome(id, 0, first.endpoint, model.CallStatus.OK, 0.01))
@@ -276,10 +289,15 @@
     fleet = Set()
     fleet.load(4.0, [18.0, 0.0, 0.0])
     account = fleet.account()
-    account.lease = account.level = account.ahead = 0.0
-    account.floor = account.floor_cap
-    account.level, account.others, account.synced, account.at = 1.5, 50.0, fleet.now - 0.1, fleet.now
+    account.leased = account.tokens = account.lease_requested = 0.0
+    account.guaranteed = account.guaranteed_capacity
+    account.tokens, account.remote_usage, account.last_synchronised, account.updated_at = (
+        1.5,
+        50.0,
+        fleet.now - 0.1,
+        fleet.now,
+    )
     assert not fleet.ask(0)  # the others use what came since
-    account.level, account.lease, account.synced = 1.5, 0.0, fleet.now - 5.0
-    account.floor = account.floor_cap
+    account.tokens, account.leased, account.last_synchronised = 1.5, 0.0, fleet.now - 5.0
+    account.guaranteed = account.guaranteed_capacity
     assert fleet.ask(0)  # nobody has said for long: the even share is this gateway's
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -13,7 +13,7 @@
 from quota_gateway import model
 from quota_gateway.__main__ import share_of
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.decisions.quota import Account
+from quota_gateway.state import Account
 from tests import world as w
 from tests.admin_client import fetch_metrics, send_command
 from tests.loopback import ask, listening, read_message, run
@@ -96,15 +96,13 @@
 
 def test_the_remainder_of_a_ceiling_is_split_and_never_copied() -> None:
     plan = model.Plan("capped", 1.0, 3.0, 9.0, ceiling_rate=4.0, ceiling_burst=12.0)
-    request = model.Request(1, "read", "capped", 1.0, "acct", serving_gateways=3)
-    old = Account(100.0, request, plan, 0.0, 4.0)
-    new = Account(100.0, request, plan, 100.0, 4.0, 2)
-    old.ceiling = 2.0
-    handover = model.AccountHandover("capped", "acct", 3, 9.0, 3.0, old.split(2), 0.0, 100.0, None)
-    new.take(100.0, handover)
-    assert old.ceiling == new.ceiling == 1.0
-    assert old.split(1) == 0.0
-    assert old.ceiling == 1.0
+    old = Account(100.0, plan, "acct", 3, started_at=0.0, max_units=4.0)
+    new = Account(100.0, plan, "acct", 3, started_at=100.0, max_units=4.0, process_count=2)
+    old.ceiling_tokens = 2.0
+    new.take_over(100.0, old.set_process_count(100.0, 2))
+    assert old.ceiling_tokens == new.ceiling_tokens == 1.0
+    assert old.set_process_count(100.0, 1).ceiling_tokens == 0.0
+    assert old.ceiling_tokens == 1.0
 
 
 def test_a_new_process_takes_over_the_state_of_the_old_one() -> None:
@@ -126,14 +124,14 @@
     new.feed(w.servers("s0", "s1"))
     new.feed(model.ProcessCountChanged(2))
     new.feed(handover_state(old))
-    assert new.gateway._servers["s1"].cold_at == old.now
-    assert new.gateway._done_rate == old.gateway._done_rate > 0
-    (before,) = old.gateway._accounts.values()
-    (after,) = new.gateway._accounts.values()
-    assert after.total == before.total is not None
-    assert after.name == before.name
-    assert after.level == pytest.approx(before.level + before.pending)
-    assert new.gateway._sum is None  # the controller starts afresh
+    assert new.gateway.endpoints.by_name["s1"].warming_since == old.now
+    assert new.gateway.slow_start.completion_rate == old.gateway.slow_start.completion_rate > 0
+    (before,) = old.gateway.accounts.accounts.values()
+    (after,) = new.gateway.accounts.accounts.values()
+    assert after.counter_total == before.counter_total is not None
+    assert after.counter_id == before.counter_id
+    assert after.tokens == pytest.approx(before.tokens + before.unreported_usage)
+    assert new.gateway.controller.integral is None  # the controller starts afresh
 
 
 class BlockingOrigin:
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -12,7 +12,6 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.settings import SettingsError, check_retuned, settings_from
 from tests import world as w
 from tests.admin_client import fetch_metrics
@@ -109,7 +108,7 @@
     change(raw)
     with pytest.raises(SettingsError):
         check_retuned(raw, json.loads(RUNNING_SETTINGS))
-        Gateway.check(settings_from(raw))
+        settings_from(raw).validate()
 
 
 class ReloadingLimiter:
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -12,8 +12,8 @@
 import pytest
 
 from quota_gateway import model
+from quota_gateway.decisions.counter_budget import CounterBudget
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.decisions.quota import CounterBudget
 from quota_gateway.net.counter_client import CounterClient
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, listing, run
 
@@ -65,7 +65,9 @@
         assert {event.status for event in script.events if isinstance(event, model.AttemptCompleted)} <= {
             model.CallStatus.RESET_BEFORE_REQUEST, model.CallStatus.RESET_AFTER_REQUEST,
         }  # fmt: skip
-        assert not script.gateway._servers["s1"].lost  # its next answer would make it cold for 60 s
+        assert not script.gateway.endpoints.by_name[
+            "s1"
+        ].unreachable  # its next answer would make it cold for 60 s
 
     run(main())
 
@@ -94,8 +96,8 @@
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     await task
                 limiter.dispatcher.on_watch_event(listing({"s1": one, "s2": two, "s3": three}))
-                server = script.gateway._servers["s1"]
-                while not server.trial:
+                server = script.gateway.endpoints.by_name["s1"]
+                while not server.half_open:
                     script.now += 0.1
                     await limiter.fetch(ask())
                 failing[0], before = False, len(shaky.seen)
@@ -120,12 +122,12 @@
         async with peers[0] as one, peers[1] as two, peers[2] as three:
             script = Deciding()
             async with Limiter(script, {"s1": one, "s2": two, "s3": three}) as limiter:
-                servers = script.gateway._servers.values()
+                servers = script.gateway.endpoints.by_name.values()
                 out = 0
                 for _ in range(400):
                     script.now += 0.05
                     await limiter.fetch(ask())
-                    out += sum(server.out_until > script.now for server in servers)
+                    out += sum(server.ejected_until > script.now for server in servers)
         assert out < 120  # of 1200; by two in a row alone it is about half
 
     run(main())
@@ -149,7 +151,9 @@
                 script.now += 0.5
                 drop.set()
                 await asyncio.gather(*tasks)
-                assert script.gateway._servers["s1"].fails < 0.65  # as a row of deaths it is 0.8
+                assert (
+                    script.gateway.endpoints.by_name["s1"].failure_rate < 0.65
+                )  # as a row of deaths it is 0.8
 
     run(main())
 
@@ -188,9 +192,13 @@
                     script.now += 0.1
 
                 await break_under(3)
-                assert script.gateway._calls.silent_until < script.now  # the next customer is asked for
+                assert (
+                    script.gateway.reporter.budget.unavailable_until < script.now
+                )  # the next customer is asked for
                 await break_under(1)
-                assert script.gateway._calls.silent_until > script.now  # twice, and no answer in between
+                assert (
+                    script.gateway.reporter.budget.unavailable_until > script.now
+                )  # twice, and no answer in between
             client.close()
 
     run(main())
@@ -209,7 +217,7 @@
             (outcome,) = await script.until(model.AttemptCompleted)
             assert outcome.status is model.CallStatus.TIMEOUT
             assert " 200 " in (await limiter.fetch(ask()))[0]
-            assert script.gateway._servers["s1"].cold_at is None
+            assert script.gateway.endpoints.by_name["s1"].warming_since is None
 
     run(main())
 
@@ -218,10 +226,10 @@
     calls = CounterBudget(100.0, 4, 0.0)
     rate = calls.rate
     for n in range(8):  # out together behind one queue, they time out one after the other
-        calls.ended(100.030 + n * 0.002, model.CallStatus.TIMEOUT, 100.0 + n * 0.002)
-    assert calls.left(100.05) > 0
+        calls.call_ended(100.030 + n * 0.002, model.CallStatus.TIMEOUT, 100.0 + n * 0.002)
+    assert calls.available(100.05) > 0
     assert calls.rate == pytest.approx(0.9 * rate)
-    calls.ended(
+    calls.call_ended(
         100.090, model.CallStatus.TIMEOUT, 100.06
     )  # made after them and no answer since: it is silent
-    assert calls.left(100.1) == 0
+    assert calls.available(100.1) == 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -67,7 +67,7 @@
         world.feed(w.request(id, "read", "capped", "acct", 3.0, 3.2))
     assert len(world.sends) == 2
     world.answer_counts()
-    world.gateway._names[next(iter(world.totals))].lease = 9.0
+    world.gateway.accounts.by_counter_id[next(iter(world.totals))].leased = 9.0
     world.feed(w.request(3, "read", "capped", "acct", 3.0, 3.2))
     assert len(world.sends) == 2 and world.answered[3] == "refused"
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -52,22 +52,22 @@
 
 def test_a_restored_endpoint_warms_up_and_its_failures_are_forgotten(world: w.World) -> None:
     world.feed(model.SuspensionsChanged(frozenset({"s0"})))
-    endpoint = world.gateway._servers["s0"]
-    endpoint.out_until = world.now + 60
-    endpoint.trial = True
-    endpoint.lost = True
+    endpoint = world.gateway.endpoints.by_name["s0"]
+    endpoint.ejected_until = world.now + 60
+    endpoint.half_open = True
+    endpoint.unreachable = True
     world.feed(model.SuspensionsChanged(frozenset()))
-    assert endpoint.cold_at == world.now
-    assert endpoint.out_until <= world.now
-    assert not endpoint.trial
-    assert not endpoint.lost
+    assert endpoint.warming_since == world.now
+    assert endpoint.ejected_until <= world.now
+    assert not endpoint.half_open
+    assert not endpoint.unreachable
 
 
 def test_the_health_of_a_suspended_endpoint_is_not_checked(world: w.World) -> None:
-    endpoint = world.gateway._servers["s0"]
+    endpoint = world.gateway.endpoints.by_name["s0"]
     for suspended, health_checks in ((set[str](), 1), ({"s0"}, 0)):
-        endpoint.lost = True
-        endpoint.trial = True
+        endpoint.unreachable = True
+        endpoint.half_open = True
         world.feed(model.SuspensionsChanged(frozenset(suspended)))
-        actions = world.feed(model.TimerFired(world.gateway._timer))
+        actions = world.feed(model.TimerFired(world.gateway.timer_token))
         assert sum(isinstance(action, model.CheckHealth) for action in actions) == health_checks
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -5,8 +5,8 @@
 import pytest
 
 from quota_gateway import model
+from quota_gateway.decisions.counter_budget import CounterBudget
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.decisions.quota import CounterBudget
 from tests import world as w
 
 
@@ -87,7 +87,7 @@
             if server == "s0":
                 world.feed(w.outcome(rid, attempt, server, model.CallStatus.UNREACHABLE))
     world.serve()
-    assert world.gateway._servers["s0"].out_until > world.now
+    assert world.gateway.endpoints.by_name["s0"].ejected_until > world.now
     probes: list[model.Action] = []
     for _ in range(3):
         at, token = world.timers.pop(0)
@@ -176,19 +176,19 @@
         world.feed(w.request(id, "read", "small" if id % 2 else "free", f"once{id}"))
         world.answer_counts()
         world.serve()
-    assert len(world.gateway._accounts) == 500
+    assert len(world.gateway.accounts.accounts) == 500
     world.advance(world.now + 70)
-    assert not world.gateway._accounts and not world.gateway._names
+    assert not world.gateway.accounts.accounts and not world.gateway.accounts.by_counter_id
 
 
 def test_a_stall_starts_the_loop_afresh() -> None:
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
     run(world, 4, 40, 0)
-    assert world.gateway._sum is not None
+    assert world.gateway.controller.integral is not None
     world.now += 30
     world.feed(model.TimerFired(world.timers.pop(0)[1]))
-    assert world.gateway._sum is None
+    assert world.gateway.controller.integral is None
 
 
 def test_attempts_end_at_the_aim_where_a_late_answer_earns_nothing() -> None:
@@ -248,7 +248,7 @@
     world = w.World(w.settings(gateway_count=300))
     world.feed(w.servers("s0", "s1", "s2"))
     next_id = run(world, 60, 1, 0, elapsed=0.99)
-    assert world.gateway._u < 0.5
+    assert world.gateway.controller.admit_rate < 0.5
     next_id = run(world, 60, 1, next_id, elapsed=0.02)
     late = [world.answered[i] for i in range(next_id - 20, next_id)]
     assert late.count("served") > 15
@@ -318,10 +318,10 @@
         world.advance(world.now + 0.02)
         world.feed(w.servers(f"s{round}"))
     world.advance(world.now + 1.1)
-    assert set(world.gateway._servers) == {"s0", "s49"}
+    assert set(world.gateway.endpoints.by_name) == {"s0", "s49"}
     world.serve()
     world.advance(world.now + 1.1)
-    assert set(world.gateway._servers) == {"s49"}
+    assert set(world.gateway.endpoints.by_name) == {"s49"}
     world.feed(w.servers("s0", "s49"))  # it may come back, as a new one
     run(world, 3, 20, 100)
     assert {server for _, server, _ in world.sends[-30:]} == {"s0", "s49"}
@@ -356,7 +356,9 @@
         world.advance(world.now + 0.05)
         world.feed(w.request(id))
         world.serve(model.CallStatus.RESET_AFTER_REQUEST if id % 10 < 3 else model.CallStatus.OK)
-    assert not any(server.cold_at or server.lost for server in world.gateway._servers.values())
+    assert not any(
+        server.warming_since or server.unreachable for server in world.gateway.endpoints.by_name.values()
+    )
 
 
 @pytest.mark.parametrize("status", [model.CallStatus.UNREACHABLE, model.CallStatus.TIMEOUT])
@@ -369,7 +371,7 @@
     world.feed(w.outcome(0, 0, server, status, 0.05))
     world.serve()
     run(world, 30, 20, 1)
-    assert all(s.quiet is None for s in world.gateway._servers.values())
+    assert all(s.unresponsive_since is None for s in world.gateway.endpoints.by_name.values())
 
 
 def test_a_class_with_a_short_aim_is_not_starved_by_the_others() -> None:
@@ -433,7 +435,9 @@
     for _ in range(8):  # nothing more is asked for here: what was leased goes back
         world.advance(world.now + 1.0)
         world.answer_counts()
-    untold = world.gateway._names[name].pending  # of what went back: a full store need not hear it
+    untold = world.gateway.accounts.by_counter_id[
+        name
+    ].unreported_usage  # of what went back: a full store need not hear it
     assert world.totals[name] + untold == pytest.approx(7.0) and abs(untold) < 0.05
 
 
@@ -442,7 +446,7 @@
     before, at = calls.rate, 100.0
     for _ in range(150):  # two seconds of answers
         at += 1 / before
-        calls.ended(at, model.CallStatus.OK, at - 0.01)
+        calls.call_ended(at, model.CallStatus.OK, at - 0.01)
     assert before < calls.rate < before + 15
 
 
@@ -468,7 +472,7 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
     next_id = run(world, 3, 20, 0)
-    server = world.gateway._servers["s0"]
+    server = world.gateway.endpoints.by_name["s0"]
 
     def times_out(first: int) -> bool:
         """Requests until one goes to s0 and is not answered for long; whether s0 is put out."""
@@ -480,7 +484,7 @@
                 world.advance(world.now + 0.7)
                 world.feed(w.outcome(*here[0], "s0", model.CallStatus.TIMEOUT, 0.7))
                 world.serve()
-                return server.out_until > world.now
+                return server.ejected_until > world.now
             world.advance(world.now + 0.1)
         raise AssertionError("nothing went to s0")
 
@@ -505,7 +509,7 @@
         units = 1.0 + 3.0 * (id % 2)
         world.feed(w.request(id, units=units))
         world.serve(elapsed=0.02 * units)
-    held = world.gateway._requests
+    held = world.gateway.forwarder.requests
     world.feed(w.request(3000, units=1.0))
     world.feed(w.request(3001, units=4.0))
     assert held[3001].work == pytest.approx(4 * held[3000].work, rel=0.1)
@@ -519,7 +523,7 @@
     world = w.World(w.settings())
     world.feed(w.servers("s0", "s1", "s2"))
     next_id = run(world, 5, 10, 0, elapsed)  # of a plan without a quota: the load is read
-    world.gateway._calls.silent_until = world.now + 60.0
+    world.gateway.reporter.budget.unavailable_until = world.now + 60.0
     before = len(world.sends)
     for id in range(next_id, next_id + 20):
         world.feed(w.request(id, "read", "small", "acct"))
@@ -541,10 +545,12 @@
         world.advance(world.now + 0.02)
     gateway = world.gateway
     sent = sum(server == "s0" for _, server, _ in world.sends) / 12.0
-    work = gateway._mean
-    assert gateway._done_rate > 0.5 * sent * work  # of what the warm one does, with 6 of 7 cold
+    work = gateway.work.mean_work
+    assert (
+        gateway.slow_start.completion_rate > 0.5 * sent * work
+    )  # of what the warm one does, with 6 of 7 cold
     for name in ("c0", "c1", "c2", "c3", "c4", "c5"):
-        gateway._servers[name].open = 1000 * work
+        gateway.endpoints.by_name[name].work_in_flight = 1000 * work
     world.feed(w.request(1000))
     assert world.sends[-1][1] == "s0" and world.sends[-1][2].id == 1000
 
@@ -563,7 +569,7 @@
                 (model.Endpoint("cold", model.EndpointHealth.HEALTHY, "a", 1, 1.0, world.now),), False
             )
         )
-        base = world.gateway._base["read"]
+        base = world.gateway.work.base_latencies["read"]
         for id in range(100, 400):
             world.feed(w.request(id))
             world.advance(world.now + 0.1)
@@ -571,5 +577,5 @@
                 took = base * (pace if server == "cold" else 1.0)
                 world.feed(w.outcome(request, attempt, server, model.CallStatus.OK, took))
         taken[pace] = sum(server == "cold" for _, server, _ in world.sends)
-        assert world.gateway._servers["cold"].cold_at is not None
+        assert world.gateway.endpoints.by_name["cold"].warming_since is not None
     assert 0 < taken[5.0] < 20 and taken[1.0] > 70, taken  # by age alone it would be 49
