--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -42,9 +42,9 @@
     limiter.fill(FILL)
     limiter.spent.clear()
     limiter.run(LOAD)
-    found = {"request": limiter.mean("Request", "Outcome"), "tick": limiter.mean("TimerFired")}
-    if "Counted" in limiter.spent:
-        found["counted"] = limiter.mean("Counted")
+    found = {"request": limiter.mean("Request", "AttemptCompleted"), "tick": limiter.mean("TimerFired")}
+    if "CounterReplied" in limiter.spent:
+        found["counted"] = limiter.mean("CounterReplied")
 
     def change(line: str) -> None:
         limiter.feed(parse_watch_event(json.loads(line)).update)
