--- a/scale/cli.py
+++ b/scale/cli.py
@@ -19,7 +19,7 @@
 
 import click
 
-from scale import fit
+from scale import regression
 from scale.model import BrokenRunError, Budget, Effort, Figure, Result, ScaleTest, Size, Slope
 from scale.registry import TESTS
 from scale.worker import ROOT
@@ -94,7 +94,7 @@
 
 
 def slope_lines(slope: Slope) -> list[str]:
-    doubt = fit.doubt(slope)
+    doubt = regression.doubt(slope)
     lines = [
         f"{slope.name}: {slope.slope:.6g} {slope.unit} each of {slope.by}, {slope.intercept:.6g} at none, "
         f"residual {slope.residual:.1%}{f'  ** {doubt} **' * bool(doubt)}"
@@ -143,7 +143,7 @@
         for row, figure in zip(tests[name]["figures"], result.figures, strict=True):
             row["passed"] = figure.passed
         for row, slope in zip(tests[name]["slopes"], result.slopes, strict=True):
-            row["doubt"] = fit.doubt(slope)
+            row["doubt"] = regression.doubt(slope)
     return {
         "date": datetime.now(UTC).isoformat(timespec="seconds"), "commit": commit(),
         "python": platform.python_version(),
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -14,10 +14,10 @@
 from quota_gateway.decisions.gateway import FORGET
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import check_retuned, settings_from
-from scale import day, fit
+from scale import load_profile, regression
 from scale.hollow import Hollow
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
-from scale.points import points
+from scale.sample_sizes import sample_sizes
 from scale.worker import Job, call_all
 
 FILL, LOAD = 20.0, 15.0  # emulated seconds in which all customers come, and of the load that is measured
@@ -77,9 +77,9 @@
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
     """Slopes by servers (customers as the spread has them) and by customers (all servers), and the share."""
     result = Result()
-    by_servers = [(n, replace(size, servers=n), False) for n in points(size.servers, effort)]
+    by_servers = [(n, replace(size, servers=n), False) for n in sample_sizes(size.servers, effort)]
     top = by_servers[-1][1]
-    by_customers = [(n, replace(top, tenants=n), True) for n in points(size.tenants, effort)]
+    by_customers = [(n, replace(top, tenants=n), True) for n in sample_sizes(size.tenants, effort)]
     at = [(*point, run) for point in (*by_servers, *by_customers) for run in range(effort.runs)]
     jobs: list[Job] = [
         ("scale.cpu:costs", {"size": asdict(one), "wide": wide, "seed": effort.seed + run})
@@ -93,7 +93,7 @@
                 if here is wide and key in one:
                     runs.setdefault(count, []).append(one[key] * 1e6)
             if len(runs) > 1:
-                result.slopes.append(fit.line(f"{name}, by {by}", "us", by, runs))
+                result.slopes.append(regression.line(f"{name}, by {by}", "us", by, runs))
     spread = Hollow(top, False, 1)
     result.notes.append(
         f"by servers: {spread.tenants} customers at the limiter; by customers: {top.servers} servers, and "
@@ -124,7 +124,7 @@
     )
     for by, count, customers, measured in ends:
         cost = {
-            key: fit.at(by_name[f"{name}, by {by}"], count)
+            key: regression.at(by_name[f"{name}, by {by}"], count)
             for key, name in COSTS.items()
             if f"{name}, by {by}" in by_name
         }
@@ -135,7 +135,7 @@
         # What the counter bears at least, shared evenly; a small fleet wants less, about one a request.
         counted = min(budget.counter_calls, size.rate) / size.limiters
         for roll in (False, True):
-            changes, reloads = day.list_changes(roll), day.reloads(size)
+            changes, reloads = load_profile.list_changes(roll), load_profile.reloads(size)
             parts = {
                 "ticks": cost["tick"],
                 "changes": changes * cost["change"],
@@ -143,7 +143,7 @@
                 "reloads": reloads * cost["reload"],
             }
             share = sum(parts.values()) / 1e6
-            when = f"a roll, all {day.RESTARTS} restarts in {day.ROLL:.0f} s" if roll else "an ordinary day"
+            when = load_profile.when(roll)
             how = ", ".join(f"{name} {part / 1e4:.2f}%" for name, part in parts.items())
             how += f"; a second: 1 tick, {changes:.3f} changes, {counted:.2f} counter answers, "
             how += f"{reloads:.4f} reloads"
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -14,7 +14,8 @@
 
 import click
 
-from scale import fit, staging
+from scale import regression as fit
+from scale import staging
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.staging import Play, Played
 from scale.tally import Tally
--- a/scale/in_force.py
+++ b/scale/in_force.py
@@ -32,7 +32,7 @@
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.watch_event import WatchEvent
 from quota_gateway.settings import timing_from
-from scale import fit
+from scale import regression
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.peers import CounterSpec, DiscoveryStandIn, ServersSpec, hosts_of
 from scale.program import Front, Limiter, config, guard, limiters, peers, request
@@ -407,7 +407,7 @@
     for name, rows in by_name.items():
         if len(rows) > 2:
             points = [(float(c.limiters), tuple(t.last for t in told)) for c, told in rows]
-            result.slopes.append(fit.line(f"last limiter told: {name}", "s", "limiters", dict(points)))
+            result.slopes.append(regression.line(f"last limiter told: {name}", "s", "limiters", dict(points)))
     result.notes.append(
         f"hollow limiters: real discovery clients, {HOSTS} servers on the list, all cases of a run in one "
         f"loop, which was late by {late * 1e3:.0f} ms at most; {len(runs)} runs in processes side by side"
--- a/scale/latency.py
+++ b/scale/latency.py
@@ -29,7 +29,7 @@
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.settings import settings_from
-from scale import fit
+from scale import regression
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.peers import CounterSpec, ServersSpec, Wheel, hosts_of
 from scale.program import (
@@ -466,7 +466,7 @@
             if len(points) > 1:
                 ordered = sorted(points, key=lambda point: point[0])
                 runs = [(x, [r[part] for r in one.runs]) for x, one in ordered]
-                result.slopes.append(fit.line(f"added {part}", "s", by, dict(runs)))
+                result.slopes.append(regression.line(f"added {part}", "s", by, dict(runs)))
 
 
 TEST = ScaleTest("latency", "what is added to a request, and by which part", run)
--- a/scale/day.py
+++ b/scale/load_profile.py
@@ -10,10 +10,19 @@
 ROLL = 600.0  # seconds in which all of the day's restarts come, at a roll (assumed)
 
 
+def daily_list_changes() -> int:
+    """Changes of the list on an ordinary day."""
+    return RESTARTS * AFTER_RESTART + FAILURES * AFTER_FAILURE
+
+
+def when(roll: bool) -> str:
+    """The time of ``list_changes(roll)``, in words."""
+    return f"a roll, all {RESTARTS} restarts in {ROLL:.0f} s" if roll else "an ordinary day"
+
+
 def list_changes(roll: bool) -> float:
     """Changes of the list a second: an ordinary day's mean, or while the day's restarts come together."""
-    changes = RESTARTS * AFTER_RESTART + FAILURES * AFTER_FAILURE
-    return changes / (ROLL if roll else DAY)
+    return daily_list_changes() / (ROLL if roll else DAY)
 
 
 def reloads(size: Size) -> float:
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -20,10 +20,10 @@
 from quota_gateway.net.endpoint_watch import EndpointWatcher
 from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
 from quota_gateway.settings import settings_from
-from scale import day, fit
+from scale import load_profile, regression
 from scale.hollow import CALM, STORE, TENSE, Hollow, Mix, settings, told, whole_list
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
-from scale.points import PARTS, QUICK, points
+from scale.sample_sizes import PARTS, QUICK, sample_sizes
 from scale.worker import Job, call, call_all
 
 CALLS = 200  # to the counter, whose bytes are counted
@@ -219,14 +219,14 @@
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
     """Bytes of each message, calls by load and mix, and what they come to at the size."""
     result = Result()
-    at = [(n, run) for n in points(size.servers, effort) for run in range(effort.runs)]
+    at = [(n, run) for n in sample_sizes(size.servers, effort) for run in range(effort.runs)]
     jobs: list[Job] = [
         ("scale.messages:watch_bytes", {"size": asdict(replace(size, servers=n))}) for n, _ in at
     ]
     lists: dict[float, list[float]] = {}
     for (servers, _), one in zip(at, call_all(jobs, effort.processes), strict=True):
         lists.setdefault(servers, []).append(one["answered"])
-    result.slopes.append(fit.line("a whole list, by servers", "bytes", "servers", lists))
+    result.slopes.append(regression.line("a whole list, by servers", "bytes", "servers", lists))
     demand = calls(size, effort, result)
     counter, probe = (
         call("scale.messages:counter_bytes", idle=QUICK_IDLE if effort.quick else IDLE),
@@ -273,7 +273,7 @@
     for (wide, name), costs in by_load.items():
         end = f"{size.limiters if wide else min(size.spread, size.limiters)} limiters a customer"
         result.slopes.append(
-            fit.line(f"counter calls of a limiter, {end}, {name}", "calls/s", "requests/s", costs)
+            regression.line(f"counter calls of a limiter, {end}, {name}", "calls/s", "requests/s", costs)
         )
     return full
 
@@ -307,8 +307,9 @@
     put(Figure("a probe with its answer", "B", a_probe, Origin.MEASURED, "one on a socket"))
     watch = len(KEEP_ALIVE) / EVERY
     put(Figure("keep-alives of a watch", "B/s", watch, Origin.DERIVED, "an empty line as a chunk each 2 s"))
-    probes = day.FAILURES * PROBED / PROBE_EVERY / day.DAY
-    how = f"{day.FAILURES} failures a day, each probed every {PROBE_EVERY:.0f} s for {PROBED:.0f} s (assumed)"
+    probes = load_profile.FAILURES * PROBED / PROBE_EVERY / load_profile.DAY
+    how = f"{load_profile.FAILURES} failures a day, "
+    how += f"each probed every {PROBE_EVERY:.0f} s for {PROBED:.0f} s (assumed)"
     put(Figure("probes of a limiter", "/s", probes, Origin.DERIVED, how))
     asked = {key: median(one["calls"] for one in runs) for key, runs in demand.items()}
     for (wide, name), runs in demand.items():
@@ -324,8 +325,8 @@
     # What the counter bears at least, shared evenly; a small fleet wants less.
     bound = min(budget.counter_calls / size.limiters, *asked.values())
     for roll in (False, True):
-        when = f"a roll, all {day.RESTARTS} restarts in {day.ROLL:.0f} s" if roll else "an ordinary day"
-        changes = day.list_changes(roll)
+        when = load_profile.when(roll)
+        changes = load_profile.list_changes(roll)
         rest = watch + changes * change + counter["pings"] + probes * a_probe
         for what, each in (
             (f"{bound:.2f} counter calls a second", bound),
--- a/scale/state.py
+++ b/scale/state.py
@@ -26,10 +26,10 @@
 from quota_gateway.net.listener import ClientListener, RequestParser
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import settings_from
-from scale import day, fit
+from scale import load_profile, regression
 from scale.hollow import PLAN, TTL, Hollow, settings, whole_list
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
-from scale.points import points
+from scale.sample_sizes import sample_sizes
 from scale.worker import Job, call_all, resident
 
 CONNECTIONS = 480  # a process has room for so many of clients and to servers, each (1,024 descriptors)
@@ -240,7 +240,7 @@
         limiter.run(max(0.0, load - 20.0))
         seen["load"], seen["known"] = float(resident()), float(limiter.known())
         minutes = max(1, round(hour / 60))
-        changes = day.RESTARTS * day.AFTER_RESTART + day.FAILURES * day.AFTER_FAILURE
+        changes = load_profile.daily_list_changes()
         for minute in range(minutes):
             limiter.move_on(max(1, round(TURNOVER * limiter.tenants)))
             for _ in range(changes // minutes):
@@ -308,15 +308,15 @@
         by_size: dict[float, list[float]] = {}
         for (count, _), one in zip(at, found, strict=True):
             by_size.setdefault(count, []).append(one[which])
-        lines.append(fit.line(name if not which else f"{name}, of the process", unit, by, by_size))
+        lines.append(regression.line(name if not which else f"{name}, of the process", unit, by, by_size))
     return lines
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
     """Slopes of memory, and the whole process at both ends of the spread of customers."""
     given, result = asdict(size), Result()
-    servers, customers = points(size.servers, effort), points(size.tenants, effort)
-    connections, counts = points(CONNECTIONS, effort), points(IN_FLIGHT, effort)
+    servers, customers = sample_sizes(size.servers, effort), sample_sizes(size.tenants, effort)
+    connections, counts = sample_sizes(CONNECTIONS, effort), sample_sizes(IN_FLIGHT, effort)
     result.slopes += slope("state of the servers", "servers", "held_by_servers", servers, effort, size=given)
     result.slopes += slope(
         "state of the customers", "customers", "held_by_customers", customers, effort, size=given
@@ -327,7 +327,7 @@
     )
     result.slopes += slope("counts in flight", "counts", "held_by_counts", counts, effort)
     result.slopes += slope(
-        "classes of the settings", "classes", "held_by_classes", points(CLASSES, effort), effort
+        "classes of the settings", "classes", "held_by_classes", sample_sizes(CLASSES, effort), effort
     )
     result.notes.append(
         "missing: routes and services have no place in the settings; a class is the nearest thing, and what "
@@ -392,8 +392,9 @@
             f"load it knew {known} customers, after the hour {left}: who stays away for 60 s is forgotten"
         )
     result.notes.append(
-        f"the hour of churn: the day's {day.RESTARTS} restarts and {day.FAILURES} failures all come in it, a "
-        f"whole list once, and {TURNOVER:.0%} of the customers a minute go for good while as many come; the "
+        f"the hour of churn: the day's {load_profile.RESTARTS} restarts and {load_profile.FAILURES} failures "
+        f"all come in it, a whole list once, and {TURNOVER:.0%} of the customers a minute go for good while as "
+        "many come; the "
         f"load is {size.rate / size.limiters:.0f} requests a second, {LOAD:.0f} s of it before the hour"
     )
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from scale import cli, fit, messages, state, worker
+from scale import cli, messages, regression, state, worker
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, ScaleTest, Size
 from scale.model import Result as Found
 from scale.registry import TESTS
@@ -27,7 +27,7 @@
 
 def made(value: float, name: str = "made") -> ScaleTest:
     """A test that finds one figure with a budget of 1."""
-    found = Found([fit.line("cost", "B", "things", {1: [1], 2: [2], 3: [3], 4: [4]})])
+    found = Found([regression.line("cost", "B", "things", {1: [1], 2: [2], 3: [3], 4: [4]})])
     found.figures.append(Figure(f"{name} cost", "B", value, Origin.MEASURED, "made", 1.0))
     return ScaleTest(name, "made", lambda _size, _budget, _effort: found)
 
@@ -165,20 +165,23 @@
 
 
 def test_a_line_is_found_through_the_medians() -> None:
-    line = fit.line("cost", "B", "things", {n: [3 * n + 7, 3 * n + 7, 1e6] for n in (10, 20, 40, 80)})
+    line = regression.line("cost", "B", "things", {n: [3 * n + 7, 3 * n + 7, 1e6] for n in (10, 20, 40, 80)})
     assert [line.slope, line.intercept] == pytest.approx([3.0, 7.0])
     assert line.residual < 1e-9
-    assert fit.doubt(line) == ""
-    assert [fit.at(line, 40), fit.at(line, 100)] == pytest.approx([127, 307])
+    assert regression.doubt(line) == ""
+    assert [regression.at(line, 40), regression.at(line, 100)] == pytest.approx([127, 307])
 
 
 def test_a_curve_and_too_few_points_are_flagged() -> None:
-    assert fit.doubt(fit.line("cost", "B", "things", {n: [n * n] for n in (10, 20, 40, 80)})) == "no line"
-    assert fit.doubt(fit.line("cost", "B", "things", {1: [1], 2: [2], 3: [3]})) == "few points"
+    assert (
+        regression.doubt(regression.line("cost", "B", "things", {n: [n * n] for n in (10, 20, 40, 80)}))
+        == "no line"
+    )
+    assert regression.doubt(regression.line("cost", "B", "things", {1: [1], 2: [2], 3: [3]})) == "few points"
     bad: list[dict[float, list[float]]] = [{1: [1.0]}, {1: [1.0], 2: []}, {}]
     for points in bad:
         with pytest.raises(ValueError, match="two sizes"):
-            fit.line("cost", "B", "things", points)
+            regression.line("cost", "B", "things", points)
 
 
 def test_each_test_runs_at_a_tiny_size(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
