--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -1,16 +1,22 @@
-"""Processor time: a request with its outcome, a change of the list, a whole list, a tick, a reload."""
+"""The test ``cpu``: processor time of requests, ticks, lists and reloads, and control's share of a core.
+
+The costs are those of a hollow limiter's decisions; sockets are not in them.
+"""
 
 from __future__ import annotations
 
 import gc
 import json
+from collections import defaultdict
 from collections.abc import Callable
-from dataclasses import asdict, replace
+from dataclasses import asdict, dataclass, replace
+from enum import StrEnum
 from functools import partial
 from statistics import median
 from time import process_time_ns
 from typing import Any
 
+from quota_gateway import model
 from quota_gateway.decisions.gateway import FORGET
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import check_retuned, settings_from
@@ -18,144 +24,245 @@
 from scale.hollow import Hollow
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.sample_sizes import sample_sizes
-from scale.worker import Job, call_all
-
-FILL, LOAD = 20.0, 15.0  # emulated seconds in which all customers come, and of the load that is measured
-CHANGES, WHOLE, RELOADS = 60, 5, 5  # of each in a run; the median counts
-COSTS = {
-    "request": "a request with its outcome",
-    "counted": "an answer of the counter",
-    "tick": "a tick",
-    "change": "a change of the list",
-    "parse": "reading a whole list",
-    "list": "taking a whole list",
-    "reload": "a reload",
+from scale.worker import Job, run_jobs
+
+FILL_SECONDS = 20.0  # emulated, in which all tenants come
+LOAD_SECONDS = 15.0  # emulated, of the load that is measured
+CHANGES = 60  # of the list in a run; the median counts
+LISTS = 5  # complete ones in a run; the median counts
+RELOADS = 5  # in a run; the median counts
+FIRST_WEIGHT = 7.0  # of a class: each reload changes it
+NANOSECONDS = 1e9  # in a second
+MICROSECONDS = 1e6
+
+
+class Operation(StrEnum):
+    """What processor time is measured of."""
+
+    REQUEST = "request"
+    COUNTER_REPLY = "counted"
+    TICK = "tick"
+    CHANGE = "change"
+    PARSE_LIST = "parse"
+    APPLY_LIST = "list"
+    RELOAD = "reload"
+
+
+# As the figures name them, in their order.
+DESCRIPTIONS = {
+    Operation.REQUEST: "a request with its outcome",
+    Operation.COUNTER_REPLY: "an answer of the counter",
+    Operation.TICK: "a tick",
+    Operation.CHANGE: "a change of the list",
+    Operation.PARSE_LIST: "reading a whole list",
+    Operation.APPLY_LIST: "taking a whole list",
+    Operation.RELOAD: "a reload",
 }
+Costs = dict[Operation, float]
 
 
-def costs(size: dict[str, Any], wide: bool, seed: int) -> dict[str, float]:
-    """Seconds of processor time of each, in a fresh process; a job."""
+def measure_costs(size: dict[str, Any], wide: bool, seed: int) -> Costs:
+    """Seconds of processor time of each operation, in a fresh process; a job.
+
+    ``wide``: all limiters serve each tenant. Without a counter call there is no ``COUNTER_REPLY``.
+    """
     limiter = Hollow(Size(**size), wide, seed)
     limiter.begin()
     gc.collect()
     gc.freeze()  # as the program does once it is ready
-    limiter.fill(FILL)
+    limiter.fill(FILL_SECONDS)
     limiter.spent.clear()
-    limiter.run(LOAD)
-    found = {"request": limiter.mean("Request", "AttemptCompleted"), "tick": limiter.mean("TimerFired")}
-    if "CounterReplied" in limiter.spent:
-        found["counted"] = limiter.mean("CounterReplied")
-
-    def change(line: str) -> None:
-        limiter.feed(parse_watch_event(json.loads(line)).update)
-
-    found["change"] = median(timed(partial(change, limiter.change())) for _ in range(CHANGES))
-    whole = limiter.whole()
-    found["parse"] = median(timed(lambda: parse_watch_event(json.loads(whole))) for _ in range(WHOLE))
-    listing = parse_watch_event(json.loads(whole))
-    found["list"] = median(timed(lambda: limiter.feed(listing.update)) for _ in range(WHOLE))
+    limiter.run(LOAD_SECONDS)
+    costs = _event_costs(limiter)
+    costs[Operation.CHANGE] = median(
+        _timed(partial(_apply_list, limiter, limiter.change())) for _ in range(CHANGES)
+    )
+    text = limiter.whole()
+    costs[Operation.PARSE_LIST] = median(_timed(partial(_parse_list, text)) for _ in range(LISTS))
+    update = _parse_list(text)
+    costs[Operation.APPLY_LIST] = median(_timed(partial(limiter.feed, update)) for _ in range(LISTS))
+    texts = _changed_settings(limiter)
+    costs[Operation.RELOAD] = median(_timed(partial(_reload, limiter, changed)) for changed in texts)
+    return costs
+
+
+def _event_costs(limiter: Hollow) -> Costs:
+    """Means over the load; the classes' names are the keys of ``Hollow.spent``."""
+    costs = {
+        Operation.REQUEST: limiter.mean(model.Request.__name__, model.AttemptCompleted.__name__),
+        Operation.TICK: limiter.mean(model.TimerFired.__name__),
+    }
+    if model.CounterReplied.__name__ in limiter.spent:
+        costs[Operation.COUNTER_REPLY] = limiter.mean(model.CounterReplied.__name__)
+    return costs
+
+
+def _parse_list(text: str) -> model.EndpointUpdate:
+    return parse_watch_event(json.loads(text)).update
+
+
+def _apply_list(limiter: Hollow, text: str) -> None:
+    limiter.feed(_parse_list(text))
+
+
+def _changed_settings(limiter: Hollow) -> list[str]:
     texts = []
-    for i in range(RELOADS):
-        limiter.settings["classes"][0]["worth"] = 7.0 + i
+    for number in range(RELOADS):
+        limiter.settings["classes"][0]["worth"] = FIRST_WEIGHT + number
         texts.append(json.dumps(limiter.settings))
+    return texts
 
-    def reload(text: str) -> None:
-        raw = json.loads(text)
-        check_retuned(raw, limiter.settings)
-        limiter.feed(settings_from(raw))
 
-    found["reload"] = median(timed(partial(reload, text)) for text in texts)
-    return found
+def _reload(limiter: Hollow, text: str) -> None:
+    raw = json.loads(text)
+    check_retuned(raw, limiter.settings)
+    limiter.feed(settings_from(raw))
 
 
-def timed(work: Callable[[], object]) -> float:
-    begun = process_time_ns()
+def _timed(work: Callable[[], object]) -> float:
+    """Seconds of processor time that the work takes."""
+    began = process_time_ns()
     work()
-    return (process_time_ns() - begun) / 1e9
+    return (process_time_ns() - began) / NANOSECONDS
+
+
+@dataclass(frozen=True, slots=True)
+class Point:
+    """A size at which the costs are measured."""
+
+    by: str  # "servers" or "customers"
+    count: int
+    size: Size
+
+    @property
+    def wide(self) -> bool:
+        """Whether all limiters serve each customer."""
+        return self.by == "customers"
+
+
+def make_points(size: Size, effort: Effort) -> list[Point]:
+    """Sizes by servers (customers as the spread has them), then by customers (all servers)."""
+    by_servers = [
+        Point("servers", count, replace(size, servers=count)) for count in sample_sizes(size.servers, effort)
+    ]
+    largest = by_servers[-1].size
+    by_customers = [
+        Point("customers", count, replace(largest, tenants=count))
+        for count in sample_sizes(size.tenants, effort)
+    ]
+    return by_servers + by_customers
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """Slopes by servers (customers as the spread has them) and by customers (all servers), and the share."""
+    """Slopes by servers and by customers, and the share of a core."""
     result = Result()
-    by_servers = [(n, replace(size, servers=n), False) for n in sample_sizes(size.servers, effort)]
-    top = by_servers[-1][1]
-    by_customers = [(n, replace(top, tenants=n), True) for n in sample_sizes(size.tenants, effort)]
-    at = [(*point, run) for point in (*by_servers, *by_customers) for run in range(effort.runs)]
-    jobs: list[Job] = [
-        ("scale.cpu:costs", {"size": asdict(one), "wide": wide, "seed": effort.seed + run})
-        for _, one, wide, run in at
-    ]
-    found = list(zip(at, call_all(jobs, effort.processes), strict=True))
-    for wide, by in ((False, "servers"), (True, "customers")):
-        for key, name in COSTS.items():
-            runs: dict[float, list[float]] = {}
-            for (count, _, here, _), one in found:
-                if here is wide and key in one:
-                    runs.setdefault(count, []).append(one[key] * 1e6)
-            if len(runs) > 1:
-                result.slopes.append(regression.line(f"{name}, by {by}", "us", by, runs))
-    spread = Hollow(top, False, 1)
-    result.notes.append(
-        f"by servers: {spread.tenants} customers at the limiter; by customers: {top.servers} servers, and "
-        "every customer at the limiter; its load "
-        f"is {spread.rate:.0f} requests a second at every point; process time, the program's own collector"
-    )
-    result.notes.append(
-        "the sockets' part of a request, a call and a change, and the sweeps of connections, are not in it"
-    )
+    points = make_points(size, effort)
+    largest = next(point.size for point in reversed(points) if point.by == "servers")
+    _add_slopes(result, points, effort)
+    result.notes += _notes(Hollow(largest, False, 1))
     if not effort.quick:
-        shares(size, budget, result)
+        _add_figures(size, budget, result)
     return result
 
 
-def shares(size: Size, budget: Budget, result: Result) -> None:
+def _add_slopes(result: Result, points: list[Point], effort: Effort) -> None:
+    runs = [(point, run) for point in points for run in range(effort.runs)]
+    jobs = [
+        Job(
+            "scale.cpu:measure_costs",
+            {"size": asdict(point.size), "wide": point.wide, "seed": effort.seed + run},
+        )
+        for point, run in runs
+    ]
+    by_name: dict[tuple[str, Operation], dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
+    for (point, _), costs in zip(runs, run_jobs(jobs, effort.processes), strict=True):
+        for operation, seconds in costs.items():
+            by_name[point.by, Operation(operation)][point.count].append(seconds * MICROSECONDS)
+    for by in ("servers", "customers"):
+        for operation in DESCRIPTIONS:
+            by_count = by_name[by, operation]
+            if len(by_count) > 1:
+                result.slopes.append(regression.line(_slope_name(operation, by), "us", by, by_count))
+
+
+def _slope_name(operation: Operation, by: str) -> str:
+    return f"{DESCRIPTIONS[operation]}, by {by}"
+
+
+def _notes(limiter: Hollow) -> list[str]:
+    return [
+        f"by servers: {limiter.tenants} customers at the limiter; by customers: {limiter.size.servers} "
+        "servers, and every customer at the limiter; its load "
+        f"is {limiter.rate:.0f} requests a second at every point; process time, the program's own collector",
+        "the sockets' part of a request, a call and a change, and the sweeps of connections, are not in it",
+    ]
+
+
+def _add_figures(size: Size, budget: Budget, result: Result) -> None:
     """The costs at the size, and the share of a core that control takes of them."""
-    by_name = {one.name: one for one in result.slopes}
-    steady = Hollow(size, True, 1).coming(FORGET)
-    ends = (
-        ("servers", size.servers, Hollow(size, False, 1).tenants, True),
-        ("customers", size.tenants, size.tenants, True),
-        ("customers", steady, steady, False),  # between the points: only a share is made of it
-    )
+    remembered = Hollow(size, True, 1).coming(FORGET)
     result.notes.append(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
-        f"{steady} of {size.tenants} come within the {FORGET:.0f} s after which one is forgotten: "
+        f"{remembered} of {size.tenants} come within the {FORGET:.0f} s after which one is forgotten: "
         "the third share is the lines' at that number, the second that of a limiter that knows all"
     )
-    for by, count, customers, measured in ends:
-        cost = {
-            key: regression.at(by_name[f"{name}, by {by}"], count)
-            for key, name in COSTS.items()
-            if f"{name}, by {by}" in by_name
-        }
+    few = Hollow(size, False, 1).tenants
+    for costs, customers in (
+        (_costs_at(result, "servers", size.servers), few),
+        (_costs_at(result, "customers", size.tenants), size.tenants),
+    ):
         end = f"{customers} customers at the limiter"
-        for key, micros in cost.items() if measured else ():
-            how = f"median at {size.servers} servers and {customers} customers"
-            result.figures.append(Figure(f"{COSTS[key]}, {end}", "us", micros, Origin.MEASURED, how))
-        # What the counter bears at least, shared evenly; a small fleet wants less, about one a request.
-        counted = min(budget.counter_calls, size.rate) / size.limiters
-        for roll in (False, True):
-            changes, reloads = load_profile.list_changes(roll), load_profile.reloads(size)
-            parts = {
-                "ticks": cost["tick"],
-                "changes": changes * cost["change"],
-                "counter": counted * cost.get("counted", 0.0),
-                "reloads": reloads * cost["reload"],
-            }
-            share = sum(parts.values()) / 1e6
-            when = load_profile.when(roll)
-            how = ", ".join(f"{name} {part / 1e4:.2f}%" for name, part in parts.items())
-            how += f"; a second: 1 tick, {changes:.3f} changes, {counted:.2f} counter answers, "
-            how += f"{reloads:.4f} reloads"
-            name = f"control's share of a core, {end}, {when}"
-            result.figures.append(
-                Figure(name, "%", 100 * share, Origin.DERIVED, how, 100 * budget.control_cpu)
-            )
-        if not measured:
-            continue
-        whole = (cost["parse"] + cost["list"]) / 1e3
-        how = "reading and taking it; the loop does nothing else meanwhile"
-        result.figures.append(Figure(f"a whole list at once, {end}", "ms", whole, Origin.DERIVED, how))
+        _add_costs(result, costs, end, f"median at {size.servers} servers and {customers} customers")
+        _add_shares(result, costs, end, size, budget)
+        _add_list_time(result, costs, end)
+    # Between the points: only a share is made of it.
+    costs = _costs_at(result, "customers", remembered)
+    _add_shares(result, costs, f"{remembered} customers at the limiter", size, budget)
+
+
+def _costs_at(result: Result, by: str, count: int) -> Costs:
+    """Microseconds of the operations at a count."""
+    slopes = {slope.name: slope for slope in result.slopes}
+    names = {operation: _slope_name(operation, by) for operation in DESCRIPTIONS}
+    return {
+        operation: regression.cost_at(slopes[name], count)
+        for operation, name in names.items()
+        if name in slopes
+    }
+
+
+def _add_costs(result: Result, costs: Costs, end: str, how: str) -> None:
+    for operation, microseconds in costs.items():
+        name = f"{DESCRIPTIONS[operation]}, {end}"
+        result.figures.append(Figure(name, "us", microseconds, Origin.MEASURED, how))
+
+
+def _add_shares(result: Result, costs: Costs, end: str, size: Size, budget: Budget) -> None:
+    """Control's share of a core, on an ordinary day and while all of its restarts come together."""
+    # What the counter bears at least, shared evenly; a small fleet wants less, about one a request.
+    reply_rate = min(budget.counter_calls, size.rate) / size.limiters
+    reload_rate = load_profile.reload_rate(size)
+    for rolling_restart in (False, True):
+        change_rate = load_profile.list_change_rate(rolling_restart)
+        parts = {
+            "ticks": costs[Operation.TICK],
+            "changes": change_rate * costs[Operation.CHANGE],
+            "counter": reply_rate * costs.get(Operation.COUNTER_REPLY, 0.0),
+            "reloads": reload_rate * costs[Operation.RELOAD],
+        }
+        share = sum(parts.values()) / MICROSECONDS
+        how = ", ".join(f"{name} {part / 1e4:.2f}%" for name, part in parts.items())
+        how += f"; a second: 1 tick, {change_rate:.3f} changes, {reply_rate:.2f} counter answers, "
+        how += f"{reload_rate:.4f} reloads"
+        name = f"control's share of a core, {end}, {load_profile.describe(rolling_restart)}"
+        limit = 100 * budget.control_cpu
+        result.figures.append(Figure(name, "%", 100 * share, Origin.DERIVED, how, limit))
+
+
+def _add_list_time(result: Result, costs: Costs, end: str) -> None:
+    milliseconds = (costs[Operation.PARSE_LIST] + costs[Operation.APPLY_LIST]) / 1e3
+    how = "reading and taking it; the loop does nothing else meanwhile"
+    result.figures.append(Figure(f"a whole list at once, {end}", "ms", milliseconds, Origin.DERIVED, how))
 
 
 TEST = ScaleTest(
--- /dev/null
+++ b/scale/memory/process.py
@@ -0,0 +1,114 @@
+"""A job: the memory of a whole limiter process under load and churn."""
+
+from __future__ import annotations
+
+import gc
+import json
+from dataclasses import dataclass
+from typing import Any
+
+import uvloop
+
+from quota_gateway import model
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.dispatcher import unix_clock
+from quota_gateway.net.watch_event import parse_watch_event
+from scale import load_profile
+from scale.hollow import Hollow
+from scale.memory.allocation import resident_bytes
+from scale.model import Size
+
+MAX_CONNECTIONS = 480  # a process has room for so many of clients and to servers, each (1,024 descriptors)
+CONNECT_TIMEOUT = 0.25  # seconds
+IDLE_TIMEOUT = 30.0  # seconds
+FILL_SECONDS = 20.0  # emulated, of the load: in which each tenant comes once
+TURNOVER = 0.05  # of the customers go for good each minute of churn, and as many new ones come (assumed)
+MINUTE = 60.0  # seconds
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessMemory:
+    """Resident bytes of a process, and the tenants that it knew."""
+
+    at_start: int
+    with_list: int
+    after_load: int
+    after_churn: int
+    tenants_after_load: int
+    tenants_after_churn: int
+    harness: int  # bytes of the tables of the emulated tenants and counter, part of the others
+
+
+class _LimiterProcess:
+    """The decisions and the connection pool of a hollow limiter."""
+
+    def __init__(self, size: Size, wide: bool, seed: int) -> None:
+        self.limiter = Hollow(size, wide, seed)
+        self._pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
+
+    def apply_list(self, text: str) -> None:
+        """Take in a message of discovery, as the program does."""
+        event = parse_watch_event(json.loads(text))
+        if event.update.complete:
+            self._pool.retain_only(set(event.addresses))
+        for endpoint in event.update.endpoints:
+            is_healthy = endpoint.health is model.EndpointHealth.HEALTHY
+            self._pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], is_healthy)
+        self.limiter.feed(event.update)
+
+    def start(self) -> None:
+        """Take in the complete list."""
+        self.limiter.begin()
+        self.apply_list(self.limiter.whole())
+        gc.collect()
+        gc.freeze()  # as the program does once it is ready
+
+    def run_load(self, seconds: float) -> None:
+        """Emulated seconds of load, in the first of which each tenant comes once."""
+        self.limiter.fill(min(FILL_SECONDS, seconds))
+        self.limiter.run(max(0.0, seconds - FILL_SECONDS))
+
+    def run_churn(self, seconds: float) -> None:
+        """The changes of a whole day, and tenants that come and go, in so many emulated seconds."""
+        minutes = max(1, round(seconds / MINUTE))
+        changes = load_profile.daily_list_changes()
+        for minute in range(minutes):
+            self.limiter.move_on(max(1, round(TURNOVER * self.limiter.tenants)))
+            for _ in range(changes // minutes):
+                self.apply_list(self.limiter.change())
+            if minute == minutes // 2:
+                self.apply_list(self.limiter.whole())  # a watch that begins anew
+            self.limiter.run(MINUTE)
+
+    def close(self) -> None:
+        self._pool.close()
+
+
+def measure_process(size: dict[str, Any], wide: bool, seed: int, load: float, churn: float) -> ProcessMemory:
+    """Memory of a limiter's process at its start, with the list, after the load and after the churn.
+
+    ``load`` and ``churn`` are emulated seconds. ``wide``: all limiters serve each tenant.
+    """
+
+    async def main() -> ProcessMemory:
+        at_start = resident_bytes()
+        process = _LimiterProcess(Size(**size), wide, seed)
+        process.start()
+        with_list = resident_bytes()
+        process.run_load(load)
+        after_load = resident_bytes()
+        tenants_after_load = process.limiter.known()
+        process.run_churn(churn)
+        measured = ProcessMemory(
+            at_start=at_start,
+            with_list=with_list,
+            after_load=after_load,
+            after_churn=resident_bytes(),
+            tenants_after_load=tenants_after_load,
+            tenants_after_churn=process.limiter.known(),
+            harness=process.limiter.weight(),
+        )
+        process.close()
+        return measured
+
+    return uvloop.run(main())
--- /dev/null
+++ b/scale/messages/counter_demand.py
@@ -0,0 +1,39 @@
+"""Counter calls that a limiter wants, in virtual time; a job."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from scale.hollow import Hollow, Mix
+from scale.model import Size
+
+
+@dataclass(frozen=True, slots=True)
+class CounterDemand:
+    """Of one limiter, a second."""
+
+    first_calls: float  # soon after the start
+    calls: float  # later on
+    requests: float
+
+
+def measure_counter_demand(
+    size: dict[str, Any], wide: bool, near: float, over: float, seed: int, warm_up: float, load: float
+) -> CounterDemand:
+    """Calls and requests of one limiter whose counter answers all: at first, and after the warm-up.
+
+    ``near`` and ``over`` are shares of the tenants near and over their quota; ``warm_up`` and ``load`` are
+    emulated seconds. ``wide``: all limiters serve each tenant.
+    """
+    limiter = Hollow(Size(**size), wide, seed, Mix(near, over))
+    limiter.begin()
+    limiter.run(load / 2)
+    limiter.calls = 0
+    limiter.run(load / 2)
+    first_calls = limiter.calls / (load / 2)
+    limiter.run(warm_up)
+    limiter.calls = 0
+    limiter.arrived = 0
+    limiter.run(load)
+    return CounterDemand(first_calls=first_calls, calls=limiter.calls / load, requests=limiter.arrived / load)
--- /dev/null
+++ b/scale/messages/health_check_bytes.py
@@ -0,0 +1,73 @@
+"""Bytes of a health check, by the real connection pool; a job."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+import uvloop
+
+from quota_gateway import model
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.settings import settings_from
+from scale.hollow import settings
+from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
+
+ENDPOINT = "s-00000000"
+IDLE_TIMEOUT = 30.0  # seconds
+MAX_CONNECTIONS = 8
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckBytes:
+    """Bytes of one health check."""
+
+    request: float
+    response: float
+
+    @property
+    def total(self) -> float:
+        """Both together."""
+        return self.request + self.response
+
+
+class _OneHealthCheck:
+    """Decisions that do nothing but ask for a health check at the first tick."""
+
+    def __init__(self) -> None:
+        self.status: asyncio.Future[model.CallStatus] = asyncio.get_running_loop().create_future()
+
+    def handle(self, now: float, event: model.Event) -> list[model.Action]:
+        """Ask for the health check at a tick, and keep its status."""
+        if isinstance(event, model.HealthChecked):
+            self.status.set_result(event.status)
+        return [model.CheckHealth(ENDPOINT)] if isinstance(event, model.TimerFired) else []
+
+
+async def _converse(
+    stand_in: CountingStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
+    while True:
+        await stand_in.read_until(reader, b"\r\n\r\n")
+        stand_in.write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+
+
+async def _measure() -> HealthCheckBytes:
+    stand_in = CountingStandIn()
+    decisions = _OneHealthCheck()
+    async with stand_in.serve(_converse) as (host, port):
+        pool = ConnectionPool(unix_clock(), REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
+        pool.update_endpoint(ENDPOINT, f"{host}:{port}", True)
+        dispatcher = Dispatcher(settings_from(settings(3, 1.0)), decisions, unix_clock(), pool, None)
+        dispatcher.dispatch(model.TimerFired(0))
+        status = await stand_in.wait(decisions.status)
+        if status is not model.CallStatus.OK:
+            raise ConnectionError(f"the probe ended as {status.value}")
+        pool.close()
+    return HealthCheckBytes(request=stand_in.received, response=stand_in.sent)
+
+
+def measure_health_check_bytes() -> HealthCheckBytes:
+    """Bytes of a health check with its response."""
+    return uvloop.run(_measure())
--- /dev/null
+++ b/scale/messages/list_bytes.py
@@ -0,0 +1,53 @@
+"""Bytes of a complete endpoint list, by the real watch; a job."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from typing import Any
+
+import uvloop
+
+from quota_gateway.net.endpoint_watch import EndpointWatcher
+from quota_gateway.net.watch_event import WatchEvent
+from scale.hollow import whole_list
+from scale.messages.counting_stand_in import CountingStandIn, encode_chunk
+from scale.model import Size
+
+
+@dataclass(frozen=True, slots=True)
+class ListBytes:
+    """Bytes of a watch up to the end of its first list."""
+
+    request: int
+    response: int
+
+
+async def _measure(size: Size) -> ListBytes:
+    async def converse(
+        stand_in: CountingStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        await stand_in.read_until(reader, b"\r\n\r\n")
+        stand_in.write(writer, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n")
+        stand_in.write(writer, b"Transfer-Encoding: chunked\r\n\r\n")
+        stand_in.write(writer, encode_chunk(whole_list(size)))
+        await reader.read()
+
+    def on_event(event: WatchEvent) -> None:
+        if not list_length.done():
+            list_length.set_result(len(event.addresses))
+
+    stand_in = CountingStandIn()
+    list_length: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+    async with stand_in.serve(converse) as (host, port):
+        watch = asyncio.create_task(EndpointWatcher(host, port, None, on_event).follow())
+        servers = await stand_in.wait(list_length)
+        watch.cancel()
+    if servers != size.servers:
+        raise ValueError(f"a list of {size.servers} servers was read as one of {servers}")
+    return ListBytes(request=stand_in.received, response=stand_in.sent)
+
+
+def measure_list_bytes(size: dict[str, Any]) -> ListBytes:
+    """Bytes of a complete list: its request, and the response up to the list's last byte."""
+    return uvloop.run(_measure(Size(**size)))
--- /dev/null
+++ b/scale/messages/summary.py
@@ -0,0 +1,287 @@
+"""The figures of the messages: their bytes, the calls, and what they come to at the size."""
+
+from __future__ import annotations
+
+import json
+from collections import defaultdict
+from dataclasses import asdict, dataclass, replace
+from statistics import mean, median
+
+from quota_gateway.net.watch_event import parse_watch_event
+from scale import load_profile, regression
+from scale.hollow import CALM, STORE, TENSE, Hollow, Mix, told
+from scale.messages.counter_bytes import CALLS, CounterBytes
+from scale.messages.counter_demand import CounterDemand
+from scale.messages.counting_stand_in import encode_chunk
+from scale.messages.health_check_bytes import HealthCheckBytes
+from scale.messages.list_bytes import ListBytes
+from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
+from scale.sample_sizes import FRACTIONS, QUICK_FRACTION, sample_sizes
+from scale.worker import Job, run_job, run_jobs
+
+IDLE_SECONDS = 21.0  # in which the pings of an idle client are counted: ten of each connection
+QUICK_IDLE_SECONDS = 2.5
+KEEP_ALIVE = b"1\r\n\n\r\n"  # an empty line as a chunk
+KEEP_ALIVE_INTERVAL = 2.0  # seconds between two
+WARM_UP_SECONDS = 240.0  # emulated, until the limiter's own bound on calls has risen
+QUICK_WARM_UP_SECONDS = 20.0
+LOAD_SECONDS = 60.0  # emulated
+QUICK_LOAD_SECONDS = 10.0
+CHECKED_SECONDS = 60.0  # from a failure until the list has it, in which an endpoint is checked (assumed)
+CHECK_INTERVAL = 2.0  # seconds: between one and a half ticks and the next tick, for ticks tell the time
+DISCOVERY_RATES = (8.0, 100.0)  # calls a second that discovery serves (assumed)
+CHANGES = 300  # whose mean size counts
+MEGABYTE = 1e6
+
+
+@dataclass(frozen=True, slots=True)
+class Scenario:
+    """A mix of tenants, and how many limiters serve each."""
+
+    wide: bool  # all limiters serve each tenant
+    name: str
+    mix: Mix
+
+    def limiters_per_tenant(self, size: Size) -> str:
+        """How many limiters serve a tenant, in words."""
+        return f"{size.limiters if self.wide else min(size.spread, size.limiters)} limiters a customer"
+
+
+SCENARIOS = tuple(
+    Scenario(wide, name, mix) for wide in (False, True) for name, mix in (("calm", CALM), ("tense", TENSE))
+)
+Demands = dict[Scenario, list[CounterDemand]]  # by run
+
+
+@dataclass(frozen=True, slots=True)
+class ControlTraffic:
+    """What a limiter exchanges with discovery and the counter."""
+
+    change: float  # bytes of a change of the list
+    complete_list: float  # bytes
+    counter: CounterBytes
+    health_check: float  # bytes
+    keep_alives: float  # bytes a second of a watch
+    health_checks: float  # a second
+
+
+def run(size: Size, budget: Budget, effort: Effort) -> Result:
+    """Bytes of each message, calls by load and mix, and what they come to at the size."""
+    result = Result()
+    lists = _measure_lists(size, effort)
+    result.slopes.append(regression.line("a whole list, by servers", "bytes", "servers", lists))
+    demands = _measure_demands(size, effort, result)
+    idle_seconds = QUICK_IDLE_SECONDS if effort.quick else IDLE_SECONDS
+    counter_job = Job("scale.messages.counter_bytes:measure_counter_bytes", {"idle_seconds": idle_seconds})
+    counter = CounterBytes(**run_job(counter_job))
+    health_check_job = Job("scale.messages.health_check_bytes:measure_health_check_bytes")
+    health_check = HealthCheckBytes(**run_job(health_check_job))
+    result.notes += _notes()
+    if not effort.quick:
+        traffic = _add_sizes(size, result, lists[size.servers], counter, health_check)
+        _add_demands(size, budget, result, demands)
+        _add_traffic(size, budget, result, traffic, demands)
+        _add_resync(size, budget, result, traffic.complete_list)
+    return result
+
+
+def _notes() -> list[str]:
+    return [
+        "bytes are those of the messages, without TCP's and IP's own; the watch's lines are as short as JSON "
+        "allows, and discovery's and the servers' answers bear the fewest headers",
+        f"counter: {CALM.near:.0%} of the customers are near their quota, {CALM.over:.0%} at three times it "
+        f"(calm), or {TENSE.near:.0%} and {TENSE.over:.0%} (tense), the rest at 0.3 of it; a customer's "
+        f"store holds {STORE:.0f} s of its quota; refused clients do not come again; the made counter "
+        f"answers each call in 5 ms, so that after {WARM_UP_SECONDS:.0f} emulated seconds the limiter's own "
+        "bound binds no more: that is what it wants. A counter that is full slows its answers, and the "
+        "limiters keep to what it bears",
+    ]
+
+
+def _measure_lists(size: Size, effort: Effort) -> dict[float, list[float]]:
+    """Bytes of the complete list in each run, by the number of servers."""
+    points = [servers for servers in sample_sizes(size.servers, effort) for _ in range(effort.runs)]
+    jobs = [
+        Job("scale.messages.list_bytes:measure_list_bytes", {"size": asdict(replace(size, servers=servers))})
+        for servers in points
+    ]
+    lists: dict[float, list[float]] = defaultdict(list)
+    for servers, found in zip(points, run_jobs(jobs, effort.processes), strict=True):
+        lists[servers].append(ListBytes(**found).response)
+    return lists
+
+
+def _measure_demands(size: Size, effort: Effort, result: Result) -> Demands:
+    """Add the slopes of the counter's calls by load; gives the runs at the full load."""
+    scale = QUICK_FRACTION if effort.quick else 1.0
+    points = [
+        (scenario, fraction * scale, run)
+        for scenario in SCENARIOS
+        for fraction in FRACTIONS
+        for run in range(effort.runs)
+    ]
+    jobs = [_demand_job(size, effort, scenario, fraction, run) for scenario, fraction, run in points]
+    at_full_load: Demands = defaultdict(list)
+    by_load: dict[Scenario, dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
+    for (scenario, fraction, _), found in zip(points, run_jobs(jobs, effort.processes), strict=True):
+        demand = CounterDemand(**found)
+        by_load[scenario][size.rate * fraction / size.limiters].append(demand.calls)
+        if fraction == 1.0:
+            at_full_load[scenario].append(demand)
+    for scenario, calls in by_load.items():
+        name = f"counter calls of a limiter, {scenario.limiters_per_tenant(size)}, {scenario.name}"
+        result.slopes.append(regression.line(name, "calls/s", "requests/s", calls))
+    return at_full_load
+
+
+def _demand_job(size: Size, effort: Effort, scenario: Scenario, fraction: float, run: int) -> Job:
+    tenants = max(1, round(size.tenants * fraction))
+    part = replace(size, rate=size.rate * fraction, tenants=tenants)
+    return Job(
+        "scale.messages.counter_demand:measure_counter_demand",
+        {
+            "size": asdict(part),
+            "wide": scenario.wide,
+            "near": scenario.mix.near,
+            "over": scenario.mix.over,
+            "seed": effort.seed + run,
+            "warm_up": QUICK_WARM_UP_SECONDS if effort.quick else WARM_UP_SECONDS,
+            "load": QUICK_LOAD_SECONDS if effort.quick else LOAD_SECONDS,
+        },
+    )
+
+
+def _change_bytes(size: Size) -> float:
+    """Mean bytes of a change of the list."""
+    limiter = Hollow(size, False, 1)
+    lines = [limiter.change() for _ in range(CHANGES)]
+    for line in lines:
+        parse_watch_event(json.loads(line))  # what is counted is what the limiter reads
+    return mean(len(encode_chunk(line)) for line in lines)
+
+
+def _add_sizes(
+    size: Size, result: Result, lists: list[float], counter: CounterBytes, health_check: HealthCheckBytes
+) -> ControlTraffic:
+    """Bytes of the messages; ``lists`` are those of the complete list by run."""
+    failures = load_profile.FAILURES_PER_DAY
+    traffic = ControlTraffic(
+        change=_change_bytes(size),
+        complete_list=median(lists),
+        counter=counter,
+        health_check=health_check.total,
+        keep_alives=len(KEEP_ALIVE) / KEEP_ALIVE_INTERVAL,
+        health_checks=failures * CHECKED_SECONDS / CHECK_INTERVAL / load_profile.SECONDS_PER_DAY,
+    )
+    _add_size_figures(size, result, traffic)
+    return traffic
+
+
+def _add_size_figures(size: Size, result: Result, traffic: ControlTraffic) -> None:
+    without_row = len(encode_chunk(told([], 2, False)))
+    failures = load_profile.FAILURES_PER_DAY
+    checks = (
+        f"{failures} failures a day, each probed every {CHECK_INTERVAL:.0f} s for {CHECKED_SECONDS:.0f} s"
+    )
+    counter = traffic.counter
+
+    def measured(name: str, unit: str, value: float, how: str) -> Figure:
+        return Figure(name, unit, value, Origin.MEASURED, how)
+
+    def derived(name: str, unit: str, value: float, how: str) -> Figure:
+        return Figure(name, unit, value, Origin.DERIVED, how)
+
+    result.figures += [
+        measured("a change of the list", "B", traffic.change, f"mean of {CHANGES} lines as chunks"),
+        measured("the same without the server's row", "B", without_row, "a line without rows"),
+        measured("a whole list", "B", traffic.complete_list, f"{size.servers} servers, with its head"),
+        measured("a counter call with its answer", "B", counter.call, f"mean of {CALLS} on a socket"),
+        measured("pings of a quiet counter client", "B/s", counter.idle, f"{IDLE_SECONDS:.0f} s idle"),
+        measured("a probe with its answer", "B", traffic.health_check, "one on a socket"),
+        derived("keep-alives of a watch", "B/s", traffic.keep_alives, "an empty line as a chunk each 2 s"),
+        derived("probes of a limiter", "/s", traffic.health_checks, f"{checks} (assumed)"),
+    ]
+
+
+def _add_demands(size: Size, budget: Budget, result: Result, demands: Demands) -> None:
+    """Counter calls of the fleet in each scenario."""
+    for scenario, runs in demands.items():
+        end = f"{scenario.limiters_per_tenant(size)}, {scenario.name}"
+        calls = median(run.calls for run in runs)
+        requests = median(run.requests for run in runs)
+        first_calls = median(run.first_calls for run in runs) * size.limiters
+        per_request = calls / max(1e-9, requests)
+        how = "hollow limiter, full load"
+        name = f"counter calls a request, {end}"
+        result.figures.append(Figure(name, "", per_request, Origin.MEASURED, how))
+        how = f"x {size.limiters} limiters, 30 to 60 s after their start, before their own bound has risen"
+        name = f"counter calls at first, {end}"
+        result.figures.append(_call_rate(name, first_calls, how, budget))
+        how = f"x {size.limiters} limiters; what they ask where the counter bears it all"
+        name = f"counter calls wanted, {end}"
+        result.figures.append(_call_rate(name, calls * size.limiters, how, budget))
+
+
+def _call_rate(name: str, rate: float, how: str, budget: Budget) -> Figure:
+    """Calls a second of the fleet."""
+    return Figure(name, "/s", rate, Origin.DERIVED, how, budget.counter_calls)
+
+
+def _add_traffic(
+    size: Size, budget: Budget, result: Result, traffic: ControlTraffic, demands: Demands
+) -> None:
+    """Bytes a second of a limiter, by its counter calls."""
+    wanted = {scenario: median(run.calls for run in runs) for scenario, runs in demands.items()}
+    # What the counter bears at least, shared evenly; a small fleet wants less.
+    bound = min(budget.counter_calls / size.limiters, *wanted.values())
+    call_rates = {f"{bound:.2f} counter calls a second": bound}
+    for scenario, rate in wanted.items():
+        limiters = "all" if scenario.wide else "few"
+        call_rates[f"counter calls as wanted, {limiters} limiters a customer, {scenario.name}"] = rate
+    for rolling_restart in (False, True):
+        for description, call_rate in call_rates.items():
+            result.figures.append(
+                _traffic_figure(traffic, description, call_rate, rolling_restart, budget.control_bytes)
+            )
+
+
+def _traffic_figure(
+    traffic: ControlTraffic, description: str, call_rate: float, rolling_restart: bool, budget: float
+) -> Figure:
+    change_rate = load_profile.list_change_rate(rolling_restart)
+    changes = change_rate * traffic.change
+    calls = call_rate * traffic.counter.call
+    health_checks = traffic.health_checks * traffic.health_check
+    how = (
+        f"watch {traffic.keep_alives:.1f}, {change_rate:.3f} changes/s {changes:.1f}, counter {calls:.1f}, "
+        f"pings {traffic.counter.idle:.1f}, probes {health_checks:.2f}"
+    )
+    total = traffic.keep_alives + changes + traffic.counter.idle + health_checks + calls
+    when = load_profile.describe(rolling_restart)
+    return Figure(f"bytes of a limiter, {when}, {description}", "B/s", total, Origin.DERIVED, how, budget)
+
+
+def _add_resync(size: Size, budget: Budget, result: Result, complete_list: float) -> None:
+    """What it takes until all limiters have read a complete list, of so many bytes."""
+    total = complete_list * size.limiters / MEGABYTE
+    result.figures.append(
+        Figure("a resync of all limiters", "MB", total, Origin.DERIVED, f"{size.limiters} whole lists")
+    )
+    for rate in DISCOVERY_RATES:
+        how = (
+            f"{size.limiters} lists at {rate:.0f} calls a second (assumed); a watch begun anew with its "
+            "version may be told the changes alone"
+        )
+        result.figures.append(
+            Figure(
+                f"a resync of all limiters, {rate:.0f} calls/s",
+                "s",
+                size.limiters / rate,
+                Origin.ASSUMED,
+                how,
+                budget.list_in_force,
+            )
+        )
+
+
+TEST = ScaleTest("messages", "bytes and calls a second of lists, watches, counter and probes; a resync", run)
--- a/scale/model.py
+++ b/scale/model.py
@@ -70,6 +70,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the value is within the budget, if there is one."""
         return self.budget is None or self.value <= self.budget
 
 
--- a/scale/registry.py
+++ b/scale/registry.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from importlib import import_module
-
+from scale import cpu, fleet, in_force, latency
+from scale.memory.summary import TEST as MEMORY
+from scale.messages.summary import TEST as MESSAGES
 from scale.model import ScaleTest
 
-# Of this package; each has its test as ``TEST``.
-MODULES = ("state", "messages", "cpu", "latency", "in_force", "fleet")
-TESTS: tuple[ScaleTest, ...] = tuple(import_module(f"scale.{name}").TEST for name in MODULES)
+TESTS: tuple[ScaleTest, ...] = (MEMORY, MESSAGES, cpu.TEST, latency.TEST, in_force.TEST, fleet.TEST)
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -1,4 +1,4 @@
-"""Jobs in fresh processes: what one has allocated or heated up is not in the next one's figure.
+"""Jobs in fresh processes: what one job has allocated or warmed up is not in the next one's measurement.
 
 ``python -m scale.worker MODULE:FUNCTION`` reads keyword arguments as JSON and writes the result as JSON.
 """
@@ -7,65 +7,72 @@
 
 import importlib
 import json
-import os
 import signal
 import subprocess
 import sys
 from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
+from dataclasses import asdict, dataclass, field
 from pathlib import Path
 from typing import Any
 
 from scale.model import BrokenRunError
 
-ROOT = Path(__file__).resolve().parent.parent
-LONGEST = 3600.0  # seconds: only a hang takes this long
-Job = tuple[str, dict[str, Any]]  # "module:function" and its keyword arguments
+ROOT = Path(__file__).resolve().parent.parent  # of the checkout: the working directory of all processes
+JOB_TIMEOUT = 3600.0  # seconds: only a hang takes this long
 
 
-def call(function: str, **arguments: Any) -> Any:
-    """The result of a job in a process of its own; ``BrokenRunError`` says how one without it ended."""
-    command = [sys.executable, "-m", "scale.worker", function]
+@dataclass(frozen=True, slots=True)
+class Job:
+    """A function to be called in a process of its own; arguments and result pass as JSON."""
+
+    function: str  # "module:function"
+    arguments: dict[str, Any] = field(default_factory=dict)
+
+
+def run_job(job: Job) -> Any:
+    """The job's result, a dataclass as a dict; ``BrokenRunError`` says how a job without one ended."""
+    command = [sys.executable, "-m", "scale.worker", job.function]
+    arguments = json.dumps(job.arguments)
     try:
-        done = subprocess.run(
-            command, input=json.dumps(arguments), capture_output=True, text=True, cwd=ROOT, timeout=LONGEST
+        completed = subprocess.run(
+            command, input=arguments, capture_output=True, text=True, cwd=ROOT, timeout=JOB_TIMEOUT
         )
     except subprocess.TimeoutExpired:
-        raise BrokenRunError(f"{function} gave nothing in {LONGEST:.0f} s") from None
+        raise BrokenRunError(f"{job.function} gave nothing in {JOB_TIMEOUT:.0f} s") from None
     except OSError as error:
-        raise BrokenRunError(f"{function} could not be started: {error}") from None
-    if done.returncode < 0:
-        raise BrokenRunError(f"{function} was ended by {signal.Signals(-done.returncode).name}")
-    if done.returncode:
-        last = (done.stderr.strip().splitlines() or ["no word on it"])[-1]
-        raise BrokenRunError(f"{function} ended with code {done.returncode}: {last:.200}")
+        raise BrokenRunError(f"{job.function} could not be started: {error}") from None
+    return _parse_result(job, completed)
+
+
+def _parse_result(job: Job, completed: subprocess.CompletedProcess[str]) -> Any:
+    if completed.returncode < 0:
+        raise BrokenRunError(f"{job.function} was ended by {signal.Signals(-completed.returncode).name}")
+    if completed.returncode:
+        last_line = (completed.stderr.strip().splitlines() or ["no word on it"])[-1]
+        raise BrokenRunError(f"{job.function} ended with code {completed.returncode}: {last_line:.200}")
     try:
-        return json.loads(done.stdout)
+        return json.loads(completed.stdout)
     except ValueError:
-        raise BrokenRunError(f"{function} gave no result: {done.stdout!r:.80}") from None
+        raise BrokenRunError(f"{job.function} gave no result: {completed.stdout!r:.80}") from None
 
 
-def call_all(jobs: Sequence[Job], processes: int) -> list[Any]:
-    """The results of jobs in their order, so many processes at a time; one that breaks breaks all."""
+def run_jobs(jobs: Sequence[Job], processes: int) -> list[Any]:
+    """The results in the order of the jobs, at most ``processes`` at a time; one that breaks breaks all."""
     with ThreadPoolExecutor(max_workers=max(1, processes)) as pool:
-        waiting = [pool.submit(call, function, **arguments) for function, arguments in jobs]
+        futures = [pool.submit(run_job, job) for job in jobs]
         try:
-            return [job.result() for job in waiting]
-        except BaseException:  # an interrupt too: else all that wait would still be run
+            return [future.result() for future in futures]
+        except BaseException:  # an interrupt too: otherwise all queued jobs would still be run
             pool.shutdown(wait=True, cancel_futures=True)
             raise
 
 
-def resident() -> int:
-    """Bytes of this process in memory now (``/proc/self/statm``)."""
-    pages = int(Path("/proc/self/statm").read_text().split()[1])
-    return pages * os.sysconf("SC_PAGE_SIZE")
-
-
 def main() -> None:
+    """Run the job that the command line names."""
     module, _, name = sys.argv[1].partition(":")
     function = getattr(importlib.import_module(module), name)
-    json.dump(function(**json.load(sys.stdin)), sys.stdout)
+    json.dump(function(**json.load(sys.stdin)), sys.stdout, default=asdict)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/test_scale_worker.py
@@ -0,0 +1,13 @@
+"""Jobs of the scale tests in processes of their own."""
+
+from __future__ import annotations
+
+import pytest
+
+from scale.model import BrokenRunError
+from scale.worker import Job, run_job
+
+
+def test_job_without_a_result_breaks_the_run() -> None:
+    with pytest.raises(BrokenRunError, match="no result"):
+        run_job(Job("sys:exit"))
