--- /dev/null
+++ b/quota_gateway/net/health_check.py
@@ -0,0 +1,37 @@
+"""Health checks as HTTP exchanges, with the load of the endpoint where it reports it there."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from quota_gateway.model import CallStatus, HealthChecked
+from quota_gateway.net.connection_pool import Exchange, load_report
+
+HEALTH_CHECK_TIMEOUT = 0.25  # seconds
+HEALTH_PATH = b"/healthz"
+LOAD_PATH = b"/load"  # answers with a load report, and is a health check as well
+
+
+def new_health_check(
+    endpoint: str, now: float, with_load: bool, on_complete: Callable[[Exchange], None]
+) -> Exchange:
+    """A health check that is ready to be started at ``now``, in seconds of the pool's clock."""
+    path = LOAD_PATH if with_load else HEALTH_PATH
+    return Exchange(
+        endpoint=endpoint,
+        request_head=b"GET %b HTTP/1.1\r\nHost: %b\r\n" % (path, endpoint.encode()),
+        request_body=b"",
+        expires_at=now + HEALTH_CHECK_TIMEOUT,
+        on_complete=on_complete,
+        is_health_check=True,
+    )
+
+
+def health_check_event(exchange: Exchange, with_load: bool) -> HealthChecked:
+    """What a completed health check tells the decisions; a report in a header comes before the body's."""
+    load = exchange.load_report
+    if with_load and exchange.status is CallStatus.OK and not load:
+        load = load_report(exchange.response_body.decode("latin-1"))
+    return HealthChecked(
+        endpoint=exchange.endpoint, status=exchange.status, elapsed=exchange.elapsed, load_report=load
+    )
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -180,7 +180,7 @@
             data = upload(form, LONG)
             writer.write(data[:200_000])
             await begun.wait()
-            (opened,) = limiter.dispatcher._open.values()
+            (opened,) = limiter.dispatcher._requests.values()
             assert opened.deadline == math.inf and opened.timer is None  # the client's time has not begun
             assert opened.attempts[0].timer is None and not opened.attempts[0].request_written
             writer.write(data[200_000:])
@@ -284,7 +284,7 @@
             client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # it is long, and sent on
             size += 0x10001
             while (
-                not (opened := list(limiter.dispatcher._open.values()))
+                not (opened := list(limiter.dispatcher._requests.values()))
                 or not opened[0].attempts[0].connection
             ):
                 await asyncio.sleep(0)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -238,7 +238,7 @@
             while limiter.listener._clients:
                 await asyncio.sleep(0)
             assert [r.getMessage() for r in caplog.records] == [
-                "a send for a request that has ended was dropped"
+                "dropped an attempt for a request that has ended"
             ]
 
     run(main())
