--- a/quota_gateway/net/body_stream.py
+++ b/quota_gateway/net/body_stream.py
@@ -1,4 +1,4 @@
-"""Long bodies on their way through, in pieces: neither side is read faster than the other one takes."""
+"""Streaming of long bodies with backpressure: neither side is read faster than the other one is written."""
 
 from __future__ import annotations
 
@@ -8,32 +8,37 @@
 
 
 class BodySource(Protocol):
-    """The connection that a body comes from."""
+    """The connection that a body is read from."""
 
-    def set_paused(self, stop: bool) -> None:
-        """Read no further, or go on."""
+    def set_paused(self, paused: bool) -> None:
+        """Stop reading, or resume it."""
 
     def abandon(self) -> None:
-        """Nobody takes the rest."""
+        """Drop the rest of the body: nobody reads it any more."""
 
 
 class BodySink(Protocol):
-    """The connection that a body goes to; it tells by ``Pipe.go`` whether it takes more."""
+    """The connection that a body is written to.
 
-    def write_chunk(self, data: bytes) -> None: ...
+    It reports by ``BodyStream.set_writable`` whether it takes more.
+    """
 
-    def finish(self) -> None: ...
+    def write_chunk(self, data: bytes) -> None:
+        """Write the next bytes of the body."""
+
+    def finish(self) -> None:
+        """End the body: it is complete."""
 
     def truncate(self) -> None:
-        """The source broke off: the body will not become whole."""
+        """Break the body off: its source failed before the end."""
 
 
 class BodyStream:
-    """One body between its source and its sink; it holds about ``MAX_BODY`` while there is no sink."""
+    """One body between its source and its sink; without a sink it buffers about ``MAX_BODY`` bytes."""
 
     __slots__ = (
-        "_held",
-        "_pending",
+        "_buffer",
+        "_buffered_size",
         "_sink",
         "_source",
         "complete",
@@ -43,55 +48,71 @@
         "writable",
     )
 
-    def __init__(self, source: BodySource, length: int | None) -> None:
-        self._source, self.content_length = source, length
+    def __init__(self, source: BodySource, content_length: int | None) -> None:
+        """Create a stream of ``content_length`` bytes, or ``None`` where the source does not say."""
+        self._source = source
         self._sink: BodySink | None = None
-        self._pending, self._held = list[bytes](), 0
-        self.writable = self.complete = self.failed = False
-        self.consumed = False  # whether a sink has had any of it: it cannot be had again
+        self._buffer: list[bytes] = []
+        self._buffered_size = 0
+        self.content_length = content_length
+        self.writable = False  # whether the sink takes more
+        self.complete = False  # whether the source has delivered everything
+        self.failed = False  # whether the source broke before the end
+        self.consumed = False  # whether a sink has had any of it: then it cannot be sent a second time
 
     def write(self, data: bytes) -> None:
+        """Take the next bytes from the source."""
         if self._sink is not None and self.writable:
             return self._sink.write_chunk(data)
-        self._pending.append(data)
-        self._held += len(data)
-        if self._held >= MAX_BODY:
+        self._buffer.append(data)
+        self._buffered_size += len(data)
+        if self._buffered_size >= MAX_BODY:
             self._source.set_paused(True)
 
     def finish(self) -> None:
+        """Take the end of the body from the source."""
         self.complete = True
-        if self._sink is not None and not self._pending:
+        if self._sink is not None and not self._buffer:
             self._sink.finish()
 
     def fail(self) -> None:
+        """Take note that the source broke before the end of the body."""
         self.failed = True
         if self._sink is not None:
             self._sink.truncate()
 
-    def attach(self, sink: BodySink, ready: bool) -> None:
-        self._sink, self.consumed = sink, True
-        self.set_writable(ready)
+    def attach(self, sink: BodySink, writable: bool) -> None:
+        """Give the body to a sink, from its first byte."""
+        self._sink = sink
+        self.consumed = True
+        self.set_writable(writable)
 
     def detach(self) -> None:
-        self._sink, self.writable = None, False
-
-    def set_writable(self, ready: bool) -> None:
-        """The sink takes more, or no more for now."""
-        self.writable = ready
-        if self._sink is None or self.failed:
-            return self._sink.truncate() if self._sink is not None else None
-        if not ready:
+        """Take the body from its sink."""
+        self._sink = None
+        self.writable = False
+
+    def set_writable(self, writable: bool) -> None:
+        """Take note whether the sink takes more; the source is read only while it does."""
+        self.writable = writable
+        if self._sink is None:
+            return
+        if self.failed:
+            return self._sink.truncate()
+        if not writable:
             return self._source.set_paused(not self.complete)
-        if self._pending:
-            data, self._pending, self._held = b"".join(self._pending), [], 0
-            self._sink.write_chunk(data)  # and it may say at once that it takes no more
+        if self._buffer:
+            data = b"".join(self._buffer)
+            self._buffer = []
+            self._buffered_size = 0
+            self._sink.write_chunk(data)  # which may call set_writable(False) before it returns
         if self.complete:
             self._sink.finish()
         elif self.writable:
             self._source.set_paused(False)
 
     def abandon(self) -> None:
-        """The sink is gone, and with it the use of the rest."""
+        """Take note that the sink is gone, and stop the source."""
         self.detach()
         if not self.complete and not self.failed:
             self._source.abandon()
--- a/quota_gateway/net/http_common.py
+++ b/quota_gateway/net/http_common.py
@@ -1,13 +1,14 @@
-"""What both sides of the limiter hold of HTTP: limits, headers and addresses."""
+"""What clients' and endpoints' connections have in common of HTTP: size limits, headers and addresses."""
 
 from __future__ import annotations
 
-MAX_BODY = 64 * 1024  # what is kept whole; a longer body goes through in pieces
-MAX_LONG = 40 * 1024 * 1024  # of a request's body
-PIECE = 128 * 1024  # of a long body that the system holds for one read: hundreds of them must fit
-MAX_HEAD = 32 * 1024
-# Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1), and the framing,
-# which is made anew because the body is passed on whole.
+MAX_BODY = 64 * 1024  # bytes of a body that is buffered completely; a longer one is streamed
+MAX_LONG = 40 * 1024 * 1024  # bytes of a streamed request body
+PIECE = 128 * 1024  # bytes of socket receive buffer for a streamed body: memory must do for hundreds of them
+MAX_HEAD = 32 * 1024  # bytes of a request line or status line with its headers
+MAX_PORT = 65535
+# Headers that belong to one connection and are never forwarded (RFC 9110, 7.6.1), and the framing headers,
+# which are written anew because the body may be framed differently on the next connection.
 NOT_FORWARDED = frozenset(
     (
         b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-authenticate",
@@ -17,8 +18,11 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """``host:port`` in parts; IPv6 hosts stand in brackets."""
+    """Split ``host:port``; an IPv6 host stands in brackets, which are removed.
+
+    Raises ``ValueError`` if the text has another form.
+    """
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
+    if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"not an address: {text!r:.60}")
     return host.strip("[]"), int(port)
