--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -5,8 +5,9 @@
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from contextlib import asynccontextmanager
+from functools import wraps
 from itertools import count
-from typing import Any
+from typing import Any, ParamSpec
 
 import uvloop
 
@@ -18,6 +19,7 @@
 from quota_gateway.net.listener import ClientListener
 
 LIMIT = 20.0  # generous: only a hang takes this long
+Parameters = ParamSpec("Parameters")
 Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 IDS = count(0x9B1F03AA5C7E2D41)  # new with every request
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -40,6 +42,16 @@
     uvloop.run(asyncio.wait_for(main, LIMIT))
 
 
+def async_test(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
+    """Make a test of a coroutine function: it runs on an event loop of its own, with a time limit."""
+
+    @wraps(test)
+    def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
+        run(test(*args, **kwargs))
+
+    return run_test
+
+
 def ask(
     path: str = "/lookup?account=00000000b4d65521", body: bytes = b"", ttl: int = 5000, **headers: str
 ) -> bytes:
