--- /dev/null
+++ b/tests/http_bodies.py
@@ -0,0 +1,50 @@
+"""Helpers for tests with long bodies: writing and reading them in every framing."""
+
+from __future__ import annotations
+
+import asyncio
+
+from tests.loopback import ask
+
+POST_PATH = "/post?account=00000000b4d65521"
+
+
+async def read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
+    """Read a body in the framing that the headers announce, without trailers."""
+    if "content-length" in headers:
+        return await reader.readexactly(int(headers["content-length"]))
+    if headers.get("transfer-encoding") != "chunked":
+        return await reader.read()
+    chunks = []
+    while size := int((await reader.readline()).partition(b";")[0], 16):
+        chunks.append(await reader.readexactly(size))
+        assert await reader.readline() == b"\r\n"
+    assert await reader.readline() == b"\r\n"
+    return b"".join(chunks)
+
+
+async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
+    """Read a first line and its headers."""
+    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().rstrip().split("\r\n")
+    pairs = (line.partition(":") for line in lines)
+    return first, {name.lower(): value.strip() for name, _, value in pairs}
+
+
+def chunked(body: bytes, size: int = 50_000, extension: bytes = b"") -> bytes:
+    """A body in chunks of ``size`` bytes, with a chunk extension and trailers."""
+    chunks = [body[start : start + size] for start in range(0, len(body), size)]
+    framed = b"".join(b"%x%b\r\n%b\r\n" % (len(chunk), extension, chunk) for chunk in chunks)
+    return framed + b"0\r\nX-Trailer: 1\r\nX-Units-Charged: 7\r\n\r\n"
+
+
+def upload_head(framing: str, size: int, ttl: int = 15_000) -> bytes:
+    """The head of a request with a long body; its timeout ``ttl`` is in milliseconds."""
+    headers = {"Content_Length": str(size)}
+    if framing == "chunked":
+        headers = {"Content_Length": "", "Transfer_Encoding": "chunked"}
+    return ask(POST_PATH, b"x", ttl, **headers)[:-1]
+
+
+def upload(framing: str, body: bytes) -> bytes:
+    """A request with a long body."""
+    return upload_head(framing, len(body)) + (chunked(body) if framing == "chunked" else body)
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -1,13 +1,14 @@
-"""The decisions on real sockets against rough peers: what the limiter believes of them must stay true."""
+"""Fault detection end to end: the real decisions on real sockets, with endpoints and a counter that fail."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 import struct
-from collections.abc import Iterator
+from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import replace
+from itertools import count
 
 import pytest
 
@@ -15,10 +16,13 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.decisions.quota import CounterBudget
 from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.dispatcher import unix_clock
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, async_test, listening, listing
 
+LINGER_AND_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s: closing the socket resets the connection
 
-class Deciding(Script):
+
+class RealDecisions(Script):
     """The decisions themselves, on a clock that a test may put forward."""
 
     def __init__(self, settings: model.Settings = SETTINGS) -> None:
@@ -27,189 +31,270 @@
         super().__init__(lambda event: self.gateway.handle(self.now, event))
 
 
-class Door:
-    """Takes connections and, while it is shut, resets each before a byte has passed."""
+def decisions_in_real_time() -> Script:
+    """The decisions themselves; endpoints warm up slowly and are overloaded soon."""
+    settings = replace(SETTINGS, initial_capacity=0.15, warm_up_time=15.0, overload_multiple=2.5)
+    clock = unix_clock()
+    gateway = Gateway(settings, 1, clock())
+    return Script(lambda event: gateway.handle(clock(), event))
+
+
+class ResettingEndpoint:
+    """Accepts connections and resets each of them before a byte has passed."""
 
     def __init__(self, listener: socket.socket) -> None:
-        self._listener, self.resets = listener, 0
-        asyncio.get_running_loop().add_reader(listener, self._reset)
+        self._listener = listener
+        self.reset_count = 0
+        asyncio.get_running_loop().add_reader(listener, self._accept_and_reset)
 
-    def _reset(self) -> None:
-        taken, _ = self._listener.accept()
-        taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        taken.close()
-        self.resets += 1
+    def _accept_and_reset(self) -> None:
+        connection, _ = self._listener.accept()
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_AND_RESET)
+        connection.close()
+        self.reset_count += 1
 
 
 @contextmanager
-def shut_door() -> Iterator[tuple[Door, str]]:
+def resetting_endpoint() -> Iterator[tuple[ResettingEndpoint, str]]:
+    """A resetting endpoint and its address."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         host, port = listener.getsockname()
-        door = Door(listener)
+        endpoint = ResettingEndpoint(listener)
         try:
-            yield door, f"{host}:{port}"
+            yield endpoint, f"{host}:{port}"
         finally:
             asyncio.get_running_loop().remove_reader(listener)
 
 
+async def send_requests(limiter: Limiter, decisions: RealDecisions, number: int, interval: float) -> None:
+    """Send requests one after the other; the clock of the decisions advances before each."""
+    for _ in range(number):
+        decisions.now += interval
+        await limiter.fetch(ask())
+
+
 @async_test
-async def test_a_server_that_resets_new_connections_is_there_and_not_lost() -> None:
-    script = Deciding(replace(SETTINGS, warm_up_time=60.0))
-    with shut_door() as (door, address):
-        async with Limiter(script, {"s1": address}) as limiter:
-            for _ in range(60):
-                script.now += 0.1
-                await limiter.fetch(ask())
-            assert door.resets >= 20
-    assert {event.status for event in script.events if isinstance(event, model.AttemptCompleted)} <= {
+async def test_endpoint_that_resets_new_connections_is_not_taken_as_unreachable() -> None:
+    decisions = RealDecisions(replace(SETTINGS, warm_up_time=60.0))
+    with resetting_endpoint() as (endpoint, address):
+        async with Limiter(decisions, {"s1": address}) as limiter:
+            await send_requests(limiter, decisions, number=60, interval=0.1)
+            assert endpoint.reset_count >= 20
+    assert {event.status for event in decisions.events if isinstance(event, model.AttemptCompleted)} <= {
         model.CallStatus.RESET_BEFORE_REQUEST, model.CallStatus.RESET_AFTER_REQUEST,
     }  # fmt: skip
-    assert not script.gateway._servers["s1"].lost  # its next answer would make it cold for 60 s
+    assert not decisions.gateway._servers["s1"].lost  # its next response would start a warm-up of 60 s
+
+
+class RecoveringEndpoint:
+    """Keeps its first two requests, then breaks connections until it has recovered."""
+
+    def __init__(self) -> None:
+        self.writers: list[asyncio.StreamWriter] = []
+        self.recovered = False
+        self.silent = Origin(lambda _number: None)
+        self.breaking = Origin(lambda _number: OK if self.recovered else b"")
+
+    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self.writers.append(writer)
+        origin = self.silent if len(self.writers) < 3 else self.breaking
+        await origin.talk(reader, writer)
+
+    async def wait_for_silent_requests(self, number: int) -> None:
+        """Wait until so many requests are kept."""
+        while len(self.silent.seen) < number:
+            await asyncio.sleep(0)
 
 
 @async_test
-async def test_a_server_that_had_work_of_two_classes_out_comes_back_from_its_trial() -> None:
-    held = Origin(lambda _n: None)
-    failing = [True]
-    shaky, firm = Origin(lambda _n: b"" if failing[0] else OK), Origin()
-    writers = list[asyncio.StreamWriter]()
-
-    async def first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writers.append(writer)
-        await (held if len(writers) < 3 else shaky).talk(reader, writer)
-
-    async with listening(first) as one, listening(firm.talk) as two, listening(firm.talk) as three:
-        script = Deciding(replace(SETTINGS, max_attempts=1))
-        async with Limiter(script, {"s1": one}) as limiter:
+async def test_endpoint_ejected_with_requests_of_two_classes_recovers_from_half_open() -> None:
+    endpoint = RecoveringEndpoint()
+    healthy = Origin()
+    async with (
+        listening(endpoint.talk) as one,
+        listening(healthy.talk) as two,
+        listening(healthy.talk) as three,
+    ):
+        decisions = RealDecisions(replace(SETTINGS, max_attempts=1))
+        async with Limiter(decisions, {"s1": one}) as limiter:
             lookup = asyncio.create_task(limiter.fetch(ask()))
-            while len(held.seen) < 1:
-                await asyncio.sleep(0)
+            await endpoint.wait_for_silent_requests(1)
             post = asyncio.create_task(limiter.fetch(ask("/post?account=00000000b4d65521", b"x")))
-            while len(held.seen) < 2:
-                await asyncio.sleep(0)
-            for writer, task in zip(writers, (lookup, post), strict=True):
+            await endpoint.wait_for_silent_requests(2)
+            for writer, task in zip(endpoint.writers, (lookup, post), strict=True):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 await task
             limiter.dispatcher.on_watch_event(listing({"s1": one, "s2": two, "s3": three}))
-            server = script.gateway._servers["s1"]
-            while not server.trial:
-                script.now += 0.1
-                await limiter.fetch(ask())
-            failing[0], before = False, len(shaky.seen)
-            script.now += 20.0
-            for _ in range(40):
-                script.now += 0.1
-                await limiter.fetch(ask())
-            assert len(shaky.seen) > before
+            while not decisions.gateway._servers["s1"].trial:
+                await send_requests(limiter, decisions, number=1, interval=0.1)
+            endpoint.recovered = True
+            request_count = len(endpoint.breaking.seen)
+            decisions.now += 20.0
+            await send_requests(limiter, decisions, number=40, interval=0.1)
+            assert len(endpoint.breaking.seen) > request_count
 
 
 @async_test
-async def test_resets_that_the_whole_fleet_shares_put_no_server_out() -> None:
-    """Of each server's answers one in eight is a reset, now and then two in a row; none of them is dead."""
+async def test_resets_common_to_all_endpoints_eject_none_of_them() -> None:
+    """Of each endpoint's responses one in eight is a reset, sometimes two in a row; none of them is down."""
 
-    def origin(shift: int) -> Origin:
-        return Origin(lambda n: b"" if (n + shift) % 16 in (0, 1) else OK)
+    def resetting_origin(shift: int) -> Origin:
+        return Origin(lambda number: b"" if (number + shift) % 16 in (0, 1) else OK)
 
-    origins = [origin(5 * number) for number in range(3)]
-    peers = [listening(origin.talk) for origin in origins]
+    peers = [listening(resetting_origin(shift).talk) for shift in (0, 5, 10)]
     async with peers[0] as one, peers[1] as two, peers[2] as three:
-        script = Deciding()
-        async with Limiter(script, {"s1": one, "s2": two, "s3": three}) as limiter:
-            servers = script.gateway._servers.values()
-            out = 0
+        decisions = RealDecisions()
+        async with Limiter(decisions, {"s1": one, "s2": two, "s3": three}) as limiter:
+            servers = decisions.gateway._servers.values()
+            ejected = 0
             for _ in range(400):
-                script.now += 0.05
-                await limiter.fetch(ask())
-                out += sum(server.out_until > script.now for server in servers)
-    assert out < 120  # of 1200; by two in a row alone it is about half
+                await send_requests(limiter, decisions, number=1, interval=0.05)
+                ejected += sum(server.out_until > decisions.now for server in servers)
+    assert ejected < 120  # of 1200; two resets in a row as the only rule give about half
 
 
 @async_test
-async def test_what_breaks_together_is_one_event() -> None:
-    taken, drop = asyncio.Semaphore(0), asyncio.Event()
+async def test_connections_that_break_together_are_one_failure() -> None:
+    requests_received = asyncio.Semaphore(0)
+    break_connections = asyncio.Event()
 
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        taken.release()
-        await drop.wait()
+        requests_received.release()
+        await break_connections.wait()
 
-    async with listening(talk) as one:
-        script = Deciding(replace(SETTINGS, max_attempts=1))
-        async with Limiter(script, {"s1": one}) as limiter:
+    async with listening(talk) as address:
+        decisions = RealDecisions(replace(SETTINGS, max_attempts=1))
+        async with Limiter(decisions, {"s1": address}) as limiter:
             tasks = [asyncio.create_task(limiter.fetch(ask())) for _ in range(4)]
             for _ in tasks:
-                await taken.acquire()
-            script.now += 0.5
-            drop.set()
+                await requests_received.acquire()
+            decisions.now += 0.5
+            break_connections.set()
             await asyncio.gather(*tasks)
-            assert script.gateway._servers["s1"].fails < 0.65  # as a row of deaths it is 0.8
+            assert decisions.gateway._servers["s1"].fails < 0.65  # as failures in a row it is 0.8
 
 
 @async_test
-async def test_calls_that_end_with_one_connection_of_the_counter_are_one_sign_of_silence() -> None:
-    plans = (model.Plan("basic", rate=1.0, burst=4.0),)  # so little that the counter is asked at once
-    script = Deciding(replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05))
-    script.now += 10.0  # what the others used since it was born may be more than is left
-    accounts, origin = iter(range(1, 9)), Origin()
-    connections, lines = asyncio.Queue[asyncio.StreamWriter](), asyncio.Queue[bytes]()
+async def test_response_after_a_single_time_out_does_not_start_a_warm_up() -> None:
+    origin = Origin(lambda number: OK if number > 1 else None)
+    lookup = model.RequestClass("lookup", 0.1, 1.0, model.Idempotency.INHERENT)
+    settings = replace(SETTINGS, classes=(lookup,), warm_up_time=60.0, max_attempts=1)
+    decisions = RealDecisions(settings)
+    async with listening(origin.talk) as address, Limiter(decisions, {"s1": address}) as limiter:
+        task = asyncio.create_task(limiter.fetch(ask()))
+        await origin.got.wait()
+        decisions.now += 0.5  # nothing came from the endpoint for as long as the request waited
+        assert " 429 " in (await task)[0]
+        (completed,) = await decisions.until(model.AttemptCompleted)
+        assert completed.status is model.CallStatus.TIMEOUT
+        assert " 200 " in (await limiter.fetch(ask()))[0]
+        assert decisions.gateway._servers["s1"].cold_at is None
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        connections.put_nowait(writer)
+
+@async_test
+async def test_malformed_responses_of_all_endpoints_eject_none_of_them() -> None:
+    """Counted as broken connections they made each endpoint unreachable, then warming up for 15 s."""
+    malformed = b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\nhi"
+    origin = Origin(lambda number: malformed if number % 6 == 0 else OK)
+    async with listening(origin.talk) as address:
+        addresses = {"s1": address, "s2": address, "s3": address}
+        async with Limiter(decisions_in_real_time(), addresses) as limiter:
+            answers = [(await limiter.fetch(ask()))[0] for _ in range(30)]  # within the fair share
+            assert all(" 200 " in answer for answer in answers)  # a lookup may be retried elsewhere
+
+
+@async_test
+async def test_single_broken_connections_make_no_endpoint_unreachable() -> None:
+    """Each counted as a crash, and the next response as a restart: soon all endpoints were warming up."""
+    origin = Origin(lambda number: b"" if number % 6 == 0 else OK)
+    async with listening(origin.talk) as address:
+        addresses = {"s1": address, "s2": address, "s3": address}
+        async with Limiter(decisions_in_real_time(), addresses) as limiter:
+            answers = [(await limiter.fetch(ask()))[0] for _ in range(30)]
+            assert all(" 200 " in answer for answer in answers)
+
+
+@async_test
+async def test_rejected_request_fails_without_a_retry_and_is_no_failure_of_the_endpoint() -> None:
+    rejection = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
+    origin = Origin(lambda number: rejection if number <= 8 else OK)
+    async with listening(origin.talk) as address:
+        addresses = {"s1": address, "s2": address}
+        async with Limiter(decisions_in_real_time(), addresses) as limiter:
+            for attempts in range(1, 9):
+                assert " 502 " in (await limiter.fetch(ask()))[0] and len(origin.seen) == attempts
+            assert " 200 " in (await limiter.fetch(ask()))[0]
+
+
+class BreakingCounter:
+    """A counter that never replies, and breaks its connection when a test wants it."""
+
+    def __init__(self) -> None:
+        self.connections: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
+        self.lines: asyncio.Queue[bytes] = asyncio.Queue()
+
+    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self.connections.put_nowait(writer)
         while line := await reader.readline():
-            lines.put_nowait(line)
+            self.lines.put_nowait(line)
+
+    async def break_connection_under(
+        self, fetches: list[Awaitable[tuple[str, dict[str, str], bytes]]], advance: Callable[[], None]
+    ) -> None:
+        """Break the connection when each request has made its call; ``advance`` moves the clock."""
+        writer = await self.connections.get()
+        tasks = [asyncio.ensure_future(fetch) for fetch in fetches]
+        for _ in tasks:
+            assert (await self.lines.get()).startswith(b"tally")
+        advance()
+        writer.transport.abort()
+        for answer in await asyncio.gather(*tasks):
+            assert " 200 " in answer[0]
+        advance()
 
-    async with listening(talk) as counter, listening(origin.talk) as server:
-        host, port = counter.split(":")
+
+@async_test
+async def test_counter_calls_that_end_with_one_connection_are_one_sign_of_an_unresponsive_counter() -> None:
+    plans = (model.Plan("basic", rate=1.0, burst=4.0),)  # so little that the counter is called at once
+    settings = replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05)
+    decisions = RealDecisions(settings)
+    decisions.now += 10.0  # at the start the usage of other gateways may be more than is left
+    accounts = count(1)
+    counter = BreakingCounter()
+
+    def advance() -> None:
+        decisions.now += 0.1
+
+    async with listening(counter.talk) as counter_address, listening(Origin().talk) as address:
+        host, port = counter_address.split(":")
         client = CounterClient(host, int(port), 10.0)
         client.start()
-        async with Limiter(script, {"s1": server}, counter=client) as limiter:
-
-            async def break_under(calls: int) -> None:
-                writer = await connections.get()
-                asked = [
-                    asyncio.create_task(limiter.fetch(ask(f"/lookup?account={next(accounts):016x}")))
-                    for _ in range(calls)
-                ]
-                for _ in asked:
-                    assert (await lines.get()).startswith(b"tally")
-                script.now += 0.1
-                writer.transport.abort()
-                for answer in await asyncio.gather(*asked):
-                    assert " 200 " in answer[0]
-                script.now += 0.1
-
-            await break_under(3)
-            assert script.gateway._calls.silent_until < script.now  # the next customer is asked for
-            await break_under(1)
-            assert script.gateway._calls.silent_until > script.now  # twice, and no answer in between
+        async with Limiter(decisions, {"s1": address}, counter=client) as limiter:
+
+            def fetches(number: int) -> list[Awaitable[tuple[str, dict[str, str], bytes]]]:
+                paths = [f"/lookup?account={next(accounts):016x}" for _ in range(number)]
+                return [limiter.fetch(ask(path)) for path in paths]
+
+            await counter.break_connection_under(fetches(3), advance)
+            budget = decisions.gateway._calls
+            assert budget.silent_until < decisions.now  # calls for further accounts are made
+            await counter.break_connection_under(fetches(1), advance)
+            assert budget.silent_until > decisions.now  # the second time, and no reply in between
         client.close()
 
 
-@async_test
-async def test_a_server_that_is_silent_for_once_and_answers_again_is_not_cold() -> None:
-    origin = Origin(lambda n: OK if n > 1 else None)
-    lookup = model.RequestClass("lookup", 0.1, 1.0, model.Idempotency.INHERENT)
-    script = Deciding(replace(SETTINGS, classes=(lookup,), warm_up_time=60.0, max_attempts=1))
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-        task = asyncio.create_task(limiter.fetch(ask()))
-        await origin.got.wait()
-        script.now += 0.5  # nothing came from it for as long as the request waited
-        assert " 429 " in (await task)[0]
-        (outcome,) = await script.until(model.AttemptCompleted)
-        assert outcome.status is model.CallStatus.TIMEOUT
-        assert " 200 " in (await limiter.fetch(ask()))[0]
-        assert script.gateway._servers["s1"].cold_at is None
-
-
-def test_calls_that_time_out_together_are_one_sign_of_a_crowd_and_no_silence() -> None:
-    calls = CounterBudget(100.0, 4, 0.0)
-    rate = calls.rate
-    for n in range(8):  # out together behind one queue, they time out one after the other
-        calls.ended(100.030 + n * 0.002, model.CallStatus.TIMEOUT, 100.0 + n * 0.002)
-    assert calls.left(100.05) > 0
-    assert calls.rate == pytest.approx(0.9 * rate)
-    calls.ended(
-        100.090, model.CallStatus.TIMEOUT, 100.06
-    )  # made after them and no answer since: it is silent
-    assert calls.left(100.1) == 0
+def test_counter_calls_that_time_out_together_are_one_sign_of_overload() -> None:
+    budget = CounterBudget(100.0, 4, 0.0)
+    rate = budget.rate
+    for number in range(8):  # made together behind one queue, they time out one after the other
+        offset = number * 0.002
+        budget.ended(100.030 + offset, model.CallStatus.TIMEOUT, 100.0 + offset)
+    assert budget.left(100.05) > 0
+    assert budget.rate == pytest.approx(0.9 * rate)
+    # Made after them, and no reply since: the counter is unresponsive.
+    budget.ended(100.090, model.CallStatus.TIMEOUT, 100.06)
+    assert budget.left(100.1) == 0
