--- a/tests/http_bodies.py
+++ b/tests/http_bodies.py
@@ -6,6 +6,7 @@
 
 from tests.loopback import ask
 
+LONG_BODY = bytes(range(256)) * 4096 * 4  # 4 MiB
 POST_PATH = "/post?account=00000000b4d65521"
 
 
--- /dev/null
+++ b/tests/test_http_framing.py
@@ -0,0 +1,67 @@
+"""Every form and framing of requests and responses, over loopback sockets."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.net.http_common import MAX_BODY
+from tests.http_bodies import LONG_BODY, POST_PATH, chunked, read_body, read_head
+from tests.loopback import OK, Limiter, Script, ask, async_test, listening, read_message, send_on
+
+
+@pytest.mark.parametrize(
+    "framing", [b"Content-Length: 5 ", b"transfer-encoding:  chunked ", b"Connection: close"]
+)
+@async_test
+async def test_short_response_in_every_framing(framing: bytes) -> None:
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        body = chunked(b"hello", 2) if b"chunked" in framing else b"hello"
+        writer.write(
+            b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n%b\r\n\r\n" % framing + body
+        )
+        await writer.drain()
+
+    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        status, _, body = await limiter.fetch(ask())
+        assert " 200 " in status and body == b"hello"
+
+
+FINAL_CHUNK_AND_TRAILER = b"0\r\nX-Plan: none\r\n\r\n"
+REQUEST_FORMS = [  # what is replaced in a plain request, and by what
+    (b"GET /lookup", b"GET http://origin.svc/lookup"),
+    (b"GET /lookup", b"\r\nGET /lookup"),
+    (b"X-Plan: basic", b"x-PLAN:\tbasic \t"),
+    (b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n" + FINAL_CHUNK_AND_TRAILER),
+    (b"HTTP/1.1", b"HTTP/1.0"),
+]
+
+
+@pytest.mark.parametrize(("plain", "form"), REQUEST_FORMS)
+@async_test
+async def test_every_form_of_a_request_is_read(plain: bytes, form: bytes) -> None:
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        first_line, _ = await read_head(reader)
+        assert first_line == "GET /lookup?account=00000000b4d65521 HTTP/1.1"
+        writer.write(OK)
+
+    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        assert (await limiter.fetch(ask().replace(plain, form, 1)))[2] == b"hi"
+
+
+@pytest.mark.parametrize("size", [5, 2 * MAX_BODY])
+@async_test
+async def test_client_that_expects_100_continue_gets_it(size: int) -> None:
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        _, headers = await read_head(reader)
+        assert await read_body(reader, headers) == LONG_BODY[:size] and "expect" not in headers
+        writer.write(OK)
+
+    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask(POST_PATH, b"x", Content_Length=str(size), Expect="100-continue")[:-1])
+        assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
+        writer.write(LONG_BODY[:size])
+        assert (await read_message(reader))[2] == b"hi"
