--- /dev/null
+++ b/tests/test_body_stream.py
@@ -0,0 +1,313 @@
+"""Bodies over loopback sockets: streaming both ways, backpressure, and broken streams."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import socket
+import time
+from typing import Any
+
+import pytest
+
+from quota_gateway import model
+from tests import world as w
+from tests.http_bodies import LONG_BODY, chunked, read_body, read_head, upload, upload_head
+from tests.loopback import OK, Limiter, Script, ask, async_test, listening, read_message, send_on
+from tests.test_endings import LATE, WAYS, interim
+
+LONG_RESPONSES = [
+    b"Content-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY,
+    b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG_BODY),
+    b"Transfer-Encoding: Chunked \r\n\r\n" + chunked(LONG_BODY, 70_001, b";name=value"),
+    b"Connection: close\r\n\r\n" + LONG_BODY,
+    b"\r\n" + LONG_BODY,
+]
+
+
+@pytest.mark.parametrize(
+    "response", LONG_RESPONSES, ids=["length", "chunked", "odd chunked", "close", "neither"]
+)
+@async_test
+async def test_long_response_passes_unchanged_in_every_framing(response: bytes) -> None:
+    reuses_connection = b"ength" in response[:40] or b"hunked" in response[:40]
+
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        writer.write(b"HTTP/1.1 200 OK\r\nX-Units-Charged: 3\r\n" + response)
+        if reuses_connection:
+            await read_message(reader)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2 \r\n\r\nhi")
+        await writer.drain()
+
+    script = Script(send_on)
+    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask())
+        status, headers = await read_head(reader)
+        assert " 200 " in status and await read_body(reader, headers) == LONG_BODY
+        (completed,) = await script.until(model.AttemptCompleted)
+        assert completed.status is model.CallStatus.OK
+        assert completed.request_finished
+        assert completed.charged_units == 3
+        if reuses_connection:
+            await asyncio.sleep(0.05)
+            writer.write(ask())
+            assert (await read_message(reader))[2] == b"hi"
+
+
+@async_test
+async def test_client_that_does_not_read_stops_its_endpoint() -> None:
+    sent = 0
+    total = 64 * len(LONG_BODY)
+
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal sent
+        await read_message(reader)
+        writer.transport.set_write_buffer_limits(high=0)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % total)
+        while sent < total:
+            writer.write(LONG_BODY)
+            await writer.drain()
+            sent += len(LONG_BODY)
+
+    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        writer.write(ask())
+        while not any(connection._held for connection in limiter.pool.streaming):
+            await asyncio.sleep(0.01)
+        assert sent < total  # the rest waits at the endpoint, not here
+        reader._transport.resume_reading()  # type: ignore[attr-defined]
+        _, headers = await read_head(reader)
+        received = 0
+        while received < int(headers["content-length"]):
+            received += len(await reader.read(1 << 20))
+        assert received == total and not limiter.pool.streaming
+
+
+@pytest.mark.parametrize("framing", [b"Content-Length: 9000000", b"Transfer-Encoding: chunked"])
+@async_test
+async def test_long_response_that_breaks_off_ends_the_client_connection_early(framing: bytes) -> None:
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        size = b"%x\r\n" % 900_000 if b"chunked" in framing else b""
+        writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (framing, size) + LONG_BODY[:800_000])
+        await writer.drain()
+
+    script = Script(send_on)
+    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask())
+        _, headers = await read_head(reader)
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
+            await read_body(reader, headers)
+        assert len(await script.until(model.AttemptCompleted)) == 1
+
+
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+@async_test
+async def test_long_request_passes_unchanged_and_its_timeout_starts_with_its_last_byte(framing: str) -> None:
+    bodies: list[bytes] = []
+    head_received = asyncio.Event()
+
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        _, headers = await read_head(reader)
+        head_received.set()
+        bodies.append(await read_body(reader, headers))
+        writer.write(OK)
+
+    script = Script(send_on)
+    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        data = upload(framing, LONG_BODY)
+        writer.write(data[:200_000])
+        await head_received.wait()
+        (opened,) = limiter.dispatcher._requests.values()
+        assert opened.deadline == math.inf and opened.timer is None  # the client's timeout has not started
+        assert opened.attempts[0].timer is None and not opened.attempts[0].request_written
+        writer.write(data[200_000:])
+        assert (await read_message(reader))[2] == b"hi"
+        assert bodies == [LONG_BODY]
+        kinds = [type(event) for event in script.events if not isinstance(event, model.EndpointUpdate)]
+        assert kinds == [model.Request, model.UploadCompleted, model.AttemptCompleted]
+
+
+@async_test
+async def test_endpoint_that_does_not_read_stops_its_client() -> None:
+    resume_reading = asyncio.Event()
+    body = LONG_BODY * 8
+
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        await resume_reading.wait()
+        reader._transport.resume_reading()  # type: ignore[attr-defined]
+        _, headers = await read_head(reader)
+        assert await read_body(reader, headers) == body
+        writer.write(OK)
+
+    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(upload("length", body))
+        while not any(client._held for client in limiter.listener._clients):
+            await asyncio.sleep(0.01)
+        resume_reading.set()
+        assert (await read_message(reader))[2] == b"hi"
+
+
+@async_test
+async def test_rejected_long_request_is_answered_before_its_body_is_complete() -> None:
+    def reject(event: model.Event) -> list[model.Action]:
+        return [model.Reject(event.id, 0.25)] if isinstance(event, model.Request) else []
+
+    script = Script(reject)
+    async with Limiter(script, {}) as limiter:
+        reader, writer = await limiter.connect()
+        data = upload("length", LONG_BODY)
+        writer.write(data[:100_000])
+        status, headers, _ = await read_message(reader)
+        assert " 429 " in status and headers["connection"] == "close" and headers["retry-after"] == "0.250"
+        writer.write(data[100_000:] + ask())  # what follows is read and dropped, and is no request
+        await writer.drain()
+        assert await reader.read() == b""
+        assert sum(isinstance(event, model.Request) for event in script.events) == 1
+
+
+@async_test
+async def test_request_of_a_client_that_disconnects_during_the_upload_is_truncated() -> None:
+    head_received = asyncio.Event()
+    truncated = asyncio.Event()
+
+    async def talk(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        await read_head(reader)
+        head_received.set()
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+            await reader.readexactly(len(LONG_BODY))
+        truncated.set()
+
+    script = Script(send_on)
+    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+        _, writer = await limiter.connect()
+        writer.write(upload("length", LONG_BODY)[:300_000])
+        await head_received.wait()
+        writer.close()
+        await truncated.wait()
+        await script.until(model.ClientDisconnected)
+
+
+class PausedEndpoint:
+    """Reads nothing until it is resumed; ``body_size`` is then that of the body, or 0 for a truncated one."""
+
+    def __init__(self) -> None:
+        self.resume = asyncio.Event()
+        self.body_size: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+
+    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        await self.resume.wait()
+        reader._transport.resume_reading()  # type: ignore[attr-defined]
+        _, headers = await read_head(reader)
+        try:
+            self.body_size.set_result(len(await read_body(reader, headers)))
+            writer.write(OK)
+        except (asyncio.IncompleteReadError, OSError, ValueError):
+            self.body_size.set_result(0)
+
+
+async def upload_until_backpressure(client: socket.socket, limiter: Limiter) -> int:
+    """Send a body until its end alone is unread at the limiter; returns the size of the body."""
+    client.sendall(upload_head("chunked", 0, ttl=60_000))
+    while not limiter.listener._clients:
+        await asyncio.sleep(0)
+    (connection,) = limiter.listener._clients
+    client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
+    size = 0x10001
+    while True:
+        opened = list(limiter.dispatcher._requests.values())
+        if opened and opened[0].attempts[0].connection:
+            break
+        await asyncio.sleep(0)
+    while connection._held or connection._size < size:
+        await asyncio.sleep(0)
+    chunk = b"x" * 8192
+    while not connection._held:  # each chunk is read before the next is sent
+        client.sendall(b"%x\r\n%b\r\n" % (len(chunk), chunk))
+        size += len(chunk)
+        while connection._size < size and not connection._held:
+            await asyncio.sleep(0)
+    client.sendall(b"0\r\n\r\n")
+    return size
+
+
+@pytest.mark.parametrize("disconnect", WAYS)
+@async_test
+async def test_upload_with_an_unread_end_is_truncated_when_its_client_disconnects(disconnect: Any) -> None:
+    endpoint = PausedEndpoint()
+    async with listening(endpoint.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        client = socket.create_connection(limiter._address)
+        await upload_until_backpressure(client, limiter)
+        disconnect(client)
+        time.sleep(LATE)
+        endpoint.resume.set()
+        assert await endpoint.body_size == 0
+
+
+@async_test
+async def test_upload_with_an_unread_end_is_answered_when_its_client_half_closes() -> None:
+    endpoint = PausedEndpoint()
+    async with listening(endpoint.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        client = socket.create_connection(limiter._address)
+        size = await upload_until_backpressure(client, limiter)
+        client.shutdown(socket.SHUT_WR)
+        time.sleep(LATE)
+        endpoint.resume.set()
+        assert await endpoint.body_size == size
+        client.setblocking(False)
+        reader, writer = await asyncio.open_connection(sock=client)
+        assert (await interim(reader))[2] == b"hi"
+        writer.close()
+
+
+@async_test
+async def test_partly_forwarded_request_may_not_be_retried() -> None:
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_head(reader)
+        writer.transport.abort()
+
+    script = Script(send_on)
+    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(upload("length", LONG_BODY)[:300_000])
+        assert " 429 " in (await read_message(reader))[0]
+        (completed,) = await script.until(model.AttemptCompleted)
+        assert completed.status is model.CallStatus.RESET_BEFORE_REQUEST and not completed.may_retry
+
+
+def test_endpoint_is_not_taken_as_unresponsive_during_an_upload() -> None:
+    world = w.World(w.settings())
+    world.feed(w.servers("s0"))
+    request = model.Request(
+        id=1, request_class="read", plan="free", timeout=3.0, account="x", serving_gateways=3, uploading=True
+    )
+    world.feed(request)
+    world.requests[1] = (request, world.now + 1000.0)  # the client's timeout has not started
+    for _ in range(100):
+        world.advance(world.now + 0.1)
+    server = world.gateway.endpoints.by_name["s0"]
+    assert server.unresponsive_since is None and not world.answered and not world.gateway.controller.readings
+    world.requests[1] = (request, world.now + 3.0)
+    world.feed(model.UploadCompleted(1))
+    assert server.unresponsive_since == world.now
+    reset = model.AttemptCompleted(
+        request_id=1,
+        attempt=0,
+        endpoint="s0",
+        status=model.CallStatus.RESET_BEFORE_REQUEST,
+        elapsed=0.1,
+        request_finished=False,
+        load_report={},
+        may_retry=False,
+    )
+    world.feed(reset)
+    assert world.answered[1] == "refused" and len(world.sends) == 1
