--- a/quota_gateway/net/request_table.py
+++ b/quota_gateway/net/request_table.py
@@ -14,8 +14,8 @@
 
 from quota_gateway import model
 from quota_gateway.net.body_stream import BodyStream
+from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.connection_pool import ConnectionPool, Exchange
-from quota_gateway.net.listener import ClientRequest
 
 log = logging.getLogger(__name__)
 
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -14,7 +14,7 @@
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.counter_client import CounterClient
 from quota_gateway.net.dispatcher import unix_clock
-from quota_gateway.net.listener import RequestParser
+from quota_gateway.net.request_parser import RequestParser
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings import settings_from
 from scale.hollow import PLAN, TTL, settings, whole_list
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,8 +14,9 @@
 
 from quota_gateway import __main__ as program
 from quota_gateway import model
-from quota_gateway.net import connection_pool, listener
-from quota_gateway.net.listener import MAX_PIPELINE
+from quota_gateway.net import client_connection, connection_pool, listener
+from quota_gateway.net.client_connection import MAX_PIPELINE
+from quota_gateway.net.client_request import ClientRequest
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 # Draining.
@@ -69,7 +70,7 @@
 
 
 def test_half_a_head_is_still_answered_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "HEAD", 0.3)
+    monkeypatch.setattr(client_connection, "HEAD", 0.3)
 
     async def main() -> None:
         async with Limiter(Script(send_on), {}) as limiter:
@@ -166,7 +167,7 @@
             stranded = asyncio.Event()
             mark = limiter.dispatcher.on_client_maybe_gone
 
-            def seen(request: listener.ClientRequest) -> None:
+            def seen(request: ClientRequest) -> None:
                 mark(request)
                 stranded.set()
 
@@ -191,7 +192,7 @@
             stranded = asyncio.Event()
             mark = limiter.dispatcher.on_client_maybe_gone
 
-            def seen(request: listener.ClientRequest) -> None:
+            def seen(request: ClientRequest) -> None:
                 mark(request)
                 stranded.set()
 
@@ -234,13 +235,13 @@
     async def main() -> None:
         script = Script(lambda _event: [])
         async with Limiter(script, {}) as limiter:
-            looks, look = asyncio.Queue[None](), listener._Client._look
+            looks, look = asyncio.Queue[None](), client_connection._Client._look
 
-            def counted(self: listener._Client) -> None:
+            def counted(self: client_connection._Client) -> None:
                 look(self)
                 looks.put_nowait(None)
 
-            monkeypatch.setattr(listener._Client, "_look", counted)
+            monkeypatch.setattr(client_connection._Client, "_look", counted)
             reader, writer = await limiter.connect()
             for _ in range(MAX_PIPELINE):
                 writer.write(ask(ttl=60000))
@@ -366,7 +367,7 @@
 
 
 def test_whoever_has_just_half_closed_is_still_sent_on_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "STILL", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(client_connection, "STILL", 10.0)  # a slow machine must not make it late
 
     async def main() -> None:
         script, origin = Script(lambda _event: []), Origin()
@@ -380,7 +381,7 @@
                 await asyncio.sleep(0)
             script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
             # The dial would wait for the loop, and the look at half-closed clients come between.
-            monkeypatch.setattr(listener, "GONE", 10.0)
+            monkeypatch.setattr(client_connection, "GONE", 10.0)
             limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, body = await interim(reader)
             assert " 200 " in status and body == b"hi"
@@ -470,7 +471,7 @@
                 await asyncio.sleep(0)
             limiter.listener.set_max_connections(3)
             clients[0].sendall(ask())  # the longest silent of them, unread when the next one comes
-            limiter.listener.connected(listener._Client(limiter.listener))
+            limiter.listener.connected(client_connection._Client(limiter.listener))
             first, _ = await asyncio.open_connection(sock=clients[0])
             second, _ = await asyncio.open_connection(sock=clients[1])
             assert " 429 " in (await read_message(first))[0]
@@ -485,16 +486,16 @@
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
             client = socket.create_connection(limiter._address)
-            look = listener._Client._unread.fget  # type: ignore[attr-defined]
+            look = client_connection._Client._unread.fget  # type: ignore[attr-defined]
 
-            def cross(self: listener._Client) -> bool:
+            def cross(self: client_connection._Client) -> bool:
                 unread: bool = look(self)
                 client.sendall(ask())
                 return unread
 
             while not limiter.listener._clients:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(listener._Client, "_unread", property(cross))
+            monkeypatch.setattr(client_connection._Client, "_unread", property(cross))
             closing = asyncio.create_task(limiter.listener.close(1000))
             await closing
             client.settimeout(10)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import connection_pool, listener
+from quota_gateway.net import client_connection, connection_pool, listener
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 POST = ask("/post?account=00000000b4d65521", b"xy")
@@ -279,8 +279,9 @@
 
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("SWEEP", 0.01), ("IDLE", 0.1), ("SLOW", 0.1), ("LONGEST", 0.3)):
-        monkeypatch.setattr(listener, name, value)
+    monkeypatch.setattr(listener, "SWEEP", 0.01)
+    for name, value in (("IDLE", 0.1), ("SLOW", 0.1), ("LONGEST", 0.3)):
+        monkeypatch.setattr(client_connection, name, value)
 
 
 @pytest.mark.parametrize(
@@ -311,7 +312,7 @@
 
 @pytest.mark.usefixtures("hasty")
 def test_a_body_in_steady_flow_may_take_longer_but_not_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "FLOW", 10)
+    monkeypatch.setattr(client_connection, "FLOW", 10)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -353,12 +354,12 @@
         async with Limiter(script, {}) as limiter:
             _, writer = await limiter.connect()
             writer.write(b"".join(ask() for _ in range(200)))
-            await script.until(model.Request, listener.MAX_PIPELINE)
+            await script.until(model.Request, client_connection.MAX_PIPELINE)
             reader, other = await limiter.connect()
             script.answer = refuse
             other.write(ask())
             assert " 429 " in (await read_message(reader))[0]
-            assert len(await script.until(model.Request)) == listener.MAX_PIPELINE + 1
+            assert len(await script.until(model.Request)) == client_connection.MAX_PIPELINE + 1
 
     run(main())
 
@@ -457,9 +458,9 @@
                 while not client._head_read:
                     await asyncio.sleep(0)
                 client.since = came = client._body_since - 2.3  # the head took so long
-                client.check(came + listener.HEAD - 0.1)
+                client.check(came + client_connection.HEAD - 0.1)
                 assert not client._rejected
-                client.check(came + listener.HEAD + 0.1)
+                client.check(came + client_connection.HEAD + 0.1)
                 assert client._rejected is late
                 if late:
                     assert " 408 " in (await read_message(reader))[0]
@@ -480,9 +481,9 @@
             while not client._reading:
                 await asyncio.sleep(0.001)
             assert client.since == came
-            client.check(came + listener.HEAD - 0.1)
+            client.check(came + client_connection.HEAD - 0.1)
             assert not client._rejected
-            client.check(came + listener.HEAD + 0.1)
+            client.check(came + client_connection.HEAD + 0.1)
             assert client._rejected
 
     run(main())
