--- a/quota_gateway/net/client_request.py
+++ b/quota_gateway/net/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a client and the place of its answer."""
+"""One request of a client, and the place of its response among those of its connection."""
 
 from __future__ import annotations
 
@@ -8,22 +8,38 @@
 from quota_gateway.net.body_stream import BodyStream
 
 if TYPE_CHECKING:
-    from quota_gateway.net.client_connection import _Client
+    from quota_gateway.net.client_connection import ClientConnection
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
     409: b"Conflict", 413: b"Content Too Large", 429: b"Too Many Requests", 500: b"Internal Server Error",
     502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
 }  # fmt: skip
-STATUS_LINES = {code: b"HTTP/1.1 %d %b\r\n" % (code, reason) for code, reason in REASONS.items()}
+STATUS_LINES = {code: b"HTTP/1.1 %d %b\r\n" % (code, reason) for code, reason in REASON_PHRASES.items()}
+
+
+class RequestHandler(Protocol):
+    """Receives the requests of all client connections and what becomes of their clients."""
+
+    def on_request(self, request: ClientRequest) -> None:
+        """A request was accepted; of a streamed upload the body is still to come."""
+
+    def on_upload_completed(self, request: ClientRequest) -> None:
+        """The last byte of a streamed upload was received."""
+
+    def on_client_disconnected(self, request: ClientRequest) -> None:
+        """The client of an unanswered request has disconnected."""
+
+    def on_client_maybe_gone(self, request: ClientRequest) -> None:
+        """The client of an unanswered request ended its sending side and may be gone."""
 
 
 class ClientRequest:
-    """One try of a client, and the place in its connection where the answer goes."""
+    """A request with its one final response, either whole or streamed (it is the sink of the stream)."""
 
     __slots__ = (
         "_chunked",
-        "_client",
+        "_connection",
         "body",
         "event",
         "head",
@@ -35,96 +51,99 @@
         "response_head",
         "response_stream",
         "upload",
-    )  # fmt: skip
+    )
 
-    def __init__(self, client: _Client, keep_alive: bool, old: bool = False) -> None:
-        self._client, self.keep_alive, self.is_http_1_0 = client, keep_alive, old
+    def __init__(self, connection: ClientConnection, keep_alive: bool, is_http_1_0: bool = False) -> None:
+        self._connection = connection
+        self._chunked = False  # whether the streamed response is in chunks
+        self.keep_alive = keep_alive
+        self.is_http_1_0 = is_http_1_0
         self.event: model.Request | None = None
-        self.upload: BodyStream | None = None  # its body, where that is long
-        self.response_stream: BodyStream | None = None  # its answer, where that is long
-        self.response_head: bytes | None = None  # the head of that, until it is written
-        self._chunked, self.last_progress = False, 0.0
-        self.request_id = self.head = self.body = b""
-        self.response: tuple[bytes, bytes] | None = None
+        self.request_id = b""
+        self.head = b""  # forwarded: the request line and headers without the empty line
+        self.body = b""
+        self.upload: BodyStream | None = None  # a streamed body, in place of ``body``
+        self.response: tuple[bytes, bytes] | None = None  # around the place of a ``Connection: close``
+        self.response_stream: BodyStream | None = None  # a streamed response, in place of ``response``
+        self.response_head: bytes | None = None  # of the streamed response, until it is written
+        self.last_progress = 0.0  # when the client last took something of the streamed response
 
     def respond(
         self, status: int, body: bytes = b"", headers: bytes = b"", retry_after: float | None = None
     ) -> None:
-        """Give the one final answer; the connection writes it when its turn has come."""
+        """Set the final response (``retry_after`` in seconds); the connection writes it in its turn.
+
+        Raises RuntimeError if the request has a response already.
+        """
         if self.response is not None or self.response_stream is not None:
             raise RuntimeError("a request was answered twice")
+        connection = self._connection
         if self.upload is not None and not self.upload.complete:
-            self._client.refuse_rest()
+            connection.discard_upload()
             self.keep_alive = False
-        self._client.frontend.open_request_ids.discard(self.request_id)
+        connection.listener.open_request_ids.discard(self.request_id)
         if self.event is not None:
-            self._client.frontend.metrics.record_request(self.event.request_class, status)
-        retry = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
-        length = b"Content-Length: %d\r\n\r\n" % len(body)
-        self.response = b"".join((STATUS_LINES[status], headers, retry)), length + body
-        self._client.flush()
-
-    def begin_response(self, headers: bytes, pipe: BodyStream) -> None:
-        """Begin the one final answer with the first bytes of a long one; the rest comes by the pipe."""
+            connection.listener.metrics.record_request(self.event.request_class, status)
+        retry_header = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
+        length_header = b"Content-Length: %d\r\n\r\n" % len(body)
+        self.response = b"".join((STATUS_LINES[status], headers, retry_header)), length_header + body
+        connection.flush()
+
+    def begin_response(self, headers: bytes, stream: BodyStream) -> None:
+        """Begin a streamed final response of status 200; its body follows from ``stream``.
+
+        Raises RuntimeError if the request has a response already.
+        """
         if self.response is not None or self.response_stream is not None:
             raise RuntimeError("a request was answered twice")
-        client = self._client
-        client.frontend.open_request_ids.discard(self.request_id)
-        client.frontend.metrics.streaming_responses += 1
-        self.response_stream, self._chunked = pipe, pipe.content_length is None and not self.is_http_1_0
-        if pipe.content_length is not None:
-            framing = b"Content-Length: %d\r\n" % pipe.content_length
+        connection = self._connection
+        connection.listener.open_request_ids.discard(self.request_id)
+        connection.listener.metrics.streaming_responses += 1
+        self.response_stream = stream
+        self._chunked = stream.content_length is None and not self.is_http_1_0
+        if stream.content_length is not None:
+            framing = b"Content-Length: %d\r\n" % stream.content_length
         elif self._chunked:
             framing = b"Transfer-Encoding: chunked\r\n"
         else:
-            framing, self.keep_alive = b"", False  # the end of the connection is the answer's
+            framing = b""
+            self.keep_alive = False  # the end of the connection is the end of the body
         self.response_head = STATUS_LINES[200] + headers + framing
-        client.flush()
+        connection.flush()
 
     def is_client_connected(self) -> bool:
-        """Whether an attempt may begin: not for a client that has gone or ended its sending a while ago."""
-        return self._client.is_connected()
-
-    # The sink of the answer.
+        """Whether an attempt may begin: not for a client that left or ended its sending side a while ago."""
+        return self._connection.liveness.is_connected()
 
     def write_chunk(self, data: bytes) -> None:
+        """Write a part of the streamed response."""
         if data:
-            self.last_progress = self._client.frontend.clock()
-            self._client.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
+            self.last_progress = self._connection.listener.clock()
+            self._connection.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
 
     def finish(self) -> None:
+        """End the streamed response: all of it is written."""
         if self._chunked:
-            self._client.write(b"0\r\n\r\n")
-        self._over(200)
-        self._client.finished(self)
+            self._connection.write(b"0\r\n\r\n")
+        self._end_stream(200)
+        self._connection.on_stream_finished(self)
 
     def truncate(self) -> None:
-        """The answer will not become whole: the client sees its connection end before it."""
-        self._over(502)
-        self._client.abort()
+        """Abort the connection: its end shows the client that the response is incomplete."""
+        self._end_stream(502)
+        self._connection.abort()
 
-    def _over(self, status: int) -> None:
-        figures = self._client.frontend.metrics
+    def _end_stream(self, status: int) -> None:
+        metrics = self._connection.listener.metrics
         self.response_stream = None
-        figures.streaming_responses -= 1
+        metrics.streaming_responses -= 1
         if self.event is not None:
-            figures.record_request(self.event.request_class, status)
+            metrics.record_request(self.event.request_class, status)
 
     def on_client_disconnected(self) -> None:
-        """The client has gone in the middle of its answer."""
-        if (pipe := self.response_stream) is not None:
+        """Abandon the streamed response of a client that has disconnected."""
+        stream = self.response_stream
+        if stream is not None:
             self.response_stream = None
-            self._client.frontend.metrics.streaming_responses -= 1
-            pipe.abandon()
-
-
-class RequestHandler(Protocol):
-    """What the clients' side tells of its requests."""
-
-    def on_request(self, request: ClientRequest) -> None: ...
-
-    def on_upload_completed(self, request: ClientRequest) -> None: ...
-
-    def on_client_disconnected(self, request: ClientRequest) -> None: ...
-
-    def on_client_maybe_gone(self, request: ClientRequest) -> None: ...
+            self._connection.listener.metrics.streaming_responses -= 1
+            stream.abandon()
--- /dev/null
+++ b/quota_gateway/net/connection_closing.py
@@ -0,0 +1,130 @@
+"""How a client connection ends, so that neither a response nor an unread request is lost."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import fcntl
+import socket
+import struct
+import termios
+from typing import TYPE_CHECKING
+
+from quota_gateway.net.http_common import MAX_LONG
+
+if TYPE_CHECKING:
+    from quota_gateway.net.client_connection import ClientConnection
+
+LINGER_TIME = 0.5  # seconds in which input is still discarded: a reset would eat the response
+MAX_DISCARDED = 128 * 1024  # bytes of it: how much is read must not be the sender's choice
+UPLOAD_LINGER_TIME = 5.0  # seconds: the upload of a proper request that was rejected early is read off
+
+
+class ConnectionCloser:
+    """Closes one connection; holds its transport while the close lingers."""
+
+    __slots__ = ("_connection", "_discarded", "_linger_time", "_max_discarded", "_transport")
+
+    def __init__(self, connection: ClientConnection) -> None:
+        self._connection = connection
+        self._transport: asyncio.Transport | None = None  # it is being closed
+        self._discarded = 0  # bytes
+        self._linger_time = LINGER_TIME
+        self._max_discarded = MAX_DISCARDED
+
+    @property
+    def is_lingering(self) -> bool:
+        """Whether the connection is half-closed and its input still discarded."""
+        return self._transport is not None and not self._transport.is_closing()
+
+    @property
+    def has_unread_input(self) -> bool:
+        """Whether a request was received that the event loop has not read: a close would lose it."""
+        transport = self._connection.transport
+        assert transport is not None
+        descriptor = transport.get_extra_info("socket").fileno()
+        if descriptor < 0:
+            return False
+        (unread,) = struct.unpack("i", fcntl.ioctl(descriptor, termios.FIONREAD, b"\0" * 4))
+        return bool(unread)
+
+    def expect_upload(self) -> None:
+        """Give the rest of an upload that was rejected early more time and bytes."""
+        self._linger_time = UPLOAD_LINGER_TIME
+        self._max_discarded = MAX_LONG
+
+    def discard(self, size: int) -> None:
+        """Count discarded input; abort where it is too much."""
+        self._discarded += size
+        if self._discarded > self._max_discarded:
+            self.abort()
+
+    def close_after_response(self) -> None:
+        """Close behind a response: half-close, and discard input for a while (lingering close)."""
+        connection = self._connection
+        transport = self._take_transport()
+        if transport is None:
+            return
+        connection.notify_disconnected()
+        if transport.is_closing():
+            return
+        if connection.reading_paused:
+            transport.resume_reading()
+        transport.write_eof()
+        asyncio.get_running_loop().call_later(self._linger_time, transport.close)
+
+    def close_idle(self) -> bool:
+        """Close between two requests, unless one was received that has not been read; whether it closed.
+
+        The end is sent in the same step as the look: a request after it has crossed it, and is sent again.
+        """
+        transport = self._connection.transport
+        if transport is None or transport.is_closing() or self.has_unread_input:
+            return False
+        if transport.get_write_buffer_size() == 0:
+            _shut_down_sending(transport)
+        self._take_transport()
+        transport.close()
+        return True
+
+    def evict(self) -> bool:
+        """Close or abort, unless a request, or the rest of one, is unread; whether the connection went."""
+        connection = self._connection
+        if connection.transport is not None and not connection.reader.in_message:
+            return self.close_idle()
+        if connection.transport is not None and self.has_unread_input:
+            return False
+        self.abort()
+        return True
+
+    def abort(self) -> None:
+        """Reset the connection at once."""
+        connection = self._connection
+        connection.notify_disconnected()
+        if connection.transport is not None:
+            self._transport = connection.transport
+            connection.transport = None
+        if self._transport is not None:
+            self._transport.abort()
+
+    def on_connection_lost(self) -> None:
+        """The transport is closed."""
+        self._transport = None
+
+    def _take_transport(self) -> asyncio.Transport | None:
+        """Take the transport from the connection, which is closing from now on."""
+        connection = self._connection
+        transport = connection.transport
+        connection.transport = None
+        if transport is not None:
+            self._transport = transport
+            connection.discards_input = True
+        return transport
+
+
+def _shut_down_sending(transport: asyncio.Transport) -> None:
+    descriptor = transport.get_extra_info("socket").fileno()
+    borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=descriptor)
+    with contextlib.suppress(OSError):
+        borrowed.shutdown(socket.SHUT_WR)
+    borrowed.detach()
--- a/quota_gateway/net/request_parser.py
+++ b/quota_gateway/net/request_parser.py
@@ -1,4 +1,4 @@
-"""Headers and target of a request into the event that the decisions want."""
+"""Validates the target and headers of a client's request and turns them into a ``model.Request``."""
 
 from __future__ import annotations
 
@@ -8,82 +8,128 @@
 from quota_gateway import model
 
 MAX_TIMEOUT_MS = 60_000
-FORMER = 3.0  # seconds after new settings for which a class's former terms are still read
-REQUEST_ID, CLASS, PLAN = b"x-request-id", b"x-priority-class", b"x-plan"
-TIMEOUT, QUOTA, RETRIED = b"x-timeout-ms", b"x-quota", b"x-retried"
-READ = frozenset((REQUEST_ID, CLASS, PLAN, TIMEOUT, QUOTA, RETRIED))
-ID = re.compile(rb"[0-9a-fA-F]{16}")
-ACCOUNT = re.compile(r"account=([0-9a-fA-F]{16})")
-ACCOUNTS = 2**33
-WHOLE = re.compile(rb"[0-9]{1,9}")
-QUOTA_FORM = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),spread=([0-9]{1,9}),first=([0-9]{1,9})")
+PREVIOUS_CLASSES_TTL = 3.0  # seconds after a reload in which requests of the previous classes are accepted
+ACCOUNT_ID_LIMIT = 2**33  # account ids are below it
+
+REQUEST_ID = b"x-request-id"
+PRIORITY_CLASS = b"x-priority-class"
+PLAN = b"x-plan"
+TIMEOUT = b"x-timeout-ms"
+QUOTA = b"x-quota"
+RETRIED = b"x-retried"
+REQUIRED_HEADERS = (REQUEST_ID, PRIORITY_CLASS, PLAN, TIMEOUT, QUOTA)
+PARSED_HEADERS = frozenset((*REQUIRED_HEADERS, RETRIED))
+
+REQUEST_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+ACCOUNT_PATTERN = re.compile(r"account=([0-9a-fA-F]{16})")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}")
+QUOTA_PATTERN = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),spread=([0-9]{1,9}),first=([0-9]{1,9})")
 
 
 class BadRequestError(Exception):
-    """A request that is answered here, with the status that says why."""
+    """A request that the gateway answers itself, with the status that names the fault."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class RequestParser:
-    """Turns a request's headers and target into the event that the decisions want."""
+    """Parses requests against the classes, plans and limits of the settings in force."""
 
     def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
-        self._clock, self._last_id = clock, 0
-        self._classes, self._plans = dict[str, bool](), set[str]()
-        self._former, self._former_until = dict[str, bool](), 0.0
+        self._clock = clock
+        self._last_id = 0
+        self._classes = dict[str, bool]()  # by name: whether its method is GET
+        self._plans = set[str]()
+        self._previous_classes = dict[str, bool]()
+        self._previous_classes_until = 0.0
         self.reconfigure(settings)
 
     def reconfigure(self, settings: model.Settings) -> None:
-        """Classes and plans from now on. Those before are read for a while: requests are on the way."""
-        self._former, self._former_until = self._classes, self._clock() + FORMER
+        """Apply new settings.
+
+        Requests of the previous classes are on their way: they are accepted for ``PREVIOUS_CLASSES_TTL``.
+        """
+        self._previous_classes = self._classes
+        self._previous_classes_until = self._clock() + PREVIOUS_CLASSES_TTL
         self._classes = {
-            c.name: c.idempotency is model.Idempotency.INHERENT for c in settings.classes
-        }  # whether by GET
-        self._plans |= {p.name for p in settings.plans}
-        self._gateways, self._max_units = settings.gateway_count, max(1.0, settings.max_units)
+            request_class.name: request_class.idempotency is model.Idempotency.INHERENT
+            for request_class in settings.classes
+        }
+        self._plans |= {plan.name for plan in settings.plans}
+        self._gateway_count = settings.gateway_count
+        self._max_units = max(1.0, settings.max_units)
 
     def parse(
-        self, method: bytes, target: str, fields: dict[bytes, bytes], uploading: bool = False
+        self, method: bytes, target: str, headers: dict[bytes, bytes], uploading: bool = False
     ) -> model.Request:
+        """The request as an event; ``headers`` holds those of ``PARSED_HEADERS`` that were received.
+
+        Raises BadRequestError with the status of the first fault that is found.
+        """
         path, _, query = target.partition("?")
-        name = path[1:].partition("/")[0]
-        former = self._former if self._former and self._clock() < self._former_until else {}
-        if name not in self._classes and name not in former:
-            raise BadRequestError(404, "unknown path")
-        for header in (REQUEST_ID, CLASS, PLAN, TIMEOUT, QUOTA):
-            if not fields.get(header):
-                raise BadRequestError(400, f"{header.decode()} is missing")
-        # The method follows from the class, and a GET with a body could hide another request in it.
-        if (method == b"GET") not in (self._classes.get(name), former.get(name)):
-            raise BadRequestError(405, "method")
-        if not ID.fullmatch(fields[REQUEST_ID]):
+        class_name = path[1:].partition("/")[0]
+        self._check_class(class_name, method, headers)
+        if not REQUEST_ID_PATTERN.fullmatch(headers[REQUEST_ID]):
             raise BadRequestError(400, "x-request-id is wrong")
-        plan = fields[PLAN].decode("latin-1")
-        if fields[CLASS].decode("latin-1") != name or plan not in self._plans:
+        plan = headers[PLAN].decode("latin-1")
+        if headers[PRIORITY_CLASS].decode("latin-1") != class_name or plan not in self._plans:
             raise BadRequestError(400, "unknown class or plan")
-        # Given twice, this side and the server might each take another one for the customer.
-        accounts = [part for part in query.split("&") if part.partition("=")[0].lower() == "account"]
-        account = ACCOUNT.fullmatch(accounts[0]) if len(accounts) == 1 else None
-        if account is None or int(account[1], 16) >= ACCOUNTS:
-            raise BadRequestError(400, "account is missing or wrong")
-        if not WHOLE.fullmatch(fields[TIMEOUT]) or not 0 < int(fields[TIMEOUT]) <= MAX_TIMEOUT_MS:
-            raise BadRequestError(400, "x-timeout-ms is wrong")
-        units, spread = self._quota(fields[QUOTA])
+        account = _parse_account(query)
+        timeout = _parse_timeout(headers[TIMEOUT])
+        units, serving_gateways = self._parse_quota(headers[QUOTA])
         self._last_id += 1
-        ttl, repeat = int(fields[TIMEOUT]) / 1000, fields.get(RETRIED) == b"1"
         return model.Request(
-            self._last_id, name, plan, ttl, account[1].lower(), units, spread, repeat, uploading
+            id=self._last_id,
+            request_class=class_name,
+            plan=plan,
+            timeout=timeout,
+            account=account,
+            units=units,
+            serving_gateways=serving_gateways,
+            is_retry=headers.get(RETRIED) == b"1",
+            uploading=uploading,
         )
 
-    def _quota(self, text: bytes) -> tuple[float, int]:
-        form = QUOTA_FORM.fullmatch(text)
-        if form is None:
+    def _check_class(self, class_name: str, method: bytes, headers: dict[bytes, bytes]) -> None:
+        previous = self._previous_classes
+        if previous and self._clock() >= self._previous_classes_until:
+            previous = {}
+        if class_name not in self._classes and class_name not in previous:
+            raise BadRequestError(404, "unknown path")
+        for header in REQUIRED_HEADERS:
+            if not headers.get(header):
+                raise BadRequestError(400, f"{header.decode()} is missing")
+        # The method follows from the class, and a GET with a body could hide another request in it.
+        if (method == b"GET") not in (self._classes.get(class_name), previous.get(class_name)):
+            raise BadRequestError(405, "method")
+
+    def _parse_quota(self, text: bytes) -> tuple[float, int]:
+        """The units that the request costs and the number of gateways that serve its account."""
+        match = QUOTA_PATTERN.fullmatch(text)
+        if match is None:
             raise BadRequestError(400, "x-quota is wrong")
-        units, spread = float(form[1]), int(form[2])
-        inside = 1 <= spread <= self._gateways and int(form[3]) < self._gateways
-        if not 0 < units <= self._max_units or not inside:
+        units = float(match[1])
+        serving_gateways = int(match[2])
+        first_gateway = int(match[3])
+        in_range = 1 <= serving_gateways <= self._gateway_count and first_gateway < self._gateway_count
+        if not 0 < units <= self._max_units or not in_range:
             raise BadRequestError(400, "x-quota is wrong")
-        return units, spread
+        return units, serving_gateways
+
+
+def _parse_account(query: str) -> str:
+    # Given twice, the gateway and the endpoint might each charge another account.
+    accounts = [part for part in query.split("&") if part.partition("=")[0].lower() == "account"]
+    match = ACCOUNT_PATTERN.fullmatch(accounts[0]) if len(accounts) == 1 else None
+    if match is None or int(match[1], 16) >= ACCOUNT_ID_LIMIT:
+        raise BadRequestError(400, "account is missing or wrong")
+    return match[1].lower()
+
+
+def _parse_timeout(text: bytes) -> float:
+    """Seconds of a header in milliseconds."""
+    if not DECIMAL_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
+        raise BadRequestError(400, "x-timeout-ms is wrong")
+    return int(text) / 1000
--- /dev/null
+++ b/quota_gateway/net/request_reader.py
@@ -0,0 +1,195 @@
+"""Reads the requests of one connection: the callbacks of the HTTP parser, framing and sizes."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+import httptools
+
+from quota_gateway.net.body_stream import BodyStream
+from quota_gateway.net.client_request import ClientRequest
+from quota_gateway.net.http_common import MAX_BODY, MAX_HEAD
+from quota_gateway.net.request_body import RequestBody
+from quota_gateway.net.request_head import RequestHead
+from quota_gateway.net.request_parser import REQUEST_ID, BadRequestError
+
+if TYPE_CHECKING:
+    from quota_gateway.net.client_connection import ClientConnection
+
+log = logging.getLogger(__name__)
+
+MAX_PIPELINE = 8  # unanswered requests of one connection: clients send one at a time
+HEAD_TIMEOUT = 2.5  # seconds for a head: a slow client takes 2, a bad one must be answered by 3
+
+
+class RequestReader:
+    """Turns received bytes into requests, and hands each to the connection's queue and the handler.
+
+    A request is handed over when its body is complete or, where that is long, when its upload begins.
+    """
+
+    __slots__ = (
+        "_connection",
+        "_has_read_request",
+        "_parser",
+        "body",
+        "head",
+        "in_message",
+        "on_header",
+        "on_url",
+    )
+
+    def __init__(self, connection: ClientConnection) -> None:
+        self._connection = connection
+        self._has_read_request = False  # whether any request has been complete
+        self.body = RequestBody(connection)
+        self.head = RequestHead()
+        self.in_message = False  # between the first byte and the last byte of a request
+        # The parser calls the head's methods directly: one call less for each header.
+        self.on_url = self.head.on_url
+        self.on_header = self.head.on_header
+        self._parser = httptools.HttpRequestParser(self)
+
+    def feed(self, data: bytes) -> None:
+        """Parse received bytes; malformed input is answered and ends the connection."""
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserUpgrade as upgrade:
+            # The offer is ignored (RFC 9110, 7.8): its request is accepted, what follows is HTTP/1.1.
+            self._parser = httptools.HttpRequestParser(self)
+            self._connection.data_received(data[upgrade.args[0] :])
+            return
+        except httptools.HttpParserError as error:
+            self._reject_malformed(error)
+            return
+        # An endless head would grow inside the parser, where no callback sees it. What was seen of one that
+        # was received in parts counts twice: a bound on memory need not be exact.
+        if self.in_message and not self.head.complete:
+            self.head.size += len(data)
+            if self.head.size > MAX_HEAD:
+                self._connection.reject(400)
+
+    def _reject_malformed(self, error: httptools.HttpParserError) -> None:
+        if self._connection.discards_input:
+            return  # answered already
+        cause = error.__context__
+        if isinstance(cause, BadRequestError):
+            self._connection.reject(cause.status)
+        elif isinstance(error, httptools.HttpParserCallbackError):
+            log.error("a request could not be handled", exc_info=cause)
+            self._connection.reject(500)
+        else:
+            self._connection.reject(400)
+
+    def is_overdue(self, now: float, age: float) -> bool:
+        """Whether the request takes too long; ``age`` is the time in seconds since it began."""
+        late_head = age > HEAD_TIMEOUT
+        if not self.head.complete:
+            return late_head
+        return self.body.is_overdue(now, late_head)
+
+    def discard_upload(self) -> None:
+        """Stop reading an upload whose request has its response already."""
+        self.in_message = False
+        self.body.discard_upload()
+
+    def on_message_begin(self) -> None:
+        """Start a request."""
+        self.head.begin()
+        self.in_message = True
+        connection = self._connection
+        # The first request's time starts with the connection, as it does for a client that sends nothing.
+        if not connection.pending and self._has_read_request:
+            connection.phase_started_at = connection.listener.clock()
+        elif len(connection.pending) >= MAX_PIPELINE:
+            # Reading stops at this many, but one read may bring hundreds.
+            raise BadRequestError(400, "too many requests at once")
+
+    def on_headers_complete(self) -> None:
+        """Check the framing, and begin the body."""
+        head = self.head
+        head.check()
+        connection = self._connection
+        if connection.discards_input:
+            return
+        head.complete = True
+        self.body.begin(connection.listener.clock())
+        if head.expects_continue and not connection.pending:
+            connection.write_continue()
+        if head.content_length is not None and head.content_length > MAX_BODY:
+            self._start_upload()
+
+    def on_body(self, data: bytes) -> None:
+        """Take a part of the body."""
+        if self._connection.discards_input:
+            return
+        self.body.append(data)
+        if self.body.is_too_long_to_collect:
+            self._start_upload()
+
+    def _start_upload(self) -> None:
+        """Hand over a request before all of its body is received."""
+        if self._parser.get_method() != b"POST":
+            raise BadRequestError(413, "body too large")
+        upload = self.body.start_upload(self.head.content_length)
+        self._connection.limit_receive_buffer()
+        self._hand_over(upload)
+
+    def on_message_complete(self) -> None:
+        """Hand over the request, or end its upload."""
+        connection = self._connection
+        if connection.discards_input:
+            return
+        self.in_message = False
+        self._has_read_request = True
+        upload = self.body.upload
+        if upload is None:
+            self._hand_over(None)
+            return
+        self.body.upload = None
+        request = connection.pending[-1]
+        if request.response is None:
+            connection.listener.handler.on_upload_completed(request)
+        upload.finish()
+
+    def _hand_over(self, upload: BodyStream | None) -> None:
+        connection = self._connection
+        is_http_1_0 = self._parser.get_http_version() == "1.0"
+        request = ClientRequest(connection, self._parser.should_keep_alive(), is_http_1_0)
+        request.upload = upload
+        connection.liveness.last_seen_at = connection.listener.clock()
+        connection.pending.append(request)
+        try:
+            self._dispatch(request)
+        except BadRequestError as error:
+            # Whoever sends this sends more of it: the connection ends with the response.
+            connection.discards_input = True
+            request.keep_alive = False
+            request.upload = None
+            request.respond(error.status)
+            raise  # and nothing behind it is parsed
+        connection.update_reading()
+
+    def _dispatch(self, request: ClientRequest) -> None:
+        listener = self._connection.listener
+        head = self.head
+        method = self._parser.get_method()
+        if method not in (b"GET", b"POST"):
+            raise BadRequestError(405, "method")
+        target = head.normalize_target(self._parser.get_http_version())
+        if target.partition("?")[0] == "/healthz":
+            request.respond(503 if listener.draining else 200)
+            return
+        request.body = self.body.collected()
+        head.add_framing(request, method)
+        event = listener.parser.parse(method, target, head.headers, request.upload is not None)
+        request_id = head.headers[REQUEST_ID].lower()
+        # An open request with this id is another one: outcomes must not be taken for each other's.
+        if request_id in listener.open_request_ids:
+            raise BadRequestError(409, "the request id is in use")
+        listener.open_request_ids.add(request_id)
+        request.request_id = request_id
+        request.event = event
+        request.head = head.forwarded(method)
+        listener.handler.on_request(request)
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -149,7 +149,7 @@
     async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(upload("length", body))
-        while not any(client._held for client in limiter.listener._clients):
+        while not any(client.reader.body.paused for client in limiter.listener._clients):
             await asyncio.sleep(0.01)
         resume_reading.set()
         assert (await read_message(reader))[2] == b"hi"
@@ -228,13 +228,13 @@
         if opened and opened[0].attempts[0].connection:
             break
         await asyncio.sleep(0)
-    while connection._held or connection._size < size:
+    while connection.reader.body.paused or connection.reader.body.size < size:
         await asyncio.sleep(0)
     chunk = b"x" * 8192
-    while not connection._held:  # each chunk is read before the next is sent
+    while not connection.reader.body.paused:  # each chunk is read before the next is sent
         client.sendall(b"%x\r\n%b\r\n" % (len(chunk), chunk))
         size += len(chunk)
-        while connection._size < size and not connection._held:
+        while connection.reader.body.size < size and not connection.reader.body.paused:
             await asyncio.sleep(0)
     client.sendall(b"0\r\n\r\n")
     return size
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -147,7 +147,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What is in the accept queue is taken once there are descriptors again, and the end is no crash."""
-    monkeypatch.setattr(listener, "ROOM", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(listener, "DESCRIPTOR_WAIT", 10.0)  # a slow machine must not make it late
 
     async def main() -> None:
         script = Script(lambda e: [model.Reject(e.id, 0.1)] if isinstance(e, model.Request) else [])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,9 +14,12 @@
 
 from quota_gateway import __main__ as program
 from quota_gateway import model
-from quota_gateway.net import client_connection, connection_pool, listener
-from quota_gateway.net.client_connection import MAX_PIPELINE
+from quota_gateway.net import client_liveness, connection_pool, listener, request_reader
+from quota_gateway.net.client_connection import ClientConnection
+from quota_gateway.net.client_liveness import ClientLiveness
 from quota_gateway.net.client_request import ClientRequest
+from quota_gateway.net.connection_closing import ConnectionCloser
+from quota_gateway.net.request_reader import MAX_PIPELINE
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 # Draining.
@@ -70,13 +73,13 @@
 
 
 def test_half_a_head_is_still_answered_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "HEAD", 0.3)
+    monkeypatch.setattr(request_reader, "HEAD_TIMEOUT", 0.3)
 
     async def main() -> None:
         async with Limiter(Script(send_on), {}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask()[:40])
-            while not any(client._reading for client in limiter.listener._clients):
+            while not any(client.reader.in_message for client in limiter.listener._clients):
                 await asyncio.sleep(0)
             limiter.listener.start_draining()
             closing = asyncio.create_task(limiter.listener.close(1000))
@@ -94,7 +97,7 @@
             reader, writer = await limiter.connect()
             request = ask()
             writer.write(request[:-2])
-            while not any(client._reading for client in limiter.listener._clients):
+            while not any(client.reader.in_message for client in limiter.listener._clients):
                 await asyncio.sleep(0)
             limiter.listener.start_draining()
             await limiter.listener.close(0.01)
@@ -230,18 +233,18 @@
 
 
 def test_a_half_closed_client_whose_input_is_not_read_is_asked_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "SWEEP", 0.01)
+    monkeypatch.setattr(listener, "SCAN_INTERVAL", 0.01)
 
     async def main() -> None:
         script = Script(lambda _event: [])
         async with Limiter(script, {}) as limiter:
-            looks, look = asyncio.Queue[None](), client_connection._Client._look
+            looks, look = asyncio.Queue[None](), ClientLiveness.poll
 
-            def counted(self: client_connection._Client) -> None:
+            def counted(self: ClientLiveness) -> None:
                 look(self)
                 looks.put_nowait(None)
 
-            monkeypatch.setattr(client_connection._Client, "_look", counted)
+            monkeypatch.setattr(ClientLiveness, "poll", counted)
             reader, writer = await limiter.connect()
             for _ in range(MAX_PIPELINE):
                 writer.write(ask(ttl=60000))
@@ -353,7 +356,7 @@
             (event,) = await script.until(model.Request)
             client = list(limiter.listener._clients)[-1]
             writer.write_eof()
-            while not client._ended:
+            while not client.liveness.input_ended:
                 await asyncio.sleep(0)
             time.sleep(LATE)
             script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
@@ -367,7 +370,7 @@
 
 
 def test_whoever_has_just_half_closed_is_still_sent_on_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "STILL", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(client_liveness, "PRESENCE_GRACE", 10.0)  # a slow machine must not make it late
 
     async def main() -> None:
         script, origin = Script(lambda _event: []), Origin()
@@ -377,11 +380,11 @@
             (event,) = await script.until(model.Request)
             (client,) = limiter.listener._clients
             writer.write_eof()
-            while not client._ended:
+            while not client.liveness.input_ended:
                 await asyncio.sleep(0)
             script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
             # The dial would wait for the loop, and the look at half-closed clients come between.
-            monkeypatch.setattr(client_connection, "GONE", 10.0)
+            monkeypatch.setattr(client_liveness, "RESET_WAIT", 10.0)
             limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, body = await interim(reader)
             assert " 200 " in status and body == b"hi"
@@ -471,7 +474,7 @@
                 await asyncio.sleep(0)
             limiter.listener.set_max_connections(3)
             clients[0].sendall(ask())  # the longest silent of them, unread when the next one comes
-            limiter.listener.connected(client_connection._Client(limiter.listener))
+            limiter.listener.connected(ClientConnection(limiter.listener))
             first, _ = await asyncio.open_connection(sock=clients[0])
             second, _ = await asyncio.open_connection(sock=clients[1])
             assert " 429 " in (await read_message(first))[0]
@@ -486,16 +489,16 @@
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
             client = socket.create_connection(limiter._address)
-            look = client_connection._Client._unread.fget  # type: ignore[attr-defined]
+            look = ConnectionCloser.has_unread_input.fget  # type: ignore[attr-defined]
 
-            def cross(self: client_connection._Client) -> bool:
+            def cross(self: ConnectionCloser) -> bool:
                 unread: bool = look(self)
                 client.sendall(ask())
                 return unread
 
             while not limiter.listener._clients:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(client_connection._Client, "_unread", property(cross))
+            monkeypatch.setattr(ConnectionCloser, "has_unread_input", property(cross))
             closing = asyncio.create_task(limiter.listener.close(1000))
             await closing
             client.settimeout(10)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import client_connection, connection_pool, listener
+from quota_gateway.net import client_connection, connection_pool, listener, request_body, request_reader
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 POST = ask("/post?account=00000000b4d65521", b"xy")
@@ -249,7 +249,7 @@
             reader, writer = await limiter.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             sent, clients = 0, limiter.listener._clients
-            while not any(client._clogged for client in clients):
+            while not any(client._write_blocked for client in clients):
                 writer.write(ask())
                 sent += 1
                 await script.until(model.AttemptCompleted, sent)
@@ -279,9 +279,10 @@
 
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "SWEEP", 0.01)
-    for name, value in (("IDLE", 0.1), ("SLOW", 0.1), ("LONGEST", 0.3)):
-        monkeypatch.setattr(client_connection, name, value)
+    monkeypatch.setattr(listener, "SCAN_INTERVAL", 0.01)
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT", 0.1)
+    monkeypatch.setattr(request_body, "BODY_TIMEOUT", 0.1)
+    monkeypatch.setattr(request_body, "MAX_BODY_TIME", 0.3)
 
 
 @pytest.mark.parametrize(
@@ -312,7 +313,7 @@
 
 @pytest.mark.usefixtures("hasty")
 def test_a_body_in_steady_flow_may_take_longer_but_not_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "FLOW", 10)
+    monkeypatch.setattr(request_body, "MIN_BODY_RATE", 10)
 
     async def main() -> None:
         async with Limiter(Script(refuse), {}) as limiter:
@@ -354,12 +355,12 @@
         async with Limiter(script, {}) as limiter:
             _, writer = await limiter.connect()
             writer.write(b"".join(ask() for _ in range(200)))
-            await script.until(model.Request, client_connection.MAX_PIPELINE)
+            await script.until(model.Request, request_reader.MAX_PIPELINE)
             reader, other = await limiter.connect()
             script.answer = refuse
             other.write(ask())
             assert " 429 " in (await read_message(reader))[0]
-            assert len(await script.until(model.Request)) == client_connection.MAX_PIPELINE + 1
+            assert len(await script.until(model.Request)) == request_reader.MAX_PIPELINE + 1
 
     run(main())
 
@@ -452,16 +453,16 @@
                 reader, writer = await limiter.connect()
                 request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
                 writer.write(request[: len(request) - 60_000 + sent])
-                while not (known := list(limiter.listener._clients)) or known[-1]._size < sent:
+                while not (known := list(limiter.listener._clients)) or known[-1].reader.body.size < sent:
                     await asyncio.sleep(0)
                 client = known[-1]
-                while not client._head_read:
+                while not client.reader.head.complete:
                     await asyncio.sleep(0)
-                client.since = came = client._body_since - 2.3  # the head took so long
-                client.check(came + client_connection.HEAD - 0.1)
-                assert not client._rejected
-                client.check(came + client_connection.HEAD + 0.1)
-                assert client._rejected is late
+                client.phase_started_at = came = client.reader.body.started_at - 2.3  # the head took so long
+                client.check_timeouts(came + request_reader.HEAD_TIMEOUT - 0.1)
+                assert not client.discards_input
+                client.check_timeouts(came + request_reader.HEAD_TIMEOUT + 0.1)
+                assert client.discards_input is late
                 if late:
                     assert " 408 " in (await read_message(reader))[0]
                 writer.close()
@@ -476,14 +477,14 @@
             while not limiter.listener._clients:
                 await asyncio.sleep(0.001)
             (client,) = limiter.listener._clients
-            client.since = came = client.since - 1.9
+            client.phase_started_at = came = client.phase_started_at - 1.9
             writer.write(b"GET /lookup")
-            while not client._reading:
+            while not client.reader.in_message:
                 await asyncio.sleep(0.001)
-            assert client.since == came
-            client.check(came + client_connection.HEAD - 0.1)
-            assert not client._rejected
-            client.check(came + client_connection.HEAD + 0.1)
-            assert client._rejected
+            assert client.phase_started_at == came
+            client.check_timeouts(came + request_reader.HEAD_TIMEOUT - 0.1)
+            assert not client.discards_input
+            client.check_timeouts(came + request_reader.HEAD_TIMEOUT + 0.1)
+            assert client.discards_input
 
     run(main())
