--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/client_connection.py
@@ -3,10 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import enum
 import logging
-import socket
 from collections import deque
 from typing import TYPE_CHECKING, cast
 
@@ -14,7 +11,6 @@
 from quota_gateway.net.client_liveness import ClientLiveness
 from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.connection_closing import ConnectionCloser
-from quota_gateway.net.http_common import PIECE
 from quota_gateway.net.request_reader import MAX_PIPELINE, RequestReader
 
 if TYPE_CHECKING:
@@ -24,64 +20,42 @@
 
 IDLE_TIMEOUT = 2.05  # seconds: a kept connection may be closed after 2, a bad client's must be by 3
 RESPONSE_STALL_TIMEOUT = 15.0  # seconds in which a client takes nothing of a streamed response
+CONNECTION_CLOSE = b"Connection: close\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class EvictionRank(enum.IntEnum):
-    """Which connections are evicted first when the listener is at its limit."""
-
-    LINGERING = 0
-    NEVER_SENT_DATA = 1
-    HALF_READ = 2
-    IDLE = 3
-
-
 class ClientConnection(asyncio.Protocol):
     """Queues the requests of one connection and writes their responses in order."""
 
     __slots__ = (
-        "_closer",
-        "_has_sent_data",
         "_write_blocked",
+        "closer",
         "discards_input",
+        "has_sent_data",
         "listener",
         "liveness",
-        "pending",
         "phase_started_at",
         "reader",
         "reading_paused",
+        "request_queue",
         "transport",
     )
 
     def __init__(self, listener: ClientListener) -> None:
+        """Create the protocol of a connection that ``listener`` accepts."""
         now = listener.clock()
         self.listener = listener
         self.transport: asyncio.Transport | None = None  # until the connection closes
-        self.pending = deque[ClientRequest]()  # requests whose response is not written yet
+        self.request_queue = deque[ClientRequest]()  # requests whose response is not written yet
         self.reader = RequestReader(self)
         self.liveness = ClientLiveness(self, now)
-        self._closer = ConnectionCloser(self)
+        self.closer = ConnectionCloser(self)
         self.phase_started_at = now  # of the last connect, begin of a request or end of a response
         self.discards_input = False  # nothing more is parsed, what is received is dropped
         self.reading_paused = False
-        self._has_sent_data = False
+        self.has_sent_data = False
         self._write_blocked = False  # the client does not take what is written
 
-    @property
-    def eviction_order(self) -> tuple[EvictionRank, float] | None:
-        """Sorts the connections that may be evicted, the first one first; None for those that may not."""
-        if self.transport is None:
-            return (EvictionRank.LINGERING, self.phase_started_at) if self._closer.is_lingering else None
-        if self.pending:
-            return None
-        if not self._has_sent_data:
-            rank = EvictionRank.NEVER_SENT_DATA
-        elif self.reader.in_message:
-            rank = EvictionRank.HALF_READ
-        else:
-            rank = EvictionRank.IDLE
-        return rank, self.phase_started_at
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the listener."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
@@ -90,16 +64,16 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Unregister, and give up what is unanswered."""
         self.transport = None
-        self._closer.on_connection_lost()
-        self.listener.active_connections -= self._has_sent_data
+        self.closer.on_connection_lost()
+        self.listener.active_connections -= self.has_sent_data
         self.listener.disconnected(self)
         self.notify_disconnected()
 
     def notify_disconnected(self) -> None:
-        """Give up the pending requests, and tell the handler of those that are unanswered."""
-        pending = self.pending
-        self.pending = deque()
-        for request in pending:
+        """Give up the queued requests, and tell the handler of those that are unanswered."""
+        requests = self.request_queue
+        self.request_queue = deque()
+        for request in requests:
             if request.response_stream is not None:
                 request.on_client_disconnected()
             elif request.response is None:
@@ -109,37 +83,38 @@
     def data_received(self, data: bytes) -> None:
         """Parse input, or discard it on a connection that is closing."""
         if self.discards_input:
-            self._closer.discard(len(data))
+            self.closer.discard(len(data))
             return
-        self.listener.active_connections += not self._has_sent_data
-        self._has_sent_data = True
+        self.listener.active_connections += not self.has_sent_data
+        self.has_sent_data = True
         self.reader.feed(data)
 
     def eof_received(self) -> bool:
         """Keep the connection open where responses are owed: the client may wait for them half-closed."""
-        if self.transport is None or not self.pending or self.reader.body.upload is not None:
+        if self.transport is None or not self.request_queue or self.reader.body.upload is not None:
             return False
         self.liveness.on_input_ended()
         return True
 
     def flush(self) -> None:
         """Write the responses whose turn has come."""
-        while self.pending and self.transport is not None:
-            request = self.pending[0]
+        listener = self.listener
+        while self.request_queue and self.transport is not None:
+            request = self.request_queue[0]
             if request.response_stream is not None:
                 self._start_stream(request, request.response_stream)
                 break  # the requests behind it follow when it is finished
             if request.response is None:
                 break
-            self.pending.popleft()
-            self.phase_started_at = self.listener.clock()
-            start, rest = request.response
+            self.request_queue.popleft()
+            self.phase_started_at = listener.clock()
+            headers, length_and_body = request.response
             # Of pipelined responses only the last one closes: the requests behind are accepted too.
-            close = not self.pending and (self.listener.closes_connections or self.liveness.input_ended)
-            close = close or not request.keep_alive
-            self.transport.write(start + (b"Connection: close\r\n" if close else b"") + rest)
+            is_last = not self.request_queue and (listener.closes_connections or self.liveness.input_ended)
+            close = is_last or not request.keep_alive
+            self.transport.write(headers + (CONNECTION_CLOSE if close else b"") + length_and_body)
             if close:
-                self._closer.close_after_response()
+                self.closer.close_after_response()
         self.update_reading()
 
     def _start_stream(self, request: ClientRequest, stream: BodyStream) -> None:
@@ -149,17 +124,17 @@
         request.response_head = None
         request.last_progress = self.listener.clock()
         request.keep_alive = request.keep_alive and not self.listener.closes_connections
-        self.write(head + (b"" if request.keep_alive else b"Connection: close\r\n") + b"\r\n")
+        self.write(head + (b"" if request.keep_alive else CONNECTION_CLOSE) + b"\r\n")
         stream.attach(request, not self._write_blocked)
 
     def on_stream_finished(self, request: ClientRequest) -> None:
         """A streamed response is written to its end."""
-        if not self.pending or self.pending[0] is not request:
+        if not self.request_queue or self.request_queue[0] is not request:
             return
-        self.pending.popleft()
+        self.request_queue.popleft()
         self.phase_started_at = self.listener.clock()
-        if (not request.keep_alive or self.liveness.input_ended) and not self.pending:
-            self._closer.close_after_response()
+        if (not request.keep_alive or self.liveness.input_ended) and not self.request_queue:
+            self.closer.close_after_response()
         self.flush()
 
     def write(self, data: bytes) -> None:
@@ -182,7 +157,7 @@
 
     def _set_write_blocked(self, blocked: bool) -> None:
         self._write_blocked = blocked
-        first = self.pending[0] if self.pending else None
+        first = self.request_queue[0] if self.request_queue else None
         if first is not None and first.response_stream is not None and first.response_head is None:
             first.last_progress = self.listener.clock()
             first.response_stream.set_writable(not blocked)
@@ -190,8 +165,8 @@
 
     def update_reading(self) -> None:
         """Read only while responses are taken: what a client does not read would fill the memory."""
-        pause = self._write_blocked or self.reader.body.paused or len(self.pending) >= MAX_PIPELINE
-        pause = pause or (self.discards_input and bool(self.pending))
+        pause = self._write_blocked or self.reader.body.paused or len(self.request_queue) >= MAX_PIPELINE
+        pause = pause or (self.discards_input and bool(self.request_queue))
         if self.transport is None or self.transport.is_closing() or pause is self.reading_paused:
             return
         self.reading_paused = pause
@@ -200,24 +175,17 @@
         else:
             self.transport.resume_reading()
 
-    def limit_receive_buffer(self) -> None:
-        """Bound what the system holds of an upload."""
-        if self.transport is not None:
-            with contextlib.suppress(OSError):
-                client_socket = self.transport.get_extra_info("socket")
-                client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE)
-
     def discard_upload(self) -> None:
         """Discard the rest of an upload whose request has its response already."""
         self.discards_input = True
         self.reader.discard_upload()
-        self._closer.expect_upload()
+        self.closer.expect_upload()
 
     def reject(self, status: int) -> None:
-        """Answer malformed or overdue input behind the pending responses, and close."""
+        """Answer malformed or overdue input behind the queued requests, and close."""
         self.discards_input = True
         request = ClientRequest(self, keep_alive=False)
-        self.pending.append(request)
+        self.request_queue.append(request)
         request.respond(status)
 
     def check_timeouts(self, now: float) -> None:
@@ -227,11 +195,11 @@
             return
         if self.reader.body.upload is not None:
             self._check_upload(now)
-        elif self.pending:
+        elif self.request_queue:
             self._check_response(now)
         elif not self.reader.in_message:
             if age > IDLE_TIMEOUT or self.listener.ending:
-                self._closer.close_idle()
+                self.closer.close_idle()
         elif self.reader.is_overdue(now, age):
             self.reject(408)
 
@@ -240,12 +208,12 @@
             self.liveness.poll()
         if self.transport is None or not self.reader.body.is_upload_stalled(now):
             return
-        request = self.pending[-1]
+        request = self.request_queue[-1]
         self.listener.handler.on_client_disconnected(request)
         request.respond(408)
 
     def _check_response(self, now: float) -> None:
-        first = self.pending[0]
+        first = self.request_queue[0]
         if self.reading_paused and not self.liveness.input_ended:
             self.liveness.poll()
             return
@@ -254,10 +222,6 @@
             log.warning("a client took nothing of its streamed response")
             self.abort()
 
-    def evict(self) -> bool:
-        """Make room for another connection; returns whether this one went."""
-        return self._closer.evict()
-
     def abort(self) -> None:
         """Reset the connection at once."""
-        self._closer.abort()
+        self.closer.abort()
--- a/quota_gateway/net/client_liveness.py
+++ b/quota_gateway/net/client_liveness.py
@@ -34,6 +34,7 @@
     )
 
     def __init__(self, connection: ClientConnection, now: float) -> None:
+        """Take the client of a new connection as seen ``now``."""
         self._connection = connection
         self._input_ended_at: float | None = None  # the earliest time at which it may have ended
         self._is_confirming = False  # an interim response has been sent
@@ -100,7 +101,7 @@
         if self._is_confirming:
             return
         self._is_confirming = True
-        first = self._connection.pending[0]
+        first = self._connection.request_queue[0]
         if first.response_stream is None and not first.is_http_1_0:
             self._connection.write_continue()
         asyncio.get_running_loop().call_later(RESET_WAIT, self._finish_confirmation)
@@ -108,7 +109,7 @@
     def _finish_confirmation(self) -> None:
         """Nothing more is forwarded for a client that may have gone; attempts in flight may answer it."""
         connection = self._connection
-        if connection.transport is None or connection.transport.is_closing() or not connection.pending:
+        if connection.transport is None or connection.transport.is_closing() or not connection.request_queue:
             return
         if _has_socket_error(connection.transport):
             connection.abort()
@@ -119,7 +120,7 @@
 
     def _notify_maybe_gone(self) -> None:
         connection = self._connection
-        for request in list(connection.pending):
+        for request in list(connection.request_queue):
             if request.response is None and request.response_stream is None:
                 connection.listener.handler.on_client_maybe_gone(request)
 
--- a/quota_gateway/net/client_request.py
+++ b/quota_gateway/net/client_request.py
@@ -54,6 +54,7 @@
     )
 
     def __init__(self, connection: ClientConnection, keep_alive: bool, is_http_1_0: bool = False) -> None:
+        """Create a request whose response is written to ``connection``."""
         self._connection = connection
         self._chunked = False  # whether the streamed response is in chunks
         self.keep_alive = keep_alive
--- a/quota_gateway/net/connection_closing.py
+++ b/quota_gateway/net/connection_closing.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import enum
 import fcntl
 import socket
 import struct
@@ -20,12 +21,22 @@
 UPLOAD_LINGER_TIME = 5.0  # seconds: the upload of a proper request that was rejected early is read off
 
 
+class EvictionPriority(enum.IntEnum):
+    """Which connections are evicted first when the listener is at its limit."""
+
+    LINGERING = 0
+    NEVER_SENT_DATA = 1
+    HALF_READ = 2
+    IDLE = 3
+
+
 class ConnectionCloser:
     """Closes one connection; holds its transport while the close lingers."""
 
     __slots__ = ("_connection", "_discarded", "_linger_time", "_max_discarded", "_transport")
 
     def __init__(self, connection: ClientConnection) -> None:
+        """Create the closer of an open connection."""
         self._connection = connection
         self._transport: asyncio.Transport | None = None  # it is being closed
         self._discarded = 0  # bytes
@@ -87,6 +98,22 @@
         transport.close()
         return True
 
+    @property
+    def eviction_order(self) -> tuple[EvictionPriority, float] | None:
+        """Sorts the connections that may be evicted, the first one first; None for those that may not."""
+        connection = self._connection
+        if connection.transport is None:
+            return (EvictionPriority.LINGERING, connection.phase_started_at) if self.is_lingering else None
+        if connection.request_queue:
+            return None
+        if not connection.has_sent_data:
+            priority = EvictionPriority.NEVER_SENT_DATA
+        elif connection.reader.in_message:
+            priority = EvictionPriority.HALF_READ
+        else:
+            priority = EvictionPriority.IDLE
+        return priority, connection.phase_started_at
+
     def evict(self) -> bool:
         """Close or abort, unless a request, or the rest of one, is unread; whether the connection went."""
         connection = self._connection
--- a/quota_gateway/net/listener.py
+++ b/quota_gateway/net/listener.py
@@ -26,7 +26,7 @@
 # Share of the connection limit. Where more connections have sent data, every response closes its own: clients
 # that ask once and keep their connection for good would use up the limit. It guards as well against leaks in
 # a client's pool. The price is a connect for each request, where that many clients ask all the time.
-CROWDED_SHARE = 0.5
+CROWDED_FRACTION = 0.5
 
 
 class ClientListener:
@@ -39,6 +39,7 @@
         max_connections: int,
         metrics: Metrics | None = None,
     ) -> None:
+        """Create a listener that does not listen yet; needs a running event loop."""
         self.clock = asyncio.get_running_loop().time
         self.handler = handler
         self.parser = RequestParser(settings, self.clock)
@@ -48,7 +49,7 @@
         self.open_request_ids = set[bytes]()
         self.active_connections = 0  # connections that have sent data
         self._max_connections = max_connections
-        self._crowded_above = CROWDED_SHARE * max_connections
+        self._crowded_above = CROWDED_FRACTION * max_connections
         self._scan_timer: asyncio.TimerHandle | None = None
         self._clients = dict[ClientConnection, None]()  # in the order of their connecting
         self._server: asyncio.Server | None = None
@@ -91,10 +92,12 @@
 
     def _evict_one(self) -> bool:
         candidates = [
-            (order, client) for client in self._clients if (order := client.eviction_order) is not None
+            (order, client.closer)
+            for client in self._clients
+            if (order := client.closer.eviction_order) is not None
         ]
         candidates.sort(key=lambda candidate: candidate[0])
-        return any(client.evict() for _, client in candidates)
+        return any(closer.evict() for _, closer in candidates)
 
     def disconnected(self, client: ClientConnection) -> None:
         """Forget a connection."""
--- a/quota_gateway/net/request_body.py
+++ b/quota_gateway/net/request_body.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+import contextlib
+import socket
 from typing import TYPE_CHECKING
 
 from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.http_common import MAX_BODY, MAX_LONG
+from quota_gateway.net.http_common import MAX_BODY, MAX_LONG, PIECE
 from quota_gateway.net.request_parser import BadRequestError
 
 if TYPE_CHECKING:
@@ -26,7 +28,7 @@
         "_chunks",
         "_connection",
         "_rate_base_size",
-        "_resume_pending",
+        "_resume_deferred",
         "paused",
         "size",
         "started_at",
@@ -34,10 +36,11 @@
     )
 
     def __init__(self, connection: ClientConnection) -> None:
+        """Create the body of a connection's first request."""
         self._connection = connection
         self._chunks = list[bytes]()
         self._rate_base_size = 0  # what had been received at ``started_at``
-        self._resume_pending = False  # the endpoint takes more, once the client is known to be there
+        self._resume_deferred = False  # the endpoint takes more, once the client is known to be there
         self.paused = False  # by an endpoint that takes no more for now
         self.size = 0  # bytes received
         self.started_at = 0.0  # when the head was complete, or the upload was last paused or resumed
@@ -72,8 +75,17 @@
         upload = self.upload = BodyStream(self, content_length)
         for chunk in chunks:
             upload.write(chunk)
+        self._limit_receive_buffer()
         return upload
 
+    def _limit_receive_buffer(self) -> None:
+        """Bound what the system holds of an upload."""
+        transport = self._connection.transport
+        if transport is not None:
+            with contextlib.suppress(OSError):
+                client_socket = transport.get_extra_info("socket")
+                client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE)
+
     def collected(self) -> bytes:
         """All chunks of a body that is not streamed."""
         return b"".join(self._chunks)
@@ -102,7 +114,7 @@
 
     def set_paused(self, paused: bool) -> None:
         """Stop or resume reading the upload, as its endpoint takes it."""
-        self._resume_pending = False
+        self._resume_deferred = False
         if self.paused is paused:
             return
         now = self._connection.listener.clock()
@@ -122,13 +134,13 @@
         if connection.transport is None:
             return False
         if connection.liveness.is_in_doubt:
-            self._resume_pending = True
+            self._resume_deferred = True
             return False
         return True
 
     def on_client_confirmed(self) -> None:
         """Resume what waited for the client to prove half-closed and not gone."""
-        if self._resume_pending:
+        if self._resume_deferred:
             self.set_paused(False)
 
     def abandon(self) -> None:
--- a/quota_gateway/net/request_head.py
+++ b/quota_gateway/net/request_head.py
@@ -32,15 +32,16 @@
     )
 
     def __init__(self) -> None:
+        """Create an empty head."""
         self.begin()
 
     def begin(self) -> None:
         """Start over for the next request."""
         self._target = b""
-        self._forwarded_headers = list[bytes]()  # as lines
+        self._forwarded_headers: list[bytes] = []  # as lines
         self._chunked = False
         self._trailer_size = 0
-        self.headers = dict[bytes, bytes]()  # those of PARSED_HEADERS
+        self.headers: dict[bytes, bytes] = {}  # those of PARSED_HEADERS
         self.size = 0  # bytes
         self.content_length: int | None = None
         self.expects_continue = False
--- a/quota_gateway/net/request_parser.py
+++ b/quota_gateway/net/request_parser.py
@@ -30,6 +30,7 @@
     """A request that the gateway answers itself, with the status that names the fault."""
 
     def __init__(self, status: int, reason: str) -> None:
+        """Name the status of the response, and the fault."""
         super().__init__(reason)
         self.status = status
 
@@ -38,6 +39,7 @@
     """Parses requests against the classes, plans and limits of the settings in force."""
 
     def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
+        """Parse by ``settings``; ``clock`` tells seconds from any start."""
         self._clock = clock
         self._last_id = 0
         self._classes = dict[str, bool]()  # by name: whether its method is GET
--- a/quota_gateway/net/request_reader.py
+++ b/quota_gateway/net/request_reader.py
@@ -41,6 +41,7 @@
     )
 
     def __init__(self, connection: ClientConnection) -> None:
+        """Create the reader of a new connection."""
         self._connection = connection
         self._has_read_request = False  # whether any request has been complete
         self.body = RequestBody(connection)
@@ -100,9 +101,9 @@
         self.in_message = True
         connection = self._connection
         # The first request's time starts with the connection, as it does for a client that sends nothing.
-        if not connection.pending and self._has_read_request:
+        if not connection.request_queue and self._has_read_request:
             connection.phase_started_at = connection.listener.clock()
-        elif len(connection.pending) >= MAX_PIPELINE:
+        elif len(connection.request_queue) >= MAX_PIPELINE:
             # Reading stops at this many, but one read may bring hundreds.
             raise BadRequestError(400, "too many requests at once")
 
@@ -115,7 +116,7 @@
             return
         head.complete = True
         self.body.begin(connection.listener.clock())
-        if head.expects_continue and not connection.pending:
+        if head.expects_continue and not connection.request_queue:
             connection.write_continue()
         if head.content_length is not None and head.content_length > MAX_BODY:
             self._start_upload()
@@ -133,8 +134,7 @@
         if self._parser.get_method() != b"POST":
             raise BadRequestError(413, "body too large")
         upload = self.body.start_upload(self.head.content_length)
-        self._connection.limit_receive_buffer()
-        self._hand_over(upload)
+        self._submit(upload)
 
     def on_message_complete(self) -> None:
         """Hand over the request, or end its upload."""
@@ -145,21 +145,21 @@
         self._has_read_request = True
         upload = self.body.upload
         if upload is None:
-            self._hand_over(None)
+            self._submit(None)
             return
         self.body.upload = None
-        request = connection.pending[-1]
+        request = connection.request_queue[-1]
         if request.response is None:
             connection.listener.handler.on_upload_completed(request)
         upload.finish()
 
-    def _hand_over(self, upload: BodyStream | None) -> None:
+    def _submit(self, upload: BodyStream | None) -> None:
         connection = self._connection
         is_http_1_0 = self._parser.get_http_version() == "1.0"
         request = ClientRequest(connection, self._parser.should_keep_alive(), is_http_1_0)
         request.upload = upload
         connection.liveness.last_seen_at = connection.listener.clock()
-        connection.pending.append(request)
+        connection.request_queue.append(request)
         try:
             self._dispatch(request)
         except BadRequestError as error:
