--- /dev/null
+++ b/tests/client_helpers.py
@@ -0,0 +1,56 @@
+"""Helpers for the tests of client connections: scripted decisions, and clients that leave."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+from quota_gateway import model
+from tests.loopback import Limiter, Script, ask, read_message
+
+POST = ask("/post?account=00000000b4d65521", b"xy")
+LATE = 0.11  # seconds after a close in which no attempt may begin any more
+
+
+def reject(event: model.Event) -> list[model.Action]:
+    """Decisions that reject every request, to be retried in 0.25 s."""
+    return [model.Reject(event.id, 0.25)] if isinstance(event, model.Request) else []
+
+
+async def has_ended(reader: asyncio.StreamReader) -> bool:
+    """Read to the end of a connection: nothing may come before it."""
+    try:
+        return await reader.read() == b""
+    except ConnectionResetError:
+        return True
+
+
+async def read_final(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+    """The final response behind the interim one that a half-closed client gets."""
+    assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
+    return await read_message(reader)
+
+
+def reset(client: socket.socket) -> None:
+    """Close with a reset."""
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    client.close()
+
+
+DISCONNECTS = [socket.socket.close, reset]
+
+
+async def assert_rejected(request_bytes: bytes, status: int) -> None:
+    """Bad input is answered and closes its connection; another client's is unaffected."""
+    script = Script(reject)
+    async with Limiter(script, {}) as limiter:
+        other_reader, other = await limiter.connect()
+        reader, writer = await limiter.connect()
+        writer.write(request_bytes + ask())  # nothing behind it is parsed as a request
+        first, headers, _ = await read_message(reader)
+        assert int(first.split()[1]) == status and headers["connection"] == "close"
+        assert await reader.read() == b""
+        assert not [event for event in script.events if isinstance(event, model.Request)]
+        other.write(ask())
+        assert "429" in (await read_message(other_reader))[0]
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -12,9 +12,9 @@
 
 from quota_gateway import model
 from tests import world as w
+from tests.client_helpers import DISCONNECTS, LATE, read_final
 from tests.http_bodies import LONG_BODY, chunked, read_body, read_head, upload, upload_head
 from tests.loopback import OK, Limiter, Script, ask, async_test, listening, read_message, send_on
-from tests.test_endings import LATE, WAYS, interim
 
 LONG_RESPONSES = [
     b"Content-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY,
@@ -240,7 +240,7 @@
     return size
 
 
-@pytest.mark.parametrize("disconnect", WAYS)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @async_test
 async def test_upload_with_an_unread_end_is_truncated_when_its_client_disconnects(disconnect: Any) -> None:
     endpoint = PausedEndpoint()
@@ -265,7 +265,7 @@
         assert await endpoint.body_size == size
         client.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=client)
-        assert (await interim(reader))[2] == b"hi"
+        assert (await read_final(reader))[2] == b"hi"
         writer.close()
 
 
--- /dev/null
+++ b/tests/test_client_timeouts.py
@@ -0,0 +1,119 @@
+"""Time-outs of idle and slow clients."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway import model
+from quota_gateway.net import (
+    client_connection,
+    listener,
+    request_body,
+    request_reader,
+)
+from tests.client_helpers import (
+    POST,
+    reject,
+)
+from tests.loopback import Limiter, Script, ask, read_message, run
+
+
+@pytest.fixture
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(listener, "SCAN_INTERVAL", 0.01)
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT", 0.1)
+    monkeypatch.setattr(request_body, "BODY_TIMEOUT", 0.1)
+    monkeypatch.setattr(request_body, "MAX_BODY_TIME", 0.3)
+
+
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [(b"", ""), (b"GET /loo", " 408 "), (POST[:-1], " 408 "), (b"\r\n\r\n", "")],
+)
+@pytest.mark.usefixtures("short_timeouts")
+def test_silent_and_half_sent_requests_time_out(sent: bytes, status: str) -> None:
+    async def main() -> None:
+        script = Script(lambda _event: [])
+        async with Limiter(script, {}) as limiter:
+            patient, writer = await limiter.connect()
+            writer.write(ask())
+            (request,) = await script.until(model.Request)
+            silent, other = await limiter.connect()
+            other.write(sent)
+            answer = (await silent.read()).decode()
+            assert (status in answer.splitlines()[0]) if status else answer == ""
+            script.answer = lambda _event: [model.Reject(request.id, 0.1)]
+            limiter.dispatcher.dispatch(
+                model.TimerFired(1)
+            )  # an open request keeps its connection however long it takes
+            assert " 429 " in (await read_message(patient))[0]
+            assert await patient.read() == b""  # and an idle one goes after a while
+
+    run(main())
+
+
+@pytest.mark.usefixtures("short_timeouts")
+def test_body_in_steady_flow_may_take_longer_but_not_forever(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(request_body, "MIN_BODY_RATE", 10)
+
+    async def main() -> None:
+        async with Limiter(Script(reject), {}) as limiter:
+            for pieces, status in ((20, " 429 "), (100, " 408 ")):
+                reader, writer = await limiter.connect()
+                request = ask("/post?account=00000000b4d65521", b"x" * pieces)
+                writer.write(request[:-pieces])
+                answer = asyncio.create_task(read_message(reader))
+                for _ in range(pieces):
+                    if answer.done():
+                        break
+                    writer.write(b"x")
+                    await asyncio.sleep(0.01)
+                assert status in (await answer)[0]
+
+    run(main())
+
+
+def test_missing_body_behind_a_late_head_times_out_from_the_connect() -> None:
+    async def main() -> None:
+        async with Limiter(Script(reject), {}) as limiter:
+            for sent, late in ((0, True), (40_000, False)):  # one that flows keeps its time
+                reader, writer = await limiter.connect()
+                request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
+                writer.write(request[: len(request) - 60_000 + sent])
+                while not (known := list(limiter.listener._clients)) or known[-1].reader.body.size < sent:
+                    await asyncio.sleep(0)
+                client = known[-1]
+                while not client.reader.head.complete:
+                    await asyncio.sleep(0)
+                client.phase_started_at = came = client.reader.body.started_at - 2.3  # the head took so long
+                client.check_timeouts(came + request_reader.HEAD_TIMEOUT - 0.1)
+                assert not client.discards_input
+                client.check_timeouts(came + request_reader.HEAD_TIMEOUT + 0.1)
+                assert client.discards_input is late
+                if late:
+                    assert " 408 " in (await read_message(reader))[0]
+                writer.close()
+
+    run(main())
+
+
+def test_late_and_slow_first_request_times_out_from_the_connect() -> None:
+    async def main() -> None:
+        async with Limiter(Script(reject), {}) as limiter:
+            _, writer = await limiter.connect()
+            while not limiter.listener._clients:
+                await asyncio.sleep(0.001)
+            (client,) = limiter.listener._clients
+            client.phase_started_at = came = client.phase_started_at - 1.9
+            writer.write(b"GET /lookup")
+            while not client.reader.in_message:
+                await asyncio.sleep(0.001)
+            assert client.phase_started_at == came
+            client.check_timeouts(came + request_reader.HEAD_TIMEOUT - 0.1)
+            assert not client.discards_input
+            client.check_timeouts(came + request_reader.HEAD_TIMEOUT + 0.1)
+            assert client.discards_input
+
+    run(main())
--- /dev/null
+++ b/tests/test_connect_race.py
@@ -0,0 +1,53 @@
+"""Connections to an endpoint that break before their connect is notified."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from quota_gateway import model
+from quota_gateway.net import (
+    connection_pool,
+)
+from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
+
+
+def test_connection_that_breaks_before_its_connect_is_notified_proves_that_nothing_ran(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """It had the request wait for its whole time, for an outcome that never came."""
+
+    class Late:
+        """A loop whose connections are told once the peer has ended them."""
+
+        def __getattr__(self, name: str) -> Any:
+            return getattr(asyncio.get_running_loop(), name)
+
+        async def create_connection(self, *args: Any) -> Any:
+            transport, protocol = await asyncio.get_running_loop().create_connection(*args)
+            while protocol.transport is not None:
+                await asyncio.sleep(0)
+            return transport, protocol
+
+    class Asyncio:
+        get_running_loop = Late
+
+        def __getattr__(self, name: str) -> Any:
+            return getattr(asyncio, name)
+
+    async def talk(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.transport.abort()
+
+    async def main() -> None:
+        script = Script(send_on)
+        async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+            monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
+            reader, writer = await limiter.connect()
+            writer.write(ask(ttl=60000))
+            (outcome,) = await script.until(model.AttemptCompleted)
+            assert outcome.status is model.CallStatus.RESET_BEFORE_REQUEST
+            assert " 429 " in (await read_message(reader))[0]
+
+    run(main())
--- /dev/null
+++ b/tests/test_request_reader.py
@@ -0,0 +1,110 @@
+"""Framing, sizes and hand-over of requests that are read from a connection."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway import model
+from quota_gateway.net.request_reader import MAX_PIPELINE
+from tests.client_helpers import (
+    POST,
+    assert_rejected,
+    reject,
+)
+from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
+
+
+def test_large_body_may_arrive_in_many_reads() -> None:
+    async def main() -> None:
+        origin, body = Origin(), b"x" * 60_000
+        async with listening(origin.talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+            reader, writer = await limiter.connect()
+            request = ask("/post?account=00000000b4d65521", body)
+            for at in range(0, len(request), 4096):
+                writer.write(request[at : at + 4096])
+                await writer.drain()
+                await asyncio.sleep(0.001)  # so that each piece is a read of its own
+            assert " 200 " in (await read_message(reader))[0]
+            assert origin.seen[0][2] == body
+
+    run(main())
+
+
+@pytest.mark.parametrize(
+    ("request_bytes", "status"),
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nX: " + b"a" * 70_000, 400),
+        (ask(X_Filler="a" * 40_000), 400),
+        (ask("/lookup?account=00000000b4d65521&x=" + "a" * 40_000), 400),
+        (ask(Content_Length="-1"), 400),
+        (ask(Content_Length="12345678901"), 400),
+        (ask(Content_Length="60000000"), 413),
+        (ask(Content_Length="1") + b"x", 400),
+        (ask().replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
+        (ask("/post?account=00000000b4d65521", b"xy", Transfer_Encoding="chunked"), 400),
+        (POST.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n"), 400),
+        (POST.replace(b"Content-Length: 2", b"Transfer-Encoding: gzip"), 400),
+        (POST.replace(b"\r\n\r\n", b"\r\nContent-Length: 2\r\n\r\n"), 400),
+        (ask(Content_Length="65537") + b"x" * 65_537, 413),
+        (ask("/post?account=00000000b4d65521", b"x", Content_Length="60000000"), 413),
+        (ask().replace(b"GET", b"DELETE", 1), 405),
+    ],
+)
+def test_malformed_request_is_rejected_and_affects_no_other_client(request_bytes: bytes, status: int) -> None:
+    run(assert_rejected(request_bytes, status))
+
+
+def test_upgrade_offer_is_ignored() -> None:
+    async def main() -> None:
+        async with Limiter(Script(reject), {}) as limiter:
+            reader, writer = await limiter.connect()
+            writer.write(ask(Connection="upgrade", Upgrade="h2c") + ask())
+            assert ["429" in (await read_message(reader))[0] for _ in range(2)] == [True, True]
+
+    run(main())
+
+
+def test_chunked_body_over_the_limit_is_rejected() -> None:
+    async def main() -> None:
+        async with Limiter(Script(reject), {}) as limiter:
+            head = ask(Transfer_Encoding="chunked")
+            first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
+            assert " 413 " in first
+
+    run(main())
+
+
+def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
+    async def main() -> None:
+        script = Script(lambda _event: [])
+        async with Limiter(script, {}) as limiter:
+            reader, writer = await limiter.connect()
+            writer.write(ask(X_Request_ID="00000000000000ab"))
+            (request,) = await script.until(model.Request)
+            assert " 409 " in (await limiter.fetch(ask(X_Request_ID="00000000000000AB")))[0]
+            script.answer = lambda event: reject(event) or [model.Fail(request.id)]
+            limiter.dispatcher.dispatch(model.TimerFired(1))
+            assert " 502 " in (await read_message(reader))[0]
+            assert " 429 " in (await limiter.fetch(ask(X_Request_ID="00000000000000ab")))[0]  # free again
+            assert not limiter.listener.open_request_ids
+
+    run(main())
+
+
+def test_hundreds_of_requests_in_one_read_are_bounded() -> None:
+    async def main() -> None:
+        script = Script(lambda _event: [])
+        async with Limiter(script, {}) as limiter:
+            _, writer = await limiter.connect()
+            writer.write(b"".join(ask() for _ in range(200)))
+            await script.until(model.Request, MAX_PIPELINE)
+            reader, other = await limiter.connect()
+            script.answer = reject
+            other.write(ask())
+            assert " 429 " in (await read_message(reader))[0]
+            assert len(await script.until(model.Request)) == MAX_PIPELINE + 1
+
+    run(main())
