--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -5,12 +5,13 @@
 import asyncio
 import socket
 import struct
+from collections.abc import Callable
 
 from quota_gateway import model
-from tests.loopback import Limiter, Script, ask, read_message
+from tests.loopback import Limiter, Script, ask, read_message, send_on
 
 POST = ask("/post?account=00000000b4d65521", b"xy")
-LATE = 0.11  # seconds after a close in which no attempt may begin any more
+LATE = 0.11  # seconds after a disconnect from which on no attempt may begin
 
 
 def reject(event: model.Event) -> list[model.Action]:
@@ -18,6 +19,11 @@
     return [model.Reject(event.id, 0.25)] if isinstance(event, model.Request) else []
 
 
+def on_timer(actions: list[model.Action]) -> Callable[[model.Event], list[model.Action]]:
+    """Decisions that take ``actions`` when a timer fires, and forward every request."""
+    return lambda event: actions if isinstance(event, model.TimerFired) else send_on(event)
+
+
 async def has_ended(reader: asyncio.StreamReader) -> bool:
     """Read to the end of a connection: nothing may come before it."""
     try:
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -11,23 +11,27 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import (
-    client_liveness,
-    connection_pool,
-    listener,
-)
+from quota_gateway.net import client_liveness, connection_pool, listener
 from quota_gateway.net.client_liveness import ClientLiveness
 from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.request_reader import MAX_PIPELINE
-from tests.client_helpers import (
-    DISCONNECTS,
-    LATE,
-    read_final,
-    reset,
-)
+from tests.client_helpers import DISCONNECTS, LATE, on_timer, read_final
 from tests.loopback import OK, Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 
+def watch_maybe_gone(limiter: Limiter) -> asyncio.Event:
+    """Set when the dispatcher is notified that a client may have gone."""
+    notified = asyncio.Event()
+    notify = limiter.dispatcher.on_client_maybe_gone
+
+    def notify_and_set(request: ClientRequest) -> None:
+        notify(request)
+        notified.set()
+
+    limiter.dispatcher.on_client_maybe_gone = notify_and_set  # type: ignore[method-assign]
+    return notified
+
+
 def test_half_closed_client_gets_the_response_in_flight() -> None:
     async def main() -> None:
         release = asyncio.Event()
@@ -38,19 +42,12 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
             await reader.read()
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
-            stranded = asyncio.Event()
-            mark = limiter.dispatcher.on_client_maybe_gone
-
-            def seen(request: ClientRequest) -> None:
-                mark(request)
-                stranded.set()
-
-            limiter.dispatcher.on_client_maybe_gone = seen  # type: ignore[method-assign]
+        async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+            maybe_gone = watch_maybe_gone(limiter)
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=15000))
             writer.write_eof()
-            await stranded.wait()
+            await maybe_gone.wait()
             release.set()
             status, headers, body = await read_final(reader)
             assert " 200 " in status and body == b"hi" and headers["connection"] == "close"
@@ -63,21 +60,14 @@
     async def main() -> None:
         script = Script(lambda _event: [])
         origin = Origin()
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
-            stranded = asyncio.Event()
-            mark = limiter.dispatcher.on_client_maybe_gone
-
-            def seen(request: ClientRequest) -> None:
-                mark(request)
-                stranded.set()
-
-            limiter.dispatcher.on_client_maybe_gone = seen  # type: ignore[method-assign]
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+            maybe_gone = watch_maybe_gone(limiter)
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=15000))
             (event,) = await script.until(model.Request)  # it waits, as for the counter
             writer.write_eof()
-            await stranded.wait()
-            script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
+            await maybe_gone.wait()
+            script.answer = on_timer(send_on(event))
             limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, _ = await read_final(reader)
             assert " 429 " in status and not origin.seen
@@ -85,20 +75,20 @@
     run(main())
 
 
-@pytest.mark.parametrize("how", [socket.socket.close, reset])
-@pytest.mark.parametrize("number", [1, MAX_PIPELINE])
-def test_disconnect_is_noticed_while_requests_wait(how: Any, number: int) -> None:
-    """With so many waiting its input is not read, and nothing but a look would show that it has gone."""
+@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("request_count", [1, MAX_PIPELINE])
+def test_disconnect_is_noticed_while_requests_wait(close_client: Any, request_count: int) -> None:
+    """With a full pipeline its input is not read, and only a poll shows that it has gone."""
 
     async def main() -> None:
         script = Script(lambda _event: [])
         async with Limiter(script, {}) as limiter:
             client = socket.create_connection(limiter._address)
-            for _ in range(number):
+            for _ in range(request_count):
                 client.sendall(ask(ttl=60000))
-            await script.until(model.Request, number)
-            how(client)
-            assert len(await script.until(model.ClientDisconnected, number)) == number
+            await script.until(model.Request, request_count)
+            close_client(client)
+            assert len(await script.until(model.ClientDisconnected, request_count)) == request_count
             assert not limiter.dispatcher.open_requests
 
     run(main())
@@ -112,20 +102,21 @@
     async def main() -> None:
         script = Script(lambda _event: [])
         async with Limiter(script, {}) as limiter:
-            looks, look = asyncio.Queue[None](), ClientLiveness.poll
+            polls = asyncio.Queue[None]()
+            poll = ClientLiveness.poll
 
-            def counted(self: ClientLiveness) -> None:
-                look(self)
-                looks.put_nowait(None)
+            def counting_poll(self: ClientLiveness) -> None:
+                poll(self)
+                polls.put_nowait(None)
 
-            monkeypatch.setattr(ClientLiveness, "poll", counted)
+            monkeypatch.setattr(ClientLiveness, "poll", counting_poll)
             reader, writer = await limiter.connect()
             for _ in range(MAX_PIPELINE):
                 writer.write(ask(ttl=60000))
             events = await script.until(model.Request, MAX_PIPELINE)
             writer.write_eof()
             for _ in range(20):
-                await looks.get()
+                await polls.get()
             script.answer = lambda _event: [model.Fail(event.id) for event in events]
             limiter.dispatcher.dispatch(model.TimerFired(1))
             answers = await reader.read()
@@ -135,58 +126,60 @@
 
 
 def close_with_unread_input(client: socket.socket) -> None:
-    """What is unread at a close makes a reset of it."""
+    """Close with unread input, which makes a reset of it."""
     client.setblocking(True)
     assert client.recv(1, socket.MSG_PEEK)
     client.close()
 
 
-def disconnect(client: socket.socket, how: Callable[[socket.socket], None]) -> None:
-    """The client goes, and the limiter's loop does not turn until an attempt would come too late: whatever
-    looks at clients by a timer, or is told by the loop, has not been asked then."""
-    how(client)
+def disconnect(client: socket.socket, close_client: Callable[[socket.socket], None]) -> None:
+    """The client leaves, and the event loop does not run until an attempt would be too late.
+
+    No timer and no callback of the event loop has shown the disconnect then.
+    """
+    close_client(client)
     time.sleep(LATE)
 
 
 async def keep_endpoint_connection(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection to the server is kept, so that the next attempt goes out in the step of its decision."""
+    """Keep an endpoint connection idle, so that the next attempt is written in the step of its decision."""
     monkeypatch.setattr(connection_pool, "REST", 0.0)
-    answer, limiter.script.answer = limiter.script.answer, send_on
+    answer = limiter.script.answer
+    limiter.script.answer = send_on
     assert " 200 " in (await limiter.fetch(ask()))[0]
     limiter.script.answer = answer
     limiter.script.events.clear()
 
 
-async def assert_only_the_next_is_forwarded(limiter: Limiter, origin: Origin, number: int = 0) -> None:
-    """Nothing but ``number`` requests went out before the one that is asked now."""
+async def assert_only_the_next_is_forwarded(
+    limiter: Limiter, origin: Origin, already_forwarded: int = 0
+) -> None:
+    """Nothing but ``already_forwarded`` requests went out before the one that is sent now."""
     limiter.script.answer = send_on
     request = ask()
     assert " 200 " in (await limiter.fetch(request))[0]
-    assert len(origin.seen) == number + 1
+    assert len(origin.seen) == already_forwarded + 1
     assert origin.seen[-1][1]["x-request-id"].encode() in request
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
-@pytest.mark.parametrize("number", [1, MAX_PIPELINE])
+@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("request_count", [1, MAX_PIPELINE])
 def test_no_attempt_begins_for_a_client_that_left_while_its_requests_waited(
-    how: Any, number: int, monkeypatch: pytest.MonkeyPatch
+    close_client: Any, request_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They are held, as for the counter; with so many its input is not read either."""
+    """They wait, as for the counter; with a full pipeline its input is not read either."""
 
     async def main() -> None:
-        script, origin = Script(lambda _event: []), Origin()
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        script = Script(lambda _event: [])
+        origin = Origin()
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             await keep_endpoint_connection(limiter, monkeypatch)
             client = socket.create_connection(limiter._address)
-            for _ in range(number):
+            for _ in range(request_count):
                 client.sendall(ask(ttl=60000))
-            events = await script.until(model.Request, number)
-            script.answer = lambda e: (
-                [a for event in events for a in send_on(event)]
-                if isinstance(e, model.TimerFired)
-                else send_on(e)
-            )
-            disconnect(client, how)
+            events = await script.until(model.Request, request_count)
+            script.answer = on_timer([action for event in events for action in send_on(event)])
+            disconnect(client, close_client)
             limiter.dispatcher.dispatch(model.TimerFired(1))
             await assert_only_the_next_is_forwarded(limiter, origin, 1)
             assert not limiter.dispatcher.open_requests
@@ -196,17 +189,16 @@
 
 def test_no_attempt_begins_for_a_client_that_left_a_response_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        script, origin = Script(lambda _event: []), Origin()
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        script = Script(lambda _event: [])
+        origin = Origin()
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             await keep_endpoint_connection(limiter, monkeypatch)
             client = socket.create_connection(limiter._address)
             client.sendall(ask(ttl=60000) + ask(ttl=60000))
             first, second = await script.until(model.Request, 2)
-            script.answer = lambda e: (
-                [model.Reject(first.id, 0.1)] if isinstance(e, model.TimerFired) else send_on(e)
-            )
+            script.answer = on_timer([model.Reject(first.id, 0.1)])
             limiter.dispatcher.dispatch(model.TimerFired(1))
-            script.answer = lambda e: send_on(second) if isinstance(e, model.TimerFired) else send_on(e)
+            script.answer = on_timer(send_on(second))
             disconnect(client, close_with_unread_input)
             limiter.dispatcher.dispatch(model.TimerFired(1))
             await assert_only_the_next_is_forwarded(limiter, origin, 1)
@@ -217,11 +209,12 @@
 def test_no_attempt_begins_where_the_end_was_read_and_its_confirmation_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is asked whether it is still there, and the answer to that is not looked up in time."""
+    """An interim response is sent to it, and what follows is not looked up in time."""
 
     async def main() -> None:
-        script, origin = Script(lambda _event: []), Origin()
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        script = Script(lambda _event: [])
+        origin = Origin()
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             await keep_endpoint_connection(limiter, monkeypatch)
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=60000))
@@ -231,7 +224,7 @@
             while not client.liveness.input_ended:
                 await asyncio.sleep(0)
             time.sleep(LATE)
-            script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
+            script.answer = on_timer(send_on(event))
             limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, _ = await read_final(reader)
             assert " 429 " in status
@@ -247,8 +240,9 @@
     monkeypatch.setattr(client_liveness, "PRESENCE_GRACE", 10.0)  # a slow machine must not make it late
 
     async def main() -> None:
-        script, origin = Script(lambda _event: []), Origin()
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        script = Script(lambda _event: [])
+        origin = Origin()
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=60000))
             (event,) = await script.until(model.Request)
@@ -256,8 +250,8 @@
             writer.write_eof()
             while not client.liveness.input_ended:
                 await asyncio.sleep(0)
-            script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
-            # The dial would wait for the loop, and the look at half-closed clients come between.
+            script.answer = on_timer(send_on(event))
+            # The connect waits for the event loop, and the confirmation would come between.
             monkeypatch.setattr(client_liveness, "RESET_WAIT", 10.0)
             limiter.dispatcher.dispatch(model.TimerFired(1))
             status, _, body = await read_final(reader)
@@ -266,72 +260,80 @@
     run(main())
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
-@pytest.mark.parametrize("number", [1, MAX_PIPELINE])
-def test_no_retry_begins_for_a_client_that_left_during_the_attempt_before(how: Any, number: int) -> None:
+@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("request_count", [1, MAX_PIPELINE])
+def test_no_retry_begins_for_a_client_that_left_during_the_attempt_before(
+    close_client: Any, request_count: int
+) -> None:
     async def main() -> None:
-        origin = Origin(lambda n: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if n <= number else OK)
-        gone = list[socket.socket]()
+        clients = list[socket.socket]()
+
+        def fail_first(count: int) -> bytes:
+            return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if count <= request_count else OK
 
-        def again(event: model.Event) -> list[model.Action]:
+        def retry_errors(event: model.Event) -> list[model.Action]:
             if (
                 isinstance(event, model.AttemptCompleted)
                 and not event.request_finished
                 and event.status is model.CallStatus.ERROR
             ):
-                if gone:
-                    disconnect(gone.pop(), how)
+                if clients:
+                    disconnect(clients.pop(), close_client)
                 return [model.Forward(event.request_id, "s1", 60.0)]
             return send_on(event)
 
-        script = Script(again)
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        script = Script(retry_errors)
+        origin = Origin(fail_first)
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             client = socket.create_connection(limiter._address)
-            gone.append(client)
-            client.sendall(b"".join(ask(ttl=60000) for _ in range(number)))
-            ended = await script.until(model.AttemptCompleted, 2)
-            assert ended[0].status is model.CallStatus.ERROR and not gone
+            clients.append(client)
+            client.sendall(b"".join(ask(ttl=60000) for _ in range(request_count)))
+            outcomes = await script.until(model.AttemptCompleted, 2)
+            assert outcomes[0].status is model.CallStatus.ERROR and not clients
             while limiter.dispatcher.open_requests:
                 await asyncio.sleep(0)
             origin.reply = lambda _n: OK
             script.answer = send_on
-            assert " 200 " in (await limiter.fetch(ask()))[0]  # behind whatever else went out
+            assert " 200 " in (await limiter.fetch(ask()))[0]  # behind whatever else was forwarded
             ids = [headers["x-request-id"] for _, headers, _ in origin.seen]
-            assert len(ids) == len(set(ids)) <= number + 1
+            assert len(ids) == len(set(ids)) <= request_count + 1
 
     run(main())
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("close_client", DISCONNECTS)
 def test_no_attempt_begins_for_a_client_that_left_during_the_connect(
-    how: Any, monkeypatch: pytest.MonkeyPatch
+    close_client: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    gone = list[socket.socket]()
+    clients = list[socket.socket]()
 
-    class Slow:
-        """A loop whose connections come up when the client has gone."""
+    class SlowLoop:
+        """An event loop that returns connections when the client has left."""
 
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio.get_running_loop(), name)
 
         async def create_connection(self, *args: Any) -> Any:
-            up = await asyncio.get_running_loop().create_connection(*args)
-            if gone:
-                disconnect(gone.pop(), how)
-            return up
+            connected = await asyncio.get_running_loop().create_connection(*args)
+            if clients:
+                disconnect(clients.pop(), close_client)
+            return connected
 
     class Asyncio:
-        get_running_loop = Slow
+        """The asyncio module with that event loop."""
+
+        get_running_loop = SlowLoop
 
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio, name)
 
     async def main() -> None:
-        script, origin = Script(send_on), Origin()
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        script = Script(send_on)
+        origin = Origin()
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
             client = socket.create_connection(limiter._address)
-            gone.append(client)
+            clients.append(client)
             client.sendall(ask(ttl=60000))
             (outcome,) = await script.until(model.AttemptCompleted)
             assert outcome.status in (model.CallStatus.NOT_SENT, model.CallStatus.CANCELLED)
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -7,21 +7,14 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import (
-    client_connection,
-    listener,
-    request_body,
-    request_reader,
-)
-from tests.client_helpers import (
-    POST,
-    reject,
-)
+from quota_gateway.net import client_connection, listener, request_body, request_reader
+from tests.client_helpers import POST, reject
 from tests.loopback import Limiter, Script, ask, read_message, run
 
 
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Time out in tenths of a second."""
     monkeypatch.setattr(listener, "SCAN_INTERVAL", 0.01)
     monkeypatch.setattr(client_connection, "IDLE_TIMEOUT", 0.1)
     monkeypatch.setattr(request_body, "BODY_TIMEOUT", 0.1)
@@ -45,11 +38,10 @@
             answer = (await silent.read()).decode()
             assert (status in answer.splitlines()[0]) if status else answer == ""
             script.answer = lambda _event: [model.Reject(request.id, 0.1)]
-            limiter.dispatcher.dispatch(
-                model.TimerFired(1)
-            )  # an open request keeps its connection however long it takes
+            # An open request keeps its connection however long it takes.
+            limiter.dispatcher.dispatch(model.TimerFired(1))
             assert " 429 " in (await read_message(patient))[0]
-            assert await patient.read() == b""  # and an idle one goes after a while
+            assert await patient.read() == b""  # and an idle one is closed after a while
 
     run(main())
 
@@ -60,12 +52,12 @@
 
     async def main() -> None:
         async with Limiter(Script(reject), {}) as limiter:
-            for pieces, status in ((20, " 429 "), (100, " 408 ")):
+            for size, status in ((20, " 429 "), (100, " 408 ")):
                 reader, writer = await limiter.connect()
-                request = ask("/post?account=00000000b4d65521", b"x" * pieces)
-                writer.write(request[:-pieces])
+                request = ask("/post?account=00000000b4d65521", b"x" * size)
+                writer.write(request[:-size])
                 answer = asyncio.create_task(read_message(reader))
-                for _ in range(pieces):
+                for _ in range(size):
                     if answer.done():
                         break
                     writer.write(b"x")
@@ -78,21 +70,24 @@
 def test_missing_body_behind_a_late_head_times_out_from_the_connect() -> None:
     async def main() -> None:
         async with Limiter(Script(reject), {}) as limiter:
-            for sent, late in ((0, True), (40_000, False)):  # one that flows keeps its time
+            for sent, times_out in ((0, True), (40_000, False)):  # one that flows keeps its time
                 reader, writer = await limiter.connect()
                 request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
                 writer.write(request[: len(request) - 60_000 + sent])
-                while not (known := list(limiter.listener._clients)) or known[-1].reader.body.size < sent:
+                while not limiter.listener._clients:
+                    await asyncio.sleep(0)
+                while list(limiter.listener._clients)[-1].reader.body.size < sent:
                     await asyncio.sleep(0)
-                client = known[-1]
+                client = list(limiter.listener._clients)[-1]
                 while not client.reader.head.complete:
                     await asyncio.sleep(0)
-                client.phase_started_at = came = client.reader.body.started_at - 2.3  # the head took so long
-                client.check_timeouts(came + request_reader.HEAD_TIMEOUT - 0.1)
+                began_at = client.reader.body.started_at - 2.3  # the head took so long
+                client.phase_started_at = began_at
+                client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT - 0.1)
                 assert not client.discards_input
-                client.check_timeouts(came + request_reader.HEAD_TIMEOUT + 0.1)
-                assert client.discards_input is late
-                if late:
+                client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT + 0.1)
+                assert client.discards_input is times_out
+                if times_out:
                     assert " 408 " in (await read_message(reader))[0]
                 writer.close()
 
@@ -106,14 +101,15 @@
             while not limiter.listener._clients:
                 await asyncio.sleep(0.001)
             (client,) = limiter.listener._clients
-            client.phase_started_at = came = client.phase_started_at - 1.9
+            began_at = client.phase_started_at - 1.9
+            client.phase_started_at = began_at
             writer.write(b"GET /lookup")
             while not client.reader.in_message:
                 await asyncio.sleep(0.001)
-            assert client.phase_started_at == came
-            client.check_timeouts(came + request_reader.HEAD_TIMEOUT - 0.1)
+            assert client.phase_started_at == began_at
+            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT - 0.1)
             assert not client.discards_input
-            client.check_timeouts(came + request_reader.HEAD_TIMEOUT + 0.1)
+            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT + 0.1)
             assert client.discards_input
 
     run(main())
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -8,19 +8,17 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import (
-    connection_pool,
-)
+from quota_gateway.net import connection_pool
 from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
 
 
 def test_connection_that_breaks_before_its_connect_is_notified_proves_that_nothing_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It had the request wait for its whole time, for an outcome that never came."""
+    """Else the request would wait for its whole time, for an outcome that never comes."""
 
-    class Late:
-        """A loop whose connections are told once the peer has ended them."""
+    class LateLoop:
+        """An event loop that returns connections once the peer has ended them."""
 
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio.get_running_loop(), name)
@@ -32,7 +30,9 @@
             return transport, protocol
 
     class Asyncio:
-        get_running_loop = Late
+        """The asyncio module with that event loop."""
+
+        get_running_loop = LateLoop
 
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio, name)
@@ -42,7 +42,7 @@
 
     async def main() -> None:
         script = Script(send_on)
-        async with listening(talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
             monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
             reader, writer = await limiter.connect()
             writer.write(ask(ttl=60000))
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -9,9 +9,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.connection_closing import ConnectionCloser
-from tests.client_helpers import (
-    reject,
-)
+from tests.client_helpers import reject
 from tests.loopback import Limiter, Script, ask, read_message, run
 
 
@@ -33,24 +31,25 @@
     run(main())
 
 
-def test_end_of_an_idle_connection_is_sent_in_the_step_of_the_look(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request that comes between the two meets an orderly end, as one that crosses it, and no reset."""
+def test_end_of_an_idle_connection_is_sent_in_the_step_that_finds_it_idle(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A request between look and end meets an orderly end, as one that crosses it, and no reset."""
 
     async def main() -> None:
         async with Limiter(Script(reject), {}) as limiter:
             client = socket.create_connection(limiter._address)
-            look = ConnectionCloser.has_unread_input.fget  # type: ignore[attr-defined]
+            has_unread_input = ConnectionCloser.has_unread_input.fget  # type: ignore[attr-defined]
 
-            def cross(self: ConnectionCloser) -> bool:
-                unread: bool = look(self)
+            def send_after_look(self: ConnectionCloser) -> bool:
+                unread: bool = has_unread_input(self)
                 client.sendall(ask())
                 return unread
 
             while not limiter.listener._clients:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(ConnectionCloser, "has_unread_input", property(cross))
-            closing = asyncio.create_task(limiter.listener.close(1000))
-            await closing
+            monkeypatch.setattr(ConnectionCloser, "has_unread_input", property(send_after_look))
+            await limiter.listener.close(1000)
             client.settimeout(10)
             assert client.recv(10) == b""
 
@@ -65,7 +64,7 @@
             client.sendall(ask())
             (event,) = await script.until(model.Request)
             limiter.listener.start_draining()
-            client.sendall(b"x" * 1000)  # unread when the answer is written and the connection closed
+            client.sendall(b"x" * 1000)  # unread when the response is written and the connection closed
             script.answer = lambda _event: [model.Reject(event.id, 0.1)]
             limiter.dispatcher.dispatch(model.TimerFired(1))
             reader, writer = await asyncio.open_connection(sock=client)
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors while discovery and the counter are away, on real sockets."""
+"""Lack of descriptors: idle clients fill them, or the process has none left, on real sockets."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 from quota_gateway import model
 from quota_gateway.net import listener
+from tests.client_helpers import on_timer, reject
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 from tests.test_program import Program, config, free_port, started
 
-LIST_WITHIN = 6.0  # seconds from discovery's return until its list counts as told
-SOCKETS = 256  # the fewest that the terms name
+LIST_WITHIN = 6.0  # seconds from discovery's return until the limiter must use its list
+DESCRIPTORS = 256  # the smallest limit that the specification names
 
 
-def crowd(program: Program, number: int) -> list[socket.socket]:
-    """So many clients that connect at once and ask nothing."""
+def connect_silent(program: Program, count: int) -> list[socket.socket]:
+    """Clients that connect at once and send nothing."""
     host, port = program._listen.split(":")
     clients = list[socket.socket]()
-    for _ in range(number):
+    for _ in range(count):
         client = socket.socket()
         client.setblocking(False)
         assert client.connect_ex((host, int(port))) in (0, errno.EINPROGRESS)
@@ -36,101 +38,144 @@
     return clients
 
 
-def test_idle_clients_at_the_limit_cost_neither_the_list_nor_the_counter_nor_a_request(
+def connect_sending(program: Program) -> socket.socket:
+    """A client that connects and sends a request."""
+    host, port = program._listen.split(":")
+    client = socket.create_connection((host, int(port)))
+    client.sendall(ask())
+    return client
+
+
+async def assert_served(client: socket.socket) -> None:
+    """Read the response to a request that was sent."""
+    reader, writer = await asyncio.open_connection(sock=client)
+    assert " 200 " in (await read_message(reader))[0]
+    writer.close()
+
+
+def open_descriptors(program: Program) -> int:
+    """The descriptors that the limiter's process has open."""
+    return len(os.listdir(f"/proc/{program.process.pid}/fd"))
+
+
+class ReturningPeers:
+    """Discovery and the counter, which are away at first; an endpoint list leads to ``endpoint``."""
+
+    def __init__(self, endpoint: str) -> None:
+        self._endpoint = endpoint
+        self._servers = list[asyncio.Server]()
+        self.ports = (free_port(), free_port())  # of discovery and of the counter
+        self.list_sent = asyncio.Event()
+        self.counter_reached = asyncio.Event()
+
+    async def serve_list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send the endpoint list, and keep the watch open."""
+        await reader.readuntil(b"\r\n\r\n")
+        event = json.dumps(config(self._endpoint)["known"] | {"seq": 42}).encode() + b"\n"
+        head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        writer.write(head + b"%x\r\n%b\r\n" % (len(event), event))
+        self.list_sent.set()
+        await reader.read()
+
+    async def accept_counter(self, reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        """Take the counter's connection, and answer nothing."""
+        self.counter_reached.set()
+        await reader.read()
+
+    async def start(self) -> None:
+        """Come back."""
+        discovery_port, counter_port = self.ports
+        self._servers = [
+            await asyncio.start_server(self.serve_list, "127.0.0.1", discovery_port),
+            await asyncio.start_server(self.accept_counter, "127.0.0.1", counter_port),
+        ]
+
+    def close(self) -> None:
+        """Listen no more."""
+        for server in self._servers:
+            server.close()
+
+
+def limited_config(endpoint: str, peers: ReturningPeers) -> dict[str, Any]:
+    """A configuration with the least descriptors, and quotas that reject nothing."""
+    discovery_port, counter_port = peers.ports
+    raw = config(endpoint, f"127.0.0.1:{discovery_port}") | {"counter": f"127.0.0.1:{counter_port}"}
+    raw["limits"] = {"sockets": DESCRIPTORS}
+    raw["settings"] = raw["settings"] | {"specifics": {"has_counter": False, "count_wait_s": 0.05}}
+    raw["settings"]["tariffs"] = [{"name": "basic", "quota_rate": 1e5, "store_size": 1e5}]
+    return raw
+
+
+async def crowd_in_one_step(program: Program) -> list[socket.socket]:
+    """Twice the clients of the limit, and senders among them, wait when the process runs again."""
+    resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
+    program.process.send_signal(signal.SIGSTOP)
+    silent = list[socket.socket]()
+    senders = list[socket.socket]()
+    for _ in range(20):
+        silent += connect_silent(program, DESCRIPTORS // 10)
+        senders.append(connect_sending(program))
+    program.process.send_signal(signal.SIGCONT)
+    await asyncio.gather(*map(assert_served, senders))
+    return silent
+
+
+def test_idle_clients_at_the_limit_hinder_neither_discovery_nor_the_counter_nor_requests(
     tmp_path: Path,
 ) -> None:
-    """Some twenty times the clients that there is room for; a few among them ask, and go on asking."""
+    """Far more clients than the limit allows connect; a few among them send requests throughout."""
 
     async def main() -> None:
-        async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            line = json.dumps(config(new)["known"] | {"seq": 42}).encode() + b"\n"
-            head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            writer.write(head + b"%x\r\n%b\r\n" % (len(line), line))
-            told.set()
-            await reader.read()
-
-        async def tally(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            counted.set()
-            await reader.read()
-
-        async def served(client: socket.socket) -> None:
-            reader, writer = await asyncio.open_connection(sock=client)
-            assert " 200 " in (await read_message(reader))[0]
-            writer.close()
-
-        def sender() -> socket.socket:
-            host, port = program._listen.split(":")
-            client = socket.create_connection((host, int(port)))
-            client.sendall(ask())
-            return client
-
-        def held() -> int:
-            return len(os.listdir(f"/proc/{program.process.pid}/fd"))
-
-        told, counted, clients = asyncio.Event(), asyncio.Event(), list[socket.socket]()
-        old, after, ports = Origin(), Origin(), (free_port(), free_port())
-        async with listening(old.talk) as dial, listening(after.talk) as new:
-            raw = config(dial, f"127.0.0.1:{ports[0]}") | {"counter": f"127.0.0.1:{ports[1]}"}
-            raw["limits"] = {"sockets": SOCKETS}
-            raw["settings"] = raw["settings"] | {"specifics": {"has_counter": False, "count_wait_s": 0.05}}
-            raw["settings"]["tariffs"] = [{"name": "basic", "quota_rate": 1e5, "store_size": 1e5}]
-            async with started(raw, tmp_path) as program:
-                resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
-                program.process.send_signal(signal.SIGSTOP)  # they all wait when it looks again
-                senders = list[socket.socket]()
-                for _ in range(20):
-                    clients += crowd(program, SOCKETS // 10)
-                    senders.append(sender())
-                program.process.send_signal(signal.SIGCONT)
-                await asyncio.gather(*map(served, senders))
-                most = 0
+        known = Origin()
+        listed = Origin()
+        async with listening(known.talk) as known_address, listening(listed.talk) as listed_address:
+            peers = ReturningPeers(listed_address)
+            async with started(limited_config(known_address, peers), tmp_path) as program:
+                silent = await crowd_in_one_step(program)
+                max_descriptors = 0
                 for _ in range(10):
-                    clients += crowd(program, SOCKETS // 5)
-                    await asyncio.gather(*(served(sender()) for _ in range(4)))
-                    most = max(most, held())
-                servers = [
-                    await asyncio.start_server(agent, "127.0.0.1", ports[0]),
-                    await asyncio.start_server(tally, "127.0.0.1", ports[1]),
-                ]
-                back = asyncio.get_running_loop().time()
-                while not (told.is_set() and counted.is_set() and after.seen):
-                    clients += crowd(program, 5)
-                    await served(sender())
-                    most = max(most, held())
-                    assert asyncio.get_running_loop().time() < back + LIST_WITHIN
-                assert program.process.returncode is None and most < SOCKETS
-                assert len(clients) > 5 * SOCKETS // 2
-                for server in servers:
-                    server.close()
-                for client in clients:
+                    silent += connect_silent(program, DESCRIPTORS // 5)
+                    await asyncio.gather(*(assert_served(connect_sending(program)) for _ in range(4)))
+                    max_descriptors = max(max_descriptors, open_descriptors(program))
+                await peers.start()
+                returned_at = asyncio.get_running_loop().time()
+                while not (peers.list_sent.is_set() and peers.counter_reached.is_set() and listed.seen):
+                    silent += connect_silent(program, 5)
+                    await assert_served(connect_sending(program))
+                    max_descriptors = max(max_descriptors, open_descriptors(program))
+                    assert asyncio.get_running_loop().time() < returned_at + LIST_WITHIN
+                assert program.process.returncode is None and max_descriptors < DESCRIPTORS
+                assert len(silent) > 5 * DESCRIPTORS // 2
+                peers.close()
+                for client in silent:
                     client.close()
 
     run(main())
 
 
 @contextmanager
-def no_descriptor_left() -> Iterator[None]:
-    """This process may open nothing more, as under a leak or a limit below the one configured."""
+def no_free_descriptor() -> Iterator[None]:
+    """Let this process open nothing more, as under a leak or a limit below the one configured."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    free = os.dup(0)  # the lowest number that is not in use
-    os.close(free)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (free, hard))
+    lowest_free = os.dup(0)  # the lowest number that is not in use
+    os.close(lowest_free)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (lowest_free, hard))
     try:
         yield
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_a_lack_of_descriptors_here_says_nothing_of_the_server() -> None:
+def test_lack_of_descriptors_is_no_fault_of_the_endpoint() -> None:
     async def main() -> None:
-        script, origin = Script(lambda _event: []), Origin()
-        async with listening(origin.talk) as dial, Limiter(script, {"s1": dial}) as limiter:
+        script = Script(lambda _event: [])
+        origin = Origin()
+        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask())
             (event,) = await script.until(model.Request)
-            script.answer = lambda e: send_on(event) if isinstance(e, model.TimerFired) else send_on(e)
-            with no_descriptor_left():
+            script.answer = on_timer(send_on(event))
+            with no_free_descriptor():
                 limiter.dispatcher.dispatch(model.TimerFired(1))
                 (outcome,) = await script.until(model.AttemptCompleted)
             assert outcome.status is model.CallStatus.NOT_SENT
@@ -143,40 +188,41 @@
     run(main())
 
 
-def test_clients_that_wait_when_the_listener_closes_outlast_a_lack_of_descriptors(
+def test_accept_queue_of_a_closing_listener_outlasts_a_lack_of_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is in the accept queue is taken once there are descriptors again, and the end is no crash."""
+    """Connections are accepted once there are descriptors again, and closing does not fail."""
     monkeypatch.setattr(listener, "DESCRIPTOR_WAIT", 10.0)  # a slow machine must not make it late
 
     async def main() -> None:
-        script = Script(lambda e: [model.Reject(e.id, 0.1)] if isinstance(e, model.Request) else [])
-        async with Limiter(script, {}) as limiter:
+        async with Limiter(Script(reject), {}) as limiter:
             clients = [socket.create_connection(limiter._address) for _ in range(3)]
-            for client in clients:  # up, and sent, while this loop has not turned once
+            for client in clients:  # connected, and sent, before the event loop runs again
                 client.sendall(ask())
             limiter.listener.start_draining()
             assert limiter.listener._server is not None
             server: asyncio.Server = limiter.listener._server
-            lack, began = ExitStack(), asyncio.Event()
+            shortage = ExitStack()
+            closing_began = asyncio.Event()
 
-            class Listener:
-                """The last descriptor goes in the step in which the listener closes."""
+            class ServerAtTheLimit:
+                """Takes the last descriptor in the step in which it closes."""
 
                 sockets = server.sockets
 
                 def close(self) -> None:
+                    """Close, and leave no descriptor free."""
                     server.close()
-                    lack.enter_context(no_descriptor_left())
-                    began.set()
+                    shortage.enter_context(no_free_descriptor())
+                    closing_began.set()
 
-            limiter.listener._server = Listener()  # type: ignore[assignment]
+            limiter.listener._server = ServerAtTheLimit()  # type: ignore[assignment]
             closing = asyncio.create_task(limiter.listener.close(1000))
-            await began.wait()
+            await closing_began.wait()
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert len(limiter.listener._clients) < len(clients)  # the loop had taken one before
-            lack.close()
+            assert len(limiter.listener._clients) < len(clients)  # the event loop had accepted one before
+            shortage.close()
             for client in clients:
                 reader, writer = await asyncio.open_connection(sock=client)
                 assert " 429 " in (await read_message(reader))[0]
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -8,12 +8,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import (
-    request_reader,
-)
-from tests.client_helpers import (
-    reject,
-)
+from quota_gateway.net import request_reader
+from tests.client_helpers import reject
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 
@@ -51,11 +47,9 @@
 
 def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes() -> None:
     async def main() -> None:
-        async with Limiter(
-            Script(lambda e: [model.Reject(e.id, 0.1)] if isinstance(e, model.Request) else []), {}
-        ) as limiter:
+        async with Limiter(Script(reject), {}) as limiter:
             clients = [socket.create_connection(limiter._address) for _ in range(3)]
-            for client in clients:  # up, and sent, while this loop has not turned once
+            for client in clients:  # connected, and sent, before the event loop runs again
                 client.sendall(ask())
             limiter.listener.start_draining()
             closing = asyncio.create_task(limiter.listener.close(1000))
@@ -79,7 +73,7 @@
             writer.write(b"x" * 10_000)
             await reader.read()
 
-        async with listening(talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
             reader, writer = await limiter.connect()
             writer.write(ask())
             head = await reader.readuntil(b"\r\n\r\n")  # begun before the drain: it promises to stay open
@@ -114,10 +108,10 @@
     run(main())
 
 
-def test_request_that_completes_at_the_very_end_is_rejected_and_not_lost() -> None:
+def test_request_that_completes_at_the_very_end_is_rejected_and_not_dropped() -> None:
     async def main() -> None:
         origin = Origin(lambda _n: None)
-        async with listening(origin.talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
             reader, writer = await limiter.connect()
             request = ask()
             writer.write(request[:-2])
@@ -129,9 +123,8 @@
             closing = asyncio.create_task(limiter.listener.close(1000))
             writer.write(request[-2:])
             status, headers, _ = await read_message(reader)
-            assert (
-                " 503 " in status and headers["connection"] == "close" and headers["retry-after"] == "0.100"
-            )
+            assert " 503 " in status
+            assert headers["connection"] == "close" and headers["retry-after"] == "0.100"
             assert not origin.seen
             writer.close()
             await closing
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -5,10 +5,7 @@
 import pytest
 
 from quota_gateway import model
-from tests.client_helpers import (
-    assert_rejected,
-    reject,
-)
+from tests.client_helpers import assert_rejected, reject
 from tests.loopback import Limiter, Script, ask, run
 
 
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -8,24 +8,21 @@
 
 from quota_gateway import model
 from quota_gateway.net.request_reader import MAX_PIPELINE
-from tests.client_helpers import (
-    POST,
-    assert_rejected,
-    reject,
-)
+from tests.client_helpers import POST, assert_rejected, reject
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
 
 
 def test_large_body_may_arrive_in_many_reads() -> None:
     async def main() -> None:
-        origin, body = Origin(), b"x" * 60_000
-        async with listening(origin.talk) as dial, Limiter(Script(send_on), {"s1": dial}) as limiter:
+        origin = Origin()
+        body = b"x" * 60_000
+        async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
             reader, writer = await limiter.connect()
             request = ask("/post?account=00000000b4d65521", body)
-            for at in range(0, len(request), 4096):
-                writer.write(request[at : at + 4096])
+            for start in range(0, len(request), 4096):
+                writer.write(request[start : start + 4096])
                 await writer.drain()
-                await asyncio.sleep(0.001)  # so that each piece is a read of its own
+                await asyncio.sleep(0.001)  # so that each part is a read of its own
             assert " 200 " in (await read_message(reader))[0]
             assert origin.seen[0][2] == body
 
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize(("deadline", "kill"), [(0.7, 1.4), (2.0, 2.7), (3.0, 3.7), (9.0, 3.7), (0.0, 3.7)])
 def test_shutdown_ends_before_sigkill_may_come(deadline: float, kill: float) -> None:
-    """The longest deadline counts as 3 s where it is longer, and 0.7 s come on top; 0 is one not told."""
+    """The longest deadline counts as at most 3 s, and 0.7 s are added; 0 is a deadline that is not given."""
     settings = replace(SETTINGS, classes=tuple(replace(c, deadline=deadline) for c in SETTINGS.classes))
     end = program.ACCEPT_FOR + program.answer_time(settings) + program.FLUSH_WITHIN
     assert kill - 0.3 < end < kill - 0.1
