--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/client_connection.py
@@ -64,7 +64,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Unregister, and give up what is unanswered."""
         self.transport = None
-        self.closer.on_connection_lost()
+        self.closer.detach()
         self.listener.active_connections -= self.has_sent_data
         self.listener.disconnected(self)
         self.notify_disconnected()
@@ -165,22 +165,16 @@
 
     def update_reading(self) -> None:
         """Read only while responses are taken: what a client does not read would fill the memory."""
-        pause = self._write_blocked or self.reader.body.paused or len(self.request_queue) >= MAX_PIPELINE
-        pause = pause or (self.discards_input and bool(self.request_queue))
-        if self.transport is None or self.transport.is_closing() or pause is self.reading_paused:
+        stop = self._write_blocked or self.reader.body.paused or len(self.request_queue) >= MAX_PIPELINE
+        stop = stop or (self.discards_input and bool(self.request_queue))
+        if self.transport is None or self.transport.is_closing() or stop is self.reading_paused:
             return
-        self.reading_paused = pause
-        if pause:
+        self.reading_paused = stop
+        if stop:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
-    def discard_upload(self) -> None:
-        """Discard the rest of an upload whose request has its response already."""
-        self.discards_input = True
-        self.reader.discard_upload()
-        self.closer.expect_upload()
-
     def reject(self, status: int) -> None:
         """Answer malformed or overdue input behind the queued requests, and close."""
         self.discards_input = True
--- a/quota_gateway/net/client_request.py
+++ b/quota_gateway/net/client_request.py
@@ -80,7 +80,7 @@
             raise RuntimeError("a request was answered twice")
         connection = self._connection
         if self.upload is not None and not self.upload.complete:
-            connection.discard_upload()
+            connection.reader.discard_upload()
             self.keep_alive = False
         connection.listener.open_request_ids.discard(self.request_id)
         if self.event is not None:
--- a/quota_gateway/net/connection_closing.py
+++ b/quota_gateway/net/connection_closing.py
@@ -134,8 +134,8 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def on_connection_lost(self) -> None:
-        """The transport is closed."""
+    def detach(self) -> None:
+        """Forget the transport, which is closed."""
         self._transport = None
 
     def _take_transport(self) -> asyncio.Transport | None:
--- a/quota_gateway/net/request_reader.py
+++ b/quota_gateway/net/request_reader.py
@@ -91,9 +91,11 @@
         return self.body.is_overdue(now, late_head)
 
     def discard_upload(self) -> None:
-        """Stop reading an upload whose request has its response already."""
+        """Discard the rest of an upload whose request has its response already."""
+        self._connection.discards_input = True
         self.in_message = False
         self.body.discard_upload()
+        self._connection.closer.expect_upload()
 
     def on_message_begin(self) -> None:
         """Start a request."""
