--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -9,118 +9,106 @@
 from quota_gateway import model
 from quota_gateway.net import connection_pool
 from tests.client_helpers import reject
-from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
-
-
-def test_request_and_response_pass_through_unchanged() -> None:
-    async def main() -> None:
-        body = bytes(range(256)) * 256  # all of the 64 KiB that a body may have
-        reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
-        origin = Origin(lambda _n: reply)
-        async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-            path = "/post?x=%20y&account=00000000b4d65521"
-            status, headers, answer = await limiter.fetch(
-                ask(path, body, X_Priority_Class="post", X_Request_ID="9b1f03aa5c7e2d41")
-            )
-            assert status == "HTTP/1.1 200 OK" and answer == body and headers["content-type"] == "a/b"
-            first, sent, received = origin.seen[0]
-            assert first == f"POST {path} HTTP/1.1" and received == body
-            assert sent["x-request-id"] == "9b1f03aa5c7e2d41"
-            assert 0 < int(sent["x-timeout-ms"]) <= 5000
-
-    run(main())
-
-
-def test_rejection_is_immediate_and_carries_retry_after() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            status, headers, _ = await limiter.fetch(ask())
-            assert status.startswith("HTTP/1.1 429") and float(headers["retry-after"]) == 0.25
-
-    run(main())
-
-
-def test_pipelined_and_split_requests_are_answered_in_order() -> None:
-    async def main() -> None:
-        request_ids = list[int]()
-
-        def answer_in_reverse(event: model.Event) -> list[model.Action]:
-            if not isinstance(event, model.Request):
-                return []
-            request_ids.append(event.id)
-            if len(request_ids) < 3:
-                return []
-            return [
-                model.Fail(request_ids[2]),
-                model.Reject(request_ids[1], 0.1),
-                model.Fail(request_ids[0]),
-            ]
-
-        async with Limiter(Script(answer_in_reverse), {}) as limiter:
-            reader, writer = await limiter.connect()
-            data = ask() + ask("/post?account=00000000b4d65521", b"abc") + ask()
-            for start in range(0, len(data), 7):
-                writer.write(data[start : start + 7])
-                await writer.drain()
-                await asyncio.sleep(0)
-            statuses = [(await read_message(reader))[0].split()[1] for _ in range(3)]
-            assert statuses == ["502", "429", "502"]
-
-    run(main())
-
-
-def test_client_disconnect_cancels_its_attempt() -> None:
-    async def main() -> None:
-        origin = Origin(lambda _n: None)
-        script = Script(send_on)
-        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-            _, writer = await limiter.connect()
-            writer.write(ask())
-            await origin.got.wait()
-            writer.close()
-            await script.until(model.ClientDisconnected)
-            (outcome,) = await script.until(model.AttemptCompleted)
-            assert outcome.status is model.CallStatus.CANCELLED and outcome.request_finished
-            await origin.left.wait()  # a cancelled attempt closes its connection
-
-    run(main())
-
-
-def test_connection_close_is_honoured_and_keep_alive_is_the_default() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.write(ask())
-            assert "connection" not in (await read_message(reader))[1]
-            writer.write(ask(Connection="close"))
-            assert (await read_message(reader))[1]["connection"] == "close"
-            assert await reader.read() == b""
-
-    run(main())
-
-
-def test_client_that_does_not_read_is_not_read_from(monkeypatch: pytest.MonkeyPatch) -> None:
+from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
+
+
+@async_test
+async def test_request_and_response_pass_through_unchanged() -> None:
+    body = bytes(range(256)) * 256  # all of the 64 KiB that a body may have
+    reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
+    origin = Origin(lambda _n: reply)
+    async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        path = "/post?x=%20y&account=00000000b4d65521"
+        status, headers, answer = await limiter.fetch(
+            ask(path, body, X_Priority_Class="post", X_Request_ID="9b1f03aa5c7e2d41")
+        )
+        assert status == "HTTP/1.1 200 OK" and answer == body and headers["content-type"] == "a/b"
+        first, sent, received = origin.seen[0]
+        assert first == f"POST {path} HTTP/1.1" and received == body
+        assert sent["x-request-id"] == "9b1f03aa5c7e2d41"
+        assert 0 < int(sent["x-timeout-ms"]) <= 5000
+
+
+@async_test
+async def test_rejection_is_immediate_and_carries_retry_after() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        status, headers, _ = await limiter.fetch(ask())
+        assert status.startswith("HTTP/1.1 429") and float(headers["retry-after"]) == 0.25
+
+
+@async_test
+async def test_pipelined_and_split_requests_are_answered_in_order() -> None:
+    request_ids = list[int]()
+
+    def answer_in_reverse(event: model.Event) -> list[model.Action]:
+        if not isinstance(event, model.Request):
+            return []
+        request_ids.append(event.id)
+        if len(request_ids) < 3:
+            return []
+        return [
+            model.Fail(request_ids[2]),
+            model.Reject(request_ids[1], 0.1),
+            model.Fail(request_ids[0]),
+        ]
+
+    async with Limiter(Script(answer_in_reverse), {}) as limiter:
+        reader, writer = await limiter.connect()
+        data = ask() + ask("/post?account=00000000b4d65521", b"abc") + ask()
+        for start in range(0, len(data), 7):
+            writer.write(data[start : start + 7])
+            await writer.drain()
+            await asyncio.sleep(0)
+        statuses = [(await read_message(reader))[0].split()[1] for _ in range(3)]
+        assert statuses == ["502", "429", "502"]
+
+
+@async_test
+async def test_client_disconnect_cancels_its_attempt() -> None:
+    origin = Origin(lambda _n: None)
+    script = Script(send_on)
+    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+        _, writer = await limiter.connect()
+        writer.write(ask())
+        await origin.got.wait()
+        writer.close()
+        await script.until(model.ClientDisconnected)
+        (outcome,) = await script.until(model.AttemptCompleted)
+        assert outcome.status is model.CallStatus.CANCELLED and outcome.request_finished
+        await origin.left.wait()  # a cancelled attempt closes its connection
+
+
+@async_test
+async def test_connection_close_is_honoured_and_keep_alive_is_the_default() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask())
+        assert "connection" not in (await read_message(reader))[1]
+        writer.write(ask(Connection="close"))
+        assert (await read_message(reader))[1]["connection"] == "close"
+        assert await reader.read() == b""
+
+
+@async_test
+async def test_client_that_does_not_read_is_not_read_from(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "REST", 0.0)  # one connection to the endpoint serves them all
 
-    async def main() -> None:
-        large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
-        origin = Origin(lambda _n: large)
-        script = Script(send_on)
-        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.transport.pause_reading()  # type: ignore[attr-defined]
-            sent = 0
-            clients = limiter.listener._clients
-            while not any(client._write_blocked for client in clients):
-                writer.write(ask())
-                sent += 1
-                await script.until(model.AttemptCompleted, sent)
-            writer.write(ask() + ask() + ask())
-            for _ in range(50):
-                await asyncio.sleep(0)
-            assert len(await script.until(model.Request)) == sent
-            writer.transport.resume_reading()  # type: ignore[attr-defined]
-            for _ in range(sent + 3):
-                assert len((await read_message(reader))[2]) == 60_000
-
-    run(main())
+    large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
+    origin = Origin(lambda _n: large)
+    script = Script(send_on)
+    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.transport.pause_reading()  # type: ignore[attr-defined]
+        sent = 0
+        clients = limiter.listener._clients
+        while not any(client._write_blocked for client in clients):
+            writer.write(ask())
+            sent += 1
+            await script.until(model.AttemptCompleted, sent)
+        writer.write(ask() + ask() + ask())
+        for _ in range(50):
+            await asyncio.sleep(0)
+        assert len(await script.until(model.Request)) == sent
+        writer.transport.resume_reading()  # type: ignore[attr-defined]
+        for _ in range(sent + 3):
+            assert len((await read_message(reader))[2]) == 60_000
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -9,7 +9,7 @@
 from quota_gateway import model
 from quota_gateway.net import client_connection, listener, request_body, request_reader
 from tests.client_helpers import POST, reject
-from tests.loopback import Limiter, Script, ask, read_message, run
+from tests.loopback import Limiter, Script, ask, async_test, read_message
 
 
 @pytest.fixture
@@ -26,90 +26,82 @@
     [(b"", ""), (b"GET /loo", " 408 "), (POST[:-1], " 408 "), (b"\r\n\r\n", "")],
 )
 @pytest.mark.usefixtures("short_timeouts")
-def test_silent_and_half_sent_requests_time_out(sent: bytes, status: str) -> None:
-    async def main() -> None:
-        script = Script(lambda _event: [])
-        async with Limiter(script, {}) as limiter:
-            patient, writer = await limiter.connect()
-            writer.write(ask())
-            (request,) = await script.until(model.Request)
-            silent, other = await limiter.connect()
-            other.write(sent)
-            answer = (await silent.read()).decode()
-            assert (status in answer.splitlines()[0]) if status else answer == ""
-            script.answer = lambda _event: [model.Reject(request.id, 0.1)]
-            # An open request keeps its connection however long it takes.
-            limiter.dispatcher.dispatch(model.TimerFired(1))
-            assert " 429 " in (await read_message(patient))[0]
-            assert await patient.read() == b""  # and an idle one is closed after a while
-
-    run(main())
+@async_test
+async def test_silent_and_half_sent_requests_time_out(sent: bytes, status: str) -> None:
+    script = Script(lambda _event: [])
+    async with Limiter(script, {}) as limiter:
+        patient, writer = await limiter.connect()
+        writer.write(ask())
+        (request,) = await script.until(model.Request)
+        silent, other = await limiter.connect()
+        other.write(sent)
+        answer = (await silent.read()).decode()
+        assert (status in answer.splitlines()[0]) if status else answer == ""
+        script.answer = lambda _event: [model.Reject(request.id, 0.1)]
+        # An open request keeps its connection however long it takes.
+        limiter.dispatcher.dispatch(model.TimerFired(1))
+        assert " 429 " in (await read_message(patient))[0]
+        assert await patient.read() == b""  # and an idle one is closed after a while
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_body_in_steady_flow_may_take_longer_but_not_forever(monkeypatch: pytest.MonkeyPatch) -> None:
+@async_test
+async def test_body_in_steady_flow_may_take_longer_but_not_forever(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_body, "MIN_BODY_RATE", 10)
 
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            for size, status in ((20, " 429 "), (100, " 408 ")):
-                reader, writer = await limiter.connect()
-                request = ask("/post?account=00000000b4d65521", b"x" * size)
-                writer.write(request[:-size])
-                answer = asyncio.create_task(read_message(reader))
-                for _ in range(size):
-                    if answer.done():
-                        break
-                    writer.write(b"x")
-                    await asyncio.sleep(0.01)
-                assert status in (await answer)[0]
-
-    run(main())
-
-
-def test_missing_body_behind_a_late_head_times_out_from_the_connect() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            for sent, times_out in ((0, True), (40_000, False)):  # one that flows keeps its time
-                reader, writer = await limiter.connect()
-                request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
-                writer.write(request[: len(request) - 60_000 + sent])
-                while not limiter.listener._clients:
-                    await asyncio.sleep(0)
-                while list(limiter.listener._clients)[-1].reader.body.size < sent:
-                    await asyncio.sleep(0)
-                client = list(limiter.listener._clients)[-1]
-                while not client.reader.head.complete:
-                    await asyncio.sleep(0)
-                began_at = client.reader.body.started_at - 2.3  # the head took so long
-                client.phase_started_at = began_at
-                client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT - 0.1)
-                assert not client.discards_input
-                client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT + 0.1)
-                assert client.discards_input is times_out
-                if times_out:
-                    assert " 408 " in (await read_message(reader))[0]
-                writer.close()
-
-    run(main())
-
-
-def test_late_and_slow_first_request_times_out_from_the_connect() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            _, writer = await limiter.connect()
+    async with Limiter(Script(reject), {}) as limiter:
+        for size, status in ((20, " 429 "), (100, " 408 ")):
+            reader, writer = await limiter.connect()
+            request = ask("/post?account=00000000b4d65521", b"x" * size)
+            writer.write(request[:-size])
+            answer = asyncio.create_task(read_message(reader))
+            for _ in range(size):
+                if answer.done():
+                    break
+                writer.write(b"x")
+                await asyncio.sleep(0.01)
+            assert status in (await answer)[0]
+
+
+@async_test
+async def test_missing_body_behind_a_late_head_times_out_from_the_connect() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        for sent, times_out in ((0, True), (40_000, False)):  # one that flows keeps its time
+            reader, writer = await limiter.connect()
+            request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
+            writer.write(request[: len(request) - 60_000 + sent])
             while not limiter.listener._clients:
-                await asyncio.sleep(0.001)
-            (client,) = limiter.listener._clients
-            began_at = client.phase_started_at - 1.9
+                await asyncio.sleep(0)
+            while list(limiter.listener._clients)[-1].reader.body.size < sent:
+                await asyncio.sleep(0)
+            client = list(limiter.listener._clients)[-1]
+            while not client.reader.head.complete:
+                await asyncio.sleep(0)
+            began_at = client.reader.body.started_at - 2.3  # the head took so long
             client.phase_started_at = began_at
-            writer.write(b"GET /lookup")
-            while not client.reader.in_message:
-                await asyncio.sleep(0.001)
-            assert client.phase_started_at == began_at
             client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT - 0.1)
             assert not client.discards_input
             client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT + 0.1)
-            assert client.discards_input
-
-    run(main())
+            assert client.discards_input is times_out
+            if times_out:
+                assert " 408 " in (await read_message(reader))[0]
+            writer.close()
+
+
+@async_test
+async def test_late_and_slow_first_request_times_out_from_the_connect() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        _, writer = await limiter.connect()
+        while not limiter.listener._clients:
+            await asyncio.sleep(0.001)
+        (client,) = limiter.listener._clients
+        began_at = client.phase_started_at - 1.9
+        client.phase_started_at = began_at
+        writer.write(b"GET /lookup")
+        while not client.reader.in_message:
+            await asyncio.sleep(0.001)
+        assert client.phase_started_at == began_at
+        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT - 0.1)
+        assert not client.discards_input
+        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT + 0.1)
+        assert client.discards_input
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -9,10 +9,11 @@
 
 from quota_gateway import model
 from quota_gateway.net import connection_pool
-from tests.loopback import Limiter, Script, ask, listening, read_message, run, send_on
+from tests.loopback import Limiter, Script, ask, async_test, listening, read_message, send_on
 
 
-def test_connection_that_breaks_before_its_connect_is_notified_proves_that_nothing_ran(
+@async_test
+async def test_connection_that_breaks_before_its_connect_is_notified_proves_that_nothing_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Else the request would wait for its whole time, for an outcome that never comes."""
@@ -40,14 +41,11 @@
     async def talk(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
-    async def main() -> None:
-        script = Script(send_on)
-        async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
-            monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
-            reader, writer = await limiter.connect()
-            writer.write(ask(ttl=60000))
-            (outcome,) = await script.until(model.AttemptCompleted)
-            assert outcome.status is model.CallStatus.RESET_BEFORE_REQUEST
-            assert " 429 " in (await read_message(reader))[0]
-
-    run(main())
+    script = Script(send_on)
+    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+        monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
+        reader, writer = await limiter.connect()
+        writer.write(ask(ttl=60000))
+        (outcome,) = await script.until(model.AttemptCompleted)
+        assert outcome.status is model.CallStatus.RESET_BEFORE_REQUEST
+        assert " 429 " in (await read_message(reader))[0]
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -8,90 +8,82 @@
 from quota_gateway import model
 from quota_gateway.net.client_connection import ClientConnection
 from tests.client_helpers import has_ended, reject
-from tests.loopback import Limiter, Script, ask, read_message, run
+from tests.loopback import Limiter, Script, ask, async_test, read_message
 
 
-def test_full_listener_evicts_an_idle_connection() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            first, _ = await limiter.connect()
-            later = [await limiter.connect() for _ in range(64)]
-            assert await has_ended(first)
-            reader, writer = later[-1]
-            writer.write(ask())
-            assert "429" in (await read_message(reader))[0]
-
-    run(main())
+@async_test
+async def test_full_listener_evicts_an_idle_connection() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        first, _ = await limiter.connect()
+        later = [await limiter.connect() for _ in range(64)]
+        assert await has_ended(first)
+        reader, writer = later[-1]
+        writer.write(ask())
+        assert "429" in (await read_message(reader))[0]
 
 
-def test_silent_connections_are_evicted_first_and_busy_ones_stay() -> None:
-    async def main() -> None:
-        script = Script(lambda _event: [])
-        async with Limiter(script, {}) as limiter:
-            busy, writer = await limiter.connect()
-            writer.write(ask())
-            (request,) = await script.until(model.Request)
-            script.answer = reject
-            usual, usual_writer = await limiter.connect()
-            usual_writer.write(ask())
-            await read_message(usual)
-            _, half_writer = await limiter.connect()
-            half_writer.write(b"GET /lo")
-            await limiter.fetch(b"GET /healthz HTTP/1.1\r\n\r\n")
-            silent = [await limiter.connect() for _ in range(61)]
-            more = [
-                await limiter.connect() for _ in range(63)
-            ]  # all silent ones and the half-read one are evicted
-            for reader, _ in silent:
-                assert await has_ended(reader)
-            for _, silent_writer in more:  # now these send, and only the usual one is idle for longer
-                silent_writer.write(b"GET /lo")
-            usual_writer.write(ask())
-            assert " 429 " in (await read_message(usual))[0]
-            script.answer = lambda _event: [model.Fail(request.id)]
-            limiter.dispatcher.dispatch(model.TimerFired(1))
-            assert " 502 " in (await read_message(busy))[0]
-
-    run(main())
+@async_test
+async def test_silent_connections_are_evicted_first_and_busy_ones_stay() -> None:
+    script = Script(lambda _event: [])
+    async with Limiter(script, {}) as limiter:
+        busy, writer = await limiter.connect()
+        writer.write(ask())
+        (request,) = await script.until(model.Request)
+        script.answer = reject
+        usual, usual_writer = await limiter.connect()
+        usual_writer.write(ask())
+        await read_message(usual)
+        _, half_writer = await limiter.connect()
+        half_writer.write(b"GET /lo")
+        await limiter.fetch(b"GET /healthz HTTP/1.1\r\n\r\n")
+        silent = [await limiter.connect() for _ in range(61)]
+        more = [
+            await limiter.connect() for _ in range(63)
+        ]  # all silent ones and the half-read one are evicted
+        for reader, _ in silent:
+            assert await has_ended(reader)
+        for _, silent_writer in more:  # now these send, and only the usual one is idle for longer
+            silent_writer.write(b"GET /lo")
+        usual_writer.write(ask())
+        assert " 429 " in (await read_message(usual))[0]
+        script.answer = lambda _event: [model.Fail(request.id)]
+        limiter.dispatcher.dispatch(model.TimerFired(1))
+        assert " 502 " in (await read_message(busy))[0]
 
 
-def test_clients_that_send_once_and_keep_their_connection_do_not_use_up_the_limit() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            open_writers = list[asyncio.StreamWriter]()
-            closed = 0
-            for _ in range(60):  # of 64
-                reader, writer = await limiter.connect()
-                open_writers.append(writer)
-                writer.write(ask())
-                _, headers, _ = await read_message(reader)
-                if "connection" in headers:
-                    assert await has_ended(reader)
-                    closed += 1
-            assert closed == 28  # half of the connections are kept; later ones close behind their response
-            for writer in open_writers[:2]:
-                writer.close()
-            while limiter.listener.active_connections > 30:
-                await asyncio.sleep(0)
+@async_test
+async def test_clients_that_send_once_and_keep_their_connection_do_not_use_up_the_limit() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        open_writers = list[asyncio.StreamWriter]()
+        closed = 0
+        for _ in range(60):  # of 64
             reader, writer = await limiter.connect()
+            open_writers.append(writer)
             writer.write(ask())
-            assert "connection" not in (await read_message(reader))[1]
-
-    run(main())
-
+            _, headers, _ = await read_message(reader)
+            if "connection" in headers:
+                assert await has_ended(reader)
+                closed += 1
+        assert closed == 28  # half of the connections are kept; later ones close behind their response
+        for writer in open_writers[:2]:
+            writer.close()
+        while limiter.listener.active_connections > 30:
+            await asyncio.sleep(0)
+        reader, writer = await limiter.connect()
+        writer.write(ask())
+        assert "connection" not in (await read_message(reader))[1]
 
-def test_connection_with_an_unread_request_is_not_evicted() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            clients = [socket.create_connection(limiter._address) for _ in range(3)]
-            while len(limiter.listener._clients) < 3:
-                await asyncio.sleep(0)
-            limiter.listener.set_max_connections(3)
-            clients[0].sendall(ask())  # silent for longest, and unread when the next one connects
-            limiter.listener.connected(ClientConnection(limiter.listener))
-            first, _ = await asyncio.open_connection(sock=clients[0])
-            second, _ = await asyncio.open_connection(sock=clients[1])
-            assert " 429 " in (await read_message(first))[0]
-            assert await second.read() == b""
 
-    run(main())
+@async_test
+async def test_connection_with_an_unread_request_is_not_evicted() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        clients = [socket.create_connection(limiter._address) for _ in range(3)]
+        while len(limiter.listener._clients) < 3:
+            await asyncio.sleep(0)
+        limiter.listener.set_max_connections(3)
+        clients[0].sendall(ask())  # silent for longest, and unread when the next one connects
+        limiter.listener.connected(ClientConnection(limiter.listener))
+        first, _ = await asyncio.open_connection(sock=clients[0])
+        second, _ = await asyncio.open_connection(sock=clients[1])
+        assert " 429 " in (await read_message(first))[0]
+        assert await second.read() == b""
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -19,7 +19,7 @@
 from quota_gateway import model
 from quota_gateway.net import listener
 from tests.client_helpers import on_timer, reject
-from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
 from tests.test_program import Program, config, free_port, started
 
 LIST_WITHIN = 6.0  # seconds from discovery's return until the limiter must use its list
@@ -120,37 +120,34 @@
     return silent
 
 
-def test_idle_clients_at_the_limit_hinder_neither_discovery_nor_the_counter_nor_requests(
+@async_test
+async def test_idle_clients_at_the_limit_hinder_neither_discovery_nor_the_counter_nor_requests(
     tmp_path: Path,
 ) -> None:
     """Far more clients than the limit allows connect; a few among them send requests throughout."""
-
-    async def main() -> None:
-        known = Origin()
-        listed = Origin()
-        async with listening(known.talk) as known_address, listening(listed.talk) as listed_address:
-            peers = ReturningPeers(listed_address)
-            async with started(limited_config(known_address, peers), tmp_path) as program:
-                silent = await crowd_in_one_step(program)
-                max_descriptors = 0
-                for _ in range(10):
-                    silent += connect_silent(program, DESCRIPTORS // 5)
-                    await asyncio.gather(*(assert_served(connect_sending(program)) for _ in range(4)))
-                    max_descriptors = max(max_descriptors, open_descriptors(program))
-                await peers.start()
-                returned_at = asyncio.get_running_loop().time()
-                while not (peers.list_sent.is_set() and peers.counter_reached.is_set() and listed.seen):
-                    silent += connect_silent(program, 5)
-                    await assert_served(connect_sending(program))
-                    max_descriptors = max(max_descriptors, open_descriptors(program))
-                    assert asyncio.get_running_loop().time() < returned_at + LIST_WITHIN
-                assert program.process.returncode is None and max_descriptors < DESCRIPTORS
-                assert len(silent) > 5 * DESCRIPTORS // 2
-                peers.close()
-                for client in silent:
-                    client.close()
-
-    run(main())
+    known = Origin()
+    listed = Origin()
+    async with listening(known.talk) as known_address, listening(listed.talk) as listed_address:
+        peers = ReturningPeers(listed_address)
+        async with started(limited_config(known_address, peers), tmp_path) as program:
+            silent = await crowd_in_one_step(program)
+            max_descriptors = 0
+            for _ in range(10):
+                silent += connect_silent(program, DESCRIPTORS // 5)
+                await asyncio.gather(*(assert_served(connect_sending(program)) for _ in range(4)))
+                max_descriptors = max(max_descriptors, open_descriptors(program))
+            await peers.start()
+            returned_at = asyncio.get_running_loop().time()
+            while not (peers.list_sent.is_set() and peers.counter_reached.is_set() and listed.seen):
+                silent += connect_silent(program, 5)
+                await assert_served(connect_sending(program))
+                max_descriptors = max(max_descriptors, open_descriptors(program))
+                assert asyncio.get_running_loop().time() < returned_at + LIST_WITHIN
+            assert program.process.returncode is None and max_descriptors < DESCRIPTORS
+            assert len(silent) > 5 * DESCRIPTORS // 2
+            peers.close()
+            for client in silent:
+                client.close()
 
 
 @contextmanager
@@ -166,67 +163,63 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_lack_of_descriptors_is_no_fault_of_the_endpoint() -> None:
-    async def main() -> None:
-        script = Script(lambda _event: [])
-        origin = Origin()
-        async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.write(ask())
-            (event,) = await script.until(model.Request)
-            script.answer = on_timer(send_on(event))
-            with no_free_descriptor():
-                limiter.dispatcher.dispatch(model.TimerFired(1))
-                (outcome,) = await script.until(model.AttemptCompleted)
-            assert outcome.status is model.CallStatus.NOT_SENT
-            assert " 429 " in (await read_message(reader))[0]
-            assert limiter.pool._open == 0
-            script.answer = send_on
-            assert " 200 " in (await limiter.fetch(ask()))[0]
-            writer.close()
-
-    run(main())
-
-
-def test_accept_queue_of_a_closing_listener_outlasts_a_lack_of_descriptors(
+@async_test
+async def test_lack_of_descriptors_is_no_fault_of_the_endpoint() -> None:
+    script = Script(lambda _event: [])
+    origin = Origin()
+    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask())
+        (event,) = await script.until(model.Request)
+        script.answer = on_timer(send_on(event))
+        with no_free_descriptor():
+            limiter.dispatcher.dispatch(model.TimerFired(1))
+            (outcome,) = await script.until(model.AttemptCompleted)
+        assert outcome.status is model.CallStatus.NOT_SENT
+        assert " 429 " in (await read_message(reader))[0]
+        assert limiter.pool._open == 0
+        script.answer = send_on
+        assert " 200 " in (await limiter.fetch(ask()))[0]
+        writer.close()
+
+
+@async_test
+async def test_accept_queue_of_a_closing_listener_outlasts_a_lack_of_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Connections are accepted once there are descriptors again, and closing does not fail."""
     monkeypatch.setattr(listener, "DESCRIPTOR_WAIT", 10.0)  # a slow machine must not make it late
 
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            clients = [socket.create_connection(limiter._address) for _ in range(3)]
-            for client in clients:  # connected, and sent, before the event loop runs again
-                client.sendall(ask())
-            limiter.listener.start_draining()
-            assert limiter.listener._server is not None
-            server: asyncio.Server = limiter.listener._server
-            shortage = ExitStack()
-            closing_began = asyncio.Event()
-
-            class ServerAtTheLimit:
-                """Takes the last descriptor in the step in which it closes."""
-
-                sockets = server.sockets
-
-                def close(self) -> None:
-                    """Close, and leave no descriptor free."""
-                    server.close()
-                    shortage.enter_context(no_free_descriptor())
-                    closing_began.set()
-
-            limiter.listener._server = ServerAtTheLimit()  # type: ignore[assignment]
-            closing = asyncio.create_task(limiter.listener.close(1000))
-            await closing_began.wait()
-            for _ in range(20):
-                await asyncio.sleep(0)
-            assert len(limiter.listener._clients) < len(clients)  # the event loop had accepted one before
-            shortage.close()
-            for client in clients:
-                reader, writer = await asyncio.open_connection(sock=client)
-                assert " 429 " in (await read_message(reader))[0]
-                writer.close()
-            await closing
-
-    run(main())
+    async with Limiter(Script(reject), {}) as limiter:
+        clients = [socket.create_connection(limiter._address) for _ in range(3)]
+        for client in clients:  # connected, and sent, before the event loop runs again
+            client.sendall(ask())
+        limiter.listener.start_draining()
+        assert limiter.listener._server is not None
+        server: asyncio.Server = limiter.listener._server
+        shortage = ExitStack()
+        closing_began = asyncio.Event()
+
+        class ServerAtTheLimit:
+            """Takes the last descriptor in the step in which it closes."""
+
+            sockets = server.sockets
+
+            def close(self) -> None:
+                """Close, and leave no descriptor free."""
+                server.close()
+                shortage.enter_context(no_free_descriptor())
+                closing_began.set()
+
+        limiter.listener._server = ServerAtTheLimit()  # type: ignore[assignment]
+        closing = asyncio.create_task(limiter.listener.close(1000))
+        await closing_began.wait()
+        for _ in range(20):
+            await asyncio.sleep(0)
+        assert len(limiter.listener._clients) < len(clients)  # the event loop had accepted one before
+        shortage.close()
+        for client in clients:
+            reader, writer = await asyncio.open_connection(sock=client)
+            assert " 429 " in (await read_message(reader))[0]
+            writer.close()
+        await closing
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -10,138 +10,124 @@
 from quota_gateway import model
 from quota_gateway.net import request_reader
 from tests.client_helpers import reject
-from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
-
-
-def test_health_check_succeeds_until_draining() -> None:
-    async def main() -> None:
-        request = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-        async with Limiter(Script(reject), {}) as limiter:
-            assert " 200 " in (await limiter.fetch(request))[0]
-            limiter.listener.start_draining()
-            assert " 503 " in (await limiter.fetch(request))[0]
-
-    run(main())
-
-
-def test_draining_answers_accepted_requests_and_closes_behind_them() -> None:
-    async def main() -> None:
-        script = Script(lambda _event: [])
-        async with Limiter(script, {}) as limiter:
-            reader, writer = await limiter.connect()
-            idle, _ = await limiter.connect()
-            writer.write(ask() + ask())
-            first, second = await script.until(model.Request, 2)
-            limiter.listener.start_draining()
-            closing = asyncio.create_task(limiter.listener.close(10))
-            assert await idle.read() == b""
-            script.answer = lambda _event: [model.Fail(first.id), model.Reject(second.id, 0.1)]
-            limiter.dispatcher.dispatch(model.TimerFired(1))
-            assert "502" in (await read_message(reader))[0]
-            status, headers, _ = await read_message(reader)
-            assert "429" in status and headers["connection"] == "close"
-            await closing
-
-    run(main())
-
-
-def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            clients = [socket.create_connection(limiter._address) for _ in range(3)]
-            for client in clients:  # connected, and sent, before the event loop runs again
-                client.sendall(ask())
-            limiter.listener.start_draining()
-            closing = asyncio.create_task(limiter.listener.close(1000))
-            for client in clients:
-                reader, writer = await asyncio.open_connection(sock=client)
-                assert " 429 " in (await read_message(reader))[0]
-                writer.close()
-            await closing
-
-    run(main())
-
-
-def test_connection_closes_behind_a_streamed_response_that_ends_while_draining() -> None:
-    async def main() -> None:
-        finish = asyncio.Event()
-
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_message(reader)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"x" * 90_000)
-            await finish.wait()
-            writer.write(b"x" * 10_000)
-            await reader.read()
-
-        async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.write(ask())
-            head = await reader.readuntil(b"\r\n\r\n")  # begun before the drain: it promises to stay open
-            assert b"close" not in head
-            limiter.listener.start_draining()
-            closing = asyncio.create_task(limiter.listener.close(1000))
-            while limiter.listener._server is not None:
-                await asyncio.sleep(0)
-            finish.set()
-            assert len(await reader.read()) == 100_000
+from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
+
+
+@async_test
+async def test_health_check_succeeds_until_draining() -> None:
+    request = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+    async with Limiter(Script(reject), {}) as limiter:
+        assert " 200 " in (await limiter.fetch(request))[0]
+        limiter.listener.start_draining()
+        assert " 503 " in (await limiter.fetch(request))[0]
+
+
+@async_test
+async def test_draining_answers_accepted_requests_and_closes_behind_them() -> None:
+    script = Script(lambda _event: [])
+    async with Limiter(script, {}) as limiter:
+        reader, writer = await limiter.connect()
+        idle, _ = await limiter.connect()
+        writer.write(ask() + ask())
+        first, second = await script.until(model.Request, 2)
+        limiter.listener.start_draining()
+        closing = asyncio.create_task(limiter.listener.close(10))
+        assert await idle.read() == b""
+        script.answer = lambda _event: [model.Fail(first.id), model.Reject(second.id, 0.1)]
+        limiter.dispatcher.dispatch(model.TimerFired(1))
+        assert "502" in (await read_message(reader))[0]
+        status, headers, _ = await read_message(reader)
+        assert "429" in status and headers["connection"] == "close"
+        await closing
+
+
+@async_test
+async def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        clients = [socket.create_connection(limiter._address) for _ in range(3)]
+        for client in clients:  # connected, and sent, before the event loop runs again
+            client.sendall(ask())
+        limiter.listener.start_draining()
+        closing = asyncio.create_task(limiter.listener.close(1000))
+        for client in clients:
+            reader, writer = await asyncio.open_connection(sock=client)
+            assert " 429 " in (await read_message(reader))[0]
             writer.close()
-            await closing
-
-    run(main())
-
-
-def test_incomplete_head_is_still_answered_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
+        await closing
+
+
+@async_test
+async def test_connection_closes_behind_a_streamed_response_that_ends_while_draining() -> None:
+    finish = asyncio.Event()
+
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"x" * 90_000)
+        await finish.wait()
+        writer.write(b"x" * 10_000)
+        await reader.read()
+
+    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask())
+        head = await reader.readuntil(b"\r\n\r\n")  # begun before the drain: it promises to stay open
+        assert b"close" not in head
+        limiter.listener.start_draining()
+        closing = asyncio.create_task(limiter.listener.close(1000))
+        while limiter.listener._server is not None:
+            await asyncio.sleep(0)
+        finish.set()
+        assert len(await reader.read()) == 100_000
+        writer.close()
+        await closing
+
+
+@async_test
+async def test_incomplete_head_is_still_answered_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_reader, "HEAD_TIMEOUT", 0.3)
 
-    async def main() -> None:
-        async with Limiter(Script(send_on), {}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.write(ask()[:40])
-            while not any(client.reader.in_message for client in limiter.listener._clients):
-                await asyncio.sleep(0)
-            limiter.listener.start_draining()
-            closing = asyncio.create_task(limiter.listener.close(1000))
-            assert " 408 " in (await read_message(reader))[0]
-            writer.close()
-            await closing
-
-    run(main())
-
-
-def test_request_that_completes_at_the_very_end_is_rejected_and_not_dropped() -> None:
-    async def main() -> None:
-        origin = Origin(lambda _n: None)
-        async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-            reader, writer = await limiter.connect()
-            request = ask()
-            writer.write(request[:-2])
-            while not any(client.reader.in_message for client in limiter.listener._clients):
-                await asyncio.sleep(0)
-            limiter.listener.start_draining()
-            await limiter.listener.close(0.01)
-            limiter.dispatcher.abandon_all()
-            closing = asyncio.create_task(limiter.listener.close(1000))
-            writer.write(request[-2:])
-            status, headers, _ = await read_message(reader)
-            assert " 503 " in status
-            assert headers["connection"] == "close" and headers["retry-after"] == "0.100"
-            assert not origin.seen
-            writer.close()
-            await closing
-
-    run(main())
-
-
-def test_request_that_was_never_forwarded_is_rejected_at_the_end_and_not_failed() -> None:
-    async def main() -> None:
-        script = Script(lambda _event: [])
-        async with Limiter(script, {}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.write(ask())
-            await script.until(model.Request)
-            limiter.listener.start_draining()
-            limiter.dispatcher.abandon_all()
-            status, headers, _ = await read_message(reader)
-            assert " 503 " in status and "retry-after" in headers
-
-    run(main())
+    async with Limiter(Script(send_on), {}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask()[:40])
+        while not any(client.reader.in_message for client in limiter.listener._clients):
+            await asyncio.sleep(0)
+        limiter.listener.start_draining()
+        closing = asyncio.create_task(limiter.listener.close(1000))
+        assert " 408 " in (await read_message(reader))[0]
+        writer.close()
+        await closing
+
+
+@async_test
+async def test_request_that_completes_at_the_very_end_is_rejected_and_not_dropped() -> None:
+    origin = Origin(lambda _n: None)
+    async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        request = ask()
+        writer.write(request[:-2])
+        while not any(client.reader.in_message for client in limiter.listener._clients):
+            await asyncio.sleep(0)
+        limiter.listener.start_draining()
+        await limiter.listener.close(0.01)
+        limiter.dispatcher.abandon_all()
+        closing = asyncio.create_task(limiter.listener.close(1000))
+        writer.write(request[-2:])
+        status, headers, _ = await read_message(reader)
+        assert " 503 " in status
+        assert headers["connection"] == "close" and headers["retry-after"] == "0.100"
+        assert not origin.seen
+        writer.close()
+        await closing
+
+
+@async_test
+async def test_request_that_was_never_forwarded_is_rejected_at_the_end_and_not_failed() -> None:
+    script = Script(lambda _event: [])
+    async with Limiter(script, {}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask())
+        await script.until(model.Request)
+        limiter.listener.start_draining()
+        limiter.dispatcher.abandon_all()
+        status, headers, _ = await read_message(reader)
+        assert " 503 " in status and "retry-after" in headers
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -6,20 +6,18 @@
 
 from quota_gateway import model
 from tests.client_helpers import assert_rejected, reject
-from tests.loopback import Limiter, Script, ask, run
-
-
-def test_event_holds_the_values_of_the_headers() -> None:
-    async def main() -> None:
-        script = Script(reject)
-        async with Limiter(script, {}) as limiter:
-            await limiter.fetch(ask(ttl=480, X_Quota="units=1,spread=2,first=1", X_Retried="1"))
-            (event,) = await script.until(model.Request)
-            assert (event.request_class, event.plan, event.account) == ("lookup", "basic", "00000000b4d65521")
-            assert (event.units, event.serving_gateways, event.is_retry) == (1.0, 2, True)
-            assert 0.4 < event.timeout < 0.48  # a margin stays for the way back
-
-    run(main())
+from tests.loopback import Limiter, Script, ask, async_test, run
+
+
+@async_test
+async def test_event_holds_the_values_of_the_headers() -> None:
+    script = Script(reject)
+    async with Limiter(script, {}) as limiter:
+        await limiter.fetch(ask(ttl=480, X_Quota="units=1,spread=2,first=1", X_Retried="1"))
+        (event,) = await script.until(model.Request)
+        assert (event.request_class, event.plan, event.account) == ("lookup", "basic", "00000000b4d65521")
+        assert (event.units, event.serving_gateways, event.is_retry) == (1.0, 2, True)
+        assert 0.4 < event.timeout < 0.48  # a margin stays for the way back
 
 
 @pytest.mark.parametrize(
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -9,24 +9,22 @@
 from quota_gateway import model
 from quota_gateway.net.request_reader import MAX_PIPELINE
 from tests.client_helpers import POST, assert_rejected, reject
-from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
+from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, run, send_on
 
 
-def test_large_body_may_arrive_in_many_reads() -> None:
-    async def main() -> None:
-        origin = Origin()
-        body = b"x" * 60_000
-        async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-            reader, writer = await limiter.connect()
-            request = ask("/post?account=00000000b4d65521", body)
-            for start in range(0, len(request), 4096):
-                writer.write(request[start : start + 4096])
-                await writer.drain()
-                await asyncio.sleep(0.001)  # so that each part is a read of its own
-            assert " 200 " in (await read_message(reader))[0]
-            assert origin.seen[0][2] == body
-
-    run(main())
+@async_test
+async def test_large_body_may_arrive_in_many_reads() -> None:
+    origin = Origin()
+    body = b"x" * 60_000
+    async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+        reader, writer = await limiter.connect()
+        request = ask("/post?account=00000000b4d65521", body)
+        for start in range(0, len(request), 4096):
+            writer.write(request[start : start + 4096])
+            await writer.drain()
+            await asyncio.sleep(0.001)  # so that each part is a read of its own
+        assert " 200 " in (await read_message(reader))[0]
+        assert origin.seen[0][2] == body
 
 
 @pytest.mark.parametrize(
@@ -54,54 +52,46 @@
     run(assert_rejected(request_bytes, status))
 
 
-def test_upgrade_offer_is_ignored() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.write(ask(Connection="upgrade", Upgrade="h2c") + ask())
-            assert ["429" in (await read_message(reader))[0] for _ in range(2)] == [True, True]
-
-    run(main())
-
-
-def test_chunked_body_over_the_limit_is_rejected() -> None:
-    async def main() -> None:
-        async with Limiter(Script(reject), {}) as limiter:
-            head = ask(Transfer_Encoding="chunked")
-            first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
-            assert " 413 " in first
-
-    run(main())
-
-
-def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
-    async def main() -> None:
-        script = Script(lambda _event: [])
-        async with Limiter(script, {}) as limiter:
-            reader, writer = await limiter.connect()
-            writer.write(ask(X_Request_ID="00000000000000ab"))
-            (request,) = await script.until(model.Request)
-            assert " 409 " in (await limiter.fetch(ask(X_Request_ID="00000000000000AB")))[0]
-            script.answer = lambda event: reject(event) or [model.Fail(request.id)]
-            limiter.dispatcher.dispatch(model.TimerFired(1))
-            assert " 502 " in (await read_message(reader))[0]
-            assert " 429 " in (await limiter.fetch(ask(X_Request_ID="00000000000000ab")))[0]  # free again
-            assert not limiter.listener.open_request_ids
-
-    run(main())
-
-
-def test_hundreds_of_requests_in_one_read_are_bounded() -> None:
-    async def main() -> None:
-        script = Script(lambda _event: [])
-        async with Limiter(script, {}) as limiter:
-            _, writer = await limiter.connect()
-            writer.write(b"".join(ask() for _ in range(200)))
-            await script.until(model.Request, MAX_PIPELINE)
-            reader, other = await limiter.connect()
-            script.answer = reject
-            other.write(ask())
-            assert " 429 " in (await read_message(reader))[0]
-            assert len(await script.until(model.Request)) == MAX_PIPELINE + 1
-
-    run(main())
+@async_test
+async def test_upgrade_offer_is_ignored() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask(Connection="upgrade", Upgrade="h2c") + ask())
+        assert ["429" in (await read_message(reader))[0] for _ in range(2)] == [True, True]
+
+
+@async_test
+async def test_chunked_body_over_the_limit_is_rejected() -> None:
+    async with Limiter(Script(reject), {}) as limiter:
+        head = ask(Transfer_Encoding="chunked")
+        first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
+        assert " 413 " in first
+
+
+@async_test
+async def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
+    script = Script(lambda _event: [])
+    async with Limiter(script, {}) as limiter:
+        reader, writer = await limiter.connect()
+        writer.write(ask(X_Request_ID="00000000000000ab"))
+        (request,) = await script.until(model.Request)
+        assert " 409 " in (await limiter.fetch(ask(X_Request_ID="00000000000000AB")))[0]
+        script.answer = lambda event: reject(event) or [model.Fail(request.id)]
+        limiter.dispatcher.dispatch(model.TimerFired(1))
+        assert " 502 " in (await read_message(reader))[0]
+        assert " 429 " in (await limiter.fetch(ask(X_Request_ID="00000000000000ab")))[0]  # free again
+        assert not limiter.listener.open_request_ids
+
+
+@async_test
+async def test_hundreds_of_requests_in_one_read_are_bounded() -> None:
+    script = Script(lambda _event: [])
+    async with Limiter(script, {}) as limiter:
+        _, writer = await limiter.connect()
+        writer.write(b"".join(ask() for _ in range(200)))
+        await script.until(model.Request, MAX_PIPELINE)
+        reader, other = await limiter.connect()
+        script.answer = reject
+        other.write(ask())
+        assert " 429 " in (await read_message(reader))[0]
+        assert len(await script.until(model.Request)) == MAX_PIPELINE + 1
