--- /dev/null
+++ b/quota_gateway/net/request_parser.py
@@ -0,0 +1,137 @@
+"""Validates the target and headers of a client's request and turns them into a ``model.Request``."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+
+from quota_gateway import model
+
+MAX_TIMEOUT_MS = 60_000
+PREVIOUS_CLASSES_TTL = 3.0  # seconds after a reload in which requests of the previous classes are accepted
+ACCOUNT_ID_LIMIT = 2**33  # account ids are below it
+
+REQUEST_ID = b"x-request-id"
+PRIORITY_CLASS = b"x-priority-class"
+PLAN = b"x-plan"
+TIMEOUT = b"x-timeout-ms"
+QUOTA = b"x-quota"
+RETRIED = b"x-retried"
+REQUIRED_HEADERS = (REQUEST_ID, PRIORITY_CLASS, PLAN, TIMEOUT, QUOTA)
+PARSED_HEADERS = frozenset((*REQUIRED_HEADERS, RETRIED))
+
+REQUEST_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+ACCOUNT_PATTERN = re.compile(r"account=([0-9a-fA-F]{16})")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}")
+QUOTA_PATTERN = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),spread=([0-9]{1,9}),first=([0-9]{1,9})")
+
+
+class BadRequestError(Exception):
+    """A request that the gateway answers itself, with the status that names the fault."""
+
+    def __init__(self, status: int, reason: str) -> None:
+        """Name the status of the response, and the fault."""
+        super().__init__(reason)
+        self.status = status
+
+
+class RequestParser:
+    """Parses requests against the classes, plans and limits of the settings in force."""
+
+    def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
+        """Parse by ``settings``; ``clock`` tells seconds from any start."""
+        self._clock = clock
+        self._last_id = 0
+        self._classes = dict[str, bool]()  # by name: whether its method is GET
+        self._plans = set[str]()
+        self._previous_classes = dict[str, bool]()
+        self._previous_classes_until = 0.0
+        self.reconfigure(settings)
+
+    def reconfigure(self, settings: model.Settings) -> None:
+        """Apply new settings.
+
+        Requests of the previous classes are on their way: they are accepted for ``PREVIOUS_CLASSES_TTL``.
+        """
+        self._previous_classes = self._classes
+        self._previous_classes_until = self._clock() + PREVIOUS_CLASSES_TTL
+        self._classes = {
+            request_class.name: request_class.idempotency is model.Idempotency.INHERENT
+            for request_class in settings.classes
+        }
+        self._plans |= {plan.name for plan in settings.plans}
+        self._gateway_count = settings.gateway_count
+        self._max_units = max(1.0, settings.max_units)
+
+    def parse(
+        self, method: bytes, target: str, headers: dict[bytes, bytes], uploading: bool = False
+    ) -> model.Request:
+        """The request as an event; ``headers`` holds those of ``PARSED_HEADERS`` that were received.
+
+        Raises BadRequestError with the status of the first fault that is found.
+        """
+        path, _, query = target.partition("?")
+        class_name = path[1:].partition("/")[0]
+        self._check_class(class_name, method, headers)
+        if not REQUEST_ID_PATTERN.fullmatch(headers[REQUEST_ID]):
+            raise BadRequestError(400, "x-request-id is wrong")
+        plan = headers[PLAN].decode("latin-1")
+        if headers[PRIORITY_CLASS].decode("latin-1") != class_name or plan not in self._plans:
+            raise BadRequestError(400, "unknown class or plan")
+        account = _parse_account(query)
+        timeout = _parse_timeout(headers[TIMEOUT])
+        units, serving_gateways = self._parse_quota(headers[QUOTA])
+        self._last_id += 1
+        return model.Request(
+            id=self._last_id,
+            request_class=class_name,
+            plan=plan,
+            timeout=timeout,
+            account=account,
+            units=units,
+            serving_gateways=serving_gateways,
+            is_retry=headers.get(RETRIED) == b"1",
+            uploading=uploading,
+        )
+
+    def _check_class(self, class_name: str, method: bytes, headers: dict[bytes, bytes]) -> None:
+        previous = self._previous_classes
+        if previous and self._clock() >= self._previous_classes_until:
+            previous = {}
+        if class_name not in self._classes and class_name not in previous:
+            raise BadRequestError(404, "unknown path")
+        for header in REQUIRED_HEADERS:
+            if not headers.get(header):
+                raise BadRequestError(400, f"{header.decode()} is missing")
+        # The method follows from the class, and a GET with a body could hide another request in it.
+        if (method == b"GET") not in (self._classes.get(class_name), previous.get(class_name)):
+            raise BadRequestError(405, "method")
+
+    def _parse_quota(self, text: bytes) -> tuple[float, int]:
+        """The units that the request costs and the number of gateways that serve its account."""
+        match = QUOTA_PATTERN.fullmatch(text)
+        if match is None:
+            raise BadRequestError(400, "x-quota is wrong")
+        units = float(match[1])
+        serving_gateways = int(match[2])
+        first_gateway = int(match[3])
+        in_range = 1 <= serving_gateways <= self._gateway_count and first_gateway < self._gateway_count
+        if not 0 < units <= self._max_units or not in_range:
+            raise BadRequestError(400, "x-quota is wrong")
+        return units, serving_gateways
+
+
+def _parse_account(query: str) -> str:
+    # Given twice, the gateway and the endpoint might each charge another account.
+    accounts = [part for part in query.split("&") if part.partition("=")[0].lower() == "account"]
+    match = ACCOUNT_PATTERN.fullmatch(accounts[0]) if len(accounts) == 1 else None
+    if match is None or int(match[1], 16) >= ACCOUNT_ID_LIMIT:
+        raise BadRequestError(400, "account is missing or wrong")
+    return match[1].lower()
+
+
+def _parse_timeout(text: bytes) -> float:
+    """Seconds of a header in milliseconds."""
+    if not DECIMAL_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
+        raise BadRequestError(400, "x-timeout-ms is wrong")
+    return int(text) / 1000
