--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -29,7 +29,7 @@
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
 from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
-from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
+from quota_gateway.settings_parser import Timing, check_retuned, settings_from, timing_from
 
 log = logging.getLogger("quota_gateway")
 
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -10,7 +10,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.settings import SettingsError, settings_from
+from quota_gateway.settings_parser import SettingsError, settings_from
 
 STATUS = {
     "OK": model.CallStatus.OK,
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -16,7 +16,7 @@
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.watch_event import parse_watch_event
-from quota_gateway.settings import settings_from
+from quota_gateway.settings_parser import settings_from
 from quota_gateway.state import Account
 from scale.model import Size
 
--- a/scale/latency/decisions.py
+++ b/scale/latency/decisions.py
@@ -11,7 +11,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.settings import settings_from
+from quota_gateway.settings_parser import settings_from
 from scale.latency.percentiles import Percentiles, percentiles
 from scale.latency.workload import (
     CLIENT_TIMEOUT,
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -15,7 +15,7 @@
 from quota_gateway.net.connection_pool import ConnectionPool, Exchange
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
 from quota_gateway.net.listener import ClientListener
-from quota_gateway.settings import settings_from
+from quota_gateway.settings_parser import settings_from
 from scale.hollow import settings
 from scale.memory.allocation import MemoryUse, allocated_bytes, resident_bytes, start_tracing
 from scale.memory.forked_peer import FINISHED, fork_peer, wait_finished
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -16,7 +16,7 @@
 from quota_gateway.net.dispatcher import unix_clock
 from quota_gateway.net.listener import RequestParser
 from quota_gateway.net.watch_event import parse_watch_event
-from quota_gateway.settings import settings_from
+from quota_gateway.settings_parser import settings_from
 from scale.hollow import PLAN, TTL, settings, whole_list
 from scale.memory.allocation import MemoryUse, allocated_bytes
 from scale.model import Size
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -10,7 +10,7 @@
 from quota_gateway import model
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
-from quota_gateway.settings import settings_from
+from quota_gateway.settings_parser import settings_from
 from scale.hollow import settings
 from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
 
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -20,7 +20,7 @@
 
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings import timing_from
+from quota_gateway.settings_parser import timing_from
 from scale.model import BrokenRunError, Effort
 from scale.processes import split_address
 from scale.propagation.cases import Case, Fault
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -8,7 +8,7 @@
 
 from quota_gateway.net import endpoint_watch
 from quota_gateway.net.backoff import MAX_POLL_INTERVAL, poll_delay, reconnect_delay
-from quota_gateway.settings import timing_from
+from quota_gateway.settings_parser import timing_from
 
 
 def test_reconnects_are_spread_and_grow_rarer() -> None:
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -13,7 +13,7 @@
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.http_common import split_address
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings import timing_from
+from quota_gateway.settings_parser import timing_from
 from tests.discovery_server import (
     RESPONSE_HEAD,
     ScriptedDiscovery,
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -12,7 +12,7 @@
 from quota_gateway.net import backoff, endpoint_watch
 from quota_gateway.net.endpoint_watch import EndpointWatcher
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings import timing_from
+from quota_gateway.settings_parser import timing_from
 from tests.discovery_server import (
     OVERLOADED_RESPONSE,
     RESPONSE_HEAD,
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.settings import SettingsError, check_retuned, settings_from
+from quota_gateway.settings_parser import SettingsError, check_retuned, settings_from
 from tests import world as w
 from tests.admin_client import fetch_metrics
 from tests.loopback import Origin, ask, listening, read_message, run
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -31,7 +31,7 @@
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings import Timing, check_retuned, settings_from, timing_from
+from quota_gateway.settings_parser import Timing, check_retuned, settings_from, timing_from
 from tests.loopback import SETTINGS, Limiter, Script, listening, run, send_on
 from tests.loopback import listing as listing_of
 
