--- a/quota_gateway/settings_parser.py
+++ b/quota_gateway/settings_parser.py
@@ -1,4 +1,4 @@
-"""The settings object of the wire and of the configuration, as typed records."""
+"""Parser of the settings object, which the configuration file and the simulator's wire have in common."""
 
 from __future__ import annotations
 
@@ -8,13 +8,20 @@
 
 from quota_gateway import model
 
-EFFECT = {
+IDEMPOTENCY_BY_EFFECT = {
     "idempotent": model.Idempotency.INHERENT,
     "deduplicated": model.Idempotency.KEYED,
     "at_most_once": model.Idempotency.NONE,
 }
-SCOPE = {scope.value: scope for scope in model.DeduplicationScope}
-AGENT_SHARE = 0.3  # of the time that a drain leaves
+SCOPE_BY_GROUP = {scope.value: scope for scope in model.DeduplicationScope}
+POLLED_DISCOVERY = "ask"  # the value of ``discovery`` where gateways poll; with any other value it pushes
+DEFAULT_DIAL_TIMEOUT = 0.25  # seconds
+DEFAULT_IDLE_TIMEOUT = 30.0  # seconds
+DEFAULT_DRAIN_NOTICE = 1.0  # seconds until a draining endpoint gets nothing new, where the contract is silent
+AGENT_TIMEOUT_FRACTION = 0.3  # of that notice: two calls to the agent of discovery fit into it
+# A key of a class that some platforms leave out of new settings; nothing here reads it.
+OPTIONAL_CLASS_KEY = "aim_stretch"
+POSITIVE_KEYS = ("aim_s", "hard_limit_s", "max_attempts")
 T = TypeVar("T")
 
 
@@ -24,82 +31,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """What the sockets need of the settings and the decisions do not."""
+    """The settings that only the network modules need; times are seconds."""
 
-    dial_timeout: float
-    conn_idle: float
-    callers: int = 1  # limiters whose calls to discovery wait for each other: one, where it pushes
-    # Seconds until a call to discovery is given up, and at most from the begin of one to that of the next
-    # (``net.discovery`` says why). Where it pushes, its agent answers at once and at no cost, and what it has
-    # counts as told: both are parts of what a drain leaves.
-    answer: float = 3.0
-    call_again: float = 4.5
-
-
-def _word(table: dict[str, T], what: str, word: object) -> T:
-    if not isinstance(word, str) or word not in table:
-        raise SettingsError(f"settings: {what}: unknown word {word!r:.60}")
-    return table[word]
-
-
-def _section(owner: dict[str, Any], key: str) -> dict[str, Any]:
-    value = owner.get(key)
-    if value is None:
-        return {}
-    if not isinstance(value, dict):
-        raise SettingsError(f"settings: {key} is not an object")
-    return value
-
-
-def _number(owner: dict[str, Any], key: str, missing: float = 0.0) -> float:
-    value = owner.get(key)
-    if value is None:
-        return missing
-    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise SettingsError(f"settings: {key} has the wrong type: {value!r:.60}")
-    return float(value)
-
-
-def _rows(owner: dict[str, Any], key: str) -> list[dict[str, Any]]:
-    rows = owner.get(key) or []
-    if not isinstance(rows, list) or not all(
-        isinstance(row, dict) and isinstance(row.get("name"), str) for row in rows
-    ):
-        raise SettingsError(f"settings: {key} is not a list of named objects")
-    return rows
+    dial_timeout: float  # to connect to an endpoint
+    conn_idle: float  # until an endpoint closes an idle connection
+    callers: int = 1  # gateways whose polls discovery serves in turn; 1 where it pushes
+    # The limits of a poll (``net.discovery_client`` has the reasons). A discovery that pushes does so through
+    # a local agent that responds at once: there both are parts of the notice that a draining endpoint gives.
+    answer: float = 3.0  # until a call to discovery is given up
+    call_again: float = 4.5  # at most, from the start of one call to the start of the next
 
 
 def settings_from(raw: dict[str, Any]) -> model.Settings:
-    """The settings object as the module's settings."""
-    limits, contract = _section(raw, "limits"), _section(raw, "contract")
-    specifics, report = _section(raw, "specifics"), _section(raw, "report")
-    classes = tuple(
-        model.RequestClass(
-            name=row["name"],
-            latency_objective=_number(row, "aim_s"),
-            priority_weight=_number(row, "worth", 1.0),
-            idempotency=_word(EFFECT, "effect", row.get("effect", "at_most_once")),
-            late_weight=_number(row, "late_worth"),
-            deduplication_scope=_word(SCOPE, "group", row.get("group") or "all"),
-            deduplication_window=_number(row, "window_s"),
-            deadline=_number(row, "hard_limit_s"),
-        )
-        for row in _rows(raw, "classes")
-    )
-    plans = tuple(
-        model.Plan(
-            name=row["name"],
-            price=_number(row, "price", 1.0),
-            rate=_number(row, "quota_rate"),
-            burst=_number(row, "store_size"),
-            concurrency_limit=int(_number(row, "parallel")),
-            over_quota_value=_number(row, "over_worth"),
-            over_quota_cost=_number(row, "over_cost"),
-            ceiling_rate=_number(row, "never_over_rate"),
-            ceiling_burst=_number(row, "hard_burst"),
-        )
-        for row in _rows(raw, "tariffs")
-    )
+    """The decisions' settings of a settings object; ``SettingsError`` names a key that cannot be read."""
+    limits = _section(raw, "limits")
+    contract = _section(raw, "contract")
+    specifics = _section(raw, "specifics")
+    load_report = _section(raw, "report")
+    classes = tuple(_request_class(entry) for entry in _named_objects(raw, "classes"))
+    plans = tuple(_plan(entry) for entry in _named_objects(raw, "tariffs"))
     return model.Settings(
         gateway_index=int(_number(raw, "me")),
         gateway_count=int(_number(raw, "n_instances", 1)),
@@ -110,7 +60,7 @@
         may_hedge=bool(limits.get("may_duplicate")),
         may_cancel=bool(limits.get("cancel")),
         may_check_health=bool(limits.get("probes")),
-        load_in_health_check=report.get("how") == "on_probe",
+        load_in_health_check=load_report.get("how") == "on_probe",
         has_counter=bool(specifics.get("has_counter")),
         counter_timeout=_number(specifics, "count_wait_s"),
         max_units=_number(specifics, "max_units", 1.0),
@@ -122,47 +72,124 @@
     )
 
 
+def _request_class(entry: dict[str, Any]) -> model.RequestClass:
+    return model.RequestClass(
+        name=entry["name"],
+        latency_objective=_number(entry, "aim_s"),
+        priority_weight=_number(entry, "worth", 1.0),
+        idempotency=_choice(IDEMPOTENCY_BY_EFFECT, "effect", entry.get("effect", "at_most_once")),
+        late_weight=_number(entry, "late_worth"),
+        deduplication_scope=_choice(SCOPE_BY_GROUP, "group", entry.get("group") or "all"),
+        deduplication_window=_number(entry, "window_s"),
+        deadline=_number(entry, "hard_limit_s"),
+    )
+
+
+def _plan(entry: dict[str, Any]) -> model.Plan:
+    return model.Plan(
+        name=entry["name"],
+        price=_number(entry, "price", 1.0),
+        rate=_number(entry, "quota_rate"),
+        burst=_number(entry, "store_size"),
+        concurrency_limit=int(_number(entry, "parallel")),
+        over_quota_value=_number(entry, "over_worth"),
+        over_quota_cost=_number(entry, "over_cost"),
+        ceiling_rate=_number(entry, "never_over_rate"),
+        ceiling_burst=_number(entry, "hard_burst"),
+    )
+
+
 def timing_from(raw: dict[str, Any]) -> Timing:
-    """The connection times of the settings object."""
+    """The network timing of a settings object; ``SettingsError`` for what is unreadable or not above 0."""
     limits = _section(raw, "limits")
-    callers = max(1, int(_number(raw, "n_instances", 1))) if raw.get("discovery") == "ask" else 1
-    timing = Timing(_number(limits, "dial_timeout_s", 0.25), _number(limits, "conn_idle_s", 30.0), callers)
-    if raw.get("discovery") != "ask":
-        part = AGENT_SHARE * (_number(_section(raw, "contract"), "stop_sending_within_s") or 1.0)
-        timing = replace(timing, answer=part, call_again=2 * part)
+    is_polled = raw.get("discovery") == POLLED_DISCOVERY
+    callers = max(1, int(_number(raw, "n_instances", 1))) if is_polled else 1
+    timing = Timing(
+        dial_timeout=_number(limits, "dial_timeout_s", DEFAULT_DIAL_TIMEOUT),
+        conn_idle=_number(limits, "conn_idle_s", DEFAULT_IDLE_TIMEOUT),
+        callers=callers,
+    )
+    if not is_polled:
+        agent_timeout = _agent_timeout(raw)
+        timing = replace(timing, answer=agent_timeout, call_again=2 * agent_timeout)
     if timing.dial_timeout <= 0 or timing.conn_idle <= 0:
         raise SettingsError("settings: dial_timeout_s and conn_idle_s must be above 0")
     return timing
 
 
+def _agent_timeout(raw: dict[str, Any]) -> float:
+    """Seconds for a call to the local agent of a discovery that pushes."""
+    drain_notice = _number(_section(raw, "contract"), "stop_sending_within_s")
+    return AGENT_TIMEOUT_FRACTION * (drain_notice or DEFAULT_DRAIN_NOTICE)
+
+
 def check_retuned(raw: dict[str, Any], running: dict[str, Any]) -> None:
-    """``SettingsError`` unless new settings are whole: they hold every key of the running ones.
+    """``SettingsError`` unless new settings are complete: they hold every key of the running ones.
 
-    A start makes do with less; but what a running limiter is told has the form that it started with, and
-    a key that is missing then means a file that was cut or mangled, of which nothing can be trusted.
+    A gateway starts with fewer keys; but new settings have the form that it started with, and a key that
+    is missing then means a truncated or corrupt file, of which nothing can be trusted.
     """
     for key, value in running.items():
         if key not in raw:
             raise SettingsError(f"settings: {key} is missing")
         if isinstance(value, dict):
             check_retuned(_section(raw, key), value)
-        elif isinstance(value, list) and any(isinstance(row, dict) for row in value):
-            rows = [row for row in value if isinstance(row, dict)]
-            common = {
-                name: None for name in rows[0] if name != "aim_stretch" and all(name in r for r in rows)
-            }
-            fresh = raw[key]
-            if not isinstance(fresh, list) or not fresh:
-                raise SettingsError(f"settings: {key} is not a list, or empty")
-            for row in fresh:
-                if not isinstance(row, dict):
-                    raise SettingsError(f"settings: {key} is not a list of objects")
-                check_retuned(row, common)
-    _positive(raw)
-
-
-def _positive(raw: dict[str, Any]) -> None:
-    """What must be above 0 where it stands: aims, deadlines, and the attempts allowed."""
-    for key in ("aim_s", "hard_limit_s", "max_attempts"):
+        elif isinstance(value, list):
+            running_objects = [item for item in value if isinstance(item, dict)]
+            if running_objects:
+                _check_objects(key, raw[key], running_objects)
+    for key in POSITIVE_KEYS:
         if key in raw and _number(raw, key) <= 0:
             raise SettingsError(f"settings: {key} must be above 0")
+
+
+def _check_objects(key: str, value: Any, running: list[dict[str, Any]]) -> None:
+    """``SettingsError`` unless each object of a list holds the keys that all running ones have."""
+    required_keys = {
+        name: None
+        for name in running[0]
+        if name != OPTIONAL_CLASS_KEY and all(name in item for item in running)
+    }
+    if not isinstance(value, list) or not value:
+        raise SettingsError(f"settings: {key} is not a list, or empty")
+    for item in value:
+        if not isinstance(item, dict):
+            raise SettingsError(f"settings: {key} is not a list of objects")
+        check_retuned(item, required_keys)
+
+
+def _section(owner: dict[str, Any], key: str) -> dict[str, Any]:
+    """The object under a key; an empty one where it is missing."""
+    value = owner.get(key)
+    if value is None:
+        return {}
+    if not isinstance(value, dict):
+        raise SettingsError(f"settings: {key} is not an object")
+    return value
+
+
+def _named_objects(owner: dict[str, Any], key: str) -> list[dict[str, Any]]:
+    """The list of objects under a key, each with a ``name``; an empty one where it is missing."""
+    items = owner.get(key) or []
+    if not isinstance(items, list) or not all(
+        isinstance(item, dict) and isinstance(item.get("name"), str) for item in items
+    ):
+        raise SettingsError(f"settings: {key} is not a list of named objects")
+    return items
+
+
+def _number(owner: dict[str, Any], key: str, default: float = 0.0) -> float:
+    """The finite number under a key, or the default where it is missing."""
+    value = owner.get(key)
+    if value is None:
+        return default
+    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
+        raise SettingsError(f"settings: {key} has the wrong type: {value!r:.60}")
+    return float(value)
+
+
+def _choice(choices: dict[str, T], key: str, value: object) -> T:
+    """The meaning of one of the words that a key allows."""
+    if not isinstance(value, str) or value not in choices:
+        raise SettingsError(f"settings: {key}: unknown word {value!r:.60}")
+    return choices[value]
