--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -54,6 +54,7 @@
     """The simulated gateways of this process: each batch of messages gets a reply of commands."""
 
     def __init__(self) -> None:
+        """Begin without gateways and endpoint lists."""
         self._gateways: dict[str, Gateway] = {}  # by limiter_id
         self._endpoint_lists: EndpointLists = {}  # by the number they were registered under
 
