--- /dev/null
+++ b/quota_gateway/config.py
@@ -0,0 +1,114 @@
+"""The configuration of one gateway process: the JSON file and the environment variables, as typed records."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple, Self
+
+from quota_gateway import model
+from quota_gateway.net.http_common import split_address
+from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
+from quota_gateway.settings_parser import Timing, settings_from, timing_from
+
+DEFAULT_MAX_SOCKETS = 1024  # file descriptors, where the file names no limit: the usual limit of a process
+SEED_BASE = 16  # the file's seed is a hexadecimal text
+
+
+class ConfigError(Exception):
+    """The configuration cannot be read, or no gateway can run with it; the text names what is wrong."""
+
+
+class Address(NamedTuple):
+    """A TCP address."""
+
+    host: str
+    port: int
+
+
+@dataclass(frozen=True, slots=True)
+class Environment:
+    """The environment variables that a process reads, as they were when it started."""
+
+    config_path: str = ""  # LB_CONFIG: the configuration file
+    admin_address: str = ""  # LB_MGMT: wins over the file's, which several processes may read
+    name: str = ""  # LB_NAME: the gateway's name, where the file has none
+    listen_fd: str = ""  # LB_LISTEN_FD: descriptor of a listening socket that the platform hands over
+    shared_directory: str | None = None  # TMPDIR: where the processes of one gateway meet
+
+    @classmethod
+    def from_variables(cls, variables: Mapping[str, str]) -> Self:
+        """The record of ``os.environ`` or another mapping of its form."""
+        return cls(
+            config_path=variables.get("LB_CONFIG", ""),
+            admin_address=variables.get("LB_MGMT", ""),
+            name=variables.get("LB_NAME", ""),
+            listen_fd=variables.get("LB_LISTEN_FD", ""),
+            shared_directory=variables.get("TMPDIR"),
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class Config:
+    """One configuration file, completed by the environment."""
+
+    listen: Address  # for clients
+    discovery: Address
+    counter: Address | None  # the shared counter
+    admin: Address | None  # for operators; without it the gateway looks for no second process
+    name: str
+    seed: int  # of all random draws
+    max_sockets: int  # file descriptors that the process may hold
+    initial_endpoints: WatchEvent | None  # the endpoint list to start with, until discovery responds
+    settings: model.Settings
+    timing: Timing
+    raw_settings: dict[str, Any] = field(repr=False, compare=False)  # as in the file, to check a reload
+
+
+def load_config(environment: Environment) -> Config:
+    """The configuration that the environment names; ``ConfigError`` where it cannot be read or used."""
+    path = environment.config_path
+    if not path:
+        raise ConfigError("LB_CONFIG is not set")
+    try:
+        with open(path, encoding="utf-8") as file:
+            raw = json.load(file)
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"cannot read {path}: {error}") from None
+    return parse_config(raw, environment)
+
+
+def parse_config(raw: Any, environment: Environment) -> Config:
+    """The typed form of a parsed configuration file; ``ConfigError`` names what is wrong."""
+    if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
+        raise ConfigError("the configuration is not an object with settings")
+    try:
+        return _config_from(raw, environment)
+    except (ValueError, TypeError, AttributeError) as error:
+        raise ConfigError(str(error)) from None
+
+
+def _config_from(raw: dict[str, Any], environment: Environment) -> Config:
+    limits = raw.get("limits") or {}
+    return Config(
+        listen=_parse_address(str(raw.get("listen"))),
+        discovery=_parse_address(str(raw.get("discovery"))),
+        counter=_parse_address(str(raw["counter"])) if raw.get("counter") else None,
+        admin=_parse_optional_address(environment.admin_address or raw.get("mgmt")),
+        name=str(raw.get("name") or environment.name),
+        seed=int(str(raw.get("seed") or "0"), SEED_BASE),
+        max_sockets=int(limits.get("sockets") or DEFAULT_MAX_SOCKETS),
+        initial_endpoints=parse_watch_event(raw["known"]) if raw.get("known") else None,
+        settings=settings_from(raw["settings"]),
+        timing=timing_from(raw["settings"]),
+        raw_settings=raw["settings"],
+    )
+
+
+def _parse_address(text: str) -> Address:
+    return Address(*split_address(text))
+
+
+def _parse_optional_address(text: Any) -> Address | None:
+    return _parse_address(text) if text else None
--- /dev/null
+++ b/tests/gateway_process.py
@@ -0,0 +1,91 @@
+"""Helpers for the tests of the whole program: a gateway as a process, and its configuration."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import socket
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+from typing import Any
+
+from tests.loopback import read_message
+
+POLL_INTERVAL = 0.02  # seconds between two attempts to connect to a process that is starting
+WIRE_SETTINGS: dict[str, Any] = {
+    "classes": [{"name": "lookup", "aim_s": 5.0, "effect": "idempotent", "worth": 1.0, "group": "all"}],
+    "tariffs": [{"name": "basic", "quota_rate": 100.0, "store_size": 100.0}],
+    "n_instances": 3, "me": 0, "my_zone": "a",
+    "limits": {"max_attempts": 2, "retry_after": True, "max_retry_after_s": 1.0, "dial_timeout_s": 1.0},
+}  # fmt: skip
+
+
+def free_port() -> int:
+    """A TCP port on which nothing listens."""
+    with socket.socket() as candidate:
+        candidate.bind(("127.0.0.1", 0))
+        port: int = candidate.getsockname()[1]
+        return port
+
+
+def config(endpoint: str, discovery: str = "127.0.0.1:1") -> dict[str, Any]:
+    """A configuration whose initial endpoint list holds one address."""
+    host = {"host": "s1", "dial": endpoint, "site": "a", "block": 0, "health": "ready", "born_ms": 0}
+    return {
+        "name": "n0", "listen": f"127.0.0.1:{free_port()}", "discovery": discovery,
+        "seed": "8c1f30d27a5be964", "limits": {"sockets": 256},
+        "known": {"seq": 41, "whole": True, "hosts": [host]}, "settings": WIRE_SETTINGS,
+    }  # fmt: skip
+
+
+class Program:
+    """A started gateway."""
+
+    def __init__(self, process: asyncio.subprocess.Process, listen: str) -> None:
+        self.process = process
+        self._listen = listen
+
+    async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """A client's connection."""
+        host, port = self._listen.split(":")
+        return await asyncio.open_connection(host, int(port))
+
+    async def health(self) -> str:
+        """The status line of the response to GET /healthz."""
+        reader, writer = await self.connect()
+        writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+        status_line, _, _ = await read_message(reader)
+        writer.close()
+        return status_line
+
+    async def ready(self) -> None:
+        """Wait until the gateway accepts clients."""
+        while True:
+            try:
+                assert " 200 " in await self.health()
+                return
+            except ConnectionRefusedError:
+                await asyncio.sleep(POLL_INTERVAL)
+
+
+@asynccontextmanager
+async def started(
+    raw: dict[str, Any], folder: Path, fds: tuple[int, ...] = (), **env: str
+) -> AsyncIterator[Program]:
+    """A gateway that is ready; at the end it is killed unless it has exited."""
+    path = folder / "config.json"
+    path.write_text(json.dumps(raw))
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "quota_gateway", env={**os.environ, "LB_CONFIG": str(path), **env}, pass_fds=fds
+    )
+    program = Program(process, raw["listen"])
+    try:
+        await program.ready()
+        yield program
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,8 +13,8 @@
 from quota_gateway import model
 from quota_gateway.net import admin
 from tests.admin_client import send_command, stalled_connections
+from tests.gateway_process import config, free_port, started
 from tests.loopback import Origin, listening, run
-from tests.test_program import config, free_port, started
 
 MALFORMED_COMMANDS = (
     b"",
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -17,8 +17,8 @@
 
 from quota_gateway import model
 from quota_gateway.net import listener
+from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import Limiter, Origin, Script, ask, listening, read_message, run, send_on
-from tests.test_program import Program, config, free_port, started
 
 LIST_WITHIN = 6.0  # seconds from discovery's return until its list counts as told
 SOCKETS = 256  # the fewest that the terms name
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -12,8 +12,7 @@
 
 import pytest
 
-from quota_gateway import __main__ as program
-from quota_gateway import model
+from quota_gateway import lifecycle, model
 from quota_gateway.net import connection_pool, listener
 from quota_gateway.net.listener import MAX_PIPELINE
 from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, listening, read_message, run, send_on
@@ -130,7 +129,7 @@
 def test_all_is_over_before_sigkill_may_come(deadline: float, kill: float) -> None:
     """The longest deadline counts as 3 s where it is longer, and 0.7 s come on top; 0 is one not told."""
     settings = replace(SETTINGS, classes=tuple(replace(c, deadline=deadline) for c in SETTINGS.classes))
-    end = program.ACCEPT_FOR + program.answer_time(settings) + program.FLUSH_WITHIN
+    end = lifecycle.ACCEPT_PERIOD + lifecycle.drain_timeout(settings) + lifecycle.FLUSH_TIMEOUT
     assert kill - 0.3 < end < kill - 0.1
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,8 +8,8 @@
 
 from quota_gateway.net.metrics import Metrics
 from tests.admin_client import fetch_metrics, parse_metrics, send_command, stalled_connections
+from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import OK, Origin, ask, listening, read_message, run
-from tests.test_program import Program, config, free_port, started
 
 
 def rendered(metrics: Metrics) -> dict[str, int]:
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -11,13 +11,13 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.__main__ import share_of
 from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.lifecycle import connection_limits
 from quota_gateway.state import Account
 from tests import world as w
 from tests.admin_client import fetch_metrics, send_command
+from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import ask, listening, read_message, run
-from tests.test_program import Program, config, free_port, started
 
 STEP = 0.05  # seconds
 IDLE_STEP = 170  # no requests after it, so that the tokens below the ceiling are half full at the join
@@ -86,8 +86,8 @@
 
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
 def test_two_processes_split_the_descriptors_with_enough_for_usual_clients(sockets: int) -> None:
-    clients, endpoints = share_of(sockets, 2)
-    alone = share_of(sockets, 1)
+    clients, endpoints = connection_limits(sockets, 2)
+    alone = connection_limits(sockets, 1)
     assert 2 * (clients + endpoints) + 2 * 20 <= sockets
     assert sum(alone) + 40 <= sockets
     assert clients * 2 > sockets / 3
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed and sends its request on."""
+"""The README's example runs as printed and forwards its request."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 from quota_gateway import model
 
+README = Path(__file__).parent.parent / "README.md"
+
 
 def test_the_example_runs() -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text()
-    found = re.search(r"```python\n(.*?)```", text, re.S)
-    assert found
+    example = re.search(r"```python\n(.*?)```", README.read_text(), re.S)
+    assert example
     names: dict[str, Any] = {}
-    exec(found.group(1), names)
+    exec(example.group(1), names)
     assert any(isinstance(action, model.Forward) for action in names["actions"])
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -15,8 +15,8 @@
 from quota_gateway.settings_parser import SettingsError, check_retuned, settings_from
 from tests import world as w
 from tests.admin_client import fetch_metrics
+from tests.gateway_process import WIRE_SETTINGS, Program, config, free_port, started
 from tests.loopback import Origin, ask, listening, read_message, run
-from tests.test_program import WIRE_SETTINGS, Program, config, free_port, started
 
 RUNNING_SETTINGS = json.dumps(
     WIRE_SETTINGS
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -22,7 +22,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.__main__ import config_from
+from quota_gateway.config import Environment, parse_config
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.admin import AdminListener
 from quota_gateway.net.connection_pool import ConnectionPool
@@ -285,12 +285,12 @@
         del raw["name"]
         monkeypatch.setenv("LB_NAME", "n5")
         monkeypatch.setenv("LB_MGMT", "127.0.0.1:7005")
-    read = config_from(raw)
-    assert (read.name, read.seed, read.sockets) == (name, 31, 333)
-    addresses = read.listen, read.discovery, read.counter, read.mgmt
+    read = parse_config(raw, Environment.from_variables(os.environ))
+    assert (read.name, read.seed, read.max_sockets) == (name, 31, 333)
+    addresses = read.listen, read.discovery, read.counter, read.admin
     assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
     entry = model.Endpoint("s1", model.EndpointHealth.HEALTHY, "")
-    assert read.known == WatchEvent(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
+    assert read.initial_endpoints == WatchEvent(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
     assert read.settings == SETTINGS_READ and read.timing == timing_from(raw["settings"])
 
 
