--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -19,8 +19,8 @@
 from quota_gateway import model
 from quota_gateway.net import listener
 from tests.client_helpers import on_timer, reject
+from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
-from tests.test_program import Program, config, free_port, started
 
 LIST_WITHIN = 6.0  # seconds from discovery's return until the limiter must use its list
 DESCRIPTORS = 256  # the smallest limit that the specification names
--- /dev/null
+++ b/tests/test_lifecycle.py
@@ -0,0 +1,162 @@
+"""The life of a gateway process: readiness, reload, graceful shutdown, SIGKILL and restart."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+from pathlib import Path
+
+from tests.gateway_process import WIRE_SETTINGS, Program, config, started
+from tests.loopback import Origin, Talk, ask, listening, read_message, run
+
+
+def pushing_agent(endpoint: str, version: int, connected: asyncio.Queue[str]) -> Talk:
+    """An agent of discovery that pushes one endpoint list and then keeps the watch open."""
+
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        connected.put_nowait("agent")
+        line = json.dumps(config(endpoint)["known"] | {"seq": version}).encode() + b"\n"
+        head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        writer.write(head + b"%x\r\n%b\r\n" % (len(line), line))
+        await asyncio.Event().wait()
+
+    return talk
+
+
+def unresponsive_counter(connected: asyncio.Queue[str]) -> Talk:
+    """A counter that accepts connections and never responds."""
+
+    async def talk(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        connected.put_nowait("counter")
+        await reader.read()
+
+    return talk
+
+
+async def send_until_received(program: Program, origin: Origin) -> None:
+    """Send requests until one is forwarded to an endpoint."""
+    while not origin.seen:
+        reader, writer = await program.connect()
+        writer.write(ask())
+        await read_message(reader)
+
+
+def test_sigterm_drains_accepted_requests_and_accepts_late_clients(tmp_path: Path) -> None:
+    async def main() -> None:
+        received = asyncio.Event()
+        release = asyncio.Event()
+
+        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            while True:
+                await read_message(reader)
+                received.set()
+                await release.wait()
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+
+        async with listening(talk) as endpoint, started(config(endpoint), tmp_path) as program:
+            early_reader, early_writer = await program.connect()
+            early_writer.write(ask())
+            await received.wait()
+            program.process.send_signal(signal.SIGTERM)
+            while " 200 " in await program.health():
+                pass
+            late_reader, late_writer = await program.connect()
+            late_writer.write(ask())
+            release.set()
+            for reader in (early_reader, late_reader):
+                status, headers, body = await read_message(reader)
+                assert " 200 " in status and body == b"hi"
+                assert await reader.read() == b"" and headers["connection"] == "close"
+            assert await program.process.wait() == 0
+
+    run(main())
+
+
+def test_sighup_switches_to_new_addresses_and_a_malformed_file_changes_nothing(tmp_path: Path) -> None:
+    async def main() -> None:
+        origin = Origin()
+        connected = asyncio.Queue[str]()
+        path = tmp_path / "config.json"
+
+        async with (
+            listening(origin.talk) as endpoint,
+            listening(pushing_agent(endpoint, 1, connected)) as discovery,
+            listening(unresponsive_counter(connected)) as counter,
+        ):
+            raw = config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
+            raw["settings"] = WIRE_SETTINGS | {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
+            async with started(raw, tmp_path) as program:
+                for text in ("{", "[]", json.dumps(raw | {"counter": 5})):
+                    path.write_text(text)
+                    program.process.send_signal(signal.SIGHUP)
+                    assert " 200 " in await program.health()
+                path.write_text(json.dumps(raw | {"discovery": discovery, "counter": counter}))
+                program.process.send_signal(signal.SIGHUP)
+                peers = set[str]()
+                while peers != {"agent", "counter"}:  # a second connection to the counter may come first
+                    peers.add(await connected.get())
+                await send_until_received(program, origin)  # the pushed list holds the right address
+                program.process.send_signal(signal.SIGTERM)
+                program.process.send_signal(signal.SIGHUP)
+                assert await program.process.wait() == 0
+
+    run(main())
+
+
+def test_sigkill_and_a_restart_at_the_same_address(tmp_path: Path) -> None:
+    async def main() -> None:
+        async with listening(Origin().talk) as endpoint:
+            raw = config(endpoint)
+            for _ in range(2):
+                async with started(raw, tmp_path) as program:
+                    reader, writer = await program.connect()
+                    writer.write(ask())
+                    assert (await read_message(reader))[2] == b"hi"
+                    program.process.kill()
+                    assert await program.process.wait() == -signal.SIGKILL
+
+    run(main())
+
+
+def test_a_list_from_discovery_replaces_the_initial_one(tmp_path: Path) -> None:
+    async def main() -> None:
+        origin = Origin()
+        connected = asyncio.Queue[str]()
+        async with (
+            listening(origin.talk) as endpoint,
+            listening(pushing_agent(endpoint, 42, connected)) as discovery,
+            started(config("127.0.0.1:1", discovery), tmp_path) as program,
+        ):
+            await connected.get()
+            await send_until_received(program, origin)
+
+    run(main())
+
+
+def test_processes_started_together_are_ready_and_serve_while_discovery_does_not_respond(
+    tmp_path: Path,
+) -> None:
+    """A restart of most of the fleet overloads discovery: no process waits for it to start."""
+
+    async def unresponsive(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        await asyncio.Event().wait()
+
+    async def start_and_send(index: int, endpoint: str, discovery: str) -> None:
+        folder = tmp_path / str(index)
+        folder.mkdir()
+        raw = config(endpoint, discovery)
+        raw["settings"] = WIRE_SETTINGS | {"discovery": "ask", "n_instances": 200}
+        async with started(raw, folder) as program:
+            reader, writer = await program.connect()
+            writer.write(ask(ttl=10_000))
+            assert " 200 " in (await read_message(reader))[0]
+            writer.close()
+
+    async def main() -> None:
+        async with listening(Origin().talk) as endpoint, listening(unresponsive) as discovery:
+            await asyncio.gather(*(start_and_send(index, endpoint, discovery) for index in range(6)))
+
+    run(main())
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway import __main__ as program
+from quota_gateway import lifecycle
 from tests.loopback import SETTINGS
 
 
@@ -14,5 +14,5 @@
 def test_shutdown_ends_before_sigkill_may_come(deadline: float, kill: float) -> None:
     """The longest deadline counts as at most 3 s, and 0.7 s are added; 0 is a deadline that is not given."""
     settings = replace(SETTINGS, classes=tuple(replace(c, deadline=deadline) for c in SETTINGS.classes))
-    end = program.ACCEPT_FOR + program.answer_time(settings) + program.FLUSH_WITHIN
+    end = lifecycle.ACCEPT_PERIOD + lifecycle.drain_timeout(settings) + lifecycle.FLUSH_TIMEOUT
     assert kill - 0.3 < end < kill - 0.1
