--- a/quota_gateway/net/dispatcher.py
+++ b/quota_gateway/net/dispatcher.py
@@ -16,8 +16,9 @@
 from quota_gateway import model
 from quota_gateway.net.admin_calls import AdminCalls, OnReply
 from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.connection_pool import ConnectionPool, Exchange
+from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.exchange import Exchange
 from quota_gateway.net.health_check import health_check_event, new_health_check
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
--- a/quota_gateway/net/request_table.py
+++ b/quota_gateway/net/request_table.py
@@ -15,7 +15,8 @@
 from quota_gateway import model
 from quota_gateway.net.body_stream import BodyStream
 from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.connection_pool import ConnectionPool, Exchange
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.exchange import Exchange
 
 log = logging.getLogger(__name__)
 
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -12,8 +12,9 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.connection_pool import ConnectionPool, Exchange
+from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.exchange import Exchange
 from quota_gateway.net.listener import ClientListener
 from quota_gateway.settings_parser import settings_from
 from scale.hollow import settings
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,9 +9,11 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net import connection_pool
-from quota_gateway.net.connection_pool import PER_SERVER, ConnectionPool, Exchange, load_report
+from quota_gateway.net import connection_pool, upstream_connection
+from quota_gateway.net.connection_pool import PER_SERVER, ConnectionPool
 from quota_gateway.net.dispatcher import unix_clock
+from quota_gateway.net.exchange import Exchange
+from quota_gateway.net.load_report import load_report
 from tests.loopback import OK, Origin, listening, read_message, run
 
 HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
@@ -207,7 +209,7 @@
 def test_an_answer_that_begins_and_does_not_end_is_spoilt_and_no_silence(
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection_pool, "BEGUN", 0.05)
+    monkeypatch.setattr(upstream_connection, "BEGUN", 0.05)
 
     async def main() -> None:
         async with listening(Origin(lambda _n: begun).talk) as dial:
@@ -219,7 +221,7 @@
 
 
 def test_an_interim_answer_is_no_beginning(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "BEGUN", 0.02)
+    monkeypatch.setattr(upstream_connection, "BEGUN", 0.02)
 
     async def main() -> None:
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
