--- a/quota_gateway/net/exchange.py
+++ b/quota_gateway/net/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way to one server, and what came of it."""
+"""Exchange: one request on its way to one endpoint, and what came of it."""
 
 from __future__ import annotations
 
@@ -6,41 +6,57 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.body_stream import BodyStream
 
-if TYPE_CHECKING:
-    from quota_gateway.net.upstream_connection import _Connection
+
+class ExchangeConnection(Protocol):
+    """The connection that carries an exchange."""
+
+    exchange: Exchange | None
+
+    def abort(self) -> None:
+        """Close at once; nothing more is written or read."""
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request on its way to one server, and what came of it."""
+    """One attempt at a request; ``on_complete`` is called exactly once, with ``status`` set."""
 
     endpoint: str
-    request_head: bytes
+    request_head: bytes  # request line and headers, up to the time-out header that is added when it is sent
     request_body: bytes
-    expires_at: float
+    expires_at: float  # seconds, by the pool's clock
     on_complete: Callable[[Exchange], None]
-    on_response_started: Callable[[Exchange, BodyStream], bool] | None = (
-        None  # takes a long answer, or says that nobody does
-    )
-    upload: BodyStream | None = None  # a long body; ``expires`` is known once it is whole
-    timeout: float = math.inf  # and what the server is told until then
-    started_at: float = 0.0
-    request_written: bool = False
+    # Takes a streamed response from its head on; returns False if nobody wants it any more.
+    on_response_started: Callable[[Exchange, BodyStream], bool] | None = None
+    upload: BodyStream | None = None  # a streamed request body; ``expires_at`` is known once it is complete
+    timeout: float = math.inf  # seconds; the most that the endpoint is told it has
+    started_at: float = 0.0  # seconds, by the pool's clock
+    request_written: bool = False  # completely: from then on the endpoint may execute it
     completed: bool = False
     status: CallStatus = CallStatus.NOT_SENT
-    elapsed: float = 0.0
-    response_headers: bytes = b""
+    elapsed: float = 0.0  # seconds from ``started_at``
+    response_headers: bytes = b""  # header lines to forward, each ending in CRLF
     response_body: bytes = b""
     load_report: dict[str, float] = field(default_factory=dict)
-    charged_units: float | None = None  # the true units of the request
+    charged_units: float | None = None  # quota units that the endpoint charged for the request
     is_health_check: bool = False
-    is_client_connected: Callable[[], bool] | None = (
-        None  # whether the client still waits; asked as it goes out
-    )
-    connection: _Connection | None = None
-    timer: asyncio.TimerHandle | None = None
+    # Whether the client is still connected, asked just before the request is written.
+    is_client_connected: Callable[[], bool] | None = None
+    connection: ExchangeConnection | None = None  # set while a connection carries it
+    timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
+
+    def has_lost_client(self) -> bool:
+        """Whether there is a client to ask and it is connected no more."""
+        return self.is_client_connected is not None and not self.is_client_connected()
+
+    def may_be_executing(self) -> bool:
+        """Whether the endpoint may be executing it, so that a time-out says something of the endpoint.
+
+        Not while it waits for a connection, nor while its upload is incomplete.
+        """
+        upload_incomplete = self.upload is not None and not self.request_written
+        return self.connection is not None and not upload_incomplete
--- a/quota_gateway/net/load_report.py
+++ b/quota_gateway/net/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of servers."""
+"""Load reports: what an endpoint says of its own load, in a header or in the body of a health check."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def load_report(text: str) -> dict[str, float]:
-    """``inflight=7,queue=2`` as numbers; empty where it cannot be read."""
-    report = {}
+    """Parse ``inflight=7,queue=2`` into numbers by name; empty, with a warning, if any part is malformed."""
+    report: dict[str, float] = {}
     try:
         for part in text.split(","):
             name, _, value = part.partition("=")
@@ -19,6 +19,6 @@
                 raise ValueError("not a number")
             report[name.strip()] = number
     except ValueError:
-        log.warning("dropped an unreadable load report: %.80r", text)
+        log.warning("dropped a malformed load report: %.80r", text)
         return {}
     return report
--- /dev/null
+++ b/quota_gateway/net/response_parser.py
@@ -0,0 +1,192 @@
+"""Incremental parser of an endpoint's responses: framing, limits and the headers that the gateway reads."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+
+import httptools
+
+from quota_gateway.net.body_stream import BodyStream
+from quota_gateway.net.http_common import MAX_BODY, MAX_HEAD, NOT_FORWARDED
+
+STATUS_OK = 200
+FIRST_FINAL_STATUS = 200  # lower status codes are those of interim responses
+SERVER_LOAD_HEADER = b"x-server-load"
+NOT_PROCESSED_HEADER = b"x-not-processed"
+CHARGED_UNITS_HEADER = b"x-units-charged"
+CONTENT_LENGTH_VALUE = re.compile(rb"[0-9]{1,9}")
+UNITS_VALUE = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+
+
+class MalformedResponseError(ValueError):
+    """A response that cannot be read or breaks a limit."""
+
+
+class ResponseParser:
+    """Parses the responses of one connection, one after the other; ``reset`` before each request.
+
+    A body is buffered in ``body_parts``, or goes to ``body_stream`` once that is set. Interim responses
+    are skipped. Whatever follows a final response sets ``has_surplus`` and is dropped.
+    """
+
+    __slots__ = (
+        "_chunked",
+        "_closes_connection",
+        "_head_complete",
+        "_head_size",
+        "_on_large_body",
+        "_parser",
+        "body_parts",
+        "body_size",
+        "body_stream",
+        "charged_units",
+        "content_length",
+        "ends_at_eof",
+        "has_surplus",
+        "header_lines",
+        "in_message",
+        "keep_alive",
+        "load",
+        "not_processed",
+        "status_code",
+    )
+
+    def __init__(self, on_large_body: Callable[[], None]) -> None:
+        """``on_large_body`` is called when the body is larger than what is buffered.
+
+        It may set ``body_stream``, or raise ``MalformedResponseError``.
+        """
+        self._parser = httptools.HttpResponseParser(self)
+        self._on_large_body = on_large_body
+        self.body_stream: BodyStream | None = None
+        self.in_message = False  # between the first and the last byte of a message
+        self.keep_alive = False
+        self.reset()
+
+    def reset(self) -> None:
+        """Forget the last response."""
+        self.header_lines: list[bytes] = []  # those to forward
+        self.body_parts: list[bytes] = []
+        self.body_size = 0  # bytes in ``body_parts``
+        self._head_size = 0  # bytes of header names and values
+        self.load: bytes | None = None
+        self.charged_units: float | None = None
+        self.not_processed = False  # the endpoint says that it did not execute the request
+        self.content_length: int | None = None
+        self._chunked = False
+        self._closes_connection = False
+        self._head_complete = False
+        self.ends_at_eof = False  # the end of the connection is the end of the body
+        self.has_surplus = False
+        self.status_code: int | None = None  # set once the final response is complete
+
+    def feed(self, data: bytes) -> None:
+        """Parse what was received; raises ``MalformedResponseError`` before the response is complete."""
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            if self.status_code is None:
+                cause = error.__context__ or error
+                raise MalformedResponseError(str(cause)) from cause
+            self.has_surplus = True
+
+    def finish_at_eof(self) -> int:
+        """The connection has ended, and with it the body; returns the status code."""
+        self.status_code = self.received_status()
+        self.keep_alive = False
+        return self.status_code
+
+    def received_status(self) -> int:
+        """Status code of the message that is being parsed."""
+        status: int = self._parser.get_status_code()
+        return status
+
+    def has_open_ended_body(self) -> bool:
+        """Whether a part of a body of unknown length has come, and a client would see its truncation."""
+        if not self._head_complete or self.body_size == 0:
+            return False
+        truncation_visible = self._chunked or (self.ends_at_eof and self._closes_connection)
+        return truncation_visible and self.received_status() == STATUS_OK
+
+    def take_body_parts(self) -> list[bytes]:
+        """Hand over what is buffered of the body."""
+        parts = self.body_parts
+        self.body_parts = []
+        return parts
+
+    # Callbacks of httptools. It wraps what they raise, and ``feed`` unwraps it.
+
+    def on_message_begin(self) -> None:
+        """A first byte of a message: surplus if the final response is complete."""
+        self.has_surplus = self.status_code is not None
+        self.in_message = True
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Read or keep one header."""
+        key = name.lower()
+        value = value.strip(b" \t")  # httptools leaves white space behind a value
+        if self.has_surplus or self._head_complete:  # a trailer, in the latter case
+            return
+        self._head_size += len(name) + len(value)
+        if self._head_size > MAX_HEAD:
+            raise MalformedResponseError(f"response head over {MAX_HEAD} bytes")
+        if key == b"content-length":
+            self._set_content_length(value)
+        elif key == b"transfer-encoding":
+            self._set_transfer_encoding(value)
+        elif key == SERVER_LOAD_HEADER:
+            self.load = value
+        elif key == CHARGED_UNITS_HEADER:
+            self.charged_units = float(value) if UNITS_VALUE.fullmatch(value) else None
+        elif key == NOT_PROCESSED_HEADER:
+            self.not_processed = value == b"1"
+        elif key == b"connection":
+            self._closes_connection = b"close" in value.lower()
+        elif key not in NOT_FORWARDED:
+            self.header_lines.append(b"%b: %b\r\n" % (name, value))
+
+    def _set_content_length(self, value: bytes) -> None:
+        if self.content_length is not None or not CONTENT_LENGTH_VALUE.fullmatch(value):
+            raise MalformedResponseError(f"invalid or repeated Content-Length: {value!r:.40}")
+        self.content_length = int(value)
+
+    def _set_transfer_encoding(self, value: bytes) -> None:
+        if self._chunked or value.lower() != b"chunked":
+            raise MalformedResponseError(f"unknown or repeated Transfer-Encoding: {value!r:.40}")
+        self._chunked = True
+
+    def on_headers_complete(self) -> None:
+        """Settle how the body of a final response is framed."""
+        status = self.received_status()
+        if self.has_surplus or status < FIRST_FINAL_STATUS:
+            return
+        if self._chunked and self.content_length is not None:
+            raise MalformedResponseError("both Content-Length and Transfer-Encoding")
+        self._head_complete = True
+        self.ends_at_eof = not self._chunked and self.content_length is None
+        self._closes_connection = self._closes_connection or self._parser.get_http_version() == "1.0"
+        if self.content_length is not None and self.content_length > MAX_BODY and status != STATUS_OK:
+            raise MalformedResponseError(f"body of {self.content_length} bytes with status {status}")
+
+    def on_body(self, body: bytes) -> None:
+        """Stream or buffer a part of the body."""
+        if self.has_surplus:
+            return
+        if self.body_stream is not None:
+            self.body_stream.write(body)
+            return
+        self.body_size += len(body)
+        self.body_parts.append(body)
+        if max(self.body_size, self.content_length or 0) > MAX_BODY:
+            self._on_large_body()
+
+    def on_message_complete(self) -> None:
+        """Note the end of the final response; forget an interim one, as the final one follows."""
+        self.in_message = False
+        status = self.received_status()
+        if self.has_surplus or status >= FIRST_FINAL_STATUS:
+            self.status_code = self.status_code or status
+            self.keep_alive = self._parser.should_keep_alive()
+        else:
+            self.reset()
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -11,7 +11,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import client_liveness, connection_pool, listener
+from quota_gateway.net import client_liveness, connection_pool, listener, upstream_endpoint
 from quota_gateway.net.client_liveness import ClientLiveness
 from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.request_reader import MAX_PIPELINE
@@ -134,7 +134,7 @@
 
 async def keep_endpoint_connection(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> None:
     """Keep an endpoint connection idle, so that the next attempt is written in the step of its decision."""
-    monkeypatch.setattr(connection_pool, "REST", 0.0)
+    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
     answer = limiter.script.answer
     limiter.script.answer = send_on
     assert " 200 " in (await limiter.fetch(ask()))[0]
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -177,7 +177,7 @@
             (outcome,) = await script.until(model.AttemptCompleted)
         assert outcome.status is model.CallStatus.NOT_SENT
         assert " 429 " in (await read_message(reader))[0]
-        assert limiter.pool._open == 0
+        assert limiter.pool._endpoints.open_connections == 0
         script.answer = send_on
         assert " 200 " in (await limiter.fetch(ask()))[0]
         writer.close()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,8 +9,8 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net import connection_pool, upstream_connection
-from quota_gateway.net.connection_pool import PER_SERVER, ConnectionPool
+from quota_gateway.net import upstream_connection, upstream_endpoint
+from quota_gateway.net.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT, ConnectionPool
 from quota_gateway.net.dispatcher import unix_clock
 from quota_gateway.net.exchange import Exchange
 from quota_gateway.net.load_report import load_report
@@ -209,7 +209,7 @@
 def test_an_answer_that_begins_and_does_not_end_is_spoilt_and_no_silence(
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "BEGUN", 0.05)
+    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP", 0.05)
 
     async def main() -> None:
         async with listening(Origin(lambda _n: begun).talk) as dial:
@@ -221,7 +221,7 @@
 
 
 def test_an_interim_answer_is_no_beginning(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_connection, "BEGUN", 0.02)
+    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP", 0.02)
 
     async def main() -> None:
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -263,7 +263,7 @@
 
 def test_nor_one_that_this_process_was_too_slow_to_read(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        connection_pool, "REST", 0.0
+        upstream_endpoint, "SETTLE_DELAY", 0.0
     )  # as after a stall, when the rest is over and nothing was read
 
     async def main() -> None:
@@ -302,7 +302,7 @@
 def test_connections_are_used_again_the_freshest_first_until_they_age(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "REST", 0.0)
+    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
 
     async def main() -> None:
         origin = Origin()
@@ -311,8 +311,8 @@
             await asyncio.gather(pool.fetch(), pool.fetch())
             await pool.fetch()
             assert origin.connections == 2
-            pool.clock = pool.upstream._clock = lambda: 2e9 + 16.0
-            for server in pool.upstream._servers.values():
+            pool.clock = pool.upstream.clock = lambda: 2e9 + 16.0
+            for server in pool.upstream._endpoints._by_name.values():
                 for at, connection in enumerate(server.idle):
                     connection.idle_since = 2e9 + at * 1e-6  # 16 s idle: past half of conn_idle
             await pool.fetch()
@@ -392,8 +392,8 @@
     async def main() -> None:
         silent = Origin(lambda _n: None)
         async with listening(silent.talk) as dial:
-            pool = Pool(dial, most=PER_SERVER + 1)
-            out = [pool.start()[0] for _ in range(PER_SERVER)]
+            pool = Pool(dial, most=MAX_CONNECTIONS_PER_ENDPOINT + 1)
+            out = [pool.start()[0] for _ in range(MAX_CONNECTIONS_PER_ENDPOINT)]
             assert (await pool.fetch()).status is CallStatus.OVERLOADED
             pool.upstream.update_endpoint("s2", dial, True)
             out.append(pool.start(server="s2")[0])
@@ -452,16 +452,16 @@
             for at in range(100):
                 pool.upstream.update_endpoint(f"t{at}", dial, True)
                 pool.upstream.retain_only({f"t{at}"})
-            assert set(pool.upstream._servers) == {"s1", "t99"}
+            assert set(pool.upstream._endpoints._by_name) == {"s1", "t99"}
             release.set()
             assert (await answered).status is CallStatus.OK  # what is out there may end
-            while "s1" in pool.upstream._servers:
+            while "s1" in pool.upstream._endpoints._by_name:
                 await asyncio.sleep(0.001)
             assert (await pool.fetch()).status is CallStatus.NOT_SENT
             pool.upstream.update_endpoint(
                 "s1", dial, True
             )  # a return, at an old address: it starts with nothing
-            assert pool.upstream._servers["s1"].open == 0
+            assert pool.upstream._endpoints._by_name["s1"].open_connections == 0
             assert (await pool.fetch()).status is CallStatus.OK
             pool.upstream.close()
 
@@ -471,7 +471,7 @@
 def test_where_kept_connections_break_at_the_next_request_none_is_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "REST", 0.0)
+    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
 
     async def main() -> None:
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -483,7 +483,7 @@
             pool = Pool(dial)
             results = list[CallStatus]()
             for second in range(6):  # each rest is as long as the others, whatever this machine has to do
-                pool.clock = pool.upstream._clock = lambda now=float(second): now  # type: ignore[misc]
+                pool.clock = pool.upstream.clock = lambda now=float(second): now  # type: ignore[misc]
                 results.append((await pool.fetch()).status)
             assert results == [CallStatus.OK, CallStatus.RESET_AFTER_REQUEST, *[CallStatus.OK] * 4]
             pool.upstream.close()
@@ -495,9 +495,9 @@
     """One exchange on a connection that has rested for so long and breaks so far into its next request."""
     assert (await pool.fetch(server=server)).status is CallStatus.OK
     start = pool.clock()
-    pool.upstream._clock = pool.clock = lambda: start + rest
+    pool.upstream.clock = pool.clock = lambda: start + rest
     _, ended = pool.start(server=server)
-    pool.upstream._clock = pool.clock = lambda: start + rest + into
+    pool.upstream.clock = pool.clock = lambda: start + rest + into
     return await ended
 
 
@@ -516,11 +516,11 @@
             pool = Pool(dial)
             pool.upstream.update_endpoint("s2", sound, True)
             start = pool.clock()
-            pool.upstream._clock = pool.clock = lambda: start
+            pool.upstream.clock = pool.clock = lambda: start
             assert (await breaks_after(pool, 0.2, into)).status is CallStatus.RESET_AFTER_REQUEST
             await pool.fetch(server="s2")
             later = pool.clock() + 0.18  # more than is trusted of the rest that was not outlived
-            pool.upstream._clock = pool.clock = lambda: later
+            pool.upstream.clock = pool.clock = lambda: later
             await pool.fetch(server="s2")
             assert origin.connections == (1 if kept else 2)
             pool.upstream.close()
@@ -535,12 +535,12 @@
             pool = Pool(dial)
             pool.upstream.update_endpoint("s2", sound, True)
             start = pool.clock()
-            pool.upstream._clock = pool.clock = lambda: start
+            pool.upstream.clock = pool.clock = lambda: start
             for _ in range(5):  # each at the shortest rest there is
                 assert (await breaks_after(pool, 0.031, 0.001)).status is CallStatus.RESET_AFTER_REQUEST
             await pool.fetch(server="s2")
             later = pool.clock() + 0.04
-            pool.upstream._clock = pool.clock = lambda: later
+            pool.upstream.clock = pool.clock = lambda: later
             await pool.fetch(server="s2")
             assert origin.connections == 1
             pool.upstream.close()
