--- /dev/null
+++ b/tests/pool_harness.py
@@ -0,0 +1,74 @@
+"""A connection pool with one endpoint, for the tests of the pool and of what it is made of."""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+from collections.abc import Callable, Coroutine
+from typing import Any, ParamSpec
+
+from quota_gateway.net.connection_pool import ConnectionPool
+from quota_gateway.net.dispatcher import unix_clock
+from quota_gateway.net.exchange import Exchange
+from tests.loopback import run
+
+ENDPOINT = "s1"
+REQUEST_HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
+Parameters = ParamSpec("Parameters")
+
+
+def async_test(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
+    """Run a test on an event loop of its own, within the time limit of the loopback tests."""
+
+    @functools.wraps(test)
+    def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
+        run(test(*args, **kwargs))
+
+    return run_test
+
+
+def empty_response(status: str, extra_headers: str = "") -> bytes:
+    """A response without a body."""
+    return f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra_headers}\r\n".encode()
+
+
+class PoolHarness:
+    """A pool that knows ``ENDPOINT``, and exchanges to wait for; closed at the end of ``async with``."""
+
+    def __init__(
+        self,
+        address: str,
+        conn_idle: float = 30.0,
+        max_connections: int = 200,
+        dial_timeout: float = 5.0,
+    ) -> None:
+        self.clock = unix_clock()
+        self.pool = ConnectionPool(self.clock, dial_timeout, conn_idle, max_connections)
+        self.pool.update_endpoint(ENDPOINT, address, True)
+
+    async def __aenter__(self) -> PoolHarness:
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        self.pool.close()
+
+    def set_clock(self, now: float) -> None:
+        """Stop the pool's clock at a time."""
+        self.clock = self.pool.clock = lambda: now
+
+    def start(
+        self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b""
+    ) -> tuple[Exchange, asyncio.Future[Exchange]]:
+        """Start an exchange; the future has it when it is complete."""
+        future = asyncio.get_running_loop().create_future()
+        head = REQUEST_HEAD
+        if body:
+            head += b"Content-Length: %d\r\n" % len(body)
+        exchange = Exchange(endpoint, head, body, self.clock() + timeout, future.set_result)
+        self.pool.start(exchange)
+        return exchange, future
+
+    async def fetch(self, timeout: float = 10.0, endpoint: str = ENDPOINT) -> Exchange:
+        """One exchange, when it is complete."""
+        _, completed = self.start(timeout, endpoint)
+        return await completed
--- /dev/null
+++ b/tests/test_connection_pool.py
@@ -0,0 +1,232 @@
+"""The pool over loopback sockets: connecting, reuse of idle connections, draining endpoints, limits."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+import pytest
+
+from quota_gateway.model import CallStatus
+from quota_gateway.net import upstream_endpoint
+from quota_gateway.net.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT, ConnectionPool
+from tests.loopback import OK, Origin, listening, read_message
+from tests.pool_harness import ENDPOINT, PoolHarness, async_test
+
+OTHER_RESPONSE = OK.replace(b"hi", b"no")
+
+
+@async_test
+async def test_a_refused_connection_proves_that_the_request_was_not_executed() -> None:
+    with socket.socket() as bound:
+        bound.bind(("127.0.0.1", 0))  # bound and not listening: connections are refused
+        async with PoolHarness(f"127.0.0.1:{bound.getsockname()[1]}") as harness:
+            assert (await harness.fetch()).status is CallStatus.UNREACHABLE
+
+
+def full_backlog() -> tuple[socket.socket, list[socket.socket]]:
+    """A listener that accepts no more connections: connecting to it never completes."""
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(0)
+    clients = list[socket.socket]()
+    for _ in range(8):
+        client = socket.socket()
+        client.setblocking(False)
+        client.connect_ex(listener.getsockname())
+        clients.append(client)
+    return listener, clients
+
+
+@pytest.mark.parametrize(
+    ("dial_timeout", "timeout", "status"),
+    [(0.1, 10.0, CallStatus.UNREACHABLE), (10.0, 0.1, CallStatus.NOT_SENT)],
+)
+@async_test
+async def test_a_request_is_not_executed_where_connecting_never_completes(
+    dial_timeout: float, timeout: float, status: CallStatus
+) -> None:
+    listener, clients = full_backlog()
+    host, port = listener.getsockname()
+    async with PoolHarness(f"{host}:{port}", dial_timeout=dial_timeout) as harness:
+        assert (await harness.fetch(timeout)).status is status
+    for each in (listener, *clients):
+        each.close()
+
+
+@async_test
+async def test_a_time_out_closes_the_connection_so_that_no_late_response_meets_the_next_request() -> None:
+    origin = Origin(lambda number: None if number == 1 else OK)
+    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+        assert (await harness.fetch(0.1)).status is CallStatus.TIMEOUT
+        await origin.left.wait()
+        assert (await harness.fetch()).status is CallStatus.OK
+        assert origin.connections == 2
+
+
+@async_test
+async def test_a_late_copy_of_a_response_does_not_answer_the_next_request() -> None:
+    release = asyncio.Event()
+
+    async def answer_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        writer.write(OK)
+        await release.wait()
+        writer.write(OTHER_RESPONSE)
+        await reader.read()
+
+    async with listening(answer_twice) as address, PoolHarness(address) as harness:
+        assert (await harness.fetch()).response_body == b"hi"
+        _, completed = harness.start()  # at once, before the copy has come
+        release.set()
+        assert (await completed).response_body == b"hi"
+
+
+@async_test
+async def test_nor_does_a_copy_that_this_process_was_too_slow_to_read(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # As after a stall of the process, when the delay is over and nothing was read.
+    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    loop = asyncio.get_running_loop()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        listener.setblocking(False)
+        async with PoolHarness(f"127.0.0.1:{listener.getsockname()[1]}") as harness:
+            for _ in range(2):
+                _, completed = harness.start()
+                server, _ = await loop.sock_accept(listener)
+                await loop.sock_recv(server, 4096)
+                await loop.sock_sendall(server, OK)
+                assert (await completed).response_body == b"hi"
+                server.send(OTHER_RESPONSE)  # and no turn of the loop until the next request
+
+
+@async_test
+async def test_the_most_recently_used_connection_is_reused_until_it_was_idle_too_long(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    origin = Origin()
+    async with listening(origin.talk) as address, PoolHarness(address, conn_idle=30.0) as harness:
+        await asyncio.gather(harness.fetch(), harness.fetch())
+        await harness.fetch()
+        assert origin.connections == 2
+        harness.set_clock(2e9 + 16.0)
+        for endpoint in harness.pool._endpoints._by_name.values():
+            for index, connection in enumerate(endpoint.idle):
+                connection.idle_since = 2e9 + index * 1e-6  # 16 s idle: past half of conn_idle
+        await harness.fetch()
+        assert origin.connections == 3
+
+
+@async_test
+async def test_a_connection_that_the_endpoint_closes_is_not_reused() -> None:
+    closing = OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+    origin = Origin(lambda _number: closing)
+    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+        assert [(await harness.fetch()).status for _ in range(2)] == [CallStatus.OK, CallStatus.OK]
+        assert origin.connections == 2
+
+
+@pytest.mark.parametrize(
+    "drain",
+    [
+        lambda pool: pool.update_endpoint(ENDPOINT, "127.0.0.1:1", False),
+        lambda pool: pool.update_endpoint(ENDPOINT, "", False),
+        lambda pool: pool.retain_only({"s2"}),
+    ],
+)
+@async_test
+async def test_draining_closes_idle_connections_and_stops_new_requests_at_once(
+    drain: Callable[[ConnectionPool], None],
+) -> None:
+    origin = Origin()
+    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+        await harness.fetch()
+        drain(harness.pool)
+        await origin.left.wait()
+        assert (await harness.fetch()).status is CallStatus.NOT_SENT
+        assert len(origin.seen) == 1
+
+
+@async_test
+async def test_an_endpoint_that_starts_draining_during_connecting_gets_no_request() -> None:
+    origin = Origin()
+    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+        _, completed = harness.start()
+        harness.pool.update_endpoint(ENDPOINT, address, False)
+        assert (await completed).status is CallStatus.NOT_SENT
+        assert not origin.seen
+
+
+@async_test
+async def test_a_new_address_gets_the_next_request() -> None:
+    old = Origin()
+    new = Origin()
+    async with (
+        listening(old.talk) as old_address,
+        listening(new.talk) as new_address,
+        PoolHarness(old_address) as harness,
+    ):
+        await harness.fetch()
+        harness.pool.update_endpoint(ENDPOINT, new_address, True)
+        await harness.fetch()
+        assert (len(old.seen), len(new.seen)) == (1, 1)
+
+
+@async_test
+async def test_connections_are_limited_per_endpoint_and_in_total() -> None:
+    silent = Origin(lambda _number: None)
+    limit = MAX_CONNECTIONS_PER_ENDPOINT
+    async with (
+        listening(silent.talk) as address,
+        PoolHarness(address, max_connections=limit + 1) as harness,
+    ):
+        exchanges = [harness.start()[0] for _ in range(limit)]
+        assert (await harness.fetch()).status is CallStatus.OVERLOADED
+        harness.pool.update_endpoint("s2", address, True)
+        exchanges.append(harness.start(endpoint="s2")[0])
+        assert (await harness.fetch(endpoint="s2")).status is CallStatus.OVERLOADED
+        for exchange in exchanges:
+            harness.pool.cancel(exchange)
+        assert all(exchange.status is CallStatus.CANCELLED for exchange in exchanges)
+
+
+@async_test
+async def test_at_the_limit_an_idle_connection_is_evicted() -> None:
+    origin = Origin()
+    async with listening(origin.talk) as address, PoolHarness(address, max_connections=1) as harness:
+        harness.pool.update_endpoint("s2", address, True)
+        assert (await harness.fetch()).status is CallStatus.OK
+        assert (await harness.fetch(endpoint="s2")).status is CallStatus.OK
+
+
+@async_test
+async def test_an_endpoint_that_is_gone_is_forgotten_once_its_last_connection_is_closed() -> None:
+    release = asyncio.Event()
+
+    async def answer_when_released(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        await release.wait()
+        writer.write(OK)
+        await reader.read()
+
+    async with listening(answer_when_released) as address, PoolHarness(address) as harness:
+        pool = harness.pool
+        endpoints = pool._endpoints._by_name
+        exchange, completed = harness.start()
+        while not exchange.request_written:
+            await asyncio.sleep(0.001)
+        for number in range(100):
+            pool.update_endpoint(f"t{number}", address, True)
+            pool.retain_only({f"t{number}"})
+        assert set(endpoints) == {ENDPOINT, "t99"}
+        release.set()
+        assert (await completed).status is CallStatus.OK  # what is in progress there may end
+        while ENDPOINT in endpoints:
+            await asyncio.sleep(0.001)
+        assert (await harness.fetch()).status is CallStatus.NOT_SENT
+        pool.update_endpoint(ENDPOINT, address, True)  # it returns, at an old address, and starts afresh
+        assert endpoints[ENDPOINT].open_connections == 0
+        assert (await harness.fetch()).status is CallStatus.OK
--- /dev/null
+++ b/tests/test_idle_policy.py
@@ -0,0 +1,81 @@
+"""How long idle connections are trusted after stale ones, through the pool."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.model import CallStatus
+from quota_gateway.net import upstream_endpoint
+from quota_gateway.net.exchange import Exchange
+from tests.loopback import OK, Origin, listening, read_message
+from tests.pool_harness import PoolHarness, async_test
+
+
+async def break_on_reuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Answers a connection's first request and breaks at its second."""
+    await read_message(reader)
+    writer.write(OK)
+    await read_message(reader)
+
+
+async def reuse_until_break(harness: PoolHarness, idle_time: float, break_delay: float) -> Exchange:
+    """One exchange on a connection that was idle for so long and breaks so far into the exchange."""
+    assert (await harness.fetch()).status is CallStatus.OK
+    idle_since = harness.clock()
+    harness.set_clock(idle_since + idle_time)
+    _, completed = harness.start()
+    harness.set_clock(idle_since + idle_time + break_delay)
+    return await completed
+
+
+@async_test
+async def test_where_idle_connections_break_on_reuse_none_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    async with listening(break_on_reuse) as address, PoolHarness(address) as harness:
+        results = list[CallStatus]()
+        for second in range(6):  # each idle time is as long as the others, however busy this machine is
+            harness.set_clock(float(second))
+            results.append((await harness.fetch()).status)
+        assert results == [CallStatus.OK, CallStatus.RESET_AFTER_REQUEST, *[CallStatus.OK] * 4]
+
+
+@pytest.mark.parametrize(("break_delay", "reused"), [(0.06, True), (0.001, False)])
+@async_test
+async def test_only_an_immediate_break_shows_that_a_connection_was_stale(
+    break_delay: float, reused: bool
+) -> None:
+    origin = Origin()
+    async with (
+        listening(break_on_reuse) as breaking,
+        listening(origin.talk) as sound,
+        PoolHarness(breaking) as harness,
+    ):
+        harness.pool.update_endpoint("s2", sound, True)
+        harness.set_clock(harness.clock())
+        broken = await reuse_until_break(harness, 0.2, break_delay)
+        assert broken.status is CallStatus.RESET_AFTER_REQUEST
+        await harness.fetch(endpoint="s2")
+        harness.set_clock(harness.clock() + 0.18)  # over the trusted fraction of 0.2
+        await harness.fetch(endpoint="s2")
+        assert origin.connections == (1 if reused else 2)
+
+
+@async_test
+async def test_random_breaks_do_not_end_the_reuse_of_connections() -> None:
+    origin = Origin()
+    async with (
+        listening(break_on_reuse) as breaking,
+        listening(origin.talk) as sound,
+        PoolHarness(breaking) as harness,
+    ):
+        harness.pool.update_endpoint("s2", sound, True)
+        harness.set_clock(harness.clock())
+        for _ in range(5):  # each after the shortest idle time there is
+            broken = await reuse_until_break(harness, 0.031, 0.001)
+            assert broken.status is CallStatus.RESET_AFTER_REQUEST
+        await harness.fetch(endpoint="s2")
+        harness.set_clock(harness.clock() + 0.04)
+        await harness.fetch(endpoint="s2")
+        assert origin.connections == 1
--- /dev/null
+++ b/tests/test_upstream_connection.py
@@ -0,0 +1,161 @@
+"""One connection over loopback sockets: what each ending proves, and the limits on a response."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.model import CallStatus
+from quota_gateway.net import upstream_connection, upstream_endpoint
+from quota_gateway.net.exchange import Exchange
+from tests.loopback import OK, Origin, listening, read_message
+from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, async_test, empty_response
+
+HUGE_BODY = b"x" * 32_000_000  # more than the sockets' buffers hold
+
+
+@pytest.mark.parametrize(
+    ("response", "status"),
+    [
+        (OK, CallStatus.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, CallStatus.OK),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", CallStatus.OK),
+        (empty_response("500 Error"), CallStatus.ERROR),
+        (empty_response("404 Not Found"), CallStatus.REJECTED),
+        (empty_response("400 Bad Request"), CallStatus.REJECTED),
+        (empty_response("503 Full", "X-Not-Processed: 1\r\n"), CallStatus.OVERLOADED),
+        (empty_response("504 Full", "X-Not-Processed: 1\r\n"), CallStatus.OVERLOADED),
+        (empty_response("503 Full"), CallStatus.ERROR),
+        (empty_response("503 Full", "X-Not-Processed: 0\r\n"), CallStatus.ERROR),
+        (b"", CallStatus.RESET_AFTER_REQUEST),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhi", CallStatus.TIMEOUT),
+        # Malformed: the request may have been executed, and the endpoint is not dead. Each is judged without
+        # waiting for its end.
+        (b"what is this\r\n\r\n", CallStatus.ERROR),
+        (b"\x00\xff\x13\x37", CallStatus.ERROR),
+        (b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", CallStatus.ERROR),
+        (empty_response("200 OK", "X: y\r\n" * 20_000), CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nX: " + b"y" * 300_000, CallStatus.ERROR),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" * 20_000, CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: two\r\n\r\nhi", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nhi", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\nhi", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", CallStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\n\r\nhi", CallStatus.ERROR),
+    ],
+    ids=lambda value: value.name if isinstance(value, CallStatus) else repr(value[:60]),
+)
+@async_test
+async def test_each_ending_has_its_status(response: bytes, status: CallStatus) -> None:
+    async with listening(Origin(lambda _number: response).talk) as address, PoolHarness(address) as harness:
+        exchange = await harness.fetch(0.3 if status is CallStatus.TIMEOUT else 10.0)
+        assert exchange.status is status
+        assert exchange.response_body == (b"hi" if status is CallStatus.OK else b"")
+
+
+@async_test
+async def test_a_break_with_bytes_still_buffered_proves_that_the_request_was_not_executed() -> None:
+    """After the last byte has left a break proves nothing."""
+    accepted = asyncio.Event()
+    break_connection = asyncio.Event()
+
+    async def accept_and_break(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        accepted.set()
+        await break_connection.wait()
+
+    async with listening(accept_and_break) as address, PoolHarness(address) as harness:
+        exchange, completed = harness.start(body=HUGE_BODY)
+        await accepted.wait()
+        assert not exchange.request_written
+        break_connection.set()
+        assert (await completed).status is CallStatus.RESET_BEFORE_REQUEST
+
+
+@async_test
+async def test_a_response_before_the_request_is_complete_is_none() -> None:
+    async def answer_unread(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        writer.write(OK)
+        await asyncio.Event().wait()
+
+    async with listening(answer_unread) as address, PoolHarness(address) as harness:
+        _, completed = harness.start(body=HUGE_BODY)
+        assert (await completed).status is CallStatus.RESET_BEFORE_REQUEST
+
+
+@pytest.mark.parametrize("settle_delay", [0.0, upstream_endpoint.SETTLE_DELAY])
+@async_test
+async def test_surplus_bytes_behind_a_response_do_not_answer_the_next_request(
+    settle_delay: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", settle_delay)
+    surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
+    origin = Origin(lambda number: OK + surplus if number == 1 else OK)
+    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+        bodies = list[bytes]()
+        finished = asyncio.Event()
+
+        def start_exchange() -> None:
+            expires_at = harness.clock() + 10
+            harness.pool.start(Exchange(ENDPOINT, REQUEST_HEAD, b"", expires_at, on_complete))
+
+        def on_complete(exchange: Exchange) -> None:
+            bodies.append(exchange.response_body)
+            if len(bodies) == 2:
+                finished.set()
+            else:
+                start_exchange()  # in the very call that reports the first response
+
+        start_exchange()
+        await finished.wait()
+        assert bodies == [b"hi", b"hi"] and origin.connections == 2
+
+
+@pytest.mark.parametrize(
+    "incomplete",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi",
+        b"HTTP/1.1 200 OK\r\nX:",
+        b"HTTP/1.1 100 Go on\r\n\r\nHTT",
+    ],
+)
+@async_test
+async def test_an_incomplete_response_is_malformed_and_no_time_out(
+    incomplete: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP", 0.05)
+    async with listening(Origin(lambda _number: incomplete).talk) as address, PoolHarness(address) as harness:
+        assert (await harness.fetch()).status is CallStatus.ERROR  # well before it expires
+
+
+@async_test
+async def test_an_interim_response_does_not_start_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP", 0.02)
+
+    async def answer_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        writer.write(b"HTTP/1.1 103 Early Hints\r\n\r\n")
+        await asyncio.sleep(0.1)
+        writer.write(OK)
+        await reader.read()
+
+    async with listening(answer_late) as address, PoolHarness(address) as harness:
+        assert (await harness.fetch()).status is CallStatus.OK
+
+
+@pytest.mark.parametrize(
+    ("value", "charged"), [("3", 3.0), ("2.25", 2.25), ("-1", None), ("nan", None), ("", None), ("1e9", None)]
+)
+@async_test
+async def test_charged_units_are_read_where_they_are_a_number(value: str, charged: float | None) -> None:
+    origin = Origin(lambda _number: empty_response("200 OK", f"X-Units-Charged: {value}\r\n"))
+    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+        assert (await harness.fetch()).charged_units == charged
