--- /dev/null
+++ b/quota_gateway/net/exchange.py
@@ -0,0 +1,62 @@
+"""Exchange: one request on its way to one endpoint, and what came of it."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from quota_gateway.model import CallStatus
+from quota_gateway.net.body_stream import BodyStream
+
+
+class ExchangeConnection(Protocol):
+    """The connection that carries an exchange."""
+
+    exchange: Exchange | None
+
+    def abort(self) -> None:
+        """Close at once; nothing more is written or read."""
+
+
+@dataclass(slots=True, eq=False)
+class Exchange:
+    """One attempt at a request; ``on_complete`` is called exactly once, with ``status`` set."""
+
+    endpoint: str
+    request_head: bytes  # request line and headers, up to the time-out header that is added when it is sent
+    request_body: bytes
+    expires_at: float  # seconds, by the pool's clock
+    on_complete: Callable[[Exchange], None]
+    # Takes a streamed response from its head on; returns False if nobody wants it any more.
+    on_response_started: Callable[[Exchange, BodyStream], bool] | None = None
+    upload: BodyStream | None = None  # a streamed request body; ``expires_at`` is known once it is complete
+    timeout: float = math.inf  # seconds; the most that the endpoint is told it has
+    started_at: float = 0.0  # seconds, by the pool's clock
+    request_written: bool = False  # completely: from then on the endpoint may execute it
+    completed: bool = False
+    status: CallStatus = CallStatus.NOT_SENT
+    elapsed: float = 0.0  # seconds from ``started_at``
+    response_headers: bytes = b""  # header lines to forward, each ending in CRLF
+    response_body: bytes = b""
+    load_report: dict[str, float] = field(default_factory=dict)
+    charged_units: float | None = None  # quota units that the endpoint charged for the request
+    is_health_check: bool = False
+    # Whether the client is still connected, asked just before the request is written.
+    is_client_connected: Callable[[], bool] | None = None
+    connection: ExchangeConnection | None = None  # set while a connection carries it
+    timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
+
+    def has_lost_client(self) -> bool:
+        """Whether there is a client to ask and it is connected no more."""
+        return self.is_client_connected is not None and not self.is_client_connected()
+
+    def may_be_executing(self) -> bool:
+        """Whether the endpoint may be executing it, so that a time-out says something of the endpoint.
+
+        Not while it waits for a connection, nor while its upload is incomplete.
+        """
+        upload_incomplete = self.upload is not None and not self.request_written
+        return self.connection is not None and not upload_incomplete
--- /dev/null
+++ b/quota_gateway/net/load_report.py
@@ -0,0 +1,24 @@
+"""Load reports: what an endpoint says of its own load, in a header or in the body of a health check."""
+
+from __future__ import annotations
+
+import logging
+import math
+
+log = logging.getLogger(__name__)
+
+
+def load_report(text: str) -> dict[str, float]:
+    """Parse ``inflight=7,queue=2`` into numbers by name; empty, with a warning, if any part is malformed."""
+    report: dict[str, float] = {}
+    try:
+        for part in text.split(","):
+            name, _, value = part.partition("=")
+            number = float(value)
+            if not name.strip() or not math.isfinite(number):
+                raise ValueError("not a number")
+            report[name.strip()] = number
+    except ValueError:
+        log.warning("dropped a malformed load report: %.80r", text)
+        return {}
+    return report
