--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -1,93 +1,157 @@
-"""Gateways of one customer."""
+"""Three gateways that serve one customer, on one simulated clock, with one counter."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from random import Random
+from typing import NamedTuple
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from tests import world as w
+from quota_gateway.state import Account
+from tests.simulation import endpoint_list, make_settings
 
+GATEWAYS = 3
 PLAN = model.Plan("small", rate=20.0, burst=40.0, over_quota_cost=0.5)
+COUNTER_DELAY = 0.004  # seconds until the counter replies
+ATTEMPT_TIME = 0.05  # seconds that an attempt is said to have taken
 
 
-class Set:
-    """The gateways of one customer's set on one made clock, with one counter that answers after a while."""
-
-    def __init__(
-        self, gateways: int = 3, plan: model.Plan = PLAN, delay: float = 0.004, seed: int = 1
-    ) -> None:
-        self.now, self.delay, self.plan, self.rng = 100.0, delay, plan, Random(seed)
-        self.config = w.settings(gateway_count=gateways, plans=(plan,), counter_timeout=0.03)
-        self.gateways = [self.begin(n) for n in range(gateways)]
-        self.total, self.calls = 0.0, 0
-        self.timers = list[tuple[float, int, int]]()
-        self.answers = list[tuple[float, int, model.CounterReplied]]()
-        self.status: model.CallStatus = model.CallStatus.OK
-        self.sent, self.refused, self.ids = [0.0] * gateways, [0] * gateways, 0
-        for n in range(gateways):
-            self.feed(n, w.servers("s0", "s1", "s2"))
-
-    def begin(self, n: int) -> Gateway:
-        return Gateway(
-            w.settings(gateway_count=3, plans=(self.plan,), counter_timeout=0.03, gateway_index=n),
-            n,
-            self.now,
+class FleetTimer(NamedTuple):
+    """A timer that a gateway has set."""
+
+    due_at: float
+    gateway: int
+    token: int
+
+
+class CounterReply(NamedTuple):
+    """A reply of the counter on its way to a gateway."""
+
+    due_at: float
+    gateway: int
+    event: model.CounterReplied
+
+
+class QuotaFleet:
+    """The gateways of one customer; attempts end at once, the counter replies after a delay."""
+
+    def __init__(self, seed: int = 1) -> None:
+        """Start all gateways."""
+        self.now = 100.0
+        self.rng = Random(seed)
+        self.gateways = [self.start_gateway(gateway) for gateway in range(GATEWAYS)]
+        self.counter_total = 0.0  # units
+        self.counter_calls = 0
+        self.counter_delay = COUNTER_DELAY
+        self.counter_status = model.CallStatus.OK
+        self.timers: list[FleetTimer] = []
+        self.counter_replies: list[CounterReply] = []
+        self.granted_units = [0.0] * GATEWAYS  # by gateway
+        self.rejections = [0] * GATEWAYS  # by gateway
+        self.requests = 0
+        for gateway in range(GATEWAYS):
+            self.feed(gateway, endpoint_list("s0", "s1", "s2"))
+
+    def start_gateway(self, gateway: int) -> Gateway:
+        """A fresh gateway in this place."""
+        settings = make_settings(
+            gateway_count=GATEWAYS, plans=(PLAN,), counter_timeout=0.03, gateway_index=gateway
         )
+        return Gateway(settings, gateway, self.now)
 
-    def feed(self, n: int, event: model.Event) -> None:
-        for action in self.gateways[n].handle(self.now, event):
+    def feed(self, gateway: int, event: model.Event) -> None:
+        """Have a gateway decide on an event, and carry out its actions."""
+        for action in self.gateways[gateway].handle(self.now, event):
             if isinstance(action, model.SetTimer):
-                self.timers.append((self.now + action.delay, n, action.token))
+                self.timers.append(FleetTimer(self.now + action.delay, gateway, action.token))
             elif isinstance(action, model.IncrementCounter):
-                self.calls += 1
-                added = self.status not in (model.CallStatus.OVERLOADED, model.CallStatus.UNREACHABLE)
-                self.total += action.amount * added
-                due = self.now + self.delay
-                self.answers.append(
-                    (due, n, model.CounterReplied(action.counter_id, self.status, self.total))
-                )
+                self._call_counter(gateway, action)
             elif isinstance(action, model.Forward):
-                done = model.AttemptCompleted(
-                    action.request_id, 0, action.endpoint, model.CallStatus.OK, 0.05, True, {}
-                )
-                self.feed(n, done)
-
-    def ask(self, n: int, units: float = 1.0) -> bool:
-        """Whether it is sent on, decided in this very step."""
-        self.ids += 1
-        gateway, before = self.gateways[n], self.gateways[n].controller.admitted
-        self.feed(n, model.Request(self.ids, "read", "small", 3.0, "a", units, len(self.gateways)))
-        assert self.ids not in gateway.forwarder.requests, "it is held"
-        sent = gateway.controller.admitted > before
-        self.sent[n] += units * sent
-        self.refused[n] += not sent
-        return sent
-
-    def advance(self, to: float) -> None:
-        while due := [x for x in (*self.answers, *self.timers) if x[0] <= to]:
-            at, n, what = min(due, key=lambda x: x[:2])
-            self.now = max(self.now, at)
-            if isinstance(what, model.CounterReplied):
-                self.answers.remove((at, n, what))
-                self.feed(n, what)
-            elif isinstance(what, int):
-                self.timers.remove((at, n, what))
-                self.feed(n, model.TimerFired(what))
-        self.now = to
-
-    def load(self, seconds: float, rates: list[float]) -> None:
-        """Poisson arrivals of one unit each."""
-        until, whole = self.now + seconds, sum(rates)
-        while (at := self.now + self.rng.expovariate(whole)) < until:
-            self.advance(at)
-            self.ask(self.rng.choices(range(len(rates)), rates)[0])
-        self.advance(until)
-
-    def account(self, n: int = 0):  # type: ignore[no-untyped-def]
-        (account,) = self.gateways[n].accounts.accounts.values()
+                self._complete(gateway, action)
+
+    def _call_counter(self, gateway: int, action: model.IncrementCounter) -> None:
+        self.counter_calls += 1
+        if self.counter_status not in (model.CallStatus.OVERLOADED, model.CallStatus.UNREACHABLE):
+            self.counter_total += action.amount
+        event = model.CounterReplied(action.counter_id, self.counter_status, self.counter_total)
+        self.counter_replies.append(CounterReply(self.now + self.counter_delay, gateway, event))
+
+    def _complete(self, gateway: int, action: model.Forward) -> None:
+        completed = model.AttemptCompleted(
+            request_id=action.request_id,
+            attempt=0,
+            endpoint=action.endpoint,
+            status=model.CallStatus.OK,
+            elapsed=ATTEMPT_TIME,
+            request_finished=True,
+            load_report={},
+        )
+        self.feed(gateway, completed)
+
+    def send_request(self, gateway: int, units: float = 1.0) -> bool:
+        """Send a request of the customer, which is decided at once; gives whether it was forwarded."""
+        self.requests += 1
+        decisions = self.gateways[gateway]
+        admitted_before = decisions.controller.admitted
+        request = model.Request(
+            id=self.requests,
+            request_class="read",
+            plan="small",
+            timeout=3.0,
+            account="a",
+            units=units,
+            serving_gateways=GATEWAYS,
+        )
+        self.feed(gateway, request)
+        assert self.requests not in decisions.forwarder.requests, "the request waits"
+        is_forwarded = decisions.controller.admitted > admitted_before
+        self.granted_units[gateway] += units * is_forwarded
+        self.rejections[gateway] += not is_forwarded
+        return is_forwarded
+
+    def advance_to(self, time: float) -> None:
+        """Move the clock, delivering the counter's replies and firing timers."""
+        while due := self._due_steps(time):
+            step = min(due, key=lambda step: (step.due_at, step.gateway))
+            self.now = max(self.now, step.due_at)
+            if isinstance(step, CounterReply):
+                self.counter_replies.remove(step)
+                self.feed(step.gateway, step.event)
+            else:
+                self.timers.remove(step)
+                self.feed(step.gateway, model.TimerFired(step.token))
+        self.now = time
+
+    def _due_steps(self, time: float) -> list[CounterReply | FleetTimer]:
+        steps: list[CounterReply | FleetTimer] = [*self.counter_replies, *self.timers]
+        return [step for step in steps if step.due_at <= time]
+
+    def send_poisson_traffic(self, seconds: float, rates: Sequence[float]) -> None:
+        """Poisson arrivals of one unit each, at these rates by gateway."""
+        until = self.now + seconds
+        total_rate = sum(rates)
+        while (arrival := self.now + self.rng.expovariate(total_rate)) < until:
+            self.advance_to(arrival)
+            (gateway,) = self.rng.choices(range(len(rates)), rates)
+            self.send_request(gateway)
+        self.advance_to(until)
+
+    def account(self, gateway: int = 0) -> Account:
+        """The customer's account at a gateway."""
+        (account,) = self.gateways[gateway].accounts.accounts.values()
         return account
 
+    def all_accounts(self) -> list[Account]:
+        """The customer's accounts at all gateways that have met it."""
+        return [account for gateway in self.gateways for account in gateway.accounts.accounts.values()]
+
+    @property
+    def leased_units(self) -> float:
+        """Units leased by all gateways together."""
+        return sum(account.leased for account in self.all_accounts())
+
     @property
-    def leased(self) -> float:
-        return sum(a.leased for g in self.gateways for a in g.accounts.accounts.values())
+    def total_granted(self) -> float:
+        """Units granted by all gateways together."""
+        return sum(self.granted_units)
--- /dev/null
+++ b/tests/simulation.py
@@ -0,0 +1,330 @@
+"""A simulation of one gateway: fed with legal events, and every action is checked against the invariants."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from enum import Enum
+from typing import NamedTuple
+
+from quota_gateway import model
+from quota_gateway.decisions.gateway import Gateway
+
+NEVER_EXECUTED = {
+    model.CallStatus.OVERLOADED,
+    model.CallStatus.UNREACHABLE,
+    model.CallStatus.RESET_BEFORE_REQUEST,
+    model.CallStatus.NOT_SENT,
+}
+ZONES = "ab"
+TIME_TOLERANCE = 1e-9  # seconds, for sums of floating numbers
+DEADLINE_TOLERANCE = 1e-6  # seconds
+
+IDEMPOTENT_CLASS = model.RequestClass("read", 1.0, 1.0, model.Idempotency.INHERENT)
+KEYED_CLASS = model.RequestClass(
+    "entry",
+    2.0,
+    3.0,
+    model.Idempotency.KEYED,
+    deduplication_scope=model.DeduplicationScope.CELL,
+    deduplication_window=4.0,
+)
+NON_IDEMPOTENT_CLASS = model.RequestClass("post", 2.0, 5.0, model.Idempotency.NONE, deduplication_window=5.0)
+
+
+class Outcome(Enum):
+    """How a request ended for its client."""
+
+    SERVED = "served"
+    REJECTED = "rejected"
+    FAILED = "failed"
+    DISCONNECTED = "disconnected"
+
+
+class AttemptKey(NamedTuple):
+    """Names an attempt."""
+
+    request_id: int
+    attempt: int
+
+
+class SentAttempt(NamedTuple):
+    """An attempt at an endpoint."""
+
+    endpoint: str
+    sent_at: float
+
+
+class ReceivedRequest(NamedTuple):
+    """A request and the time at which its client gives up."""
+
+    request: model.Request
+    deadline: float
+
+
+class ForwardedRequest(NamedTuple):
+    """One attempt that the gateway has made, with the request."""
+
+    sent_at: float
+    endpoint: str
+    request: model.Request
+
+
+class Timer(NamedTuple):
+    """A timer that the gateway has set."""
+
+    due_at: float
+    token: int
+
+
+class DueStep(NamedTuple):
+    """A timer or a time-out that is due; at the same time timers come first."""
+
+    at: float
+    is_timeout: bool
+    key: int  # token of the timer, or id of the request that times out
+    attempt: int
+
+
+def make_settings(**changes: object) -> model.Settings:
+    """Settings of the first of three gateways, with these changes."""
+    settings = model.Settings(
+        gateway_index=0,
+        gateway_count=3,
+        zone="a",
+        classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS),
+        plans=(model.Plan("free"), model.Plan("small", rate=2.0, burst=8.0, over_quota_cost=0.5)),
+        max_attempts=3,
+        may_cancel=True,
+        may_check_health=True,
+        has_counter=True,
+        counter_timeout=0.05,
+        max_units=4.0,
+        max_retry_after=1.0,
+        initial_capacity=0.2,
+        warm_up_time=10.0,
+        overload_multiple=2.0,
+        overload_window=2.0,
+    )
+    return replace(settings, **changes)  # type: ignore[arg-type]
+
+
+def endpoint_list(
+    *names: str,
+    started_at: float = 0.0,
+    health: model.EndpointHealth = model.EndpointHealth.HEALTHY,
+) -> model.EndpointUpdate:
+    """A complete endpoint list; the endpoints alternate between two zones, two to a cell."""
+    endpoints = tuple(
+        model.Endpoint(name, health, ZONES[position % 2], position // 2, 1.0, started_at)
+        for position, name in enumerate(names)
+    )
+    return model.EndpointUpdate(endpoints, True)
+
+
+def make_request(
+    request_id: int,
+    request_class: str = "read",
+    plan: str = "free",
+    account: str = "x",
+    timeout: float = 3.0,
+    units: float = 1.0,
+) -> model.Request:
+    """A request of a customer that three gateways serve."""
+    return model.Request(
+        id=request_id,
+        request_class=request_class,
+        plan=plan,
+        timeout=timeout,
+        account=account,
+        units=units,
+        serving_gateways=3,
+    )
+
+
+def attempt_completed(
+    request_id: int,
+    attempt: int,
+    endpoint: str,
+    status: model.CallStatus,
+    elapsed: float = 0.1,
+) -> model.AttemptCompleted:
+    """The end of an attempt; a good answer is the request's final one."""
+    return model.AttemptCompleted(
+        request_id=request_id,
+        attempt=attempt,
+        endpoint=endpoint,
+        status=status,
+        elapsed=elapsed,
+        request_finished=status is model.CallStatus.OK,
+        load_report={},
+    )
+
+
+class GatewaySimulation:
+    """Feeds one gateway legal events on a simulated clock; an action that breaks an invariant fails at once.
+
+    The invariants: one final answer for each request, before its deadline; attempts only at healthy endpoints
+    and within their limit; a request that may have been executed is repeated or rejected only where its
+    idempotency allows it.
+    """
+
+    def __init__(self, settings: model.Settings, seed: int = 1, now: float = 100.0) -> None:
+        """Start a gateway that knows no endpoint yet."""
+        self.settings = settings
+        self.now = now
+        self.gateway = Gateway(settings, seed, now)
+        self.listed_endpoints: dict[str, model.Endpoint] = {}
+        self.known_endpoints: set[str] = set()  # listed now or before
+        self.requests: dict[int, ReceivedRequest] = {}
+        self.attempts: dict[int, list[SentAttempt]] = {}  # by request
+        self.in_flight: dict[AttemptKey, SentAttempt] = {}
+        self.first_executed: dict[int, SentAttempt] = {}  # the first attempt that may have been executed
+        self.outcomes: dict[int, Outcome] = {}
+        self.timers: list[Timer] = []
+        self.counter_calls: list[model.IncrementCounter] = []  # without a reply yet
+        self.counter_totals: dict[int, float] = {}  # units, by counter
+        self.forwarded: list[ForwardedRequest] = []
+
+    def feed(self, event: model.Event) -> list[model.Action]:
+        """Have the gateway decide on an event; gives its actions, once they are checked."""
+        if isinstance(event, model.EndpointUpdate):
+            self._apply_endpoint_update(event)
+        elif isinstance(event, model.Request):
+            self.requests[event.id] = ReceivedRequest(event, self.now + event.timeout)
+            self.attempts[event.id] = []
+        elif isinstance(event, model.AttemptCompleted):
+            self._end_attempt(event)
+        elif isinstance(event, model.ClientDisconnected):
+            self.outcomes.setdefault(event.request_id, Outcome.DISCONNECTED)
+        actions = self.gateway.handle(self.now, event)
+        for action in actions:
+            self._check(action)
+        return actions
+
+    def _apply_endpoint_update(self, update: model.EndpointUpdate) -> None:
+        listed = {endpoint.name: endpoint for endpoint in update.endpoints}
+        if update.complete:
+            self.listed_endpoints = {}
+        self.listed_endpoints.update(listed)
+        self.known_endpoints |= set(listed)
+
+    def _end_attempt(self, event: model.AttemptCompleted) -> None:
+        sent = self.in_flight.pop(AttemptKey(event.request_id, event.attempt))
+        if event.status not in NEVER_EXECUTED:
+            self.first_executed.setdefault(event.request_id, sent)
+        if event.request_finished:
+            self.outcomes[event.request_id] = Outcome.SERVED
+
+    def _class_of(self, request: model.Request) -> model.RequestClass:
+        unknown = model.RequestClass(request.request_class, 1.0, 1.0, model.Idempotency.NONE)
+        matching = (known for known in self.settings.classes if known.name == request.request_class)
+        return next(matching, unknown)
+
+    def _check(self, action: model.Action) -> None:
+        if isinstance(action, model.SetTimer):
+            self.timers.append(Timer(self.now + action.delay, action.token))
+        elif isinstance(action, model.IncrementCounter):
+            self.counter_calls.append(action)
+        elif isinstance(action, model.Forward):
+            self._check_forward(action)
+        elif isinstance(action, model.Reject | model.Fail):
+            self._check_final_answer(action)
+
+    def _check_forward(self, action: model.Forward) -> None:
+        request, deadline = self.requests[action.request_id]
+        assert action.request_id not in self.outcomes, "sent after the final answer"
+        assert 0 < action.timeout <= deadline - self.now + TIME_TOLERANCE
+        endpoint = self.listed_endpoints[action.endpoint]
+        assert endpoint.health is model.EndpointHealth.HEALTHY, "sent to a draining or removed endpoint"
+        attempts = self.attempts[action.request_id]
+        assert len(attempts) < self.settings.max_attempts
+        requests_in_flight = (key.request_id for key in self.in_flight)
+        assert action.request_id not in requests_in_flight, "two attempts at once"
+        if action.request_id in self.first_executed:
+            self._check_repeat(request, endpoint)
+        sent = SentAttempt(action.endpoint, self.now)
+        self.in_flight[AttemptKey(action.request_id, len(attempts))] = sent
+        attempts.append(sent)
+        self.forwarded.append(ForwardedRequest(self.now, action.endpoint, request))
+
+    def _check_repeat(self, request: model.Request, endpoint: model.Endpoint) -> None:
+        request_class = self._class_of(request)
+        assert request_class.idempotency is not model.Idempotency.NONE, (
+            "a request that is not idempotent may have been executed"
+        )
+        if request_class.idempotency is model.Idempotency.KEYED:
+            first = self.first_executed[request.id]
+            first_cell = self.listed_endpoints[first.endpoint].cell
+            assert first_cell == endpoint.cell, "repeated outside its deduplication scope"
+            age = self.now - first.sent_at
+            assert age < request_class.deduplication_window, "repeated after its deduplication window"
+
+    def _check_final_answer(self, action: model.Reject | model.Fail) -> None:
+        assert action.request_id not in self.outcomes, "answered twice"
+        request, deadline = self.requests[action.request_id]
+        request_class = self._class_of(request)
+        is_rejected = isinstance(action, model.Reject)
+        if is_rejected and action.request_id in self.first_executed:
+            is_deduplicated_everywhere = (
+                request_class.idempotency is model.Idempotency.KEYED
+                and request_class.deduplication_scope is model.DeduplicationScope.ALL
+            )
+            is_inherent = request_class.idempotency is model.Idempotency.INHERENT
+            assert is_inherent or is_deduplicated_everywhere, "rejected though it may have been executed"
+        assert self.now <= deadline + DEADLINE_TOLERANCE, "answered late"
+        self.outcomes[action.request_id] = Outcome.REJECTED if is_rejected else Outcome.FAILED
+
+    def advance_to(self, time: float) -> None:
+        """Move the clock, firing timers and timing attempts out at their clients' deadlines."""
+        while due_steps := self._due_steps(time):
+            step = min(due_steps)
+            self.now = max(self.now, step.at)
+            if step.is_timeout:
+                self.complete_attempt(AttemptKey(step.key, step.attempt), model.CallStatus.TIMEOUT)
+            else:
+                self.timers.remove(Timer(step.at, step.key))
+                self.feed(model.TimerFired(step.key))
+        self.now = time
+
+    def _due_steps(self, time: float) -> list[DueStep]:
+        timers = [DueStep(due_at, False, token, 0) for due_at, token in self.timers]
+        timeouts = [
+            DueStep(self.requests[request_id].deadline, True, request_id, attempt)
+            for request_id, attempt in self.in_flight
+        ]
+        return [step for step in (*timers, *timeouts) if step.at <= time]
+
+    def reply_to_counter_calls(self, status: model.CallStatus = model.CallStatus.OK) -> None:
+        """End all counter calls, also those that the replies bring about."""
+        while self.counter_calls:
+            call = self.counter_calls.pop(0)
+            total = self.counter_totals.get(call.counter_id, 0.0)
+            if status is model.CallStatus.OK:
+                total += call.amount
+                self.counter_totals[call.counter_id] = total
+            self.feed(model.CounterReplied(call.counter_id, status, total))
+
+    def complete_attempt(
+        self, key: AttemptKey, status: model.CallStatus = model.CallStatus.OK, elapsed: float = 0.1
+    ) -> list[model.Action]:
+        """End one attempt in flight."""
+        endpoint = self.in_flight[key].endpoint
+        return self.feed(attempt_completed(key.request_id, key.attempt, endpoint, status, elapsed))
+
+    def complete_attempts(self, status: model.CallStatus = model.CallStatus.OK, elapsed: float = 0.1) -> None:
+        """End all attempts that are in flight now."""
+        for key in list(self.in_flight):
+            self.complete_attempt(key, status, elapsed)
+
+    def endpoints_since(self, time: float) -> list[str]:
+        """The endpoints of all attempts made after this time."""
+        return [forward.endpoint for forward in self.forwarded if forward.sent_at > time]
+
+
+def start_simulation(
+    *endpoints: str, seed: int = 1, settings: model.Settings | None = None
+) -> GatewaySimulation:
+    """A simulated gateway that knows these endpoints; by default three, and the settings without changes."""
+    simulation = GatewaySimulation(settings or make_settings(), seed)
+    simulation.feed(endpoint_list(*(endpoints or ("s0", "s1", "s2"))))
+    return simulation
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -1,4 +1,4 @@
-"""The hard ceiling."""
+"""The hard ceiling of a plan, which all gateways together never exceed."""
 
 from __future__ import annotations
 
@@ -8,55 +8,71 @@
 from hypothesis import strategies as st
 
 from quota_gateway import model
-from tests import world as w
+from tests.simulation import GatewaySimulation, Outcome, endpoint_list, make_request, make_settings
 
-quiet = hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
+ENDPOINTS = ("s0", "s1", "s2", "s3")
+CEILING_RATE = 4.0  # units a second
+CEILING_BURST = 12.0  # units
+TIME_STEPS = (0.001, 0.02, 0.1)  # seconds between two requests
+SKEWED_GATEWAYS = (0, 0, 0, 0, 1, 2)  # the first one gets most requests
+RESTART_STEP = 120  # at which a gateway dies and another, which knows nothing, takes its place
 
 
-@quiet
+def start_gateway(settings: model.Settings, seed: int, now: float = 100.0) -> GatewaySimulation:
+    """A fresh gateway with its endpoint list."""
+    simulation = GatewaySimulation(settings, seed, now)
+    simulation.feed(endpoint_list(*ENDPOINTS))
+    return simulation
+
+
+def send_one_request(simulation: GatewaySimulation, rng: Random, request_id: int) -> float:
+    """Send a request of one or two units; gives the units that were forwarded."""
+    simulation.complete_attempts()
+    if rng.random() < 0.3:
+        status = rng.choice((model.CallStatus.OK, model.CallStatus.UNREACHABLE))
+        simulation.reply_to_counter_calls(status)
+    forwarded_before = len(simulation.forwarded)
+    units = rng.choice((1.0, 2.0))
+    simulation.feed(make_request(request_id, "read", "capped", "acct", 3.0, units))
+    return sum(forward.request.units for forward in simulation.forwarded[forwarded_before:])
+
+
+@hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
 @hypothesis.given(st.integers(0, 2**32))
-def test_the_ceiling_holds_over_all_gateways_with_skewed_traffic_and_a_restart(seed: int) -> None:
+def test_ceiling_holds_over_all_gateways_with_skewed_traffic_and_a_restart(seed: int) -> None:
     rng = Random(seed)
-    plan = model.Plan("capped", 1.0, 3.0, 9.0, ceiling_rate=4.0, ceiling_burst=12.0)
-    config = w.settings(plans=(plan,))
-    worlds = [w.World(config, seed + i) for i in range(3)]
-    for world in worlds:
-        world.feed(w.servers("s0", "s1", "s2", "s3"))
-    store, last, sent = 12.0, 100.0, 0.0
+    plan = model.Plan("capped", 1.0, 3.0, 9.0, ceiling_rate=CEILING_RATE, ceiling_burst=CEILING_BURST)
+    settings = make_settings(plans=(plan,))
+    simulations = [start_gateway(settings, seed + gateway) for gateway in range(3)]
     now = 100.0
+    tokens = CEILING_BURST
+    total_forwarded = 0.0
     for step in range(250):
-        now += rng.choice((0.001, 0.02, 0.1))
-        index = rng.choice((0, 0, 0, 0, 1, 2))
-        if step == 120:  # this gateway dies and comes back knowing nothing
-            worlds[0] = w.World(config, seed + 9, now)
-            worlds[0].feed(w.servers("s0", "s1", "s2", "s3"))
-        world = worlds[index]
-        world.advance(now)
-        world.serve()
-        if rng.random() < 0.3:
-            world.answer_counts(rng.choice((model.CallStatus.OK, model.CallStatus.UNREACHABLE)))
-        before = len(world.sends)
-        units = rng.choice((1.0, 2.0))
-        world.feed(w.request(step, "read", "capped", "acct", 3.0, units))
-        store = min(12.0, store + 4.0 * (now - last))
-        last = now
-        for _, _, asked in world.sends[before:]:
-            store -= asked.units
-            sent += asked.units
-        assert store >= -1e-6, "the ceiling was passed"
-    assert sent > 0
+        elapsed = rng.choice(TIME_STEPS)
+        refilled_at = now
+        now += elapsed
+        gateway = rng.choice(SKEWED_GATEWAYS)
+        if step == RESTART_STEP:
+            simulations[0] = start_gateway(settings, seed + 9, now)
+        simulations[gateway].advance_to(now)
+        forwarded = send_one_request(simulations[gateway], rng, step)
+        tokens = min(CEILING_BURST, tokens + CEILING_RATE * (now - refilled_at)) - forwarded
+        total_forwarded += forwarded
+        assert tokens >= -1e-6, "the ceiling was exceeded"
+    assert total_forwarded > 0
 
 
 def test_requests_near_the_quota_do_not_draw_on_the_ceiling_together() -> None:
     """None waits for the counter: what is granted at once is off the ceiling at once, leased or not."""
     plan = model.Plan("capped", 1.0, 0.5, 9.0, ceiling_rate=2.0, ceiling_burst=30.0)
-    world = w.World(w.settings(plans=(plan,)))
-    world.feed(w.servers("s0", "s1"))
-    world.advance(world.now + 10)  # the share of the ceiling holds 6.7 units
-    for id in range(3):
-        world.feed(w.request(id, "read", "capped", "acct", 3.0, 3.2))
-    assert len(world.sends) == 2
-    world.answer_counts()
-    world.gateway.accounts.by_counter_id[next(iter(world.totals))].leased = 9.0
-    world.feed(w.request(3, "read", "capped", "acct", 3.0, 3.2))
-    assert len(world.sends) == 2 and world.answered[3] == "refused"
+    simulation = GatewaySimulation(make_settings(plans=(plan,)))
+    simulation.feed(endpoint_list("s0", "s1"))
+    simulation.advance_to(simulation.now + 10)  # this gateway's share of the ceiling holds 6.7 units
+    for request_id in range(3):
+        simulation.feed(make_request(request_id, "read", "capped", "acct", 3.0, 3.2))
+    assert len(simulation.forwarded) == 2
+    simulation.reply_to_counter_calls()
+    (counter_id,) = simulation.counter_totals
+    simulation.gateway.accounts.by_counter_id[counter_id].leased = 9.0
+    simulation.feed(make_request(3, "read", "capped", "acct", 3.0, 3.2))
+    assert len(simulation.forwarded) == 2 and simulation.outcomes[3] is Outcome.REJECTED
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,40 +1,36 @@
-"""The load controller."""
+"""The load controller: what it admits when fresh, under overload and after a stall."""
 
 from __future__ import annotations
 
 from quota_gateway import model
-from tests import world as w
-from tests.traffic import run
-
-
-def test_a_fresh_gateway_admits_freely_then_overload_closes_the_gate() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
-    next_id = run(world, 0.9, 50, 0)
-    assert not any(v == "refused" for v in world.answered.values())
-    next_id = run(world, 1.0, 50, next_id)  # what was free is no debt at the gate after the first reading
-    assert not any(v == "refused" for v in world.answered.values())
-    run(world, 60, 50, next_id, elapsed=0.99)
-    late = [world.answered[i] for i in list(world.requests)[-200:]]
-    assert late.count("refused") > 20
-
-
-def test_a_gate_shut_on_one_request_a_second_opens_again_when_answers_are_quick() -> None:
-    """A shut gate reads nothing: with its last reading held it would stay shut for good."""
-    world = w.World(w.settings(gateway_count=300))
-    world.feed(w.servers("s0", "s1", "s2"))
-    next_id = run(world, 60, 1, 0, elapsed=0.99)
-    assert world.gateway.controller.admit_rate < 0.5
-    next_id = run(world, 60, 1, next_id, elapsed=0.02)
-    late = [world.answered[i] for i in range(next_id - 20, next_id)]
-    assert late.count("served") > 15
-
-
-def test_a_stall_starts_the_loop_afresh() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
-    run(world, 4, 40, 0)
-    assert world.gateway.controller.integral is not None
-    world.now += 30
-    world.feed(model.TimerFired(world.timers.pop(0)[1]))
-    assert world.gateway.controller.integral is None
+from tests.simulation import GatewaySimulation, Outcome, make_settings, start_simulation
+from tests.traffic import send_steadily
+
+
+def test_fresh_gateway_admits_all_until_overload_closes_the_gate(simulation: GatewaySimulation) -> None:
+    next_id = send_steadily(simulation, 0.9, 50, 0)
+    assert Outcome.REJECTED not in simulation.outcomes.values()
+    # What was admitted freely is no debt at the gate after the first reading.
+    next_id = send_steadily(simulation, 1.0, 50, next_id)
+    assert Outcome.REJECTED not in simulation.outcomes.values()
+    send_steadily(simulation, 60, 50, next_id, elapsed=0.99)
+    late_outcomes = [simulation.outcomes[request_id] for request_id in list(simulation.requests)[-200:]]
+    assert late_outcomes.count(Outcome.REJECTED) > 20
+
+
+def test_gate_closed_under_one_request_a_second_opens_again_once_answers_are_quick() -> None:
+    """A closed gate gets no readings: with its last reading kept it would stay closed for good."""
+    simulation = start_simulation(settings=make_settings(gateway_count=300))
+    next_id = send_steadily(simulation, 60, 1, 0, elapsed=0.99)
+    assert simulation.gateway.controller.admit_rate < 0.5
+    next_id = send_steadily(simulation, 60, 1, next_id, elapsed=0.02)
+    late_outcomes = [simulation.outcomes[request_id] for request_id in range(next_id - 20, next_id)]
+    assert late_outcomes.count(Outcome.SERVED) > 15
+
+
+def test_stall_starts_the_control_loop_afresh(simulation: GatewaySimulation) -> None:
+    send_steadily(simulation, 4, 40, 0)
+    assert simulation.gateway.controller.integral is not None
+    simulation.now += 30
+    simulation.feed(model.TimerFired(simulation.timers.pop(0).token))
+    assert simulation.gateway.controller.integral is None
--- a/tests/test_counter_budget.py
+++ b/tests/test_counter_budget.py
@@ -1,4 +1,4 @@
-"""The budget of counter calls."""
+"""The budget of counter calls: its rate after slow, lost and good answers, and outages of the counter."""
 
 from __future__ import annotations
 
@@ -6,94 +6,109 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.counter_budget import CounterBudget
-from tests import world as w
+from tests.simulation import GatewaySimulation, make_request, make_settings, start_simulation
 
-FLEET = 40
+FLEET = 40  # gateways
+START = 100.0  # Unix time
 
 
-def test_counter_calls_grow_while_answers_are_quick_and_shrink_before_any_is_lost() -> None:
-    calls, at = CounterBudget(100.0, FLEET, 0.0, timeout=0.03), 100.0
-    start = calls.rate
+def test_rate_grows_while_answers_are_quick_and_shrinks_before_any_is_lost() -> None:
+    budget = CounterBudget(START, FLEET, 0.0, timeout=0.03)
+    now = START
+    start_rate = budget.rate
     for _ in range(40):
-        at += 1 / calls.rate
-        calls.call_ended(at, model.CallStatus.OK, at - 0.006)
-    quick = calls.rate
-    assert quick > 1.3 * start  # a busy gateway takes what the quiet ones leave
-    for _ in range(20):  # a line before the counter: late, but none is lost yet
-        at += 1 / calls.rate
-        calls.call_ended(at, model.CallStatus.OK, at - 0.025)
-    assert calls.rate < 0.6 * quick and calls.available(at) > 0
-
-
-def test_counter_calls_grow_with_time_and_not_with_each_answer() -> None:
-    calls = CounterBudget(100.0, 4, 0.0)
-    before, at = calls.rate, 100.0
+        now += 1 / budget.rate
+        budget.call_ended(now, model.CallStatus.OK, now - 0.006)
+    quick_rate = budget.rate
+    assert quick_rate > 1.3 * start_rate  # a busy gateway takes what the others leave
+    for _ in range(20):  # a queue at the counter: late, but none is lost yet
+        now += 1 / budget.rate
+        budget.call_ended(now, model.CallStatus.OK, now - 0.025)
+    assert budget.rate < 0.6 * quick_rate and budget.available(now) > 0
+
+
+def test_rate_grows_with_time_and_not_with_each_answer() -> None:
+    budget = CounterBudget(START, 4, 0.0)
+    start_rate = budget.rate
+    now = START
     for _ in range(150):  # two seconds of answers
-        at += 1 / before
-        calls.call_ended(at, model.CallStatus.OK, at - 0.01)
-    assert before < calls.rate < before + 15
+        now += 1 / start_rate
+        budget.call_ended(now, model.CallStatus.OK, now - 0.01)
+    assert start_rate < budget.rate < start_rate + 15
 
 
-def test_calls_that_are_often_lost_become_few_at_a_small_rate_too() -> None:
-    """One in five is lost: at the even share of forty the step up for the others must not outrun the cuts."""
-    calls, at = CounterBudget(100.0, FLEET, 0.0, timeout=0.03), 100.0
-    start = calls.rate
-    for n in range(200):
-        at += 1 / calls.rate
-        calls.call_ended(at, model.CallStatus.TIMEOUT if n % 5 == 0 else model.CallStatus.OK, at - 0.006)
-    assert calls.rate < 0.5 * start
+def test_small_rate_shrinks_as_well_when_calls_are_often_lost() -> None:
+    """One in five is lost: at the even share of forty the increases must not outrun the decreases."""
+    budget = CounterBudget(START, FLEET, 0.0, timeout=0.03)
+    now = START
+    start_rate = budget.rate
+    for call in range(200):
+        now += 1 / budget.rate
+        status = model.CallStatus.TIMEOUT if call % 5 == 0 else model.CallStatus.OK
+        budget.call_ended(now, status, now - 0.006)
+    assert budget.rate < 0.5 * start_rate
 
 
-def test_calls_slow_down_when_the_counter_turns_them_away() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
+def test_calls_become_few_when_the_counter_is_overloaded(simulation: GatewaySimulation) -> None:
     calls = 0
-    per_second = []
-    for id in range(2000):
-        if id % 200 == 0:
-            per_second.append(calls)
+    calls_by_second: list[int] = []
+    for request_id in range(2000):
+        if request_id % 200 == 0:
+            calls_by_second.append(calls)
             calls = 0
-        world.advance(world.now + 0.005)
-        world.feed(w.request(id, "read", "small", f"a{id % 40}"))
-        calls += len(world.counts)
-        world.answer_counts(model.CallStatus.OVERLOADED)
-        world.serve()
-    assert per_second[-1] < 10
+        simulation.advance_to(simulation.now + 0.005)
+        simulation.feed(make_request(request_id, "read", "small", f"a{request_id % 40}"))
+        calls += len(simulation.counter_calls)
+        simulation.reply_to_counter_calls(model.CallStatus.OVERLOADED)
+        simulation.complete_attempts()
+    assert calls_by_second[-1] < 10
 
 
-def test_hundreds_of_gateways_do_not_drown_the_counter() -> None:
+def test_hundreds_of_gateways_do_not_overload_the_counter() -> None:
     calls = 0
     for index in range(100):
-        world = w.World(w.settings(gateway_count=300, gateway_index=index), index)
-        world.feed(w.servers("s0", "s1", "s2"))
-        for id in range(20):
-            world.advance(world.now + 0.25)
-            world.feed(model.Request(id, "read", "small", 3.0, f"a{id}", 1.0, 150))
-            calls += len(world.counts)
-            world.answer_counts(model.CallStatus.OVERLOADED)
-            world.serve()
+        settings = make_settings(gateway_count=300, gateway_index=index)
+        simulation = start_simulation(seed=index, settings=settings)
+        for request_id in range(20):
+            simulation.advance_to(simulation.now + 0.25)
+            request = model.Request(
+                id=request_id,
+                request_class="read",
+                plan="small",
+                timeout=3.0,
+                account=f"a{request_id}",
+                units=1.0,
+                serving_gateways=150,
+            )
+            simulation.feed(request)
+            calls += len(simulation.counter_calls)
+            simulation.reply_to_counter_calls(model.CallStatus.OVERLOADED)
+            simulation.complete_attempts()
     assert calls < 100 * 5 * 1.7  # for 300 gateways 510 calls a second
 
 
-def test_a_longer_silence_of_the_counter_is_tried_less_often() -> None:
-    calls, waits = CounterBudget(100.0, FLEET, 0.5), []
-    at = 101.0
+def test_longer_outage_is_tested_less_often() -> None:
+    budget = CounterBudget(START, FLEET, 0.5)
+    outages: list[float] = []  # seconds
+    now = 101.0
     for _ in range(6):
-        calls.call_ended(at, model.CallStatus.TIMEOUT, at, 0.5)
-        waits.append(calls.unavailable_until - at)
-        at = max(at, calls.unavailable_until) + 0.1
-    assert waits[1:] == sorted(waits[1:]) and waits[1] < waits[-1] <= 2.0
+        budget.call_ended(now, model.CallStatus.TIMEOUT, now, 0.5)
+        outages.append(budget.unavailable_until - now)
+        now = max(now, budget.unavailable_until) + 0.1
+    assert outages[1:] == sorted(outages[1:]) and outages[1] < outages[-1] <= 2.0
 
 
-def test_gateways_that_saw_one_silence_of_the_counter_do_not_come_back_as_one_crowd() -> None:
+def test_gateways_that_saw_one_outage_do_not_come_back_all_at_once() -> None:
     rngs = [Random(seed) for seed in range(FLEET)]
-    fleet = [CounterBudget(100.0, FLEET, rng.random()) for rng in rngs]
-    ends = []
-    for calls, rng in zip(fleet, rngs, strict=True):
-        for at in (101.0, 102.0):
-            calls.available(at)
-            calls.call_ended(at, model.CallStatus.TIMEOUT, at - 0.01, rng.random())
-        ends.append(calls.unavailable_until)
-        assert calls.available(calls.unavailable_until - 1e-6) == 0
-        assert calls.available(calls.unavailable_until) <= 1, "it saved up calls while it made none"
-    assert max(sum(at <= end < at + 0.1 for end in ends) for at in (102.4 + n * 0.1 for n in range(12))) <= 10
+    budgets = [CounterBudget(START, FLEET, rng.random()) for rng in rngs]
+    outage_ends: list[float] = []
+    for budget, rng in zip(budgets, rngs, strict=True):
+        for now in (101.0, 102.0):
+            budget.available(now)
+            budget.call_ended(now, model.CallStatus.TIMEOUT, now - 0.01, rng.random())
+        outage_ends.append(budget.unavailable_until)
+        assert budget.available(budget.unavailable_until - 1e-6) == 0
+        assert budget.available(budget.unavailable_until) <= 1, "it saved up calls during the outage"
+    window_starts = [102.4 + step * 0.1 for step in range(12)]
+    ends_by_window = [sum(start <= end < start + 0.1 for end in outage_ends) for start in window_starts]
+    assert max(ends_by_window) <= 10
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -1,63 +1,62 @@
-"""The endpoint list, the hash ring and the subset."""
+"""The endpoint list, and the subset of the endpoints that a gateway keeps to."""
 
 from __future__ import annotations
 
 from quota_gateway import model
-from tests import world as w
-from tests.traffic import run
-
-
-def test_nothing_new_goes_to_a_draining_or_removed_server() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1"))
-    world.feed(model.EndpointUpdate((model.Endpoint("s0", model.EndpointHealth.DRAINING, "a"),), False))
-    for id in range(20):
-        world.feed(w.request(id))
-        world.serve()
-    assert {server for _, server, _ in world.sends} == {"s1"}
-    world.feed(model.EndpointUpdate((), True))
-    actions = world.feed(w.request(99))
-    assert any(isinstance(a, model.Reject) for a in actions)
-
-
-def test_servers_that_are_gone_are_forgotten_once_nothing_is_out_there() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0"))
-    world.feed(w.request(0))  # out at s0
-    for round in range(1, 50):
-        world.advance(world.now + 0.02)
-        world.feed(w.servers(f"s{round}"))
-    world.advance(world.now + 1.1)
-    assert set(world.gateway.endpoints.by_name) == {"s0", "s49"}
-    world.serve()
-    world.advance(world.now + 1.1)
-    assert set(world.gateway.endpoints.by_name) == {"s49"}
-    world.feed(w.servers("s0", "s49"))  # it may come back, as a new one
-    run(world, 3, 20, 100)
-    assert {server for _, server, _ in world.sends[-30:]} == {"s0", "s49"}
-
-
-def test_a_thin_gate_keeps_to_few_servers_and_goes_on_to_others_when_they_are_lost() -> None:
-    world = w.World(w.settings(gateway_count=300, gateway_index=7))
-    names = [f"s{i}" for i in range(80)]
-    world.feed(w.servers(*names))
-    next_id = run(world, 40, 2, 0)
-    first = {server for _, server, _ in world.sends}
-    assert len(first) <= 8
-    for id in range(next_id, next_id + 60):
-        world.advance(world.now + 0.5)
-        world.feed(w.request(id))
+from tests.simulation import (
+    SentAttempt,
+    endpoint_list,
+    make_request,
+    make_settings,
+    start_simulation,
+)
+from tests.traffic import send_steadily
+
+
+def test_nothing_new_goes_to_a_draining_or_removed_endpoint() -> None:
+    simulation = start_simulation("s0", "s1")
+    draining = model.Endpoint("s0", model.EndpointHealth.DRAINING, "a")
+    simulation.feed(model.EndpointUpdate((draining,), False))
+    for request_id in range(20):
+        simulation.feed(make_request(request_id))
+        simulation.complete_attempts()
+    assert {forward.endpoint for forward in simulation.forwarded} == {"s1"}
+    simulation.feed(model.EndpointUpdate((), True))
+    actions = simulation.feed(make_request(99))
+    assert any(isinstance(action, model.Reject) for action in actions)
+
+
+def test_removed_endpoints_are_forgotten_once_nothing_is_in_flight_there() -> None:
+    simulation = start_simulation("s0")
+    simulation.feed(make_request(0))  # in flight at s0
+    for number in range(1, 50):
+        simulation.advance_to(simulation.now + 0.02)
+        simulation.feed(endpoint_list(f"s{number}"))
+    simulation.advance_to(simulation.now + 1.1)
+    assert set(simulation.gateway.endpoints.by_name) == {"s0", "s49"}
+    simulation.complete_attempts()
+    simulation.advance_to(simulation.now + 1.1)
+    assert set(simulation.gateway.endpoints.by_name) == {"s49"}
+    simulation.feed(endpoint_list("s0", "s49"))  # it may come back, as a new one
+    send_steadily(simulation, 3, 20, 100)
+    assert {forward.endpoint for forward in simulation.forwarded[-30:]} == {"s0", "s49"}
+
+
+def test_sparse_gateway_keeps_to_few_endpoints_and_takes_others_when_they_are_unreachable() -> None:
+    settings = make_settings(gateway_count=300, gateway_index=7)
+    simulation = start_simulation(*(f"s{number}" for number in range(80)), settings=settings)
+    next_id = send_steadily(simulation, 40, 2, 0)
+    first_subset = {forward.endpoint for forward in simulation.forwarded}
+    assert len(first_subset) <= 8
+
+    def status_at(sent: SentAttempt) -> model.CallStatus:
+        return model.CallStatus.UNREACHABLE if sent.endpoint in first_subset else model.CallStatus.OK
+
+    for request_id in range(next_id, next_id + 60):
+        simulation.advance_to(simulation.now + 0.5)
+        simulation.feed(make_request(request_id))
         for _ in range(3):
-            for (rid, attempt), (server, _) in list(world.out.items()):
-                gone = server in first
-                world.feed(
-                    w.outcome(
-                        rid,
-                        attempt,
-                        server,
-                        model.CallStatus.UNREACHABLE if gone else model.CallStatus.OK,
-                        0.05,
-                    )
-                )
-    late = [server for at, server, _ in world.sends if at > world.now - 10]
-    assert late and sum(server in first for server in late) < 0.2 * len(late)
+            for key, sent in list(simulation.in_flight.items()):
+                simulation.complete_attempt(key, status_at(sent), 0.05)
+    late = simulation.endpoints_since(simulation.now - 10)
+    assert late and sum(endpoint in first_subset for endpoint in late) < 0.2 * len(late)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,74 +1,86 @@
-"""Open requests."""
+"""Open requests: the time-out of an attempt, and what an endpoint owes once a request has ended."""
 
 from __future__ import annotations
 
 import pytest
 
 from quota_gateway import model
-from tests import world as w
-from tests.traffic import run
+from tests.simulation import (
+    IDEMPOTENT_CLASS,
+    GatewaySimulation,
+    Outcome,
+    ReceivedRequest,
+    attempt_completed,
+    make_request,
+    make_settings,
+    start_simulation,
+)
+from tests.traffic import send_steadily
 
 
-def test_attempts_end_at_the_aim_where_a_late_answer_earns_nothing() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0"))
-    sent = [a for a in world.feed(w.request(1, "post", ttl=9.0)) if isinstance(a, model.Forward)]
-    assert sent[0].timeout == pytest.approx(2.0)
+def forwards(actions: list[model.Action]) -> list[model.Forward]:
+    """The attempts among some actions."""
+    return [action for action in actions if isinstance(action, model.Forward)]
 
 
-def test_an_attempt_is_not_given_up_early_for_another_one() -> None:
-    world = w.World(w.settings(max_attempts=4))
-    world.feed(w.servers("s0", "s1", "s2"))
-    sends = [a for a in world.feed(w.request(0, "read", ttl=3.0)) if isinstance(a, model.Forward)]
-    assert [a.timeout for a in sends] == [
-        pytest.approx(w.SAFE.latency_objective)
-    ]  # all of the time that the answer is of use
+def test_attempt_times_out_at_the_latency_objective_where_a_late_answer_has_no_value() -> None:
+    simulation = start_simulation("s0")
+    attempts = forwards(simulation.feed(make_request(1, "post", timeout=9.0)))
+    assert attempts[0].timeout == pytest.approx(2.0)
 
 
-def test_a_server_is_used_again_after_the_client_of_its_only_request_has_left() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers(*"abcdef"))
-    sent = [a for a in world.feed(w.request(1)) if isinstance(a, model.Forward)]
-    world.feed(model.ClientDisconnected(1))
-    world.out.clear()  # the node cancels it; what a request that has ended comes to is passed over
-    again = set[str]()
-    for id in range(2, 200):
-        world.now += 0.2
-        for action in world.feed(w.request(id)):
-            if isinstance(action, model.Forward):
-                again.add(action.endpoint)
-                world.feed(w.outcome(id, 0, action.endpoint, model.CallStatus.OK, 0.05))
-    assert sent[0].endpoint in again
+def test_attempt_is_not_given_up_early_for_a_retry() -> None:
+    simulation = start_simulation(settings=make_settings(max_attempts=4))
+    attempts = forwards(simulation.feed(make_request(0, "read", timeout=3.0)))
+    # All of the time in which the answer is of use.
+    useful_time = pytest.approx(IDEMPOTENT_CLASS.latency_objective)
+    assert [attempt.timeout for attempt in attempts] == [useful_time]
+
+
+def test_endpoint_is_used_again_after_the_client_of_its_only_request_disconnected() -> None:
+    simulation = start_simulation("a", "b", "c", "d", "e", "f")
+    attempts = forwards(simulation.feed(make_request(1)))
+    simulation.feed(model.ClientDisconnected(1))
+    simulation.in_flight.clear()  # it is cancelled; how an attempt of an ended request ends is ignored
+    used_again: set[str] = set()
+    for request_id in range(2, 200):
+        simulation.now += 0.2
+        for attempt in forwards(simulation.feed(make_request(request_id))):
+            used_again.add(attempt.endpoint)
+            simulation.feed(attempt_completed(request_id, 0, attempt.endpoint, model.CallStatus.OK, 0.05))
+    assert attempts[0].endpoint in used_again
 
 
 @pytest.mark.parametrize("status", [model.CallStatus.UNREACHABLE, model.CallStatus.TIMEOUT])
-def test_a_server_with_nothing_out_is_not_waited_for(status: model.CallStatus) -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
-    world.feed(w.request(0))
-    ((_, _), (server, _)) = next(iter(world.out.items()))
-    world.advance(world.now + 0.1)
-    world.feed(w.outcome(0, 0, server, status, 0.05))
-    world.serve()
-    run(world, 30, 20, 1)
-    assert all(s.unresponsive_since is None for s in world.gateway.endpoints.by_name.values())
+def test_endpoint_with_nothing_in_flight_owes_no_answer(
+    simulation: GatewaySimulation, status: model.CallStatus
+) -> None:
+    simulation.feed(make_request(0))
+    first_attempt = next(iter(simulation.in_flight))
+    simulation.advance_to(simulation.now + 0.1)
+    simulation.complete_attempt(first_attempt, status, 0.05)
+    simulation.complete_attempts()
+    send_steadily(simulation, 30, 20, 1)
+    endpoints = simulation.gateway.endpoints.by_name.values()
+    assert all(endpoint.unresponsive_since is None for endpoint in endpoints)
 
 
 def test_endpoint_is_not_taken_as_unresponsive_during_an_upload() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0"))
+    simulation = start_simulation("s0")
     request = model.Request(
         id=1, request_class="read", plan="free", timeout=3.0, account="x", serving_gateways=3, uploading=True
     )
-    world.feed(request)
-    world.requests[1] = (request, world.now + 1000.0)  # the client's timeout has not started
+    simulation.feed(request)
+    # The client's timeout has not started.
+    simulation.requests[1] = ReceivedRequest(request, simulation.now + 1000.0)
     for _ in range(100):
-        world.advance(world.now + 0.1)
-    server = world.gateway.endpoints.by_name["s0"]
-    assert server.unresponsive_since is None and not world.answered and not world.gateway.controller.readings
-    world.requests[1] = (request, world.now + 3.0)
-    world.feed(model.UploadCompleted(1))
-    assert server.unresponsive_since == world.now
+        simulation.advance_to(simulation.now + 0.1)
+    endpoint = simulation.gateway.endpoints.by_name["s0"]
+    assert endpoint.unresponsive_since is None
+    assert not simulation.outcomes and not simulation.gateway.controller.readings
+    simulation.requests[1] = ReceivedRequest(request, simulation.now + 3.0)
+    simulation.feed(model.UploadCompleted(1))
+    assert endpoint.unresponsive_since == simulation.now
     reset = model.AttemptCompleted(
         request_id=1,
         attempt=0,
@@ -79,5 +91,5 @@
         load_report={},
         may_retry=False,
     )
-    world.feed(reset)
-    assert world.answered[1] == "refused" and len(world.sends) == 1
+    simulation.feed(reset)
+    assert simulation.outcomes[1] is Outcome.REJECTED and len(simulation.forwarded) == 1
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Input of the gateway."""
+"""The gateway as a whole: unusual but legal input, and settings that it cannot run with."""
 
 from __future__ import annotations
 
@@ -6,25 +6,24 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from tests import world as w
+from tests.simulation import GatewaySimulation, Outcome, make_request, make_settings
 
 
-def test_odd_but_legal_input() -> None:
-    world = w.World(w.settings())
-    gateway = world.gateway
-    refused = world.feed(w.request(1))  # no server known yet
-    assert any(isinstance(a, model.Reject) for a in refused)
-    world.feed(model.EndpointUpdate((), True))
-    world.feed(w.request(2, "unknown class", "unknown plan", ttl=0.0))
-    assert world.answered[2] == "refused"
-    assert gateway.handle(world.now, model.CounterReplied(123, model.CallStatus.OK, 5.0)) == []
-    assert gateway.handle(world.now, model.ClientDisconnected(77)) == []
-    assert gateway.handle(world.now, model.TimerFired(10**9)) == []
-    assert gateway.handle(world.now, model.HealthChecked("nobody", model.CallStatus.OK, 0.1, {})) == []
-    assert (
-        gateway.handle(world.now, model.AttemptCompleted(5, 3, "nobody", model.CallStatus.OK, 0.1, True, {}))
-        == []
-    )
+def test_unusual_but_legal_input_is_rejected_or_ignored() -> None:
+    simulation = GatewaySimulation(make_settings())
+    now = simulation.now
+    gateway = simulation.gateway
+    actions = simulation.feed(make_request(1))  # no endpoint is known yet
+    assert any(isinstance(action, model.Reject) for action in actions)
+    simulation.feed(model.EndpointUpdate((), True))
+    simulation.feed(make_request(2, "unknown class", "unknown plan", timeout=0.0))
+    assert simulation.outcomes[2] is Outcome.REJECTED
+    assert gateway.handle(now, model.CounterReplied(123, model.CallStatus.OK, 5.0)) == []
+    assert gateway.handle(now, model.ClientDisconnected(77)) == []
+    assert gateway.handle(now, model.TimerFired(10**9)) == []
+    assert gateway.handle(now, model.HealthChecked("nobody", model.CallStatus.OK, 0.1, {})) == []
+    completed = model.AttemptCompleted(5, 3, "nobody", model.CallStatus.OK, 0.1, True, {})
+    assert gateway.handle(now, completed) == []
 
 
 @pytest.mark.parametrize(
@@ -37,6 +36,6 @@
         ("warm_up_time", -1.0),
     ],
 )
-def test_impossible_settings_name_the_key(field: str, value: float) -> None:
+def test_error_on_invalid_settings_names_the_field(field: str, value: float) -> None:
     with pytest.raises(ValueError, match=field):
-        Gateway(w.settings(**{field: value}), 1, 0.0)
+        Gateway(make_settings(**{field: value}), 1, 0.0)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants."""
+"""The invariants of ``GatewaySimulation`` in any order of legal events, and that runs can be repeated."""
 
 from __future__ import annotations
 
@@ -9,27 +9,33 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from tests import world as w
+from tests.random_events import run_random_events
+from tests.simulation import make_settings
 
-quiet = hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
+PRINT_DIGEST_OF_A_RUN = """
+from hashlib import sha256
+from tests.random_events import run_random_events
+print(sha256(repr(run_random_events(7, 400)).encode()).hexdigest())
+"""
 
 
-@quiet
+@hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
 @hypothesis.given(st.integers(0, 2**32), st.integers(1, 4), st.booleans())
-def test_rules_one_to_three_hold_in_any_legal_order(seed: int, attempts: int, counter: bool) -> None:
-    w.random_run(seed, 150, w.settings(max_attempts=attempts, has_counter=counter))
-
-
-def test_the_same_events_give_the_same_actions_under_any_hash_seed() -> None:
-    code = (
-        "from tests.world import random_run; import hashlib;"
-        "print(hashlib.sha256(repr(random_run(7, 400)).encode()).hexdigest())"
-    )
-    digests = set()
-    for seed in ("0", "1", "4242"):
-        env = dict(os.environ, PYTHONHASHSEED=seed)
-        done = subprocess.run(
-            [sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True
+def test_invariants_hold_in_any_legal_order_of_events(
+    seed: int, max_attempts: int, has_counter: bool
+) -> None:
+    run_random_events(seed, 150, make_settings(max_attempts=max_attempts, has_counter=has_counter))
+
+
+def test_same_events_give_the_same_actions_under_any_hash_seed() -> None:
+    digests: set[str] = set()
+    for hash_seed in ("0", "1", "4242"):
+        completed = subprocess.run(
+            [sys.executable, "-c", PRINT_DIGEST_OF_A_RUN],
+            env=dict(os.environ, PYTHONHASHSEED=hash_seed),
+            capture_output=True,
+            text=True,
+            check=True,
         )
-        digests.add(done.stdout)
+        digests.add(completed.stdout)
     assert len(digests) == 1
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases."""
+"""Quota units leased ahead of need: no request waits for the counter, no unit is used twice or lost."""
 
 from __future__ import annotations
 
@@ -7,142 +7,181 @@
 from quota_gateway import model
 from quota_gateway.decisions import counter_budget
 from quota_gateway.decisions.leases import MAX_LEASE_TIME
-from quota_gateway.state import PendingCall
-from tests import world as w
-from tests.quota_fleet import PLAN, Set
+from quota_gateway.state import Account, PendingCall
+from tests.quota_fleet import COUNTER_DELAY, PLAN, QuotaFleet
+from tests.simulation import (
+    AttemptKey,
+    GatewaySimulation,
+    Outcome,
+    endpoint_list,
+    make_request,
+    make_settings,
+    start_simulation,
+)
+
+EVEN_RATES = [20.0, 20.0, 20.0]  # requests a second, by gateway
+
+
+@pytest.fixture
+def fleet() -> QuotaFleet:
+    """Three gateways that have not met their customer yet."""
+    return QuotaFleet()
+
+
+def reported_usage(account: Account) -> float:
+    """Units that the counter is told of, now or by the calls that are under way."""
+    return account.unreported_usage + sum(call.amount for call in account.pending_calls)
+
+
+def count(simulation: GatewaySimulation, outcome: Outcome) -> int:
+    """Requests that ended so."""
+    return sum(ended is outcome for ended in simulation.outcomes.values())
 
 
-def test_requests_that_come_while_a_count_is_out_wait_for_none_and_share_the_next_call() -> None:
+def test_requests_during_a_counter_call_wait_for_none_and_share_the_next_call() -> None:
     plans = (model.Plan("small", rate=2.0, burst=6.0),)
-    world = w.World(w.settings(plans=plans))
-    world.feed(w.servers("s0", "s1", "s2"))
-    world.feed(w.request(0, "read", "small", "acct"))
-    (name,) = {call.counter_id for call in world.counts}
-    world.totals[name] = 4.0  # the others have used four of the six units
-    world.answer_counts()
-    world.serve()
-    world.now += 1.0  # three are left, and the others may have used them
-    for id in range(1, 6):
-        world.feed(w.request(id, "read", "small", "acct"))
-        assert id in world.answered or (id, 0) in world.out, "it is held"
-    # One goes on; the others' usual use would leave no more. The answer shows what is there.
-    assert len(world.sends) == 2 and sum(v == "refused" for v in world.answered.values()) == 4
-    assert len(world.counts) == 2  # one tells the first and asks ahead, one what came after
-    world.answer_counts()
-    for id in range(6, 10):
-        world.feed(w.request(id, "read", "small", "acct"))
-        world.answer_counts()
-    # The last whole unit is parted between lease and store here, and serves nobody until more is leased.
-    assert len(world.sends) == 3 and sum(v == "refused" for v in world.answered.values()) == 7
-    world.serve()
+    simulation = start_simulation(settings=make_settings(plans=plans))
+    simulation.feed(make_request(0, "read", "small", "acct"))
+    (counter_id,) = {call.counter_id for call in simulation.counter_calls}
+    simulation.counter_totals[counter_id] = 4.0  # the others have used four of the six units
+    simulation.reply_to_counter_calls()
+    simulation.complete_attempts()
+    simulation.now += 1.0  # three are left, and the others may have used them
+    for request_id in range(1, 6):
+        simulation.feed(make_request(request_id, "read", "small", "acct"))
+        is_forwarded = AttemptKey(request_id, 0) in simulation.in_flight
+        assert request_id in simulation.outcomes or is_forwarded, "the request waits"
+    # One is forwarded; the others' usual use would leave no more. The reply shows what is there.
+    assert len(simulation.forwarded) == 2 and count(simulation, Outcome.REJECTED) == 4
+    assert len(simulation.counter_calls) == 2  # one reports the first and leases, one what came after
+    simulation.reply_to_counter_calls()
+    for request_id in range(6, 10):
+        simulation.feed(make_request(request_id, "read", "small", "acct"))
+        simulation.reply_to_counter_calls()
+    # The last unit is split between lease and bucket here, and serves nobody until more is leased.
+    assert len(simulation.forwarded) == 3 and count(simulation, Outcome.REJECTED) == 7
+    simulation.complete_attempts()
     for _ in range(8):  # nothing more is asked for here: what was leased goes back
-        world.advance(world.now + 1.0)
-        world.answer_counts()
-    untold = world.gateway.accounts.by_counter_id[
-        name
-    ].unreported_usage  # of what went back: a full store need not hear it
-    assert world.totals[name] + untold == pytest.approx(7.0) and abs(untold) < 0.05
+        simulation.advance_to(simulation.now + 1.0)
+        simulation.reply_to_counter_calls()
+    # Of what went back: with a full bucket the counter need not be told.
+    unreported = simulation.gateway.accounts.by_counter_id[counter_id].unreported_usage
+    total = simulation.counter_totals[counter_id]
+    assert total + unreported == pytest.approx(7.0) and abs(unreported) < 0.05
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize(
     "rates", [[30.0, 9.0, 1.0], [14.0, 14.0, 12.0], [40.0, 0.0, 0.0], [60.0, 40.0, 20.0]]
 )
-def test_beyond_the_quota_no_request_waits_and_nearly_the_whole_quota_is_granted(
+def test_over_the_quota_no_request_waits_and_nearly_the_whole_quota_is_granted(
     rates: list[float], seed: int
 ) -> None:
-    """Two to six times the quota, even and uneven: what is granted is the quota, whoever is asked for it."""
-    fleet = Set(seed=seed)
-    fleet.load(4.0, rates)  # the store is drunk up
-    before = sum(fleet.sent)
-    fleet.load(30.0, rates)
-    granted = (sum(fleet.sent) - before) / 30.0
-    assert 0.85 * PLAN.rate < granted < 1.12 * PLAN.rate
-
-
-@pytest.mark.parametrize(("calls", "share"), [(300.0, 0.35), (6.0, 0.2)])
-def test_a_lease_answers_for_as_many_requests_as_the_calls_that_are_there_make_necessary(
-    calls: float, share: float, monkeypatch: pytest.MonkeyPatch
+    """Two to six times the quota, even and uneven: what is granted is the quota, at whichever gateway."""
+    fleet = QuotaFleet(seed=seed)
+    fleet.send_poisson_traffic(4.0, rates)  # the bucket is emptied
+    granted_before = fleet.total_granted
+    fleet.send_poisson_traffic(30.0, rates)
+    granted_rate = (fleet.total_granted - granted_before) / 30.0
+    assert 0.85 * PLAN.rate < granted_rate < 1.12 * PLAN.rate
+
+
+@pytest.mark.parametrize(("call_rate", "calls_per_request"), [(300.0, 0.35), (6.0, 0.2)])
+def test_lease_covers_as_many_requests_as_the_rate_of_counter_calls_requires(
+    call_rate: float, calls_per_request: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_budget, "MAX_RATE", calls)
-    fleet = Set()
-    fleet.load(30.0, [18.0, 0.0, 0.0])  # near the quota, and inside
-    assert fleet.calls < share * fleet.ids
-    assert fleet.refused[0] <= 0.05 * fleet.ids
+    monkeypatch.setattr(counter_budget, "MAX_RATE", call_rate)
+    fleet = QuotaFleet()
+    fleet.send_poisson_traffic(30.0, [18.0, 0.0, 0.0])  # near the quota, and within it
+    assert fleet.counter_calls < calls_per_request * fleet.requests
+    assert fleet.rejections[0] <= 0.05 * fleet.requests
     account = fleet.account()
-    told, most = fleet.total + account.unreported_usage, PLAN.rate * 30.0 + PLAN.burst
-    # All that is used or leased; and at most what a full store could not hold, which is told as used.
-    assert fleet.sent[0] + account.leased - 2.0 <= told <= most + 2.0
+    reported = fleet.counter_total + account.unreported_usage
+    most = PLAN.rate * 30.0 + PLAN.burst
+    # All that is used or leased; and at most what a full bucket could not hold, which is reported as used.
+    assert fleet.granted_units[0] + account.leased - 2.0 <= reported <= most + 2.0
 
 
-def test_what_is_not_used_goes_back_when_the_demand_has_gone() -> None:
-    fleet = Set()
-    fleet.load(6.0, [30.0, 0.0, 0.0])
-    assert fleet.leased > 0 or fleet.account().ahead > 0
-    fleet.advance(fleet.now + 3 * MAX_LEASE_TIME)
-    assert fleet.leased == 0
-    fleet.load(0.5, [0.0, 30.0, 0.0])  # and another gateway has it
-    assert fleet.sent[1] > 10
+def test_unused_lease_is_returned_once_the_demand_has_gone(fleet: QuotaFleet) -> None:
+    fleet.send_poisson_traffic(6.0, [30.0, 0.0, 0.0])
+    assert fleet.leased_units > 0 or fleet.account().lease_requested > 0
+    fleet.advance_to(fleet.now + 3 * MAX_LEASE_TIME)
+    assert fleet.leased_units == 0
+    fleet.send_poisson_traffic(0.5, [0.0, 30.0, 0.0])  # and another gateway has it
+    assert fleet.granted_units[1] > 10
 
 
-def test_a_lease_is_no_larger_than_its_holders_part_of_the_store() -> None:
-    fleet = Set()
+def test_leases_never_exceed_the_bucket(fleet: QuotaFleet) -> None:
     for _ in range(60):
-        fleet.load(0.5, [30.0, 10.0, 1.0])
-        assert all(
-            a.leased + a.lease_requested <= PLAN.burst
-            for g in fleet.gateways
-            for a in g.accounts.accounts.values()
-        )
-        assert fleet.leased <= PLAN.burst
-
-
-def test_a_holder_that_dies_costs_the_others_its_lease_once() -> None:
-    fleet = Set(seed=3)
-    fleet.load(10.0, [20.0, 20.0, 20.0])
-    gone = fleet.leased
-    fleet.gateways = [fleet.begin(0), fleet.begin(1), fleet.gateways[2]]  # two of three are killed
-    fleet.timers = [t for t in fleet.timers if t[1] == 2]
-    fleet.answers = [a for a in fleet.answers if a[1] == 2]
-    for n in (0, 1):
-        fleet.feed(n, w.servers("s0", "s1", "s2"))
-    before = sum(fleet.sent)
-    fleet.load(20.0, [20.0, 20.0, 20.0])
-    assert sum(fleet.sent) - before > 0.8 * PLAN.rate * 20.0 - gone
-    assert sum(fleet.sent) - before < 1.15 * PLAN.rate * 20.0 + PLAN.burst
-
-
-def test_a_silent_counter_leaves_what_is_leased_and_the_even_share() -> None:
-    fleet = Set(seed=5)
-    fleet.load(10.0, [20.0, 20.0, 20.0])
-    fleet.status, fleet.delay = model.CallStatus.UNREACHABLE, 0.0
-    fleet.load(1.0, [20.0, 20.0, 20.0])  # it is noticed
-    before = sum(fleet.sent)
-    fleet.load(15.0, [20.0, 20.0, 20.0])
-    assert 0.7 * PLAN.rate < (sum(fleet.sent) - before) / 15.0 < 1.3 * PLAN.rate
-    fleet.status, fleet.delay = model.CallStatus.OK, 0.004
-    fleet.load(3.0, [20.0, 20.0, 20.0])
-    before = sum(fleet.sent)
-    fleet.load(20.0, [20.0, 20.0, 20.0])
-    assert 0.85 * PLAN.rate < (sum(fleet.sent) - before) / 20.0 < 1.12 * PLAN.rate
-
-
-def test_a_counter_that_comes_back_empty_is_told_of_the_leases() -> None:
-    """Or what is given back later would take off what others have used."""
-    fleet = Set()
-    fleet.load(10.0, [18.0, 0.0, 0.0])
+        fleet.send_poisson_traffic(0.5, [30.0, 10.0, 1.0])
+        assert all(account.leased + account.lease_requested <= PLAN.burst for account in fleet.all_accounts())
+        assert fleet.leased_units <= PLAN.burst
+
+
+def test_lease_holder_that_dies_costs_the_others_its_lease_once() -> None:
+    fleet = QuotaFleet(seed=3)
+    fleet.send_poisson_traffic(10.0, EVEN_RATES)
+    lost_units = fleet.leased_units
+    fleet.gateways = [fleet.start_gateway(0), fleet.start_gateway(1), fleet.gateways[2]]
+    fleet.timers = [timer for timer in fleet.timers if timer.gateway == 2]
+    fleet.counter_replies = [reply for reply in fleet.counter_replies if reply.gateway == 2]
+    for gateway in (0, 1):
+        fleet.feed(gateway, endpoint_list("s0", "s1", "s2"))
+    granted_before = fleet.total_granted
+    fleet.send_poisson_traffic(20.0, EVEN_RATES)
+    assert fleet.total_granted - granted_before > 0.8 * PLAN.rate * 20.0 - lost_units
+    assert fleet.total_granted - granted_before < 1.15 * PLAN.rate * 20.0 + PLAN.burst
+
+
+def test_unreachable_counter_leaves_the_leases_and_the_even_share() -> None:
+    fleet = QuotaFleet(seed=5)
+    fleet.send_poisson_traffic(10.0, EVEN_RATES)
+    fleet.counter_status = model.CallStatus.UNREACHABLE
+    fleet.counter_delay = 0.0
+    fleet.send_poisson_traffic(1.0, EVEN_RATES)  # it is noticed
+    granted_before = fleet.total_granted
+    fleet.send_poisson_traffic(15.0, EVEN_RATES)
+    assert 0.7 * PLAN.rate < (fleet.total_granted - granted_before) / 15.0 < 1.3 * PLAN.rate
+    fleet.counter_status = model.CallStatus.OK
+    fleet.counter_delay = COUNTER_DELAY
+    fleet.send_poisson_traffic(3.0, EVEN_RATES)
+    granted_before = fleet.total_granted
+    fleet.send_poisson_traffic(20.0, EVEN_RATES)
+    assert 0.85 * PLAN.rate < (fleet.total_granted - granted_before) / 20.0 < 1.12 * PLAN.rate
+
+
+def test_counter_that_restarts_empty_is_told_of_the_leases(fleet: QuotaFleet) -> None:
+    """Or what is returned later would take off what others have used."""
+    fleet.send_poisson_traffic(10.0, [18.0, 0.0, 0.0])
     account = fleet.account()
-    account.leased += 12.0  # whatever it was: this much is out
+    account.leased += 12.0  # whatever it was: this much is leased
     account.tokens -= 12.0
-    fleet.total, before = 0.0, fleet.sent[0]
-    fleet.load(3.0, [18.0, 0.0, 0.0])
-    fleet.advance(fleet.now + 4 * MAX_LEASE_TIME)
+    fleet.counter_total = 0.0
+    granted_before = fleet.granted_units[0]
+    fleet.send_poisson_traffic(3.0, [18.0, 0.0, 0.0])
+    fleet.advance_to(fleet.now + 4 * MAX_LEASE_TIME)
     assert account.leased == 0.0
-    assert fleet.total + account.unreported_usage == pytest.approx(fleet.sent[0] - before, abs=4.0)
+    granted = fleet.granted_units[0] - granted_before
+    assert fleet.counter_total + account.unreported_usage == pytest.approx(granted, abs=4.0)
+
+
+def prepare_lease_call(fleet: QuotaFleet, tokens: float, call: PendingCall) -> Account:
+    """Run some traffic, then set the account as if only this call were under way."""
+    fleet.send_poisson_traffic(3.0, [18.0, 0.0, 0.0])
+    fleet.advance_to(fleet.now + 0.1)
+    account = fleet.account()
+    account.leased = 0.0
+    account.lease_requested = call.leased
+    account.unreported_usage = 0.0
+    account.tokens = tokens
+    account.updated_at = fleet.now
+    account.last_synchronised = fleet.now
+    account.pending_calls[:] = [call._replace(made_at=fleet.now)]
+    return account
 
 
 @pytest.mark.parametrize(
-    ("status", "granted"),
+    ("status", "is_granted"),
     [
         (model.CallStatus.OVERLOADED, False),
         (model.CallStatus.UNREACHABLE, False),
@@ -152,50 +191,35 @@
         (model.CallStatus.MALFORMED, True),
     ],
 )
-def test_only_units_that_the_counter_may_have_are_leased(status: model.CallStatus, granted: bool) -> None:
-    """What may have been added is taken for added: told once, it is used once at most."""
-    fleet = Set()
-    fleet.load(3.0, [18.0, 0.0, 0.0])
-    fleet.advance(fleet.now + 0.1)
-    account = fleet.account()
-    account.leased, account.lease_requested, account.unreported_usage, account.tokens = 0.0, 5.0, 0.0, 7.0
-    account.updated_at = account.last_synchronised = fleet.now
-    account.pending_calls[:] = [PendingCall(6.0, 5.0, fleet.now)]  # one unit used, five ahead
+def test_only_units_that_the_counter_may_have_counted_are_leased(
+    fleet: QuotaFleet, status: model.CallStatus, is_granted: bool
+) -> None:
+    """What may have been counted is taken for counted: reported once, it is used once at most."""
+    call = PendingCall(amount=6.0, leased=5.0, made_at=0.0)  # one unit used, five leased ahead
+    account = prepare_lease_call(fleet, tokens=7.0, call=call)
     fleet.feed(0, model.CounterReplied(account.counter_id, status))
-    assert account.leased == (5.0 if granted else 0.0) and account.lease_requested == 0.0
-    assert account.tokens == pytest.approx(7.0 if granted else 12.0)
-    assert account.unreported_usage + sum(call.amount for call in account.pending_calls) == pytest.approx(
-        0.0 if granted else 1.0
-    )
+    assert account.leased == (5.0 if is_granted else 0.0) and account.lease_requested == 0.0
+    assert account.tokens == pytest.approx(7.0 if is_granted else 12.0)
+    assert reported_usage(account) == pytest.approx(0.0 if is_granted else 1.0)
 
 
-def test_a_store_that_holds_less_than_was_asked_for_takes_it_back() -> None:
-    fleet = Set()
-    fleet.load(3.0, [18.0, 0.0, 0.0])
-    fleet.advance(fleet.now + 0.1)
-    account = fleet.account()
-    account.leased, account.lease_requested, account.unreported_usage, account.tokens = 0.0, 8.0, 0.0, 2.0
-    account.pending_calls[:] = [PendingCall(8.0, 8.0, fleet.now)]
-    account.updated_at = account.last_synchronised = fleet.now
-    others = 7.0  # the store had ten, and the others have used seven of them
-    fleet.feed(
-        0,
-        model.CounterReplied(
-            account.counter_id, model.CallStatus.OK, (account.counter_total or 0.0) + 8.0 + others
-        ),
-    )
+def test_lease_is_cut_where_the_bucket_held_less_than_was_requested(fleet: QuotaFleet) -> None:
+    call = PendingCall(amount=8.0, leased=8.0, made_at=0.0)
+    account = prepare_lease_call(fleet, tokens=2.0, call=call)
+    used_by_others = 7.0  # of the ten units that the bucket had
+    total = (account.counter_total or 0.0) + 8.0 + used_by_others
+    fleet.feed(0, model.CounterReplied(account.counter_id, model.CallStatus.OK, total))
     assert account.leased == pytest.approx(3.0)
     assert account.tokens == 0.0
-    assert account.unreported_usage + sum(call.amount for call in account.pending_calls) == pytest.approx(
-        -5.0
-    )
+    assert reported_usage(account) == pytest.approx(-5.0)
 
 
-def test_a_gateway_that_is_told_to_end_gives_back_what_it_holds_at_once() -> None:
-    fleet = Set()
-    fleet.load(6.0, [30.0, 0.0, 0.0])
+def test_gateway_returns_its_leases_at_once_when_it_shuts_down(fleet: QuotaFleet) -> None:
+    fleet.send_poisson_traffic(6.0, [30.0, 0.0, 0.0])
     account = fleet.account()
     account.leased += 4.0
-    held, told = account.leased + account.lease_requested, fleet.total
+    leased = account.leased + account.lease_requested
+    total_before = fleet.counter_total
     fleet.feed(0, model.ShutdownStarted())
-    assert account.leased == 0.0 and fleet.total <= told - held + account.lease_requested + 1e-6
+    assert account.leased == 0.0
+    assert fleet.counter_total <= total_before - leased + account.lease_requested + 1e-6
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -1,91 +1,93 @@
-"""The choice of an endpoint."""
+"""The choice of an endpoint: unresponsive ones, and the limit on the work in flight."""
 
 from __future__ import annotations
 
 from quota_gateway import model
-from tests import world as w
-from tests.traffic import run
-
-
-def test_servers_silent_past_half_the_aim_get_nothing_new() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
-    next_id = run(world, 5, 40, 0)
-    for id in range(next_id, next_id + 120):
-        world.advance(world.now + 0.025)
-        world.feed(w.request(id))
-        for (rid, attempt), (server, _) in list(world.out.items()):
-            if server != "s0":
-                world.feed(w.outcome(rid, attempt, server, model.CallStatus.OK))
-    late = [server for at, server, _ in world.sends if at > world.now - 1.5]
-    assert late.count("s0") <= 1
-
-
-def test_a_class_with_a_short_aim_is_not_starved_by_the_others() -> None:
-    brisk, easy = (
-        model.RequestClass(n, aim, 1.0, model.Idempotency.INHERENT)
-        for n, aim in (("brisk", 0.6), ("easy", 1.0))
-    )
-    world = w.World(w.settings(classes=(brisk, easy), max_attempts=1))
-    world.feed(w.servers("s0", "s1", "s2", "s3"))
-    for id in range(6000):  # 300 a second, of which the servers can do 80
-        world.advance(world.now + 1 / 300)
-        if id % 15 == 0:
-            for name in ("s0", "s1", "s2", "s3"):
-                out = sorted((sent, key) for key, (server, sent) in world.out.items() if server == name)
-                for sent, key in out[:1]:
-                    world.feed(w.outcome(*key, name, model.CallStatus.OK, world.now - sent))
-        world.feed(w.request(id, ("brisk", "easy")[id % 2]))
-    sent_on = [r.request_class for at, _, r in world.sends if at > world.now - 10]
-    assert len(sent_on) > 300
-    assert sent_on.count("brisk") > 0.4 * len(sent_on)
-
-
-def test_a_fresh_gateway_is_not_bound_by_finished_work_it_cannot_have_yet() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers(*(f"s{n}" for n in range(9))))
-    for id in range(27):
-        world.feed(w.request(id))
-    assert len(world.sends) == 27  # 12 is four for each server, over three gateways
-
-
-def test_the_first_second_of_finished_work_counts_in_full() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers(*(f"s{n}" for n in range(3))))
-    next_id = run(world, 1.5, 90, 0)
-    before = len(world.sends)
-    for id in range(next_id, next_id + 60):
-        world.feed(w.request(id))
-    assert len(world.sends) - before > 30  # half of 90 a second times the stay of 0.8 s; 0.3 of it before
-
-
-def test_where_answers_are_quick_a_burst_finds_room() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers(*(f"s{n}" for n in range(9))))
-    next_id = run(world, 10, 20, 0, 0.02)
-    before = len(world.sends)
-    for id in range(next_id, next_id + 200):
-        world.feed(w.request(id))
-    assert len(world.sends) - before > 20  # 14 is what the rate of the last seconds alone would grant
-
-
-FLEET = 40
-
-
-def test_a_thin_gateway_lets_a_chance_pile_in_while_the_load_is_low() -> None:
-    """Forty bounds do not even out what one would: work out that is usual for one is chance at another."""
-    world = w.World(w.settings(gateway_count=FLEET, plans=(model.Plan("free"),)))
-    world.feed(w.servers(*(f"s{n}" for n in range(60))))
-    for id in range(80):
-        world.advance(world.now + 0.125)
-        world.feed(w.request(id))
-        world.serve(elapsed=0.15)
-    before = len(world.sends)
-    for id in range(1000, 1012):  # in less than a second, and nothing is answered meanwhile
-        world.advance(world.now + 0.08)
-        world.feed(w.request(id))
-    assert len(world.sends) - before >= 11
-    for id in range(2000, 2040):  # it is a bound all the same
-        world.advance(world.now + 0.002)
-        world.feed(w.request(id))
-    assert len(world.sends) - before <= 15
+from tests.simulation import GatewaySimulation, make_request, make_settings, start_simulation
+from tests.traffic import send_steadily
+
+FLEET = 40  # gateways
+ENDPOINTS = ("s0", "s1", "s2", "s3")
+
+
+def test_endpoint_silent_for_half_the_latency_objective_gets_nothing_new(
+    simulation: GatewaySimulation,
+) -> None:
+    next_id = send_steadily(simulation, 5, 40, 0)
+    for request_id in range(next_id, next_id + 120):
+        simulation.advance_to(simulation.now + 0.025)
+        simulation.feed(make_request(request_id))
+        for key, sent in list(simulation.in_flight.items()):
+            if sent.endpoint != "s0":
+                simulation.complete_attempt(key)
+    assert simulation.endpoints_since(simulation.now - 1.5).count("s0") <= 1
+
+
+def complete_oldest_at_each_endpoint(simulation: GatewaySimulation) -> None:
+    """Each endpoint answers the attempt that it has had for longest."""
+    for endpoint in ENDPOINTS:
+        attempts = simulation.in_flight.items()
+        in_flight = sorted((sent.sent_at, key) for key, sent in attempts if sent.endpoint == endpoint)
+        for sent_at, key in in_flight[:1]:
+            simulation.complete_attempt(key, model.CallStatus.OK, simulation.now - sent_at)
+
+
+def test_class_with_a_short_latency_objective_is_not_starved_by_the_others() -> None:
+    strict = model.RequestClass("strict", 0.6, 1.0, model.Idempotency.INHERENT)
+    relaxed = model.RequestClass("relaxed", 1.0, 1.0, model.Idempotency.INHERENT)
+    settings = make_settings(classes=(strict, relaxed), max_attempts=1)
+    simulation = start_simulation(*ENDPOINTS, settings=settings)
+    for request_id in range(6000):  # 300 a second, of which the endpoints can do 80
+        simulation.advance_to(simulation.now + 1 / 300)
+        if request_id % 15 == 0:
+            complete_oldest_at_each_endpoint(simulation)
+        simulation.feed(make_request(request_id, ("strict", "relaxed")[request_id % 2]))
+    since = simulation.now - 10
+    late_classes = [f.request.request_class for f in simulation.forwarded if f.sent_at > since]
+    assert len(late_classes) > 300
+    assert late_classes.count("strict") > 0.4 * len(late_classes)
+
+
+def test_fresh_gateway_is_not_limited_by_completed_work_that_it_cannot_have_yet() -> None:
+    simulation = start_simulation(*(f"s{number}" for number in range(9)))
+    for request_id in range(27):
+        simulation.feed(make_request(request_id))
+    assert len(simulation.forwarded) == 27  # 12 is four for each endpoint, over three gateways
+
+
+def test_first_second_of_completed_work_counts_in_full(simulation: GatewaySimulation) -> None:
+    next_id = send_steadily(simulation, 1.5, 90, 0)
+    forwarded_before = len(simulation.forwarded)
+    for request_id in range(next_id, next_id + 60):
+        simulation.feed(make_request(request_id))
+    # Half of 90 a second times the stay of 0.8 s; 0.3 of it before.
+    assert len(simulation.forwarded) - forwarded_before > 30
+
+
+def test_burst_passes_where_answers_are_quick() -> None:
+    simulation = start_simulation(*(f"s{number}" for number in range(9)))
+    next_id = send_steadily(simulation, 10, 20, 0, 0.02)
+    forwarded_before = len(simulation.forwarded)
+    for request_id in range(next_id, next_id + 200):
+        simulation.feed(make_request(request_id))
+    # 14 is what the rate of the last seconds alone would grant.
+    assert len(simulation.forwarded) - forwarded_before > 20
+
+
+def test_sparse_gateway_admits_a_chance_burst_under_low_load_and_is_limited_all_the_same() -> None:
+    """Forty limits do not even out what one would: usual work in flight for one is chance at another."""
+    settings = make_settings(gateway_count=FLEET, plans=(model.Plan("free"),))
+    simulation = start_simulation(*(f"s{number}" for number in range(60)), settings=settings)
+    for request_id in range(80):
+        simulation.advance_to(simulation.now + 0.125)
+        simulation.feed(make_request(request_id))
+        simulation.complete_attempts(elapsed=0.15)
+    forwarded_before = len(simulation.forwarded)
+    for request_id in range(1000, 1012):  # in less than a second, and nothing is answered meanwhile
+        simulation.advance_to(simulation.now + 0.08)
+        simulation.feed(make_request(request_id))
+    assert len(simulation.forwarded) - forwarded_before >= 11
+    for request_id in range(2000, 2040):
+        simulation.advance_to(simulation.now + 0.002)
+        simulation.feed(make_request(request_id))
+    assert len(simulation.forwarded) - forwarded_before <= 15
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -14,10 +14,10 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.lifecycle import connection_limits
 from quota_gateway.state import Account
-from tests import world as w
 from tests.admin_client import fetch_metrics, send_command
 from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import ask, listening, read_message, run
+from tests.simulation import GatewaySimulation, endpoint_list, make_request, make_settings
 
 STEP = 0.05  # seconds
 IDLE_STEP = 170  # no requests after it, so that the tokens below the ceiling are half full at the join
@@ -30,16 +30,18 @@
 CAPPED_PLAN = model.Plan("capped", 1.0, 300.0, 900.0, ceiling_rate=CEILING_RATE, ceiling_burst=CEILING_BURST)
 
 
-def handover_state(world: w.World) -> model.HandoverState:
+def handover_state(simulation: GatewaySimulation) -> model.HandoverState:
     """What a process hands over when another one joins."""
-    actions = world.feed(model.ProcessCountChanged(2))
+    actions = simulation.feed(model.ProcessCountChanged(2))
     (handover,) = (action for action in actions if isinstance(action, model.HandOver))
     return handover.state
 
 
-def start_successor(predecessor: w.World, settings: model.Settings, now: float) -> w.World:
-    successor = w.World(settings, 9, now)
-    successor.feed(w.servers(*ENDPOINTS))
+def start_successor(
+    predecessor: GatewaySimulation, settings: model.Settings, now: float
+) -> GatewaySimulation:
+    successor = GatewaySimulation(settings, 9, now)
+    successor.feed(endpoint_list(*ENDPOINTS))
     successor.feed(model.ProcessCountChanged(2))
     state = handover_state(predecessor)
     for _ in range(2):  # a second time it changes nothing
@@ -47,20 +49,20 @@
     return successor
 
 
-def send_burst(world: w.World, first_id: int) -> int:
+def send_burst(simulation: GatewaySimulation, first_id: int) -> int:
     """How many of nine requests at once are forwarded, while the counter is unreachable."""
-    world.answer_counts(model.CallStatus.UNREACHABLE)
-    forwarded_before = len(world.sends)
+    simulation.reply_to_counter_calls(model.CallStatus.UNREACHABLE)
+    forwarded_before = len(simulation.forwarded)
     for request_id in range(first_id, first_id + 9):
-        world.feed(w.request(request_id, "read", "capped", "acct", 3.0, UNITS))
-    return len(world.sends) - forwarded_before
+        simulation.feed(make_request(request_id, "read", "capped", "acct", 3.0, UNITS))
+    return len(simulation.forwarded) - forwarded_before
 
 
 def test_two_processes_of_a_limiter_stay_below_the_ceiling() -> None:
-    settings = w.settings(plans=(CAPPED_PLAN,))
-    worlds = [w.World(settings, seed) for seed in range(3)]
-    for world in worlds:
-        world.feed(w.servers(*ENDPOINTS))
+    settings = make_settings(plans=(CAPPED_PLAN,))
+    simulations = [GatewaySimulation(settings, seed) for seed in range(3)]
+    for simulation in simulations:
+        simulation.feed(endpoint_list(*ENDPOINTS))
     tokens = CEILING_BURST
     now = 100.0
     total = 0
@@ -68,16 +70,16 @@
         now += STEP
         tokens = min(CEILING_BURST, tokens + CEILING_RATE * STEP)
         if step == JOIN_STEP:
-            worlds.append(start_successor(worlds[0], settings, now))
+            simulations.append(start_successor(simulations[0], settings, now))
         if step == SHUTDOWN_STEP:
-            worlds[0] = worlds.pop()
-            worlds[0].feed(model.ProcessCountChanged(1))
-        for index, world in enumerate(worlds):
-            world.advance(now)
-            world.serve()
+            simulations[0] = simulations.pop()
+            simulations[0].feed(model.ProcessCountChanged(1))
+        for index, simulation in enumerate(simulations):
+            simulation.advance_to(now)
+            simulation.complete_attempts()
             if IDLE_STEP < step < JOIN_STEP:
                 continue
-            forwarded = send_burst(world, 40 * step + 10 * index)
+            forwarded = send_burst(simulation, 40 * step + 10 * index)
             tokens -= UNITS * forwarded
             total += forwarded
         assert tokens >= -1e-6, "the ceiling was exceeded"
@@ -106,22 +108,22 @@
 
 
 def test_a_new_process_takes_over_the_state_of_the_old_one() -> None:
-    old = w.World(w.settings())
-    new = w.World(w.settings(), 2)
-    for world in (old, new):
-        world.feed(w.servers("s0", "s1"))
+    old = GatewaySimulation(make_settings())
+    new = GatewaySimulation(make_settings(), 2)
+    for simulation in (old, new):
+        simulation.feed(endpoint_list("s0", "s1"))
     for request_id in range(100):
-        old.feed(w.request(request_id, plan="small"))
-        old.advance(old.now + 0.05)
-        old.serve()
-        old.answer_counts()
+        old.feed(make_request(request_id, plan="small"))
+        old.advance_to(old.now + 0.05)
+        old.complete_attempts()
+        old.reply_to_counter_calls()
     old.feed(model.AdminRequest(1, model.AdminCommand.SUSPEND, "s1"))
     old.feed(
         model.AdminRequest(2, model.AdminCommand.RESTORE, "s1")
     )  # warms up, which the list does not tell
     new.now = old.now
-    new.gateway = Gateway(w.settings(), 3, old.now)
-    new.feed(w.servers("s0", "s1"))
+    new.gateway = Gateway(make_settings(), 3, old.now)
+    new.feed(endpoint_list("s0", "s1"))
     new.feed(model.ProcessCountChanged(2))
     new.feed(handover_state(old))
     assert new.gateway.endpoints.by_name["s1"].warming_since == old.now
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota."""
+"""Admission by quota: near it, without the counter, over it, and where too many gateways serve a customer."""
 
 from __future__ import annotations
 
@@ -6,128 +6,151 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from tests import world as w
-from tests.quota_fleet import PLAN, Set
-from tests.traffic import drain, run
-
-
-def thin_gateway() -> Gateway:
-    """One of hundreds, each of which meets a customer once a minute."""
-    plan = model.Plan("small", rate=2.0, burst=8.0, over_quota_cost=0.5)
-    gateway = Gateway(w.settings(gateway_count=200, plans=(plan,)), 1, 100.0)
-    gateway.handle(100.0, w.servers("s1", "s2", "s3"))
-    return gateway
+from tests.quota_fleet import PLAN, QuotaFleet
+from tests.simulation import (
+    GatewaySimulation,
+    attempt_completed,
+    endpoint_list,
+    make_request,
+    make_settings,
+    start_simulation,
+)
+from tests.traffic import send_steadily, send_within_quota
+
+SPARSE_GATEWAYS = 200  # that serve a customer: each of them meets it once a minute
+SMALL_PLAN = model.Plan("small", rate=2.0, burst=8.0, over_quota_cost=0.5)
+PAYING_PLAN = model.Plan("small", rate=2.0, burst=8.0, over_quota_value=0.5)
+
+
+def test_one_gateway_may_use_the_whole_bucket_while_the_counter_shows_nobody_else(
+    simulation: GatewaySimulation,
+) -> None:
+    assert send_within_quota(simulation, 0, 40, 0.001) == 8
 
 
-def test_one_gateway_may_use_the_whole_store_while_the_counter_shows_nobody_else() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
-    assert drain(world, 0, 40, 0.001) == 8
+def test_unreachable_counter_leaves_the_even_share(simulation: GatewaySimulation) -> None:
+    forwarded = send_within_quota(simulation, 0, 40, 0.001, model.CallStatus.UNREACHABLE)
+    assert 8 / 3 <= forwarded <= 6
 
 
-def test_a_silent_counter_leaves_the_even_share() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
-    sent = drain(world, 0, 40, 0.001, model.CallStatus.UNREACHABLE)
-    assert 8 / 3 <= sent <= 6
+@pytest.mark.parametrize(("elapsed", "has_headroom"), [(0.05, True), (0.5, False)])
+def test_unavailable_counter_leaves_headroom_above_the_even_share_while_load_is_low(
+    simulation: GatewaySimulation, elapsed: float, has_headroom: bool
+) -> None:
+    next_id = send_steadily(simulation, 5, 10, 0, elapsed)  # of a plan without a quota: the load is measured
+    simulation.gateway.reporter.budget.unavailable_until = simulation.now + 60.0
+    forwarded_before = len(simulation.forwarded)
+    for request_id in range(next_id, next_id + 20):
+        simulation.feed(make_request(request_id, "read", "small", "acct"))
+        simulation.complete_attempts(elapsed=elapsed)
+    even_share = 8.0 / 3  # of the bucket, for three gateways; a part of a unit may pass as one
+    assert (len(simulation.forwarded) - forwarded_before > even_share + 1) is has_headroom
+
+
+@pytest.mark.parametrize(("plan", "is_forwarded"), [(PAYING_PLAN, True), (SMALL_PLAN, False)])
+def test_requests_over_the_quota_are_forwarded_only_where_they_pay(
+    plan: model.Plan, is_forwarded: bool
+) -> None:
+    simulation = start_simulation(settings=make_settings(plans=(model.Plan("free"), plan)))
+    send_steadily(simulation, 5, 40, 0)
+    assert (send_within_quota(simulation, 5000, 60, 0.02) > 12) is is_forwarded
 
 
-@pytest.mark.parametrize(("elapsed", "above"), [(0.05, True), (0.5, False)])
-def test_a_silent_counter_leaves_headroom_above_the_even_share_while_load_is_low(
-    elapsed: float, above: bool
-) -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2"))
-    next_id = run(world, 5, 10, 0, elapsed)  # of a plan without a quota: the load is read
-    world.gateway.reporter.budget.unavailable_until = world.now + 60.0
-    before = len(world.sends)
-    for id in range(next_id, next_id + 20):
-        world.feed(w.request(id, "read", "small", "acct"))
-        world.serve(elapsed=elapsed)
-    even = 8.0 / 3  # of the store, for three gateways; a part of a unit may pass as one
-    assert (len(world.sends) - before > even + 1) is above
-
-
-def test_beyond_the_quota_goes_on_only_where_it_earns() -> None:
-    earning = model.Plan("small", rate=2.0, burst=8.0, over_quota_value=0.5)
-    for plan, more in (
-        (earning, True),
-        (model.Plan("small", rate=2.0, burst=8.0, over_quota_cost=0.5), False),
-    ):
-        world = w.World(w.settings(plans=(model.Plan("free"), plan)))
-        world.feed(w.servers("s0", "s1", "s2"))
-        run(world, 5, 40, 0)
-        assert (drain(world, 5000, 60, 0.02) > 12) is more
-
-
-def test_the_floor_does_not_go_beyond_a_store_that_was_just_told_to_be_empty() -> None:
-    fleet = Set()
-    fleet.load(4.0, [18.0, 0.0, 0.0])
+def test_guarantee_does_not_exceed_a_bucket_that_was_just_reported_empty() -> None:
+    fleet = QuotaFleet()
+    fleet.send_poisson_traffic(4.0, [18.0, 0.0, 0.0])
     account = fleet.account()
-    account.leased = account.tokens = account.lease_requested = 0.0
+    account.lease_requested = 0.0
+    account.leased = 0.0
+    account.tokens = 1.5
     account.guaranteed = account.guaranteed_capacity
-    account.tokens, account.remote_usage, account.last_synchronised, account.updated_at = (
-        1.5,
-        50.0,
-        fleet.now - 0.1,
-        fleet.now,
-    )
-    assert not fleet.ask(0)  # the others use what came since
-    account.tokens, account.leased, account.last_synchronised = 1.5, 0.0, fleet.now - 5.0
+    account.remote_usage = 50.0
+    account.last_synchronised = fleet.now - 0.1
+    account.updated_at = fleet.now
+    assert not fleet.send_request(0)  # the others use what came since
+    account.tokens = 1.5
+    account.leased = 0.0
+    account.last_synchronised = fleet.now - 5.0
     account.guaranteed = account.guaranteed_capacity
-    assert fleet.ask(0)  # nobody has said for long: the even share is this gateway's
-
-
-def test_a_call_from_a_customer_of_a_wide_set_is_decided_at_once() -> None:
-    gateway = Gateway(w.settings(gateway_count=200, plans=(PLAN,)), 1, 100.0)
-    gateway.handle(100.0, w.servers("s1", "s2", "s3"))
-    for id in range(60):
-        event = model.Request(id, "read", "small", 3.0, f"{id % 7:016x}", 2.0, 200, is_retry=id % 3 == 0)
-        actions = gateway.handle(100.0 + id / 100, event)
-        assert any(isinstance(a, model.Forward | model.Reject) and a.request_id == id for a in actions), (
-            "it is held"
-        )
-
-
-def test_of_a_wide_set_a_second_request_soon_after_goes_on_only_where_it_may_ask() -> None:
-    """Each of 200 that grants a few unasked grants what the whole set may not."""
-    gateway = Gateway(w.settings(gateway_count=200, plans=(PLAN,)), 1, 100.0)
-    gateway.handle(100.0, w.servers("s1", "s2", "s3"))
-
-    def ask(id: int, now: float) -> type:
-        gateway.reporter.budget.tokens, gateway.reporter.budget.refilled_at = 0.0, now
-        (first, *_) = gateway.handle(now, model.Request(id, "read", "small", 3.0, "a", 2.0, 200))
-        if isinstance(first, model.Forward):
-            gateway.handle(now, w.outcome(id, 0, first.endpoint, model.CallStatus.OK, 0.01))
-        return type(first)
-
-    assert ask(1, 100.0) is model.Forward
-    assert ask(2, 100.5) is model.Reject
-    back = 2.0 / (PLAN.rate / 200)  # seconds until two units of the even share have come
-    assert ask(3, 100.0 + 0.8 * back) is model.Reject
-    assert ask(4, 100.0 + back) is model.Forward
-
-
-def test_what_comes_again_at_a_thin_gateway_that_cannot_ask_is_beyond_its_quota() -> None:
-    """Each took a customer that it did not know for a calm one, and let it in at its next try elsewhere."""
-    gateway = thin_gateway()
-    for id in range(40):
+    assert fleet.send_request(0)  # no total has come for long: the even share is this gateway's
+
+
+def start_sparse_gateway(plan: model.Plan) -> Gateway:
+    """One of hundreds of gateways, with three endpoints."""
+    gateway = Gateway(make_settings(gateway_count=SPARSE_GATEWAYS, plans=(plan,)), 1, 100.0)
+    gateway.handle(100.0, endpoint_list("s1", "s2", "s3"))
+    return gateway
+
+
+def make_sparse_request(request_id: int, account: str, is_retry: bool = False) -> model.Request:
+    """A request of two units from a customer that all of the gateways serve."""
+    return model.Request(
+        id=request_id,
+        request_class="read",
+        plan="small",
+        timeout=3.0,
+        account=account,
+        units=2.0,
+        serving_gateways=SPARSE_GATEWAYS,
+        is_retry=is_retry,
+    )
+
+
+def complete(gateway: Gateway, now: float, action: model.Forward) -> None:
+    """End the only attempt of a request well."""
+    completed = attempt_completed(action.request_id, 0, action.endpoint, model.CallStatus.OK, 0.01)
+    gateway.handle(now, completed)
+
+
+def test_request_of_a_customer_of_many_gateways_is_decided_at_once() -> None:
+    gateway = start_sparse_gateway(PLAN)
+    for request_id in range(60):
+        request = make_sparse_request(request_id, f"{request_id % 7:016x}", is_retry=request_id % 3 == 0)
+        actions = gateway.handle(100.0 + request_id / 100, request)
+        decisions = [action for action in actions if isinstance(action, model.Forward | model.Reject)]
+        assert any(action.request_id == request_id for action in decisions), "the request waits"
+
+
+def test_second_request_at_one_of_many_gateways_is_forwarded_only_where_it_may_call_the_counter() -> None:
+    """Where each of 200 grants a few without a call, all of them grant what the customer may not have."""
+    gateway = start_sparse_gateway(PLAN)
+
+    def decide_without_a_call(request_id: int, now: float) -> type:
+        gateway.reporter.budget.tokens = 0.0
+        gateway.reporter.budget.refilled_at = now
+        (decision, *_) = gateway.handle(now, make_sparse_request(request_id, "a"))
+        if isinstance(decision, model.Forward):
+            complete(gateway, now, decision)
+        return type(decision)
+
+    assert decide_without_a_call(1, 100.0) is model.Forward
+    assert decide_without_a_call(2, 100.5) is model.Reject
+    refill_time = 2.0 / (PLAN.rate / SPARSE_GATEWAYS)  # seconds until two units of the even share have come
+    assert decide_without_a_call(3, 100.0 + 0.8 * refill_time) is model.Reject
+    assert decide_without_a_call(4, 100.0 + refill_time) is model.Forward
+
+
+def test_client_retry_at_one_of_many_gateways_without_a_counter_call_is_over_its_quota() -> None:
+    """Each gateway took a customer that it did not know for one within its quota, and let its retry in."""
+    gateway = start_sparse_gateway(SMALL_PLAN)
+    for request_id in range(40):
         gateway.reporter.budget.tokens = 0.0
-        asked = model.Request(id, "read", "small", 3.0, f"{id:016x}", 2.0, 200, is_retry=bool(id % 2))
-        (first, *_) = gateway.handle(100.0, asked)
-        assert isinstance(first, model.Reject if id % 2 else model.Forward), id
-        if isinstance(first, model.Forward):
-            gateway.handle(100.0, w.outcome(id, 0, first.endpoint, model.CallStatus.OK, 0.01))
-
-
-def test_who_asks_counts_for_as_many_as_could_not() -> None:
-    gateway, counts = thin_gateway(), list[model.IncrementCounter]()
-    for id in range(200):
-        gateway.reporter.budget.tokens = 0.5  # one request in four asks
-        asked = model.Request(id, "read", "small", 3.0, f"{id:016x}", 2.0, 200)
-        for action in gateway.handle(100.0, asked):
+        is_retry = bool(request_id % 2)
+        request = make_sparse_request(request_id, f"{request_id:016x}", is_retry)
+        (decision, *_) = gateway.handle(100.0, request)
+        assert isinstance(decision, model.Reject if is_retry else model.Forward), request_id
+        if isinstance(decision, model.Forward):
+            complete(gateway, 100.0, decision)
+
+
+def test_request_that_calls_the_counter_is_counted_for_those_that_could_not() -> None:
+    gateway = start_sparse_gateway(SMALL_PLAN)
+    counter_calls: list[model.IncrementCounter] = []
+    for request_id in range(200):
+        gateway.reporter.budget.tokens = 0.5  # one request in four calls the counter
+        for action in gateway.handle(100.0, make_sparse_request(request_id, f"{request_id:016x}")):
             if isinstance(action, model.IncrementCounter):
-                counts.append(action)
+                counter_calls.append(action)
             if isinstance(action, model.Forward):
-                gateway.handle(100.0, w.outcome(id, 0, action.endpoint, model.CallStatus.OK, 0.01))
-    assert 20 < len(counts) < 80 and {count.amount for count in counts} == {8.0}
+                complete(gateway, 100.0, action)
+    assert 20 < len(counter_calls) < 80 and {call.amount for call in counter_calls} == {8.0}
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -4,7 +4,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from tests import world as w
+from tests.simulation import endpoint_list, make_settings
 
 
 def is_ready(gateway: Gateway) -> bool:
@@ -13,9 +13,9 @@
 
 
 def test_a_gateway_is_ready_from_its_first_endpoint_list_until_its_shutdown() -> None:
-    gateway = Gateway(w.settings(), 1, 0.0)
+    gateway = Gateway(make_settings(), 1, 0.0)
     assert not is_ready(gateway)
-    gateway.handle(0.0, w.servers("s0"))
+    gateway.handle(0.0, endpoint_list("s0"))
     assert is_ready(gateway)
     gateway.handle(0.0, model.ShutdownStarted())
     assert not is_ready(gateway)
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -13,10 +13,18 @@
 
 from quota_gateway import model
 from quota_gateway.settings_parser import SettingsError, check_retuned, settings_from
-from tests import world as w
 from tests.admin_client import fetch_metrics
 from tests.gateway_process import WIRE_SETTINGS, Program, config, free_port, started
 from tests.loopback import Origin, ask, listening, read_message, run
+from tests.simulation import (
+    IDEMPOTENT_CLASS,
+    GatewaySimulation,
+    Outcome,
+    attempt_completed,
+    endpoint_list,
+    make_request,
+    make_settings,
+)
 
 RUNNING_SETTINGS = json.dumps(
     WIRE_SETTINGS
@@ -26,27 +34,27 @@
 
 
 def test_requests_in_flight_keep_their_class_and_fewer_attempts_apply_at_once() -> None:
-    world = w.World(w.settings(max_attempts=3))
-    world.feed(w.servers("s0", "s1", "s2"))
-    world.feed(w.request(1))
-    unsafe = replace(w.SAFE, idempotency=model.Idempotency.NONE)
+    simulation = GatewaySimulation(make_settings(max_attempts=3))
+    simulation.feed(endpoint_list("s0", "s1", "s2"))
+    simulation.feed(make_request(1))
+    unsafe = replace(IDEMPOTENT_CLASS, idempotency=model.Idempotency.NONE)
     fresh = model.RequestClass("fresh", 1.0, 1.0, model.Idempotency.INHERENT)
-    world.feed(w.settings(max_attempts=3, classes=(unsafe, fresh)))
-    world.feed(w.request(2))
-    world.feed(w.request(3, "fresh"))
-    world.config = replace(world.config, classes=(unsafe, fresh))
-    forwarded = len(world.sends)
-    endpoints = {request_id: endpoint for (request_id, _), (endpoint, _) in world.out.items()}
-    world.feed(w.outcome(2, 0, endpoints[2], model.CallStatus.RESET_AFTER_REQUEST))
-    assert world.answered[2] == "failed"  # unsafe now: it may have run
-    assert len(world.sends) == forwarded
-    world.config = replace(world.config, classes=(w.SAFE, fresh))
-    world.feed(w.outcome(1, 0, endpoints[1], model.CallStatus.ERROR))
-    assert len(world.sends) == forwarded + 1  # it came as an idempotent one
-    world.feed(w.settings(max_attempts=1, classes=(unsafe, fresh)))
-    world.feed(w.outcome(3, 0, endpoints[3], model.CallStatus.ERROR))
-    assert world.answered[3] == "refused"
-    assert len(world.sends) == forwarded + 1
+    simulation.feed(make_settings(max_attempts=3, classes=(unsafe, fresh)))
+    simulation.feed(make_request(2))
+    simulation.feed(make_request(3, "fresh"))
+    simulation.settings = replace(simulation.settings, classes=(unsafe, fresh))
+    forwarded = len(simulation.forwarded)
+    endpoints = {request_id: endpoint for (request_id, _), (endpoint, _) in simulation.in_flight.items()}
+    simulation.feed(attempt_completed(2, 0, endpoints[2], model.CallStatus.RESET_AFTER_REQUEST))
+    assert simulation.outcomes[2] is Outcome.FAILED  # unsafe now: it may have run
+    assert len(simulation.forwarded) == forwarded
+    simulation.settings = replace(simulation.settings, classes=(IDEMPOTENT_CLASS, fresh))
+    simulation.feed(attempt_completed(1, 0, endpoints[1], model.CallStatus.ERROR))
+    assert len(simulation.forwarded) == forwarded + 1  # it came as an idempotent one
+    simulation.feed(make_settings(max_attempts=1, classes=(unsafe, fresh)))
+    simulation.feed(attempt_completed(3, 0, endpoints[3], model.CallStatus.ERROR))
+    assert simulation.outcomes[3] is Outcome.REJECTED
+    assert len(simulation.forwarded) == forwarded + 1
 
 
 def without(path: str) -> Change:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,50 +1,54 @@
-"""Retries."""
+"""Retries: which endings allow one, and where."""
 
 from __future__ import annotations
 
+import pytest
+
 from quota_gateway import model
-from tests import world as w
+from tests.simulation import AttemptKey, Outcome, make_request, make_settings, start_simulation
 
 
-def test_unsafe_is_resent_only_with_proof_and_failed_otherwise() -> None:
-    for status, resent in (
+@pytest.mark.parametrize(
+    ("status", "is_retried"),
+    [
         (model.CallStatus.OVERLOADED, True),
         (model.CallStatus.UNREACHABLE, True),
         (model.CallStatus.RESET_BEFORE_REQUEST, True),
         (model.CallStatus.RESET_AFTER_REQUEST, False),
         (model.CallStatus.ERROR, False),
-    ):
-        world = w.World(w.settings())
-        world.feed(w.servers("s0", "s1"))
-        world.feed(w.request(1, "post"))
-        actions = world.feed(w.outcome(1, 0, world.sends[0][1], status))
-        assert any(isinstance(a, model.Forward) for a in actions) is resent
-        assert any(isinstance(a, model.Fail) for a in actions) is not resent
-
-
-def test_keyed_is_resent_within_its_cell_only() -> None:
-    world = w.World(w.settings())
-    world.feed(w.servers("s0", "s1", "s2", "s3", "s4"))  # s4 is alone in its cell
-    seen = set()
-    for id in range(60):
-        world.feed(w.request(id, "entry"))
-        first = world.sends[-1][1]
-        for action in world.feed(w.outcome(id, 0, first, model.CallStatus.ERROR)):
+    ],
+)
+def test_request_that_is_not_idempotent_is_retried_only_if_it_surely_was_not_executed(
+    status: model.CallStatus, is_retried: bool
+) -> None:
+    simulation = start_simulation("s0", "s1")
+    simulation.feed(make_request(1, "post"))
+    actions = simulation.complete_attempt(AttemptKey(1, 0), status)
+    assert any(isinstance(action, model.Forward) for action in actions) is is_retried
+    assert any(isinstance(action, model.Fail) for action in actions) is not is_retried
+
+
+def test_request_with_an_idempotency_key_is_retried_only_within_its_cell() -> None:
+    simulation = start_simulation("s0", "s1", "s2", "s3", "s4")  # s4 is alone in its cell
+    cells: set[tuple[int, int]] = set()  # of a first attempt and its retry
+    for request_id in range(60):
+        simulation.feed(make_request(request_id, "entry"))
+        first_endpoint = simulation.forwarded[-1].endpoint
+        for action in simulation.complete_attempt(AttemptKey(request_id, 0), model.CallStatus.ERROR):
             if isinstance(action, model.Forward):
-                seen.add((world.up[first].cell, world.up[action.endpoint].cell))
-                world.feed(w.outcome(id, 1, action.endpoint, model.CallStatus.OK))
-        world.advance(world.now + 2)
-    assert seen and all(a == b for a, b in seen)
-
-
-def test_breaks_at_once_take_little_of_what_may_be_tried_again() -> None:
-    world = w.World(w.settings(max_attempts=4))
-    world.feed(w.servers("s0", "s1", "s2"))
-    for id in range(200):
-        world.advance(world.now + 0.05)
-        world.feed(w.request(id))
-        if id % 4 == 0:  # a network that resets every fourth connection as soon as it is written to
-            for (rid, attempt), (server, _) in list(world.out.items()):
-                world.feed(w.outcome(rid, attempt, server, model.CallStatus.RESET_AFTER_REQUEST, 0.001))
-        world.serve()
-    assert set(world.answered.values()) == {"served"}
+                first_cell = simulation.listed_endpoints[first_endpoint].cell
+                cells.add((first_cell, simulation.listed_endpoints[action.endpoint].cell))
+                simulation.complete_attempt(AttemptKey(request_id, 1))
+        simulation.advance_to(simulation.now + 2)
+    assert cells and all(first_cell == retry_cell for first_cell, retry_cell in cells)
+
+
+def test_connections_that_are_reset_at_once_take_little_of_the_retry_budget() -> None:
+    simulation = start_simulation(settings=make_settings(max_attempts=4))
+    for request_id in range(200):
+        simulation.advance_to(simulation.now + 0.05)
+        simulation.feed(make_request(request_id))
+        if request_id % 4 == 0:  # a network that resets every fourth connection as soon as it is written to
+            simulation.complete_attempts(model.CallStatus.RESET_AFTER_REQUEST, 0.001)
+        simulation.complete_attempts()
+    assert set(simulation.outcomes.values()) == {Outcome.SERVED}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start."""
+"""Slow start at single gateways: the allowance of an endpoint that warms up, and the use of it."""
 
 from __future__ import annotations
 
@@ -6,118 +6,150 @@
 from random import Random
 
 from quota_gateway import model
-from tests import world as w
-from tests.traffic import run
-
-
-def test_a_cold_server_gets_only_its_budget_from_all_gateways() -> None:
-    config = w.settings()
-    total = {"cold": 0.0, "warm": 0.0}
-    for index in range(3):
-        world = w.World(config, index)
-        world.feed(w.servers("s0", "s1", "s2"))
-        id = 0
-        for _ in range(300):
-            world.advance(world.now + 0.02)
-            world.feed(w.request(id, "read"))
-            world.serve()
-            id += 1
-        start = world.now
-        entry = model.Endpoint("new", model.EndpointHealth.HEALTHY, "a", 0, 1.0, world.now)
-        world.feed(model.EndpointUpdate((entry,), False))
-        for _ in range(int(config.overload_window / 0.02)):
-            world.advance(world.now + 0.02)
-            world.feed(w.request(id, "read"))
-            world.serve()
-            id += 1
-        late = [server for at, server, _ in world.sends if at >= start]
-        total["cold"] += late.count("new")
-        total["warm"] += late.count("s0")
-    assert 0 < total["cold"] < config.overload_multiple * config.initial_capacity * total["warm"] * 1.1
-
-
-def test_hundreds_of_gateways_together_stay_within_a_cold_servers_budget() -> None:
-    """200 gates see a request a second: one let in by each at once is a hundred times the budget."""
-    gateways, names = 200, [f"s{i}" for i in range(20)]
-    config = w.settings(gateway_count=gateways, has_counter=False)
-    start, warm, cold = 0.0, 0, list[float]()
-    for index in range(gateways):
-        rng, world = Random(index), w.World(replace(config, gateway_index=index), index)
-        world.feed(w.servers(*names))
-        start = world.now + 8
-        entry = model.Endpoint("new", model.EndpointHealth.HEALTHY, "a", 0, 1.0, start)
-        for id in range(20):
-            world.advance(world.now + rng.uniform(0.8, 1.2))
-            if world.now >= start and "new" not in world.known:
-                world.feed(model.EndpointUpdate((entry,), False))
-            world.feed(w.request(id, "read"))
-            world.serve()
-        cold += [at for at, server, _ in world.sends if server == "new"]
-        warm += sum(server != "new" and at >= start for at, server, _ in world.sends)
-    window, multiple = config.overload_window, config.overload_multiple
-    rate = warm / 12 / len(names)
-    for at in cold:
-        able = rate * min(1, 0.2 + 0.8 * (at + window - start) / 10)
-        assert sum(at <= other < at + window for other in cold) < multiple * able * window
-    assert len(cold) > 5
-
-
-def test_a_fleet_that_looks_cold_does_not_stand_still() -> None:
-    world = w.World(w.settings(warm_up_time=60.0))
-    names = [f"s{n}" for n in range(6)]
-    world.feed(w.servers(*names))
-    next_id = run(world, 10, 40, 0)
-    world.feed(w.servers(*names, born=world.now))  # all of them begin anew
-    next_id = run(world, 20, 40, next_id)
-    before = len(world.sends)
-    run(world, 10, 40, next_id)
-    assert len(world.sends) - before > 150  # with a budget by what the cold ones do it was next to none
-
-
-def test_cold_servers_neither_lower_the_work_of_a_warm_one_nor_fill_the_bound() -> None:
-    world = w.World(w.settings(warm_up_time=60.0))
-    world.feed(w.servers("s0"))
-    cold = tuple(
-        model.Endpoint(f"c{i}", model.EndpointHealth.HEALTHY, "a", i, 1.0, world.now) for i in range(6)
+from quota_gateway.decisions.gateway import Gateway
+from tests.simulation import (
+    GatewaySimulation,
+    endpoint_list,
+    make_request,
+    make_settings,
+    start_simulation,
+)
+from tests.traffic import send_steadily
+
+ENDPOINT_START = 108.0  # Unix time, eight seconds after the start of the gateways
+WARM_UP_TRAFFIC_TIME = 12  # seconds from then to the end of the traffic, about
+
+
+def started_endpoint(name: str, started_at: float, cell: int = 0) -> model.EndpointUpdate:
+    """An endpoint that is added to the list, having started at the given time."""
+    endpoint = model.Endpoint(name, model.EndpointHealth.HEALTHY, "a", cell, 1.0, started_at)
+    return model.EndpointUpdate((endpoint,), False)
+
+
+def test_warming_endpoint_gets_only_its_allowance_from_all_gateways() -> None:
+    settings = make_settings()
+    warming_requests = 0
+    warm_requests = 0
+    for gateway in range(3):
+        simulation = start_simulation(seed=gateway, settings=settings)
+        for request_id in range(300):
+            simulation.advance_to(simulation.now + 0.02)
+            simulation.feed(make_request(request_id))
+            simulation.complete_attempts()
+        start = simulation.now
+        simulation.feed(started_endpoint("new", simulation.now))
+        for request_id in range(300, 300 + int(settings.overload_window / 0.02)):
+            simulation.advance_to(simulation.now + 0.02)
+            simulation.feed(make_request(request_id))
+            simulation.complete_attempts()
+        endpoints = [forward.endpoint for forward in simulation.forwarded if forward.sent_at >= start]
+        warming_requests += endpoints.count("new")
+        warm_requests += endpoints.count("s0")
+    bearable = settings.overload_multiple * settings.initial_capacity * warm_requests
+    assert 0 < warming_requests < bearable * 1.1
+
+
+def run_sparse_gateway(gateway: int, settings: model.Settings, endpoints: list[str]) -> GatewaySimulation:
+    """One of many gateways, which gets a request a second; meanwhile an endpoint starts."""
+    rng = Random(gateway)
+    settings = replace(settings, gateway_index=gateway)
+    simulation = start_simulation(*endpoints, seed=gateway, settings=settings)
+    for request_id in range(20):
+        simulation.advance_to(simulation.now + rng.uniform(0.8, 1.2))
+        if simulation.now >= ENDPOINT_START and "new" not in simulation.known_endpoints:
+            simulation.feed(started_endpoint("new", ENDPOINT_START))
+        simulation.feed(make_request(request_id))
+        simulation.complete_attempts()
+    return simulation
+
+
+def test_hundreds_of_gateways_together_keep_to_the_allowance_of_a_warming_endpoint() -> None:
+    """200 gateways get a request a second: one let in by each at once is a hundred times the allowance."""
+    gateways = 200
+    endpoints = [f"s{number}" for number in range(20)]
+    settings = make_settings(gateway_count=gateways, has_counter=False)
+    warm_requests = 0
+    sent_to_warming: list[float] = []
+    for gateway in range(gateways):
+        for forward in run_sparse_gateway(gateway, settings, endpoints).forwarded:
+            if forward.endpoint == "new":
+                sent_to_warming.append(forward.sent_at)
+            elif forward.sent_at >= ENDPOINT_START:
+                warm_requests += 1
+    window = settings.overload_window
+    warm_rate = warm_requests / WARM_UP_TRAFFIC_TIME / len(endpoints)
+    for sent_at in sent_to_warming:
+        age = sent_at + window - ENDPOINT_START
+        gained = (1 - settings.initial_capacity) * age / settings.warm_up_time
+        bearable_rate = warm_rate * min(1, settings.initial_capacity + gained)
+        in_window = sum(sent_at <= other < sent_at + window for other in sent_to_warming)
+        assert in_window < settings.overload_multiple * bearable_rate * window
+    assert len(sent_to_warming) > 5
+
+
+def test_fleet_of_which_all_endpoints_warm_up_does_not_stand_still() -> None:
+    endpoints = [f"s{number}" for number in range(6)]
+    simulation = start_simulation(*endpoints, settings=make_settings(warm_up_time=60.0))
+    next_id = send_steadily(simulation, 10, 40, 0)
+    simulation.feed(endpoint_list(*endpoints, started_at=simulation.now))  # all of them restart
+    next_id = send_steadily(simulation, 20, 40, next_id)
+    forwarded_before = len(simulation.forwarded)
+    send_steadily(simulation, 10, 40, next_id)
+    # With an allowance by what the warming ones do it was next to none.
+    assert len(simulation.forwarded) - forwarded_before > 150
+
+
+def start_with_six_warming_endpoints() -> GatewaySimulation:
+    """A fresh gateway, as in an upgrade, with one warm endpoint while the others have just restarted."""
+    simulation = start_simulation("s0", settings=make_settings(warm_up_time=60.0))
+    warming = tuple(
+        model.Endpoint(f"c{number}", model.EndpointHealth.HEALTHY, "a", number, 1.0, simulation.now)
+        for number in range(6)
     )
-    world.feed(model.EndpointUpdate(cold, False))
-    for id in range(600):  # an upgrade: this process is fresh while most servers are cold
-        world.feed(w.request(id))
-        world.serve()
-        world.advance(world.now + 0.02)
-    gateway = world.gateway
-    sent = sum(server == "s0" for _, server, _ in world.sends) / 12.0
-    work = gateway.work.mean_work
-    assert (
-        gateway.slow_start.completion_rate > 0.5 * sent * work
-    )  # of what the warm one does, with 6 of 7 cold
+    simulation.feed(model.EndpointUpdate(warming, False))
+    return simulation
+
+
+def test_warming_endpoints_neither_lower_the_completion_rate_nor_fill_the_concurrency_limit() -> None:
+    simulation = start_with_six_warming_endpoints()
+    for request_id in range(600):
+        simulation.feed(make_request(request_id))
+        simulation.complete_attempts()
+        simulation.advance_to(simulation.now + 0.02)
+    gateway = simulation.gateway
+    elapsed = 600 * 0.02
+    warm_rate = sum(forward.endpoint == "s0" for forward in simulation.forwarded) / elapsed
+    mean_work = gateway.work.mean_work
+    # Of what the warm one does, with six of seven warming up.
+    assert gateway.slow_start.completion_rate > 0.5 * warm_rate * mean_work
     for name in ("c0", "c1", "c2", "c3", "c4", "c5"):
-        gateway.endpoints.by_name[name].work_in_flight = 1000 * work
-    world.feed(w.request(1000))
-    assert world.sends[-1][1] == "s0" and world.sends[-1][2].id == 1000
-
-
-def test_a_cold_server_that_answers_like_a_warm_one_gets_its_work_and_a_slow_one_does_not() -> None:
-    taken = dict[float, int]()
-    for pace in (1.0, 5.0):
-        world = w.World(w.settings(warm_up_time=1000.0))
-        world.feed(w.servers("s0"))
-        for id in range(100):  # a warm one tells how long an idle server takes, and how much it bears
-            world.feed(w.request(id))
-            world.advance(world.now + 0.1)
-            world.serve()
-        world.feed(
-            model.EndpointUpdate(
-                (model.Endpoint("cold", model.EndpointHealth.HEALTHY, "a", 1, 1.0, world.now),), False
-            )
-        )
-        base = world.gateway.work.base_latencies["read"]
-        for id in range(100, 400):
-            world.feed(w.request(id))
-            world.advance(world.now + 0.1)
-            for (request, attempt), (server, _) in list(world.out.items()):
-                took = base * (pace if server == "cold" else 1.0)
-                world.feed(w.outcome(request, attempt, server, model.CallStatus.OK, took))
-        taken[pace] = sum(server == "cold" for _, server, _ in world.sends)
-        assert world.gateway.endpoints.by_name["cold"].warming_since is not None
-    assert 0 < taken[5.0] < 20 and taken[1.0] > 70, taken  # by age alone it would be 49
+        gateway.endpoints.by_name[name].work_in_flight = 1000 * mean_work
+    simulation.feed(make_request(1000))
+    assert simulation.forwarded[-1].endpoint == "s0" and simulation.forwarded[-1].request.id == 1000
+
+
+def run_with_warming_endpoint(slowdown: float) -> tuple[int, Gateway]:
+    """Requests that an endpoint got while it warmed up and answered so many times later than a warm one."""
+    simulation = start_simulation("s0", settings=make_settings(warm_up_time=1000.0))
+    for request_id in range(100):  # a warm one shows the idle latency, and how much an endpoint bears
+        simulation.feed(make_request(request_id))
+        simulation.advance_to(simulation.now + 0.1)
+        simulation.complete_attempts()
+    simulation.feed(started_endpoint("warming", simulation.now, cell=1))
+    base_latency = simulation.gateway.work.base_latencies["read"]
+    for request_id in range(100, 400):
+        simulation.feed(make_request(request_id))
+        simulation.advance_to(simulation.now + 0.1)
+        for key, sent in list(simulation.in_flight.items()):
+            elapsed = base_latency * (slowdown if sent.endpoint == "warming" else 1.0)
+            simulation.complete_attempt(key, elapsed=elapsed)
+    requests = sum(forward.endpoint == "warming" for forward in simulation.forwarded)
+    return requests, simulation.gateway
+
+
+def test_warming_endpoint_that_answers_like_a_warm_one_gets_its_work_and_a_slow_one_does_not() -> None:
+    requests: dict[float, int] = {}  # by slowdown
+    for slowdown in (1.0, 5.0):
+        requests[slowdown], gateway = run_with_warming_endpoint(slowdown)
+        assert gateway.endpoints.by_name["warming"].warming_since is not None
+    assert 0 < requests[5.0] < 20 and requests[1.0] > 70, requests  # by age alone it would be 49
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -1,31 +1,40 @@
-"""Traffic."""
+"""Traffic for one simulated gateway."""
 
 from __future__ import annotations
 
 from quota_gateway import model
-from tests import world as w
+from tests.simulation import GatewaySimulation, make_request
 
 
-def run(
-    world: w.World, seconds: float, rate: float, first: int, elapsed: float = 0.1, kind: str = "read"
+def send_steadily(
+    simulation: GatewaySimulation,
+    seconds: float,
+    rate: float,
+    first_id: int,
+    elapsed: float = 0.1,
+    request_class: str = "read",
 ) -> int:
-    """Requests at a steady rate, each answered in the next step; returns the next id."""
-    for id in range(first, first + int(seconds * rate)):
-        world.advance(world.now + 1 / rate)
-        world.feed(w.request(id, kind))
-        world.serve(elapsed=elapsed)
-    return first + int(seconds * rate)
+    """Send requests at a steady rate, each answered in the same step; gives the next request id."""
+    next_id = first_id + int(seconds * rate)
+    for request_id in range(first_id, next_id):
+        simulation.advance_to(simulation.now + 1 / rate)
+        simulation.feed(make_request(request_id, request_class))
+        simulation.complete_attempts(elapsed=elapsed)
+    return next_id
 
 
-def drain(
-    world: w.World, first: int, count: int, gap: float, answer: model.CallStatus | None = model.CallStatus.OK
+def send_within_quota(
+    simulation: GatewaySimulation,
+    first_id: int,
+    count: int,
+    interval: float,
+    counter_status: model.CallStatus = model.CallStatus.OK,
 ) -> int:
-    """Requests of one account on the small plan; returns how many were sent on."""
-    before = len(world.sends)
-    for id in range(first, first + count):
-        world.advance(world.now + gap)
-        world.feed(w.request(id, "read", "small", "acct"))
-        if answer is not None:
-            world.answer_counts(answer)
-        world.serve()
-    return len(world.sends) - before
+    """Send requests of one customer on the small plan; gives how many were forwarded."""
+    forwarded_before = len(simulation.forwarded)
+    for request_id in range(first_id, first_id + count):
+        simulation.advance_to(simulation.now + interval)
+        simulation.feed(make_request(request_id, "read", "small", "acct"))
+        simulation.reply_to_counter_calls(counter_status)
+        simulation.complete_attempts()
+    return len(simulation.forwarded) - forwarded_before
