--- /dev/null
+++ b/tests/fleet_simulation.py
@@ -0,0 +1,242 @@
+"""A simulation of many gateways and endpoints in one process: no sockets, one simulated clock.
+
+No gateway knows of another one, and none knows what an endpoint can do. A restarted endpoint warms up as late
+as the settings allow.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field, replace
+from functools import partial
+from itertools import accumulate
+from random import Random
+from typing import NamedTuple
+
+from quota_gateway import model
+from quota_gateway.decisions.gateway import Gateway
+from tests.simulation import ZONES, make_settings
+
+READ = model.RequestClass("read", 1.0, 1.0, model.Idempotency.INHERENT)
+POST = model.RequestClass("post", 1.5, 2.0, model.Idempotency.NONE, deduplication_window=5.0)
+READ_FRACTION = 0.7  # of the requests; the others are posts
+CORE_SECONDS = {"read": 0.1, "post": 0.05}  # on one core of a warm endpoint
+MEAN_CORE_SECONDS = READ_FRACTION * CORE_SECONDS["read"] + 0.3 * CORE_SECONDS["post"]
+CLIENT_TIMEOUT = 2.0  # seconds
+CUSTOMERS = 500
+ROUND_TRIP = 0.004  # seconds on the network
+MAX_QUEUE = 40  # requests that wait at an endpoint before it rejects more
+TRAFFIC_SPREAD = 1.2  # sigma of the lognormal distribution of the load over the gateways
+START = 100.0  # when the first gateway starts
+
+
+class ReceivedRequest(NamedTuple):
+    """A request that an endpoint got, overloaded or not."""
+
+    received_at: float
+    is_notified: bool  # the gateway knew from the endpoint list of this incarnation
+    size: float  # its work in requests of mean work
+
+
+@dataclass
+class SimulatedEndpoint:
+    """An endpoint with some cores and one queue for each; it counts as warm until it restarts."""
+
+    entry: model.Endpoint
+    cores: int
+    warming_since: float = 0.0
+    down_until: float = 0.0
+    core_free_at: list[float] = field(default_factory=list)  # by core
+    received: list[ReceivedRequest] = field(default_factory=list)  # in this incarnation
+
+
+@dataclass
+class ClientRequest:
+    """A request and the number of attempts that were made so far."""
+
+    request_class: str
+    attempts: int = 0
+
+
+def fleet_settings(gateways: int) -> model.Settings:
+    """The settings of all gateways, but for their places."""
+    return make_settings(
+        gateway_count=gateways,
+        classes=(READ, POST),
+        plans=(model.Plan("free"),),
+        has_counter=False,
+        initial_capacity=0.23,
+        warm_up_time=5.0,
+        overload_multiple=2.5,
+        overload_window=1.0,
+    )
+
+
+class FleetSimulation:
+    """Many gateways and endpoints; arrivals are Poisson and spread unevenly over the gateways."""
+
+    def __init__(
+        self,
+        gateways: int,
+        endpoints: int,
+        load: float,
+        seed: int,
+        cores: int = 1,
+        is_always_quick: bool = False,
+    ) -> None:
+        """Start at a load given as a share of what all endpoints bear when they are warm.
+
+        Where ``is_always_quick`` all answers come as from a warm endpoint.
+        """
+        self.rng = Random(seed)
+        self.now = START
+        self.seed = seed
+        self.cores = cores
+        self.is_always_quick = is_always_quick
+        self.settings = fleet_settings(gateways)
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []  # a heap by time and order
+        self.scheduled_count = 0
+        self.endpoints: dict[str, SimulatedEndpoint] = {}
+        for number in range(endpoints):
+            self.add_endpoint(f"s{number}")
+        weights = [self.rng.lognormvariate(0, TRAFFIC_SPREAD) for _ in range(gateways)]
+        self.cumulative_weights = list(accumulate(weights))
+        self.gateways: list[Gateway | None] = [None] * gateways
+        self.incarnations = [0] * gateways  # a restarted gateway learns nothing of what came before
+        self.notified: list[dict[str, float]] = [{} for _ in range(gateways)]  # start times by endpoint
+        self.requests: dict[int, ClientRequest] = {}
+        self.rate = load * endpoints * cores / MEAN_CORE_SECONDS  # requests a second
+        self._schedule_start()
+
+    def _schedule_start(self) -> None:
+        """Gateways start within the first second, and the traffic with its end."""
+        for gateway in range(len(self.gateways)):
+            self.schedule(START + self.rng.random(), partial(self.start_gateway, gateway))
+        self.schedule(START + 1.0, self._receive_request)
+
+    def schedule(self, time: float, step: Callable[[], None]) -> None:
+        """Do this at the given time, after all that was scheduled for the same time before."""
+        self.scheduled_count += 1
+        heapq.heappush(self.scheduled, (time, self.scheduled_count, step))
+
+    def run(self, until: float) -> None:
+        """Let the time pass."""
+        while self.scheduled and self.scheduled[0][0] <= until:
+            self.now, _, step = heapq.heappop(self.scheduled)
+            step()
+        self.now = until
+
+    def add_endpoint(self, name: str, started_at: float = 0.0) -> None:
+        """An endpoint starts; no gateway knows of it yet."""
+        number = len(self.endpoints)
+        entry = model.Endpoint(
+            name=name,
+            health=model.EndpointHealth.HEALTHY,
+            zone=ZONES[number % 2],
+            cell=number // 2,
+            weight=1.0,
+            started_at=started_at,
+        )
+        self.endpoints[name] = SimulatedEndpoint(
+            entry=entry,
+            cores=self.cores,
+            warming_since=started_at,
+            core_free_at=[0.0] * self.cores,
+        )
+
+    def warm_fraction(self, endpoint: SimulatedEndpoint, time: float) -> float:
+        """Share of its full capacity that an endpoint has."""
+        initial = self.settings.initial_capacity
+        age = time - endpoint.warming_since
+        fraction = initial + (1 - initial) * age / self.settings.warm_up_time
+        return max(initial, min(1.0, fraction))
+
+    def start_gateway(self, gateway: int) -> None:
+        """Start a gateway, or another one in its place, and give it the endpoint list."""
+        settings = replace(self.settings, gateway_index=gateway)
+        self.gateways[gateway] = Gateway(settings, self.seed * 1000 + gateway, self.now)
+        self.incarnations[gateway] += 1
+        self.notified[gateway].clear()
+        entries = tuple(endpoint.entry for endpoint in self.endpoints.values())
+        self._feed(gateway, model.EndpointUpdate(entries, True))
+
+    def notify(self, gateway: int, names: Iterable[str]) -> None:
+        """Tell a gateway how these endpoints stand in the endpoint list now."""
+        entries = tuple(self.endpoints[name].entry for name in names)
+        self._feed(gateway, model.EndpointUpdate(entries, False))
+
+    def _feed(self, gateway: int, event: model.Event) -> None:
+        decisions = self.gateways[gateway]
+        if decisions is None:
+            return
+        if isinstance(event, model.EndpointUpdate):
+            self.notified[gateway] |= {entry.name: entry.started_at for entry in event.endpoints}
+        for action in decisions.handle(self.now, event):
+            if isinstance(action, model.SetTimer):
+                timer = model.TimerFired(action.token)
+                self._feed_later(self.now + action.delay, gateway, timer)
+            elif isinstance(action, model.Forward):
+                self._forward(gateway, action)
+            elif isinstance(action, model.CheckHealth):
+                self._check_health(gateway, action)
+
+    def _feed_later(self, time: float, gateway: int, event: model.Event) -> None:
+        incarnation = self.incarnations[gateway]
+        self.schedule(time, partial(self._deliver, gateway, incarnation, event))
+
+    def _deliver(self, gateway: int, incarnation: int, event: model.Event) -> None:
+        if incarnation == self.incarnations[gateway]:
+            self._feed(gateway, event)
+
+    def _receive_request(self) -> None:
+        self.schedule(self.now + self.rng.expovariate(self.rate), self._receive_request)
+        (gateway,) = self.rng.choices(range(len(self.gateways)), cum_weights=self.cumulative_weights)
+        request_id = len(self.requests) + 1
+        request_class = "read" if self.rng.random() < READ_FRACTION else "post"
+        self.requests[request_id] = ClientRequest(request_class)
+        account = f"{self.rng.randrange(CUSTOMERS):016x}"
+        self._feed(gateway, model.Request(request_id, request_class, "free", CLIENT_TIMEOUT, account))
+
+    def _check_health(self, gateway: int, action: model.CheckHealth) -> None:
+        is_down = self.endpoints[action.endpoint].down_until > self.now
+        status = model.CallStatus.UNREACHABLE if is_down else model.CallStatus.OK
+        event = model.HealthChecked(action.endpoint, status, ROUND_TRIP, {})
+        self._feed_later(self.now + ROUND_TRIP, gateway, event)
+
+    def _forward(self, gateway: int, action: model.Forward) -> None:
+        request = self.requests[action.request_id]
+        attempt = request.attempts
+        request.attempts += 1
+        given_up_at = self.now + action.timeout
+        ends_at, status = self._execute(gateway, action.endpoint, request.request_class)
+        if ends_at > given_up_at:
+            ends_at = given_up_at
+            status = model.CallStatus.TIMEOUT
+        event = model.AttemptCompleted(
+            request_id=action.request_id,
+            attempt=attempt,
+            endpoint=action.endpoint,
+            status=status,
+            elapsed=ends_at - self.now,
+            request_finished=status is model.CallStatus.OK,
+            load_report={},
+        )
+        self._feed_later(ends_at, gateway, event)
+
+    def _execute(self, gateway: int, name: str, request_class: str) -> tuple[float, model.CallStatus]:
+        """When and how an attempt ends that an endpoint gets now."""
+        endpoint = self.endpoints[name]
+        if endpoint.down_until > self.now:
+            return self.now + ROUND_TRIP, model.CallStatus.UNREACHABLE
+        is_notified = self.notified[gateway].get(name) == endpoint.entry.started_at
+        size = CORE_SECONDS[request_class] / MEAN_CORE_SECONDS
+        endpoint.received.append(ReceivedRequest(self.now, is_notified, size))
+        core = min(range(endpoint.cores), key=lambda core: endpoint.core_free_at[core])
+        starts_at = max(self.now, endpoint.core_free_at[core])
+        speed = 1.0 if self.is_always_quick else self.warm_fraction(endpoint, starts_at)
+        work = CORE_SECONDS[request_class] * self.rng.uniform(0.7, 1.3) / speed
+        if (starts_at - self.now) * endpoint.cores > MAX_QUEUE * work:
+            return self.now + ROUND_TRIP, model.CallStatus.OVERLOADED
+        endpoint.core_free_at[core] = starts_at + work
+        return starts_at + work + ROUND_TRIP, model.CallStatus.OK
