--- a/scale/fleet.py
+++ b/scale/fleet/command.py
@@ -15,11 +15,11 @@
 import click
 
 from scale import regression as fit
-from scale import staging
+from scale.fleet import simulation as staging
+from scale.fleet.simulation import Play, Played
+from scale.fleet.tally import Tally
+from scale.fleet.world import CORES, NOTICE, Timetable, World
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size
-from scale.staging import Play, Played
-from scale.tally import Tally
-from scale.world import CORES, NOTICE, Timetable, World
 
 FULL, SHORT = 108.0, 30.0  # virtual seconds of a run: with a whole minute of the cut, and for a look
 WARM_UP = 20.0  # virtual seconds before: service and counter calls of a fresh fleet are not those of the calm
@@ -344,6 +344,3 @@
     run,
     held,
 )
-
-if __name__ == "__main__":
-    main()
--- a/scale/demand.py
+++ b/scale/fleet/demand.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from scale.tally import Tally
-from scale.world import KINDS, MOST_UNITS, RETRY_SHARE, RETRY_WAIT, Tenant, Terms, World
+from scale.fleet.tally import Tally
+from scale.fleet.world import KINDS, MOST_UNITS, RETRY_SHARE, RETRY_WAIT, Tenant, Terms, World
 
 BEGIN = 1.0  # seconds: the limiters start before, one by one, so that their loops do not turn as one
 LATE = 0.05  # seconds past the deadline that a final answer may come
--- a/scale/fleet_limiters.py
+++ b/scale/fleet/limiter.py
@@ -23,11 +23,11 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.backoff import poll_delay
 from quota_gateway.net.endpoint_watch import SILENCE_TIMEOUT
-from scale import fleet_peers as peers
-from scale.demand import BEGIN, Demand
-from scale.lockstep import Exchange
-from scale.tally import Tally
-from scale.world import (
+from scale.fleet import peers
+from scale.fleet.demand import BEGIN, Demand
+from scale.fleet.lockstep import Exchange
+from scale.fleet.tally import Tally
+from scale.fleet.world import (
     COLD_SHARE,
     COUNTER_TIMEOUT,
     DIAL_TIMEOUT,
--- a/scale/fleet_peers.py
+++ b/scale/fleet/peers.py
@@ -9,7 +9,7 @@
 from heapq import heappop, heappush, heapreplace
 from random import Random
 
-from scale import world
+from scale.fleet import world
 
 MOST_LIFETIME = 60.0  # seconds that the counter keeps a name at most
 SPREAD = 0.25  # seconds over which the calls of like fleets are spread (assumed)
--- a/scale/staging.py
+++ b/scale/fleet/simulation.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from scale import lockstep
-from scale.lockstep import Exchange
+from scale.fleet import lockstep
+from scale.fleet.lockstep import Exchange
+from scale.fleet.tally import Tally
+from scale.fleet.world import Timetable, World
 from scale.model import Size
-from scale.tally import Tally
-from scale.world import Timetable, World
 
 CAPACITY, PARTS = 930.0, 1  # of the counter: the least that the operators state, in calls a second
 
@@ -54,7 +54,7 @@
         import quota_gateway.decisions.gateway
 
         sys.path.remove(play.package)
-    from scale.fleet_limiters import Worker
+    from scale.fleet.limiter import Worker
 
     world = World(play.size, play.timetable, play.seed, play.parts, play.calls, play.crowd, play.lists)
     return Worker(me, count, exchange, world, play.progress).run()
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -10,14 +10,16 @@
 
 import pytest
 
-from scale import fleet, lockstep, staging, world
-from scale.demand import Bucket, Client
-from scale.fleet_peers import Counter, Discovery, Server
-from scale.lockstep import Exchange
+from scale.fleet import command as fleet
+from scale.fleet import lockstep, world
+from scale.fleet import simulation as staging
+from scale.fleet.demand import Bucket, Client
+from scale.fleet.lockstep import Exchange
+from scale.fleet.peers import Counter, Discovery, Server
+from scale.fleet.simulation import Play
+from scale.fleet.tally import Tally
+from scale.fleet.world import Timetable, World
 from scale.model import BrokenRunError, Size
-from scale.staging import Play
-from scale.tally import Tally
-from scale.world import Timetable, World
 
 SMALL = Size(limiters=5, servers=20, tenants=75, rate=180.0)
 
