--- /dev/null
+++ b/scale/fleet/endpoint_watch.py
@@ -0,0 +1,133 @@
+"""What a limiter knows of the endpoint list, and how it comes to know it."""
+
+from __future__ import annotations
+
+from random import Random
+
+from quota_gateway import model
+from quota_gateway.net.backoff import poll_delay
+from quota_gateway.net.endpoint_watch import SILENCE_TIMEOUT
+from scale.fleet.discovery import EndpointHistory
+from scale.fleet.mailbox import Mailbox
+from scale.fleet.messages import (
+    DiscoveryCall,
+    DiscoveryCallDue,
+    DiscoveryCallTimedOut,
+    EndpointFailed,
+    EndpointsChanged,
+    WatchLost,
+    WatchOpened,
+)
+from scale.fleet.scenario import World
+from scale.fleet.tally import Tally
+from scale.fleet.topology import COORDINATION_ZONE, pair_draw
+
+_NO_CALL = 0
+
+
+class EndpointWatch:
+    """Calls discovery with the same spread and back-off as the real client's, until a watch is open.
+
+    With an agent at its side (no ``discovery_capacity``) a limiter always watches.
+    """
+
+    def __init__(
+        self,
+        index: int,
+        world: World,
+        *,
+        history: EndpointHistory,
+        mailbox: Mailbox,
+        rng: Random,
+        tally: Tally,
+    ) -> None:
+        """The watch of the limiter of that number, which sends by this mailbox."""
+        self._index = index
+        self._world = world
+        self._history = history
+        self._mailbox = mailbox
+        self._rng = rng
+        self._tally = tally
+        self._zone = world.topology.zone(index)
+        self._calls_discovery = world.scenario.discovery_capacity > 0
+        self._is_open = not self._calls_discovery
+        self._known_changes = 0  # of the endpoint list
+        self._failed_endpoints = set[str]()
+        self._call_id = _NO_CALL  # the call that is out
+        self._reconnecting_since = 0.0
+        self._failures = 0  # in a row
+
+    def complete_list(self) -> model.EndpointUpdate:
+        """The endpoint list as far as the limiter knows it."""
+        return self._history.complete(self._known_changes, self._failed_endpoints)
+
+    def changed(self, event: EndpointsChanged) -> model.EndpointUpdate | None:
+        """The change that is pushed, unless the watch is lost."""
+        if not self._is_open:
+            return None
+        self._known_changes = max(self._known_changes, event.known_changes)
+        change = self._history.changes[event.known_changes - 1]
+        return model.EndpointUpdate(change.endpoints, False)
+
+    def endpoint_failed(self, event: EndpointFailed) -> model.EndpointUpdate | None:
+        """The removal that is pushed, unless the watch is lost; the next list leaves it out in any case."""
+        self._failed_endpoints.add(event.endpoint.name)
+        return model.EndpointUpdate((event.endpoint,), False) if self._is_open else None
+
+    def schedule_loss(self) -> None:
+        """Have a far limiter find out that its watch ended with the partition."""
+        if self._calls_discovery and self._world.topology.region(self._zone):
+            self._mailbox.schedule(self._world.schedule.partition.begin + SILENCE_TIMEOUT, WatchLost())
+
+    def reconnect(self, now: float, incarnation: int) -> None:
+        """Give up the watch and call discovery anew."""
+        if not self._calls_discovery:
+            return
+        self._is_open = False
+        self._call_id = _NO_CALL
+        self._reconnecting_since = now
+        self._failures = 0
+        self._schedule_call(now, incarnation)
+
+    def disconnect(self) -> None:
+        """The limiter is killed: its call ends."""
+        self._call_id = _NO_CALL
+
+    def call(self, now: float, incarnation: int) -> None:
+        """Call discovery, unless a call is out or the watch is open."""
+        if self._call_id or self._is_open:
+            return
+        self._call_id = self._mailbox.next_number()
+        self._tally.at(now)["discovery calls"] += 1
+        self._mailbox.schedule(now + SILENCE_TIMEOUT, DiscoveryCallTimedOut(incarnation, self._call_id))
+        if not self._world.faults.partitioned(self._zone, COORDINATION_ZONE, now):
+            draw = pair_draw(self._index, COORDINATION_ZONE)
+            arrives_at = now + self._world.topology.delay(self._zone, COORDINATION_ZONE, draw)
+            call = DiscoveryCall(incarnation, self._call_id)
+            self._mailbox.send(self._index, arrives_at, call)
+
+    def call_timed_out(self, now: float, event: DiscoveryCallTimedOut) -> None:
+        """Call again after a longer back-off, unless the call was answered."""
+        if event.call_id != self._call_id:
+            return
+        self._call_id = _NO_CALL
+        self._failures += 1
+        self._tally.at(now)["discovery calls timed out"] += 1
+        self._schedule_call(now, event.incarnation)
+
+    def opened(self, now: float, event: WatchOpened) -> model.EndpointUpdate | None:
+        """The complete list, if this answers the call that is out: then the watch is open."""
+        if event.call_id != self._call_id:
+            return None
+        self._call_id = _NO_CALL
+        self._failures = 0
+        self._is_open = True
+        counts = self._tally.at(now)
+        counts["watches"] += 1
+        counts["watch delay ms"] += round((now - self._reconnecting_since) * 1000)
+        self._known_changes = max(self._known_changes, event.known_changes)
+        return self.complete_list()
+
+    def _schedule_call(self, now: float, incarnation: int) -> None:
+        backoff = poll_delay(self._world.size.limiters, self._failures, self._rng.random())
+        self._mailbox.schedule(now + backoff, DiscoveryCallDue(incarnation))
--- /dev/null
+++ b/scale/fleet/limiter_process.py
@@ -0,0 +1,235 @@
+"""One incarnation of a limiter: the real decisions, with messages in place of sockets."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from quota_gateway import model
+from scale.fleet.discovery import endpoint_index, endpoint_name
+from scale.fleet.limiter_network import LimiterNetwork, OpenRequest
+from scale.fleet.limiter_settings import limiter_settings
+from scale.fleet.mailbox import Mailbox
+from scale.fleet.measured_gateway import MeasuredGateway
+from scale.fleet.messages import (
+    AttemptEnded,
+    AttemptOutcome,
+    ClientRequest,
+    CounterAnswered,
+    CounterOutcome,
+    HealthChecked,
+    RequestEnded,
+    RequestResult,
+    RequestServed,
+    TimerDue,
+)
+from scale.fleet.parameters import REQUEST_KINDS
+from scale.fleet.scenario import World
+from scale.fleet.tally import Tally
+
+_ATTEMPT_STATUS = {
+    AttemptOutcome.OK: model.CallStatus.OK,
+    AttemptOutcome.OVERLOADED: model.CallStatus.OVERLOADED,
+    AttemptOutcome.UNREACHABLE: model.CallStatus.UNREACHABLE,
+    AttemptOutcome.TIMED_OUT: model.CallStatus.TIMEOUT,
+}
+_COUNTER_STATUS = {
+    CounterOutcome.OK: model.CallStatus.OK,
+    CounterOutcome.UNREACHABLE: model.CallStatus.UNREACHABLE,
+    CounterOutcome.TIMED_OUT: model.CallStatus.TIMEOUT,
+}
+ProcessMessage = AttemptEnded | TimerDue | CounterAnswered | HealthChecked
+_KILLED = "killed"  # the reason why a request failed
+
+
+class LimiterProcess:
+    """Turns messages into events of the decisions, and their actions into messages."""
+
+    __slots__ = (
+        "_answer_delay",
+        "_counter_ids",
+        "_gateway",
+        "_mailbox",
+        "_network",
+        "_requests",
+        "_tally",
+        "_world",
+        "incarnation",
+    )
+
+    def __init__(
+        self,
+        index: int,
+        world: World,
+        *,
+        incarnation: int,
+        seed: int,
+        now: float,
+        mailbox: Mailbox,
+        tally: Tally,
+    ) -> None:
+        """Start the decisions at ``now`` with a random seed of their own."""
+        self.incarnation = incarnation
+        self._world = world
+        self._tally = tally
+        self._mailbox = mailbox
+        self._network = LimiterNetwork(index, world, mailbox)
+        settings = limiter_settings(world, index)
+        self._gateway = MeasuredGateway(settings, seed=seed, now=now, cost=tally.cost)
+        self._requests = dict[int, OpenRequest]()
+        self._counter_ids = dict[int, int]()  # by the id of the call that is out
+        self._answer_delay = 0.0  # by how much the windows delayed the answer that is being handled
+
+    def accept(self, now: float, message: ClientRequest) -> None:
+        """Take a client's request."""
+        request = OpenRequest(message)
+        self._requests[message.request_id] = request
+        event = model.Request(
+            message.request_id,
+            request_class=REQUEST_KINDS[message.kind].name,
+            plan=self._world.plans[message.plan].name,
+            timeout=message.timeout,
+            account=message.account,
+            units=float(message.units),
+            serving_gateways=self._world.size.spread,
+            is_retry=message.is_retry,
+        )
+        self._decide(now, event)
+        if message.request_id in self._requests and not request.attempt_is_out:
+            request.waits_since = now
+
+    def receive(self, now: float, message: ProcessMessage) -> None:
+        """Take what ends something that this incarnation began."""
+        _MESSAGE_HANDLERS[type(message)](self, now, message)
+
+    def update_endpoints(self, now: float, update: model.EndpointUpdate) -> None:
+        """Take the endpoint list or a change of it."""
+        self._decide(now, update)
+
+    def kill(self, now: float) -> None:
+        """End without a trace: the clients see their connections break."""
+        self._gateway.discard()
+        for request_id, request in self._requests.items():
+            self._notify_client(now, request, RequestEnded(request_id, RequestResult.FAILED, _KILLED))
+
+    def warming_up_endpoints(self) -> int:
+        """Endpoints of its subset that the decisions take to be warming up."""
+        return self._gateway.warming_up_endpoints()
+
+    def _decide(self, now: float, event: model.Event) -> None:
+        """Have the decisions handle an event, and carry out their actions."""
+        for action in self._gateway.handle(now, event):
+            handler = _ACTION_HANDLERS.get(type(action))
+            if handler is not None:
+                handler(self, now, action)
+
+    # Messages.
+
+    def _on_attempt_ended(self, now: float, message: AttemptEnded) -> None:
+        request = self._requests.get(message.request_id)
+        if request is None or not request.attempt_is_out or request.attempt != message.attempt:
+            return
+        request.attempt_is_out = False
+        self._tally.at(now)[f"attempts {message.outcome.value}"] += 1
+        served = message.outcome is AttemptOutcome.OK
+        if served:
+            del self._requests[message.request_id]
+            self._notify_client(now, request, RequestServed(message.request_id))
+        event = model.AttemptCompleted(
+            message.request_id,
+            attempt=message.attempt,
+            endpoint=endpoint_name(request.endpoint),
+            status=_ATTEMPT_STATUS[message.outcome],
+            elapsed=now - request.sent_at,
+            request_finished=served,
+            load_report={},
+            charged_units=float(request.client_request.true_units) if served else None,
+        )
+        self._decide(now, event)
+
+    def _on_timer_due(self, now: float, message: TimerDue) -> None:
+        self._decide(now, model.TimerFired(message.token))
+
+    def _on_counter_answered(self, now: float, message: CounterAnswered) -> None:
+        counter_id = self._counter_ids.pop(message.call_id, None)
+        if counter_id is None:
+            return
+        self._tally.at(now)[f"counter calls {message.outcome.value}"] += 1
+        self._answer_delay = now - message.arrived_at
+        status = _COUNTER_STATUS[message.outcome]
+        self._decide(now, model.CounterReplied(counter_id, status, message.total))
+        self._answer_delay = 0.0
+
+    def _on_health_checked(self, now: float, message: HealthChecked) -> None:
+        elapsed = now - message.sent_at
+        status = _ATTEMPT_STATUS[message.outcome]
+        self._decide(now, model.HealthChecked(endpoint_name(message.endpoint), status, elapsed, {}))
+
+    # Actions of the decisions.
+
+    def _forward(self, now: float, action: model.Forward) -> None:
+        request = self._requests[action.request_id]
+        self._end_wait(now, request)
+        request.attempt += 1
+        request.attempt_is_out = True
+        request.endpoint = endpoint_index(action.endpoint)
+        request.sent_at = now
+        self._tally.at(now)["attempts"] += 1
+        self._network.send_attempt(now, self.incarnation, request, action.timeout)
+
+    def _set_timer(self, now: float, action: model.SetTimer) -> None:
+        self._mailbox.schedule(now + action.delay, TimerDue(self.incarnation, action.token))
+
+    def _increment_counter(self, now: float, action: model.IncrementCounter) -> None:
+        counts = self._tally.at(now)
+        counts["counter calls"] += 1
+        counts["counter milliunits"] += round(abs(action.amount) * 1000)
+        self._tally.seconds[int(now)]["counter calls"] += 1
+        call_id = self._network.call_counter(now, self.incarnation, action)
+        self._counter_ids[call_id] = action.counter_id
+
+    def _reject(self, now: float, action: model.Reject) -> None:
+        self._end_request(now, action.request_id, RequestResult.REJECTED)
+
+    def _fail(self, now: float, action: model.Fail) -> None:
+        self._end_request(now, action.request_id, RequestResult.FAILED)
+
+    def _check_health(self, now: float, action: model.CheckHealth) -> None:
+        self._tally.at(now)["health checks"] += 1
+        self._network.check_health(now, self.incarnation, action)
+
+    def _end_request(self, now: float, request_id: int, result: RequestResult) -> None:
+        request = self._requests.pop(request_id)
+        self._end_wait(now, request)
+        reason = self._gateway.next_reason()
+        self._notify_client(now, request, RequestEnded(request_id, result, reason))
+
+    def _end_wait(self, now: float, request: OpenRequest) -> None:
+        """Count how long a request waited for the counter."""
+        if request.waits_since is None:
+            return
+        # What the windows add to an answer of the counter is no wait of the real thing.
+        waited = now - self._answer_delay - request.waits_since
+        self._tally.waits[max(0, round(waited * 1e6))] += 1
+        self._tally.at(now)["waited for counter"] += 1
+        request.waits_since = None
+
+    def _notify_client(self, now: float, request: OpenRequest, event: RequestServed | RequestEnded) -> None:
+        self._mailbox.send(request.client_request.tenant, now, event)
+
+
+_Handler = Callable[[LimiterProcess, float, Any], None]
+_MESSAGE_HANDLERS: dict[type[ProcessMessage], _Handler] = {
+    AttemptEnded: LimiterProcess._on_attempt_ended,
+    TimerDue: LimiterProcess._on_timer_due,
+    CounterAnswered: LimiterProcess._on_counter_answered,
+    HealthChecked: LimiterProcess._on_health_checked,
+}
+_ACTION_HANDLERS: dict[type[model.Action], _Handler] = {
+    model.Forward: LimiterProcess._forward,
+    model.SetTimer: LimiterProcess._set_timer,
+    model.IncrementCounter: LimiterProcess._increment_counter,
+    model.Reject: LimiterProcess._reject,
+    model.Fail: LimiterProcess._fail,
+    model.CheckHealth: LimiterProcess._check_health,
+}
--- a/scale/fleet/lockstep.py
+++ b/scale/fleet/lockstep.py
@@ -3,53 +3,45 @@
 from __future__ import annotations
 
 import traceback
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from enum import Enum
 from multiprocessing import get_context
 from multiprocessing.connection import Connection, wait
-from typing import Any
+from multiprocessing.process import BaseProcess
+from typing import Any, NamedTuple
 
 from scale.model import BrokenRunError
 
+# Takes the outbox for each worker and gives what the others, and the worker itself, had for this one.
 Exchange = Callable[[list[list[Any]]], list[Any]]
+# Index of the worker, number of workers, the exchange and the task; what it gives must be picklable.
 Work = Callable[[int, int, Exchange, Any], Any]
 
+_EXIT_TIMEOUT = 5.0  # seconds for a worker to exit once its pipe has ended
+
 
 class PeerLostError(Exception):
     """Another worker is gone: it, and not this one, is the cause."""
 
 
-def _exchange(me: int, links: dict[int, Connection]) -> Exchange:
-    others = sorted(links)
+class _Status(Enum):
+    DONE = "done"
+    PEER_LOST = "peer lost"
+    FAILED = "failed"
 
-    def swap(outboxes: list[list[Any]]) -> list[Any]:
-        got = list[Any]()
-        try:
-            # Pairs in one order at all workers, and in a pair the lower one speaks first: no ring of waits.
-            for other in others:
-                if me < other:
-                    links[other].send(outboxes[other])
-                    got += links[other].recv()
-                else:
-                    theirs = links[other].recv()
-                    links[other].send(outboxes[other])
-                    got += theirs
-        except (EOFError, OSError) as error:
-            raise PeerLostError(f"no worker at the other end: {error!r}") from None
-        return got + outboxes[me]
 
-    return swap
+class _Outcome(NamedTuple):
+    """How a worker ended, with its result or the cause."""
 
+    status: _Status
+    content: Any
 
-def _worker(
-    work: Work, me: int, count: int, links: dict[int, Connection], result: Connection, task: Any
-) -> None:
-    try:
-        answer = ("done", work(me, count, _exchange(me, links), task))
-    except PeerLostError as error:
-        answer = ("peer lost", str(error))
-    except BaseException:
-        answer = ("failed", traceback.format_exc())
-    result.send(answer)
+
+@dataclass(slots=True)
+class _Worker:
+    process: BaseProcess
+    outcomes: Connection
 
 
 def run(
@@ -59,45 +51,95 @@
 
     ``work`` and ``task`` are pickled: each worker is a fresh process. ``started`` gets the process ids.
     """
+    workers = _start(work, count, task)
+    started([worker.process.pid or 0 for worker in workers])
+    results = dict[int, Any]()
+    causes = list[str]()
+    try:
+        for index, outcome in _outcomes(workers):
+            if outcome.status is _Status.DONE:
+                results[index] = outcome.content
+            elif outcome.status is _Status.FAILED:
+                causes.append(f"worker {index}: {outcome.content}")
+        if len(results) < count:
+            raise BrokenRunError("; ".join(causes) or "the workers lost each other")
+    finally:
+        for worker in workers:
+            if worker.process.is_alive() and len(results) < count:
+                worker.process.terminate()
+            worker.process.join()
+    return [results[index] for index in range(count)]
+
+
+def _start(work: Work, count: int, task: Any) -> list[_Worker]:
     context = get_context("spawn")
     links: list[dict[int, Connection]] = [{} for _ in range(count)]
     for one in range(count):
         for other in range(one + 1, count):
             links[one][other], links[other][one] = context.Pipe()
-    pipes = [context.Pipe(duplex=False) for _ in range(count)]
-    workers = [
-        context.Process(target=_worker, args=(work, i, count, links[i], pipes[i][1], task), daemon=True)
-        for i in range(count)
-    ]
+    workers = list[_Worker]()
+    senders = list[Connection]()
+    for index in range(count):
+        receiver, sender = context.Pipe(duplex=False)
+        arguments = (work, index, count, links[index], sender, task)
+        workers.append(_Worker(context.Process(target=_run_worker, args=arguments, daemon=True), receiver))
+        senders.append(sender)
     for worker in workers:
-        worker.start()
+        worker.process.start()
     # Only the workers may hold these: an end that stays open here would hide the death of a worker.
-    for own in links:
-        for link in own.values():
+    for own_links in links:
+        for link in own_links.values():
             link.close()
-    for _, sender in pipes:
+    for sender in senders:
         sender.close()
-    started([worker.pid or 0 for worker in workers])
-    answers, causes = dict[int, Any](), list[str]()
-    by_pipe: dict[Any, int] = {pipes[i][0]: i for i in range(count)}
+    return workers
+
+
+def _outcomes(workers: list[_Worker]) -> Iterator[tuple[int, _Outcome]]:
+    """Each worker's index and how it ended, as they end."""
+    waiting: dict[Any, int] = {worker.outcomes: index for index, worker in enumerate(workers)}
+    while waiting:
+        for ready in wait(list(waiting)):
+            index = waiting.pop(ready)
+            try:
+                outcome = workers[index].outcomes.recv()
+            except (EOFError, OSError):
+                process = workers[index].process
+                process.join(_EXIT_TIMEOUT)
+                outcome = _Outcome(_Status.FAILED, f"it died with exit code {process.exitcode}")
+            yield index, outcome
+
+
+def _run_worker(
+    work: Work, index: int, count: int, links: dict[int, Connection], outcomes: Connection, task: Any
+) -> None:
     try:
-        while by_pipe:
-            for ready in wait(list(by_pipe)):
-                i = by_pipe.pop(ready)
-                try:
-                    kind, answer = pipes[i][0].recv()
-                except (EOFError, OSError):
-                    workers[i].join(5.0)
-                    kind, answer = "failed", f"it died with exit code {workers[i].exitcode}"
-                if kind == "done":
-                    answers[i] = answer
-                elif kind == "failed":
-                    causes.append(f"worker {i}: {answer}")
-        if len(answers) < count:
-            raise BrokenRunError("; ".join(causes) or "the workers lost each other")
-    finally:
-        for worker in workers:
-            if worker.is_alive() and len(answers) < count:
-                worker.terminate()
-            worker.join()
-    return [answers[i] for i in range(count)]
+        outcome = _Outcome(_Status.DONE, work(index, count, _exchange(index, links), task))
+    except PeerLostError as error:
+        outcome = _Outcome(_Status.PEER_LOST, str(error))
+    except BaseException:
+        outcome = _Outcome(_Status.FAILED, traceback.format_exc())
+    outcomes.send(outcome)
+
+
+def _exchange(index: int, links: dict[int, Connection]) -> Exchange:
+    peers = sorted(links)
+
+    def exchange(outboxes: list[list[Any]]) -> list[Any]:
+        """Send to each peer and receive from it."""
+        received = list[Any]()
+        try:
+            # Pairs in one order at all workers, and in a pair the lower one sends first: no cycle of waits.
+            for peer in peers:
+                if index < peer:
+                    links[peer].send(outboxes[peer])
+                    received += links[peer].recv()
+                else:
+                    inbox = links[peer].recv()
+                    links[peer].send(outboxes[peer])
+                    received += inbox
+        except (EOFError, OSError) as error:
+            raise PeerLostError(f"no worker at the other end: {error!r}") from None
+        return received + outboxes[index]
+
+    return exchange
--- /dev/null
+++ b/scale/fleet/scale_test.py
@@ -0,0 +1,157 @@
+"""The fleet simulation as one of the scale tests: reduced fleets for slopes, then the full size."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, replace
+from typing import Any
+
+from scale import regression
+from scale.fleet.faults import FULL_LENGTH, FaultSchedule
+from scale.fleet.scenario import Scenario
+from scale.fleet.simulation import simulate
+from scale.fleet.summary import summarize
+from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
+
+SHORT_RUN = 30.0  # virtual seconds of a reduced fleet
+# Virtual seconds before these: service and counter calls of a fresh fleet are not those of the calm.
+WARM_UP = 20.0
+SIZE_SHARES = (0.025, 0.05, 0.1, 1.0)
+QUICK_SIZE_SHARES = (0.0125, 0.025, 0.05, 0.1)
+MAX_RUNS = 3  # of each reduced size; the full size is simulated once
+ENDPOINTS_PER_ZONE = 4  # that a reduced fleet has at least
+# Bytes, by the slopes of the scale test of memory.
+_ENDPOINT_BYTES = 900.0  # at each limiter
+_TENANT_BYTES = 1500.0  # at each limiter of its set
+_PROCESS_BYTES = 60e6
+_ASSUMPTIONS = (
+    "8 to 10 ms one way between regions is assumed: at 15 the far one could not use the counter in 30 ms",
+    "servers have two cores, so that the work stays in the brief's range at half of the capacity",
+    "connections are not modelled: for 1 s after a machine falls silent attempts hang, then dials fail",
+    "a full server's answer is late by up to 10 ms, one of the counter from the same zone by up to 5 ms",
+    "a reduced fleet shares its counter with as many like fleets as make up the whole",
+)
+
+
+def reduced(size: Size, share: float) -> Size:
+    """The same fleet, smaller: as many requests, endpoints and tenants for each limiter."""
+    limiters = max(size.spread, round(size.limiters * share))
+    share = limiters / size.limiters
+    return replace(
+        size,
+        limiters=limiters,
+        servers=max(size.zones * ENDPOINTS_PER_ZONE, round(size.servers * share)),
+        tenants=max(1, round(size.tenants * share)),
+        rate=size.rate * share,
+    )
+
+
+def like_fleets(size: Size, full_size: Size) -> int:
+    """How many fleets of that size would share the counter of the full one."""
+    return max(1, round(full_size.limiters / size.limiters))
+
+
+@dataclass(slots=True)
+class _SlopePoints:
+    """Costs of each size's runs, for the slopes."""
+
+    counter_calls: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by limiters
+    memory: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by limiters
+    control: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by endpoints
+
+    def add(self, size: Size, fleets: int, summaries: list[dict[str, Any]]) -> None:
+        """The runs of one size, which shared the counter as so many fleets."""
+        totals = [summary["over all"] for summary in summaries]
+        self.counter_calls[size.limiters] = tuple(
+            summary["phases"]["calm"]["calls/s"] / fleets for summary in summaries
+        )
+        self.memory[size.limiters] = tuple(total["rss"] for total in totals)
+        self.control[size.servers] = tuple(total["real control share of a core"] for total in totals)
+
+    def slopes(self) -> list[Slope]:
+        """How the costs grow."""
+        return [
+            regression.line("counter calls, calm", "calls/s", "limiters", self.counter_calls),
+            regression.line("memory of all processes", "bytes", "limiters", self.memory),
+            regression.line("decisions: control", "of a core", "servers", self.control),
+        ]
+
+
+def run(size: Size, budget: Budget, effort: Effort) -> Result:
+    """Reduced sizes for slopes, then the full one; ``BrokenRunError`` where a worker fails or dies."""
+    if min(size.limiters, size.servers, size.tenants) < 1 or size.rate <= 0:
+        raise BrokenRunError("a fleet of nothing")
+    points = _SlopePoints()
+    for share in QUICK_SIZE_SHARES if effort.quick else SIZE_SHARES:
+        scenarios = _scenarios(size, share, effort)
+        summaries = [
+            summarize(scenario, simulate(scenario, min(effort.processes, scenario.size.limiters)))
+            for scenario in scenarios
+        ]
+        last = scenarios[-1]
+        points.add(last.size, last.like_fleets, summaries)
+    source = (
+        f"one run of {last.size.limiters} limiters over {last.schedule.end:g} virtual s, seed {last.seed}"
+    )
+    return Result(
+        slopes=points.slopes(), figures=_figures(summaries[-1], budget, source), notes=list(_ASSUMPTIONS)
+    )
+
+
+def _scenarios(size: Size, share: float, effort: Effort) -> list[Scenario]:
+    """The runs of one size, with a seed each."""
+    is_full_size = share == 1.0
+    runs = 1 if is_full_size or effort.quick else min(MAX_RUNS, effort.runs)
+    schedule = FaultSchedule.of(FULL_LENGTH if is_full_size else SHORT_RUN, WARM_UP)
+    fleet = reduced(size, share)
+    fleets = like_fleets(fleet, size)
+    return [
+        Scenario(fleet, schedule, seed, like_fleets=fleets) for seed in range(effort.seed, effort.seed + runs)
+    ]
+
+
+def _figures(summary: dict[str, Any], budget: Budget, source: str) -> list[Figure]:
+    """What the shared command checks and prints; of the full size."""
+    total = summary["over all"]
+    phases = summary["phases"]
+
+    def figure(name: str, unit: str, value: float, limit: float | None = None) -> Figure:
+        return Figure(name, unit, value, Origin.MEASURED, source, limit)
+
+    highest_call_rate = max(phase["calls/s"] for phase in phases.values())
+    control = total["real control share of a core"]
+    added = total["added p99"]
+    return [
+        *(figure(f"service, {name}", "share", phase["service"]) for name, phase in phases.items()),
+        figure("service, whole run", "share", total["service"]),
+        figure("units beyond quotas", "share", total["beyond"]),
+        figure("tries refused with room", "share", total["with room"]),
+        figure("counter calls, highest phase", "calls/s", highest_call_rate, budget.counter_calls),
+        figure("counter calls, highest second", "calls/s", total["most calls in a second"]),
+        figure("held for the counter, p99 of held", "s", total["held p99"]),
+        figure("held for the counter, p99 of all tries", "s", added, budget.added_p99),
+        figure("decisions: control", "of a core", control, budget.control_cpu),
+        figure("decisions: with requests", "of a core", total["real decision share of a core"]),
+        figure("requests lost", "requests", total["lost"], 0.0),
+        figure("ceilings passed", "tries", total["ceilings passed"], 0.0),
+        figure("cold servers fallen", "servers", total["servers fallen"], 0.0),
+        *(figure(f"recovery, {name}", "s", value) for name, value in total["recovery"].items()),
+        figure("memory of all processes", "bytes", total["rss"]),
+        figure("real time", "s", total["real seconds"]),
+    ]
+
+
+def memory(size: Size, effort: Effort) -> dict[str, float]:
+    """Bytes at once, by the option that asks for them: each limiter knows every endpoint and its tenants."""
+    return {
+        "servers": size.limiters * size.servers * _ENDPOINT_BYTES,
+        "tenants": size.tenants * size.spread * _TENANT_BYTES,
+        "processes": (effort.processes + 1) * _PROCESS_BYTES,
+    }
+
+
+TEST = ScaleTest(
+    "fleet",
+    "the whole fleet in virtual time with a zone lost, a mass restart and a region cut off",
+    run,
+    memory,
+)
--- a/scale/fleet/simulation.py
+++ b/scale/fleet/simulation.py
@@ -1,4 +1,4 @@
-"""One play of the fleet: the workers are started, and what they counted is brought together."""
+"""One run of a scenario: the workers are started, and what they counted is brought together."""
 
 from __future__ import annotations
 
@@ -9,62 +9,48 @@
 
 from scale.fleet import lockstep
 from scale.fleet.lockstep import Exchange
+from scale.fleet.scenario import Scenario, World
 from scale.fleet.tally import Tally
-from scale.fleet.world import Timetable, World
-from scale.model import Size
-
-CAPACITY, PARTS = 930.0, 1  # of the counter: the least that the operators state, in calls a second
-
-
-@dataclass(frozen=True, slots=True)
-class Play:
-    """What a run is made of; ``package`` is the checkout whose decisions are played (empty: this one)."""
-
-    size: Size
-    timetable: Timetable
-    seed: int = 1
-    calls: float = CAPACITY
-    parts: int = PARTS
-    crowd: int = 1  # so many fleets like this one share the counter
-    package: str = ""
-    lists: float = 0.0  # calls a second that discovery serves; 0: it pushes to an agent beside each limiter
-    progress: bool = False  # a line on standard error every 10 virtual seconds
 
 
 @dataclass(slots=True)
-class Played:
+class SimulationResult:
+    """What all workers counted."""
+
     tally: Tally
-    real: float  # seconds the run took
+    elapsed: float  # real seconds that the run took
     processes: int
 
 
-def work(me: int, count: int, exchange: Exchange, play: Play) -> Tally:
-    """The part of one worker; it runs in a process of its own, which has not met the decisions yet."""
-    if play.package:
-        if any(name.partition(".")[0] == "quota_gateway" for name in sys.modules):
-            raise RuntimeError("the decisions are here already: another checkout's cannot be taken")
-        sys.path.insert(0, play.package)
-    import quota_gateway
+def simulate(scenario: Scenario, processes: int) -> SimulationResult:
+    """Run a scenario in so many processes; ``BrokenRunError`` where one of them fails or dies."""
+    began = time.monotonic()
+    tallies = lockstep.run(run_worker, processes, scenario)
+    total: Tally = tallies[0]
+    for tally in tallies[1:]:
+        total.add(tally)
+    return SimulationResult(total, time.monotonic() - began, processes)
 
-    if play.package:
-        found = Path(quota_gateway.__file__).resolve()
-        if not found.is_relative_to(Path(play.package).resolve()):
-            raise RuntimeError("the checkout given has no decisions")
-        # Only the decisions come from there: the test itself is this one.
-        import quota_gateway.decisions.gateway
 
-        sys.path.remove(play.package)
-    from scale.fleet.limiter import Worker
+def run_worker(index: int, count: int, exchange: Exchange, scenario: Scenario) -> Tally:
+    """The part of one worker; it runs in a process of its own, which has not imported the decisions yet."""
+    if scenario.package:
+        _import_decisions_from(scenario.package)
+    from scale.fleet.worker import Worker
 
-    world = World(play.size, play.timetable, play.seed, play.parts, play.calls, play.crowd, play.lists)
-    return Worker(me, count, exchange, world, play.progress).run()
+    return Worker(index, count, exchange, World(scenario)).run()
 
 
-def run(play: Play, processes: int) -> Played:
-    """``BrokenRunError`` where a worker fails or dies."""
-    began = time.monotonic()
-    parts = lockstep.run(work, processes, play)
-    total = parts[0]
-    for part in parts[1:]:
-        total.add(part)
-    return Played(total, time.monotonic() - began, processes)
+def _import_decisions_from(checkout: str) -> None:
+    """Import the decisions, and only these, from another checkout: the simulation itself is this one."""
+    if any(name.partition(".")[0] == "quota_gateway" for name in sys.modules):
+        raise RuntimeError("the decisions are here already: another checkout's cannot be taken")
+    sys.path.insert(0, checkout)
+    import quota_gateway
+
+    found = Path(quota_gateway.__file__).resolve()
+    if not found.is_relative_to(Path(checkout).resolve()):
+        raise RuntimeError("the checkout given has no decisions")
+    import quota_gateway.decisions.gateway
+
+    sys.path.remove(checkout)
--- /dev/null
+++ b/scale/fleet/summary.py
@@ -0,0 +1,220 @@
+"""What one run found, by phase, by second and over the run, under the names of a run's JSON file."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Iterable
+from itertools import pairwise
+from typing import Any
+
+from scale.fleet.faults import FaultSchedule
+from scale.fleet.parameters import ENDPOINT_CORES, NOTIFICATION_DELAY
+from scale.fleet.scenario import Scenario, World
+from scale.fleet.simulation import SimulationResult
+from scale.fleet.tally import ALL_EVENTS, CONTROL_EVENTS, Tally
+
+RECOVERY_MARGIN = 0.02  # of the calm service, by which a recovered one may be lower
+RECOVERY_TIME = 3  # seconds for which service must be as in the calm
+_MICROSECONDS = 1e6
+_NANOSECONDS = 1e9
+_SHORTEST_PHASE = 1e-9  # seconds, for rates
+
+
+def summarize(scenario: Scenario, result: SimulationResult) -> dict[str, Any]:
+    """All that one run found; times in seconds, real ones named so."""
+    tally = result.tally
+    begins = [phase.begin for phase in scenario.schedule.phases()]
+    names = [phase.name for phase in scenario.schedule.phases()]
+    ends = pairwise([*begins, scenario.schedule.end])
+    return {
+        "play": scenario.as_json(),
+        "over all": _run_totals(scenario, result),
+        "phases": {
+            name: _phase(counts, max(_SHORTEST_PHASE, end - begin), scenario)
+            for name, (begin, end), counts in zip(names, ends, tally.phases, strict=True)
+        },
+        "seconds": {
+            second: {
+                "service": _service(tally, [second]),
+                "calls/s": counts["counter calls"] * scenario.like_fleets,
+                "cold": counts["endpoints warming up"],
+            }
+            for second, counts in sorted(tally.seconds.items())
+        },
+    }
+
+
+def percentile(waits: Iterable[tuple[int, int]], zeros: int, share: float) -> float:
+    """Seconds that this share stays within: of waits in microseconds with their numbers, and zeros."""
+    counted = sorted(waits)
+    wanted = share * (zeros + sum(number for _, number in counted))
+    seen = zeros
+    for wait, number in counted:
+        if seen >= wanted:
+            break
+        seen += number
+        if seen >= wanted:
+            return wait / _MICROSECONDS
+    return 0.0
+
+
+def _ratio(part: float, total: float) -> float:
+    return part / total if total else 0.0
+
+
+def _phase(counts: Counter[str], seconds: float, scenario: Scenario) -> dict[str, Any]:
+    """The figures of one phase of so many seconds."""
+    return {
+        "seconds": seconds,
+        **_phase_service(counts, seconds),
+        **_phase_ends(counts),
+        **_phase_counter(counts, seconds, scenario.like_fleets),
+        "probes/s": counts["health checks"] / seconds,
+        "busy": counts["work us"] / _MICROSECONDS / seconds / (scenario.size.servers * ENDPOINT_CORES),
+        "list calls": counts["discovery calls"],
+        "list calls in vain": counts["discovery calls timed out"],
+        "watch after": _ratio(counts["watch delay ms"] / 1000, counts["watches"]),
+        "servers fallen": counts["endpoints failed"],
+        "lost": counts["lost"],
+        "ceilings passed": counts["ceilings exceeded"],
+    }
+
+
+def _phase_service(counts: Counter[str], seconds: float) -> dict[str, Any]:
+    """What was served of the value that came within the quotas, and what went beyond them."""
+    return {
+        "service": _ratio(counts["served value"], counts["offered value"]),
+        "service basic": _ratio(counts["served value basic"], counts["offered value basic"]),
+        "service volume": _ratio(counts["served value volume"], counts["offered value volume"]),
+        "tries/s": counts["requests"] / seconds,
+        "attempts per try": _ratio(counts["attempts"], counts["requests"]),
+        "beyond": _ratio(counts["units over quota"], counts["units sent"]),
+        "beyond basic": _ratio(counts["units over quota basic"], counts["units sent basic"]),
+        "beyond volume": _ratio(counts["units over quota volume"], counts["units sent volume"]),
+    }
+
+
+def _phase_ends(counts: Counter[str]) -> dict[str, Any]:
+    """How requests and attempts ended."""
+    requests = counts["requests"]
+    by_reason = _with_prefix(counts, "rejected within quota: ")
+    ended = {key: counts[key] for key in sorted(counts) if key.startswith(("refused", "failed"))}
+    return {
+        "with room": _ratio(counts["rejected within quota"], requests),
+        "with room by reason": {reason: _ratio(count, requests) for reason, count in by_reason.items()},
+        "ended": {end: _ratio(count, requests) for end, count in ended.items()},
+        "attempts": _with_prefix(counts, "attempts "),
+        "held": _ratio(counts["waited for counter"], requests),
+    }
+
+
+def _phase_counter(counts: Counter[str], seconds: float, like_fleets: int) -> dict[str, Any]:
+    """The calls to the counter."""
+    calls = counts["counter calls"]
+    served = counts["counter calls served"]
+    return {
+        "calls/s": calls * like_fleets / seconds,
+        "calls served/s": served * like_fleets / seconds,
+        "calls timed out": _ratio(counts["counter calls timed out"], calls),
+        "calls per try": _ratio(calls, counts["requests"]),
+        "units per call": _ratio(counts["counter milliunits"] / 1000, calls),
+        "counter takes": _ratio(counts["counter latency us"] / _MICROSECONDS, served),
+    }
+
+
+def _with_prefix(counts: Counter[str], prefix: str) -> dict[str, int]:
+    """Counts whose names begin so, by the rest of their names."""
+    return {name.removeprefix(prefix): counts[name] for name in sorted(counts) if name.startswith(prefix)}
+
+
+def _run_totals(scenario: Scenario, result: SimulationResult) -> dict[str, Any]:
+    """The figures of the run."""
+    tally = result.tally
+    total = Counter[str]()
+    for counts in tally.phases:
+        total.update(counts)
+    busiest_second = max((counts["counter calls"] for counts in tally.seconds.values()), default=0)
+    return {
+        "service": _ratio(total["served value"], total["offered value"]),
+        "tries": total["requests"],
+        "work over the brief's": World(scenario).work_scale,
+        "beyond": _ratio(total["units over quota"], total["units sent"]),
+        "with room": _ratio(total["rejected within quota"], total["requests"]),
+        **_counter_waits(tally, total["requests"]),
+        "most calls in a second": busiest_second * scenario.like_fleets,
+        **_costs(tally, scenario.size.limiters, scenario.schedule.end),
+        "real seconds": result.elapsed,
+        "processes": result.processes,
+        "rss": sum(tally.peak_memory),
+        "recovery": _recoveries(tally, scenario.schedule),
+        "lost": total["lost"],
+        "ceilings passed": total["ceilings exceeded"],
+        "servers fallen": total["endpoints failed"],
+    }
+
+
+def _counter_waits(tally: Tally, requests: int) -> dict[str, float]:
+    """How long requests waited for the counter: those that did, and all of them."""
+    waited = sum(tally.waits.values())
+    return {
+        "held p50": percentile(tally.waits.items(), 0, 0.5),
+        "held p99": percentile(tally.waits.items(), 0, 0.99),
+        "held p99.9": percentile(tally.waits.items(), 0, 0.999),
+        "added p99": percentile(tally.waits.items(), max(0, requests - waited), 0.99),
+    }
+
+
+def _costs(tally: Tally, limiters: int, seconds: float) -> dict[str, Any]:
+    """Real processor time: of the decisions, and of the simulation."""
+    cost = tally.cost
+    limiter_seconds = limiters * seconds
+    control = sum(cost[event] for event in CONTROL_EVENTS)
+    decisions = sum(cost[event] for event in ALL_EVENTS)
+    return {
+        "events a limiter a second": sum(cost[f"{event}s"] for event in ALL_EVENTS) / limiter_seconds,
+        "real control share of a core": control / _NANOSECONDS / limiter_seconds,
+        "real decision share of a core": decisions / _NANOSECONDS / limiter_seconds,
+        "real us per event": {event: _ratio(cost[event] / 1e3, cost[f"{event}s"]) for event in ALL_EVENTS},
+        "real CPU seconds per second": cost["process"] / _NANOSECONDS / seconds,
+    }
+
+
+def _recoveries(tally: Tally, schedule: FaultSchedule) -> dict[str, float]:
+    """Seconds from the end of each fault, up to the next one."""
+    return {
+        "zone": _recovery(tally, schedule, schedule.zone_outage.end, schedule.restart_at),
+        "restart": _recovery(tally, schedule, schedule.restart_at, schedule.partition.begin),
+        "cut": _recovery(tally, schedule, schedule.partition.end, schedule.end),
+        "warm": _warm_up(tally, schedule),
+    }
+
+
+def _recovery(tally: Tally, schedule: FaultSchedule, fault_end: float, until: float) -> float:
+    """Seconds from a fault's end until service is as in the calm for 3 s; infinite if not by ``until``."""
+    calm = range(math.ceil(schedule.calm_from), int(schedule.zone_outage.begin))
+    calm_service = _service(tally, calm)
+    for second in range(math.ceil(fault_end), int(until) - RECOVERY_TIME + 1):
+        service = _service(tally, range(second, second + RECOVERY_TIME))
+        if service >= calm_service - RECOVERY_MARGIN:
+            return max(0.0, second - fault_end)
+    return math.inf
+
+
+def _warm_up(tally: Tally, schedule: FaultSchedule) -> float:
+    """Seconds from the zone's return until no limiter has endpoints that warm up; infinite if not by the cut.
+
+    Only from when all have been notified of the return: what is not known yet does not warm up to anybody.
+    """
+    returned_at = schedule.zone_outage.end
+    for second in range(math.ceil(returned_at + NOTIFICATION_DELAY[1]), int(schedule.partition.begin)):
+        if not tally.seconds[second]["endpoints warming up"]:
+            return second + 1 - returned_at
+    return math.inf
+
+
+def _service(tally: Tally, seconds: Iterable[int]) -> float:
+    """Share of the value offered in these seconds that was served."""
+    counts = [tally.seconds[second] for second in seconds if second in tally.seconds]
+    served = sum(count["served value"] for count in counts)
+    return _ratio(served, sum(count["offered value"] for count in counts))
--- a/scale/fleet/tally.py
+++ b/scale/fleet/tally.py
@@ -2,42 +2,51 @@
 
 from __future__ import annotations
 
+import math
 from bisect import bisect_right
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
+# Events that the decisions handle, by the names of their costs in a run's JSON file.
+CONTROL_EVENTS = ("tick", "list", "probed")  # whether or not requests come
+REQUEST_EVENTS = ("ask", "outcome", "counted")
+ALL_EVENTS = (*CONTROL_EVENTS, *REQUEST_EVENTS)
+
 
 @dataclass(slots=True)
 class Tally:
     """Counts by phase and by second; ``cost`` holds what differs from run to run (real time, memory)."""
 
-    begins: tuple[float, ...]
+    phase_begins: tuple[float, ...]  # virtual seconds
     phases: list[Counter[str]] = field(default_factory=list)
     seconds: defaultdict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    waits: Counter[int] = field(default_factory=Counter)  # held requests by virtual microseconds
-    cost: Counter[str] = field(default_factory=Counter)
-    rss: list[int] = field(default_factory=list)  # bytes at the peak, of each worker
+    waits: Counter[int] = field(default_factory=Counter)  # for the counter, by virtual microseconds
+    cost: Counter[str] = field(default_factory=Counter)  # nanoseconds by event, and events by name with "s"
+    peak_memory: list[int] = field(default_factory=list)  # bytes, of each worker
 
-    _from: float = 0.0
-    _to: float = 0.0
-    _now: Counter[str] = field(default_factory=Counter)
+    _phase_begin: float = 0.0
+    _phase_end: float = 0.0
+    _phase: Counter[str] = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
-        self.phases = self.phases or [Counter() for _ in self.begins]
+        """Empty counts for each phase."""
+        self.phases = self.phases or [Counter() for _ in self.phase_begins]
 
     def at(self, time: float) -> Counter[str]:
         """The counts of the phase of that time."""
-        if not self._from <= time < self._to:  # the next time is most likely of the same phase
-            number = max(0, bisect_right(self.begins, time) - 1)
-            self._from, self._to = self.begins[number], (*self.begins, float("inf"))[number + 1]
-            self._now = self.phases[number]
-        return self._now
+        if not self._phase_begin <= time < self._phase_end:  # the next time is most likely of the same phase
+            number = max(0, bisect_right(self.phase_begins, time) - 1)
+            self._phase_begin = self.phase_begins[number]
+            self._phase_end = (*self.phase_begins, math.inf)[number + 1]
+            self._phase = self.phases[number]
+        return self._phase
 
     def add(self, other: Tally) -> None:
-        for mine, theirs in zip(self.phases, other.phases, strict=True):
-            mine.update(theirs)
+        """Add the counts of another worker of the same run."""
+        for own, counts in zip(self.phases, other.phases, strict=True):
+            own.update(counts)
         for second, counts in other.seconds.items():
             self.seconds[second].update(counts)
         self.waits.update(other.waits)
         self.cost.update(other.cost)
-        self.rss += other.rss
+        self.peak_memory += other.peak_memory
--- /dev/null
+++ b/scale/fleet/worker.py
@@ -0,0 +1,136 @@
+"""One of the processes that simulate a fleet: its limiters, endpoints and tenants, window by window.
+
+Within a window only limiters act; endpoints and clients act on it one window later, with the exact times of
+what came, and what they answer comes no earlier than the window after that: an answer in less than two
+windows (an overloaded endpoint's, a refused connection's) is late by up to that much, and one of the counter
+in less than one window by up to one.
+"""
+
+from __future__ import annotations
+
+import gc
+import resource
+import sys
+import time
+from heapq import heappop, heappush
+
+from scale.fleet.discovery import EndpointHistory
+from scale.fleet.limiter import Limiter
+from scale.fleet.lockstep import Exchange
+from scale.fleet.mailbox import Mailbox
+from scale.fleet.messages import ROLES, Envelope, Event, Role
+from scale.fleet.parameters import REQUEST_KINDS
+from scale.fleet.router import Router
+from scale.fleet.scenario import World
+from scale.fleet.services import CounterService, DiscoveryService, EndpointService
+from scale.fleet.tally import Tally
+from scale.fleet.workload import Workload
+
+WINDOW = 0.005  # seconds of virtual time between two exchanges
+DRAIN_TIME = 1.1 * max(kind.deadline for kind in REQUEST_KINDS)  # that the run goes on after the last request
+_PROGRESS_INTERVAL = 10  # virtual seconds
+_BYTES_PER_KIB = 1024  # ``ru_maxrss`` is in KiB
+
+
+class Worker:
+    """Runs its part of the world in step with the other workers."""
+
+    def __init__(self, index: int, count: int, exchange: Exchange, world: World) -> None:
+        """``exchange`` hands messages over to the other workers, ``count`` in all."""
+        self._index = index
+        self._exchange = exchange
+        self._world = world
+        self._tally = Tally(tuple(phase.begin for phase in world.schedule.phases()))
+        self._router = Router(index, count, world)
+        self._limiter_events = list[Envelope]()  # heap
+        self._client_events = list[Envelope]()  # heap
+        history = EndpointHistory(world)
+        self._limiters = self._own_limiters(history)
+        self._workload = self._own_workload()
+        self._endpoints = EndpointService(world, self._router, history, self._tally)
+        # Each worker's counter serves all calls; one of them counts.
+        counter_tally = self._tally if index == 0 else None
+        self._counter = CounterService(world, self._router, self._limiter_events, counter_tally)
+        self._discovery = DiscoveryService(world, self._router, self._limiter_events, history)
+        heaps = {
+            Role.LIMITER: self._limiter_events,
+            Role.ENDPOINT: self._endpoints.inbox,
+            Role.TENANT: self._client_events,
+            Role.COUNTER: self._counter.inbox,
+            Role.DISCOVERY: self._discovery.inbox,
+        }
+        self._heaps: dict[type[Event], list[Envelope]] = {
+            event_type: heaps[role] for event_type, role in ROLES.items()
+        }
+        self._seconds_counted = 0
+
+    def run(self) -> Tally:
+        """All windows; the tally of this worker's part."""
+        # Nothing here makes cycles, and looking for them takes as long as the decisions.
+        gc.disable()
+        windows = round((self._world.schedule.end + DRAIN_TIME) / WINDOW)
+        for window in range(windows):
+            self._run_window(window * WINDOW, (window + 1) * WINDOW)
+        if self._workload is not None:
+            undelivered = [heappop(self._client_events) for _ in range(len(self._client_events))]
+            self._workload.receive(undelivered)
+            self._workload.count_unanswered(self._world.schedule.end + DRAIN_TIME)
+        peak_memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _BYTES_PER_KIB
+        self._tally.peak_memory.append(peak_memory)
+        self._tally.cost["process"] += time.process_time_ns()
+        return self._tally
+
+    def _own_limiters(self, history: EndpointHistory) -> dict[int, Limiter]:
+        limiters = dict[int, Limiter]()
+        for index in range(self._world.size.limiters):
+            if self._router.owns_limiter(index):
+                mailbox = Mailbox(index, self._limiter_events, self._router.send)
+                limiters[index] = Limiter(
+                    index, self._world, history=history, tally=self._tally, mailbox=mailbox
+                )
+        return limiters
+
+    def _own_workload(self) -> Workload | None:
+        tenants = [tenant.index for tenant in self._world.tenants if self._router.owns_tenant(tenant.index)]
+        return Workload(self._world, tenants, self._tally) if tenants else None
+
+    def _run_window(self, start: float, end: float) -> None:
+        self._counter.serve_until(start)
+        self._discovery.serve_until(start)
+        self._endpoints.serve_until(start, end)
+        self._run_clients(start, end)
+        self._run_limiters(end)
+        if end >= self._seconds_counted + 1:
+            self._end_second()
+        for envelope in self._router.exchange(self._exchange):
+            heappush(self._heaps[type(envelope.event)], envelope)
+
+    def _run_clients(self, start: float, end: float) -> None:
+        if self._workload is None:
+            return
+        events = self._client_events
+        arrived = list[Envelope]()
+        while events and events[0].time < start:
+            arrived.append(heappop(events))
+        self._workload.receive(arrived)
+        # After its end nothing is sent, and what is out comes to its end.
+        self._workload.send_until(min(self._world.schedule.end, end + WINDOW), self._router.send)
+
+    def _run_limiters(self, end: float) -> None:
+        events = self._limiter_events
+        limiters = self._limiters
+        while events and events[0].time < end:
+            envelope = heappop(events)
+            limiters[envelope.recipient].receive(envelope)
+
+    def _end_second(self) -> None:
+        warming_up = sum(limiter.warming_up_endpoints() for limiter in self._limiters.values())
+        self._tally.seconds[self._seconds_counted]["endpoints warming up"] += warming_up
+        self._seconds_counted += 1
+        reports_progress = self._world.scenario.progress and self._index == 0
+        if reports_progress and self._seconds_counted % _PROGRESS_INTERVAL == 0:
+            print(
+                f"virtual second {self._seconds_counted}, {time.process_time():.0f} CPU s of one worker",
+                file=sys.stderr,
+                flush=True,
+            )
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet test's stand-ins, its true books, and that it plays alike with any number of workers."""
+"""The fleet simulation: its stand-ins, its accounts, and the same result with any number of workers."""
 
 from __future__ import annotations
 
@@ -6,180 +6,223 @@
 import signal
 import time
 from pathlib import Path
-from typing import Any
 
 import pytest
 
-from scale.fleet import command as fleet
-from scale.fleet import lockstep, world
-from scale.fleet import simulation as staging
-from scale.fleet.demand import Bucket, Client
+from scale.fleet import lockstep, parameters
+from scale.fleet.clients import TenantClients
+from scale.fleet.counter import CounterReply, SimulatedCounter
+from scale.fleet.discovery import SimulatedDiscovery
+from scale.fleet.endpoint import SimulatedEndpoint
+from scale.fleet.faults import FaultSchedule, Interval
 from scale.fleet.lockstep import Exchange
-from scale.fleet.peers import Counter, Discovery, Server
-from scale.fleet.simulation import Play
+from scale.fleet.messages import (
+    ROLES,
+    AttemptOutcome,
+    ClientRequest,
+    Envelope,
+    Event,
+    RequestEnded,
+    RequestForwarded,
+    RequestResult,
+    RequestServed,
+)
+from scale.fleet.scale_test import like_fleets, reduced
+from scale.fleet.scenario import Scenario, World
+from scale.fleet.simulation import simulate
+from scale.fleet.summary import percentile, summarize
 from scale.fleet.tally import Tally
-from scale.fleet.world import Timetable, World
+from scale.fleet.text_report import format_summary
+from scale.fleet.token_bucket import TokenBucket
+from scale.fleet.wire_format import decode, encode
 from scale.model import BrokenRunError, Size
 
-SMALL = Size(limiters=5, servers=20, tenants=75, rate=180.0)
+SMALL_FLEET = Size(limiters=5, servers=20, tenants=75, rate=180.0)
 
 
-def small_world(**changes: Any) -> World:
-    return World(SMALL, Timetable.of(10.0), 1, 1, 930.0, **changes)
+def answered(reply: CounterReply | None) -> CounterReply:
+    assert reply is not None
+    return reply
 
 
-def test_the_counter_serves_no_more_than_its_capacity_and_late_answers_are_added() -> None:
-    counter = Counter(1, 1000.0, 1)
-    answers = [counter.call(i * 0.0005, 7, 1.0, 60.0) for i in range(2000)]  # twice what it bears, for 1 s
-    times = [answer[0] for answer in answers if answer is not None]
+def test_counter_serves_no_more_than_its_capacity_and_adds_late_calls() -> None:
+    counter = SimulatedCounter(1, 1000.0, seed=1)
+    # Twice its capacity, for 1 s.
+    replies = [counter.call(number * 0.0005, 7, 1.0, 60.0) for number in range(2000)]
+    times = [reply.answered_at for reply in replies if reply is not None]
     assert len(times) == 2000 and times == sorted(times)
-    assert times[-1] == pytest.approx(2.0, rel=0.05)  # it works off its line at its own pace
-    assert answers[-1] is not None and answers[-1][1] == 2000.0  # whoever had given up is in the total
+    assert times[-1] == pytest.approx(2.0, rel=0.05)  # it works off its queue at its own pace
+    assert answered(replies[-1]).total == 2000.0  # calls that were given up are in the total
 
 
-def test_the_counters_parts_have_lines_of_their_own() -> None:
-    counter = Counter(2, 1000.0, 1)
+def test_counter_partitions_have_queues_of_their_own() -> None:
+    counter = SimulatedCounter(2, 1000.0, seed=1)
     for _ in range(100):
         counter.call(0.0, 2, 1.0, 60.0)
-    crowded, free = counter.call(0.0, 4, 1.0, 60.0), counter.call(0.0, 3, 1.0, 60.0)
-    assert crowded is not None and free is not None
-    assert crowded[0] > 0.15 and free[0] < 0.004
+    busy = answered(counter.call(0.0, 4, 1.0, 60.0))
+    idle = answered(counter.call(0.0, 3, 1.0, 60.0))
+    assert busy.answered_at > 0.15 and idle.answered_at < 0.004
 
 
-def test_a_name_is_forgotten_its_lifetime_after_it_was_new() -> None:
-    counter = Counter(1, 1000.0, 1)
-    totals = [counter.call(at, 1, 2.0, 5.0) for at in (0.0, 4.0, 4.9, 5.1)]
-    assert [t[1] for t in totals if t is not None] == [2.0, 4.0, 6.0, 2.0]
-    assert (kept := counter.call(6.0, 2, 1.0, 500.0)) is not None
-    assert (kept := counter.call(67.0, 2, 1.0, 500.0)) is not None and kept[1] == 1.0  # 60 s at most
+def test_counter_forgets_a_name_its_lifetime_after_it_was_new() -> None:
+    counter = SimulatedCounter(1, 1000.0, seed=1)
+    totals = [answered(counter.call(at, 1, 2.0, 5.0)).total for at in (0.0, 4.0, 4.9, 5.1)]
+    assert totals == [2.0, 4.0, 6.0, 2.0]
+    assert counter.call(6.0, 2, 1.0, 500.0) is not None
+    assert answered(counter.call(67.0, 2, 1.0, 500.0)).total == 1.0  # 60 s at most
 
 
-def test_a_silent_counter_answers_nothing_and_comes_back_empty() -> None:
-    counter = Counter(1, 1000.0, 1, silences=((1.0, 2.0),))
+def test_counter_answers_nothing_in_an_outage_and_comes_back_empty() -> None:
+    counter = SimulatedCounter(1, 1000.0, seed=1, outages=(Interval(1.0, 2.0),))
     counter.call(0.5, 1, 5.0, 60.0)
     assert counter.call(1.5, 1, 5.0, 60.0) is None
-    back = counter.call(2.5, 1, 1.0, 60.0)
-    assert back is not None and back[1] == 1.0
-
-
-def test_like_fleets_take_their_part_of_the_counter() -> None:
-    alone, shared = Counter(1, 1000.0, 1), Counter(1, 1000.0, 1, crowd=20)
-    last = [counter.call(i * 0.01, 1, 1.0, 60.0) for counter in (alone, shared) for i in range(200)]
-    assert (quick := last[199]) is not None and quick[0] - 1.99 < 0.002
-    assert (late := last[399]) is not None and late[0] - 1.99 > 0.5  # 2,000 calls a second in all
-
-
-def test_a_server_queues_fills_up_and_begins_nothing_whose_time_is_over() -> None:
-    server = Server(0.0)
-    ends = [server.arrive(0.0, 0.1, 10.0) for _ in range(world.CORES + world.ROOM + 1)]
-    assert [how for how, _ in ends] == ["ok"] * (world.CORES + world.ROOM) + ["full"]
-    assert ends[world.CORES][1] == pytest.approx(0.2)
-    other = Server(0.0)
-    for _ in range(world.CORES):
-        other.arrive(0.0, 1.0, 2.0)
-    assert other.arrive(0.0, 1.0, 0.5)[0] == "silent"
-    assert other.arrive(0.0, 1.0, 1.5) == ("ok", 2.0)
-
-
-def test_a_cold_server_is_slow_and_falls_when_more_comes_than_its_multiple() -> None:
-    gentle, pushed = Server(5.0), Server(5.0)
-    how, done = gentle.arrive(5.0, 0.1, 2.0)
-    assert how == "ok" and done == pytest.approx(5.0 + 0.1 / world.COLD_SHARE)
-    bears = world.FALL_MULTIPLE * world.CORES * world.COLD_SHARE
-    sent = [pushed.arrive(5.0 + i * 0.001, 0.1, 2.0)[0] for i in range(20)]
-    assert sent.index("unreachable") == int(bears / 0.1)
-    assert pushed.fallen and pushed.arrive(60.0, 0.1, 2.0)[0] == "unreachable" and not gentle.fallen
-
-
-def test_the_true_bucket_counts_all_limiters_and_takes_nothing_for_what_is_beyond() -> None:
-    bucket = Bucket(2.0, 4.0)
+    assert answered(counter.call(2.5, 1, 1.0, 60.0)).total == 1.0
+
+
+def test_like_fleets_use_their_part_of_the_counter() -> None:
+    alone = SimulatedCounter(1, 1000.0, seed=1)
+    shared = SimulatedCounter(1, 1000.0, seed=1, like_fleets=20)
+    alone_replies = [alone.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
+    shared_replies = [shared.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
+    assert answered(alone_replies[-1]).answered_at - 1.99 < 0.002
+    assert answered(shared_replies[-1]).answered_at - 1.99 > 0.5  # 2,000 calls a second in all
+
+
+def test_endpoint_queues_overflows_and_begins_nothing_whose_time_is_over() -> None:
+    endpoint = SimulatedEndpoint(boots_at=0.0)
+    accepted = parameters.ENDPOINT_CORES + parameters.ENDPOINT_QUEUE_LIMIT
+    results = [endpoint.attempt(0.0, 0.1, 10.0) for _ in range(accepted + 1)]
+    outcomes = [result.outcome for result in results]
+    assert outcomes == [AttemptOutcome.OK] * accepted + [AttemptOutcome.OVERLOADED]
+    assert results[parameters.ENDPOINT_CORES].ended_at == pytest.approx(0.2)
+    busy = SimulatedEndpoint(boots_at=0.0)
+    for _ in range(parameters.ENDPOINT_CORES):
+        busy.attempt(0.0, 1.0, 2.0)
+    assert busy.attempt(0.0, 1.0, 0.5).outcome is AttemptOutcome.TIMED_OUT
+    assert busy.attempt(0.0, 1.0, 1.5) == (AttemptOutcome.OK, 2.0)
+
+
+def test_endpoint_that_warms_up_is_slow_and_fails_when_more_comes_than_its_multiple() -> None:
+    gentle, pushed = SimulatedEndpoint(boots_at=5.0), SimulatedEndpoint(boots_at=5.0)
+    outcome, ended_at = gentle.attempt(5.0, 0.1, 2.0)
+    assert outcome is AttemptOutcome.OK
+    assert ended_at == pytest.approx(5.0 + 0.1 / parameters.INITIAL_CAPACITY)
+    bearable = parameters.OVERLOAD_MULTIPLE * parameters.ENDPOINT_CORES * parameters.INITIAL_CAPACITY
+    outcomes = [pushed.attempt(5.0 + number * 0.001, 0.1, 2.0).outcome for number in range(20)]
+    assert outcomes.index(AttemptOutcome.UNREACHABLE) == int(bearable / 0.1)
+    assert pushed.failed and not gentle.failed
+    assert pushed.attempt(60.0, 0.1, 2.0).outcome is AttemptOutcome.UNREACHABLE
+
+
+def test_token_bucket_takes_nothing_for_units_over_the_quota() -> None:
+    bucket = TokenBucket(2.0, 4.0)
     assert [bucket.take(0.0, 3.0), bucket.take(0.0, 3.0), bucket.take(0.5, 2.0)] == [True, False, True]
     assert bucket.fill(10.0) == 4.0
 
 
-def asked_at(client: Client, at: float) -> int:
-    _, note = client.ask(at)
-    assert note is not None
-    return int(note[5])
+def start_request(clients: TenantClients, at: float) -> int:
+    """The id of a new request."""
+    _, envelope = clients.start_request(at)
+    assert envelope is not None and isinstance(envelope.event, ClientRequest)
+    return envelope.event.request_id
 
 
-def test_the_books_tell_beyond_ceilings_room_and_losses() -> None:
-    built = small_world()
-    tenant = next(t for t in built.tenants if t.plan == 1)
+def test_accounts_count_units_over_quota_ceilings_unjustified_rejections_and_losses() -> None:
+    world = World(Scenario(SMALL_FLEET, FaultSchedule.of(10.0)))
+    tenant = next(tenant for tenant in world.tenants if tenant.plan == 1)
     tally = Tally((0.0,))
-    client = Client(tenant, built.plans[1], built, tally)
-    counts, numbers = tally.phases[0], list[int]()
-    while client.ceiling.level > -client.ceiling.burst:
-        numbers.append(asked_at(client, 2.0))
-        client.note((2.0, 0, 0, 0, "sent", numbers[-1]))
-    assert counts["units beyond"] + client.sent.burst >= counts["units sent"] > client.ceiling.burst
-    assert counts["ceilings passed"] > 0
-    client.note((2.1, 0, 0, 0, "served", numbers[0]))
-    assert counts["lost"] == 0 and counts["in aim"] == 1
-    client.note((6.0, 0, 0, 0, "failed", numbers[1], "attempts"))
+    clients = TenantClients(tenant, world, tally)
+    account = clients.account
+    counts = tally.phases[0]
+    requests = list[int]()
+    while account.ceiling.tokens > -account.ceiling.burst:
+        requests.append(start_request(clients, 2.0))
+        clients.receive(2.0, RequestForwarded(requests[-1]))
+    assert counts["units over quota"] + account.forwarded.burst >= counts["units sent"]
+    assert counts["units sent"] > account.ceiling.burst
+    assert counts["ceilings exceeded"] > 0
+    clients.receive(2.1, RequestServed(requests[0]))
+    assert counts["lost"] == 0 and counts["within latency objective"] == 1
+    clients.receive(6.0, RequestEnded(requests[1], RequestResult.FAILED, "attempts"))
     assert counts["lost"] == 1
-    client.note((9.0, 0, 0, 0, "refused", numbers[2], "gate"))
-    assert counts["with room: gate"] == 1  # by then its bucket is full again
+    clients.receive(9.0, RequestEnded(requests[2], RequestResult.REJECTED, "gate"))
+    assert counts["rejected within quota: gate"] == 1  # by then its bucket is full again
     with pytest.raises(AssertionError, match="second final answer"):
-        client.note((9.0, 0, 0, 0, "served", numbers[0]))
+        clients.receive(9.0, RequestServed(requests[0]))
 
 
-def test_a_run_is_the_same_with_one_worker_and_with_two_and_breaks_no_rule() -> None:
-    play = Play(SMALL, Timetable.of(10.0), crowd=84)
-    one, two = staging.run(play, 1), staging.run(play, 2)
+def test_run_is_the_same_with_one_worker_and_with_two_and_breaks_no_rule() -> None:
+    scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), like_fleets=84)
+    one, two = simulate(scenario, 1), simulate(scenario, 2)
     assert one.tally.phases == two.tally.phases
     assert one.tally.seconds == two.tally.seconds and one.tally.waits == two.tally.waits
-    found = fleet.summary(play, two)
-    over = found["over all"]
-    assert over["lost"] == over["ceilings passed"] == 0 and 0.5 < over["service"] <= 1.0
-    assert found["phases"]["restart"]["ended"]["failed: killed"] > 0
-    assert found["phases"]["cut"]["attempts"]["unreachable"] > 0
-    assert "calls/s" in fleet.show(found)
+    summary = summarize(scenario, two)
+    total = summary["over all"]
+    assert total["lost"] == total["ceilings passed"] == 0 and 0.5 < total["service"] <= 1.0
+    assert summary["phases"]["restart"]["ended"]["failed: killed"] > 0
+    assert summary["phases"]["cut"]["attempts"]["unreachable"] > 0
+    assert "calls/s" in format_summary(summary)
 
 
 def test_decisions_come_from_another_checkout_where_one_is_given(tmp_path: Path) -> None:
     (tmp_path / "quota_gateway").mkdir()
     (tmp_path / "quota_gateway" / "__init__.py").write_text("raise RuntimeError('the other one')")
+    scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), package=str(tmp_path))
     with pytest.raises(BrokenRunError, match="the other one"):
-        staging.run(Play(SMALL, Timetable.of(10.0), package=str(tmp_path)), 1)
+        simulate(scenario, 1)
 
 
-def work_until_killed(me: int, count: int, exchange: Exchange, task: float) -> None:
-    until = time.monotonic() + task
+def work_until_killed(index: int, count: int, exchange: Exchange, seconds: float) -> None:
+    until = time.monotonic() + seconds
     while time.monotonic() < until:
         exchange([[] for _ in range(count)])
 
 
-def kill_last(workers: list[int]) -> None:
-    os.kill(workers[-1], signal.SIGKILL)
+def kill_last(process_ids: list[int]) -> None:
+    os.kill(process_ids[-1], signal.SIGKILL)
 
 
-def test_a_killed_worker_ends_the_run_with_its_cause() -> None:
+def test_killed_worker_ends_the_run_with_its_cause() -> None:
     with pytest.raises(BrokenRunError, match=r"worker 1.* exit code -9"):
         lockstep.run(work_until_killed, 2, 10.0, kill_last)
 
 
-def test_a_percentile_counts_those_that_did_not_wait() -> None:
+def test_percentile_counts_requests_that_did_not_wait() -> None:
     waits = {1000: 1, 2000: 1}
-    assert fleet.percentile(waits.items(), 98, 0.98) == 0.0
-    assert fleet.percentile(waits.items(), 98, 0.99) == 0.001
-    assert fleet.percentile(waits.items(), 0, 0.99) == 0.002
+    assert percentile(waits.items(), 98, 0.98) == 0.0
+    assert percentile(waits.items(), 98, 0.99) == 0.001
+    assert percentile(waits.items(), 0, 0.99) == 0.002
 
 
-def test_a_reduced_fleet_keeps_its_proportions() -> None:
-    part = fleet.reduced(Size(), 0.1)
-    assert (part.limiters, part.servers, part.tenants, part.rate) == (42, 340, 1500, 3600.0)
-    assert fleet.crowd(part, Size()) == 10
+def test_reduced_fleet_keeps_its_proportions() -> None:
+    fleet = reduced(Size(), 0.1)
+    assert (fleet.limiters, fleet.servers, fleet.tenants, fleet.rate) == (42, 340, 1500, 3600.0)
+    assert like_fleets(fleet, Size()) == 10
 
 
 def test_discovery_serves_calls_in_turn_and_each_limiter_watches_in_the_end() -> None:
-    discovery = Discovery(10.0)
+    discovery = SimulatedDiscovery(10.0)
     assert [discovery.call(0.0) for _ in range(3)] == pytest.approx([0.1, 0.2, 0.3])
-    table = Timetable(28.0, 1.0, (2.0, 3.0), 4.0, (13.0, 18.0))
-    phases = staging.run(Play(SMALL, table, lists=2.0), 1).tally.phases
-    calls, vain, watches = (
-        sum(p[k] for p in phases) for k in ("list calls", "list calls in vain", "watches")
+    schedule = FaultSchedule(
+        end=28.0,
+        calm_from=1.0,
+        zone_outage=Interval(2.0, 3.0),
+        restart_at=4.0,
+        partition=Interval(13.0, 18.0),
+    )
+    phases = simulate(Scenario(SMALL_FLEET, schedule, discovery_capacity=2.0), 1).tally.phases
+    calls, timed_out, watches = (
+        sum(phase[name] for phase in phases)
+        for name in ("discovery calls", "discovery calls timed out", "watches")
     )
     # At the start, at the return of those killed and once the cut has ended; each call ends once.
-    assert watches >= SMALL.limiters + round(0.7 * SMALL.limiters) + 2
-    assert vain > 0 and calls == vain + watches
+    assert watches >= SMALL_FLEET.limiters + round(0.7 * SMALL_FLEET.limiters) + 2
+    assert timed_out > 0 and calls == timed_out + watches
+
+
+@pytest.mark.parametrize("event_type", ROLES, ids=lambda event_type: event_type.__name__)
+def test_envelopes_stay_the_same_between_workers(event_type: type[Event]) -> None:
+    event = event_type(*range(len(event_type._fields)))
+    sent = [Envelope(0.5, source=3, sequence=7, recipient=2, event=event)]
+    received = decode(encode(sent))
+    assert received == sent and type(received[0].event) is event_type
