--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -1,6 +1,6 @@
 """The test ``cpu``: processor time of requests, ticks, lists and reloads, and control's share of a core.
 
-The costs are those of a hollow limiter's decisions; sockets are not in them.
+The costs are those of a simulated limiter's decisions; sockets are not in them.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings_parser import check_retuned, settings_from
 from scale import load_profile, regression
-from scale.hollow import Hollow
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.sample_sizes import sample_sizes
+from scale.simulated_limiter import SimulatedLimiter
 from scale.worker import Job, run_jobs
 
 FILL_SECONDS = 20.0  # emulated, in which all tenants come
@@ -66,34 +66,34 @@
 
     ``wide``: all limiters serve each tenant. Without a counter call there is no ``COUNTER_REPLY``.
     """
-    limiter = Hollow(Size(**size), wide, seed)
-    limiter.begin()
+    limiter = SimulatedLimiter(Size(**size), wide, seed)
+    limiter.start()
     gc.collect()
     gc.freeze()  # as the program does once it is ready
-    limiter.fill(FILL_SECONDS)
-    limiter.spent.clear()
+    limiter.visit_all_tenants(FILL_SECONDS)
+    limiter.costs.clear()
     limiter.run(LOAD_SECONDS)
     costs = _event_costs(limiter)
     costs[Operation.CHANGE] = median(
-        _timed(partial(_apply_list, limiter, limiter.change())) for _ in range(CHANGES)
+        _timed(partial(_apply_list, limiter, limiter.next_list_change())) for _ in range(CHANGES)
     )
-    text = limiter.whole()
+    text = limiter.complete_list()
     costs[Operation.PARSE_LIST] = median(_timed(partial(_parse_list, text)) for _ in range(LISTS))
     update = _parse_list(text)
-    costs[Operation.APPLY_LIST] = median(_timed(partial(limiter.feed, update)) for _ in range(LISTS))
+    costs[Operation.APPLY_LIST] = median(_timed(partial(limiter.handle, update)) for _ in range(LISTS))
     texts = _changed_settings(limiter)
     costs[Operation.RELOAD] = median(_timed(partial(_reload, limiter, changed)) for changed in texts)
     return costs
 
 
-def _event_costs(limiter: Hollow) -> Costs:
-    """Means over the load; the classes' names are the keys of ``Hollow.spent``."""
+def _event_costs(limiter: SimulatedLimiter) -> Costs:
+    """Means over the load; the classes' names are the keys of ``SimulatedLimiter.costs``."""
     costs = {
-        Operation.REQUEST: limiter.mean(model.Request.__name__, model.AttemptCompleted.__name__),
-        Operation.TICK: limiter.mean(model.TimerFired.__name__),
+        Operation.REQUEST: limiter.mean_cost(model.Request.__name__, model.AttemptCompleted.__name__),
+        Operation.TICK: limiter.mean_cost(model.TimerFired.__name__),
     }
-    if model.CounterReplied.__name__ in limiter.spent:
-        costs[Operation.COUNTER_REPLY] = limiter.mean(model.CounterReplied.__name__)
+    if model.CounterReplied.__name__ in limiter.costs:
+        costs[Operation.COUNTER_REPLY] = limiter.mean_cost(model.CounterReplied.__name__)
     return costs
 
 
@@ -101,11 +101,11 @@
     return parse_watch_event(json.loads(text)).update
 
 
-def _apply_list(limiter: Hollow, text: str) -> None:
-    limiter.feed(_parse_list(text))
+def _apply_list(limiter: SimulatedLimiter, text: str) -> None:
+    limiter.handle(_parse_list(text))
 
 
-def _changed_settings(limiter: Hollow) -> list[str]:
+def _changed_settings(limiter: SimulatedLimiter) -> list[str]:
     texts = []
     for number in range(RELOADS):
         limiter.settings["classes"][0]["worth"] = FIRST_WEIGHT + number
@@ -113,10 +113,10 @@
     return texts
 
 
-def _reload(limiter: Hollow, text: str) -> None:
+def _reload(limiter: SimulatedLimiter, text: str) -> None:
     raw = json.loads(text)
     check_retuned(raw, limiter.settings)
-    limiter.feed(settings_from(raw))
+    limiter.handle(settings_from(raw))
 
 
 def _timed(work: Callable[[], object]) -> float:
@@ -159,7 +159,7 @@
     points = make_points(size, effort)
     largest = next(point.size for point in reversed(points) if point.by == "servers")
     _add_slopes(result, points, effort)
-    result.notes += _notes(Hollow(largest, False, 1))
+    result.notes += _notes(SimulatedLimiter(largest, False, 1))
     if not effort.quick:
         _add_figures(size, budget, result)
     return result
@@ -189,7 +189,7 @@
     return f"{DESCRIPTIONS[operation]}, by {by}"
 
 
-def _notes(limiter: Hollow) -> list[str]:
+def _notes(limiter: SimulatedLimiter) -> list[str]:
     return [
         f"by servers: {limiter.tenants} customers at the limiter; by customers: {limiter.size.servers} "
         "servers, and every customer at the limiter; its load "
@@ -200,13 +200,13 @@
 
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
     """The costs at the size, and the share of a core that control takes of them."""
-    remembered = Hollow(size, True, 1).coming(IDLE_TIME)
+    remembered = SimulatedLimiter(size, True, 1).expected_tenants(IDLE_TIME)
     result.notes.append(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
         f"{remembered} of {size.tenants} come within the {IDLE_TIME:.0f} s after which one is forgotten: "
         "the third share is the lines' at that number, the second that of a limiter that knows all"
     )
-    few = Hollow(size, False, 1).tenants
+    few = SimulatedLimiter(size, False, 1).tenants
     for costs, customers in (
         (_costs_at(result, "servers", size.servers), few),
         (_costs_at(result, "customers", size.tenants), size.tenants),
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -17,9 +17,9 @@
 from quota_gateway.net.exchange import Exchange
 from quota_gateway.net.listener import ClientListener
 from quota_gateway.settings_parser import settings_from
-from scale.hollow import settings
 from scale.memory.allocation import MemoryUse, allocated_bytes, resident_bytes, start_tracing
 from scale.memory.forked_peer import FINISHED, fork_peer, wait_finished
+from scale.synthetic_inputs import synthetic_settings
 
 PER_ENDPOINT = 32  # connections to one endpoint: the program's bound is 64
 CONNECT_TIMEOUT = 0.25  # seconds
@@ -63,7 +63,7 @@
     """What so many idle connections of clients hold that have had a response each."""
 
     async def main() -> MemoryUse:
-        parsed = settings_from(settings(3, 1.0))
+        parsed = settings_from(synthetic_settings(3, 1.0))
         pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
         dispatcher = Dispatcher(parsed, RejectAll(), unix_clock(), pool, None)
         listener = ClientListener(dispatcher, parsed, SPARE_CAPACITY * count)
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -17,9 +17,9 @@
 from quota_gateway.net.request_parser import RequestParser
 from quota_gateway.net.watch_event import parse_watch_event
 from quota_gateway.settings_parser import settings_from
-from scale.hollow import PLAN, TTL, settings, whole_list
 from scale.memory.allocation import MemoryUse, allocated_bytes
 from scale.model import Size
+from scale.synthetic_inputs import CLIENT_TIMEOUT, PLAN_NAME, complete_list_text, synthetic_settings
 
 CONNECT_TIMEOUT = 0.25  # seconds
 IDLE_TIMEOUT = 30.0  # seconds
@@ -38,9 +38,9 @@
 
     async def main() -> MemoryUse:
         fleet = replace(Size(**size), servers=count)
-        gateway = Gateway(settings_from(settings(fleet.limiters, 1.0)), 1, 0.0)
+        gateway = Gateway(settings_from(synthetic_settings(fleet.limiters, 1.0)), 1, 0.0)
         pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
-        text = whole_list(fleet)
+        text = complete_list_text(fleet)
         tracemalloc.start()
         event = parse_watch_event(json.loads(text))
         for endpoint in event.update.endpoints:
@@ -57,8 +57,8 @@
 def memory_of_tenants(count: int, size: dict[str, Any]) -> MemoryUse:
     """What the decisions hold for so many customers whose requests are over."""
     fleet = Size(**size)
-    gateway = Gateway(settings_from(settings(fleet.limiters, 4.0)), 1, 0.0)
-    endpoint_list = whole_list(replace(fleet, servers=LIST_LENGTH))
+    gateway = Gateway(settings_from(synthetic_settings(fleet.limiters, 4.0)), 1, 0.0)
+    endpoint_list = complete_list_text(replace(fleet, servers=LIST_LENGTH))
     gateway.handle(0.0, parse_watch_event(json.loads(endpoint_list)).update)
     serving_gateways = min(MAX_SERVING_GATEWAYS, fleet.limiters)
     tracemalloc.start()
@@ -71,7 +71,9 @@
     """One request of a tenant of its own; endpoints and counter reply at once."""
     ok = model.CallStatus.OK
     tenant = f"{number:016x}"
-    request = model.Request(number, "class-0", PLAN, TTL, tenant, serving_gateways=serving_gateways)
+    request = model.Request(
+        number, "class-0", PLAN_NAME, CLIENT_TIMEOUT, tenant, serving_gateways=serving_gateways
+    )
     actions = gateway.handle(now, request)
     while actions:
         action = actions.pop()
@@ -98,7 +100,7 @@
 
 def memory_of_classes(count: int) -> MemoryUse:
     """What a configuration of so many classes holds: as read, as settings, and where they are used."""
-    text = json.dumps(settings(3, 1.0, count))
+    text = json.dumps(synthetic_settings(3, 1.0, count))
     tracemalloc.start()
     raw = json.loads(text)
     parsed = settings_from(raw)
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -14,9 +14,9 @@
 from quota_gateway.net.dispatcher import unix_clock
 from quota_gateway.net.watch_event import parse_watch_event
 from scale import load_profile
-from scale.hollow import Hollow
 from scale.memory.allocation import resident_bytes
 from scale.model import Size
+from scale.simulated_limiter import SimulatedLimiter
 
 MAX_CONNECTIONS = 480  # a process has room for so many of clients and to servers, each (1,024 descriptors)
 CONNECT_TIMEOUT = 0.25  # seconds
@@ -40,10 +40,10 @@
 
 
 class _LimiterProcess:
-    """The decisions and the connection pool of a hollow limiter."""
+    """The decisions and the connection pool of a simulated limiter."""
 
     def __init__(self, size: Size, wide: bool, seed: int) -> None:
-        self.limiter = Hollow(size, wide, seed)
+        self.limiter = SimulatedLimiter(size, wide, seed)
         self._pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
 
     def apply_list(self, text: str) -> None:
@@ -54,18 +54,18 @@
         for endpoint in event.update.endpoints:
             is_healthy = endpoint.health is model.EndpointHealth.HEALTHY
             self._pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], is_healthy)
-        self.limiter.feed(event.update)
+        self.limiter.handle(event.update)
 
     def start(self) -> None:
         """Take in the complete list."""
-        self.limiter.begin()
-        self.apply_list(self.limiter.whole())
+        self.limiter.start()
+        self.apply_list(self.limiter.complete_list())
         gc.collect()
         gc.freeze()  # as the program does once it is ready
 
     def run_load(self, seconds: float) -> None:
         """Emulated seconds of load, in the first of which each tenant comes once."""
-        self.limiter.fill(min(FILL_SECONDS, seconds))
+        self.limiter.visit_all_tenants(min(FILL_SECONDS, seconds))
         self.limiter.run(max(0.0, seconds - FILL_SECONDS))
 
     def run_churn(self, seconds: float) -> None:
@@ -73,11 +73,11 @@
         minutes = max(1, round(seconds / MINUTE))
         changes = load_profile.daily_list_changes()
         for minute in range(minutes):
-            self.limiter.move_on(max(1, round(TURNOVER * self.limiter.tenants)))
+            self.limiter.replace_tenants(max(1, round(TURNOVER * self.limiter.tenants)))
             for _ in range(changes // minutes):
-                self.apply_list(self.limiter.change())
+                self.apply_list(self.limiter.next_list_change())
             if minute == minutes // 2:
-                self.apply_list(self.limiter.whole())  # a watch that begins anew
+                self.apply_list(self.limiter.complete_list())  # a watch that begins anew
             self.limiter.run(MINUTE)
 
     def close(self) -> None:
@@ -97,7 +97,7 @@
         with_list = resident_bytes()
         process.run_load(load)
         after_load = resident_bytes()
-        tenants_after_load = process.limiter.known()
+        tenants_after_load = process.limiter.known_tenants()
         process.run_churn(churn)
         measured = ProcessMemory(
             at_start=at_start,
@@ -105,8 +105,8 @@
             after_load=after_load,
             after_churn=resident_bytes(),
             tenants_after_load=tenants_after_load,
-            tenants_after_churn=process.limiter.known(),
-            harness=process.limiter.weight(),
+            tenants_after_churn=process.limiter.known_tenants(),
+            harness=process.limiter.harness_bytes(),
         )
         process.close()
         return measured
--- a/scale/memory/summary.py
+++ b/scale/memory/summary.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from scale import load_profile, regression
-from scale.hollow import Hollow
 from scale.memory.allocation import MemoryUse
 from scale.memory.process import MAX_CONNECTIONS, TURNOVER, ProcessMemory
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
 from scale.sample_sizes import sample_sizes
+from scale.simulated_limiter import SimulatedLimiter
 from scale.worker import Job, run_jobs
 
 IN_FLIGHT = 2000  # counter calls without a reply: far beyond any second's calls, for a slope that shows
@@ -169,7 +169,7 @@
     jobs = [_process_job(size, wide, effort.seed + run) for wide in (True, False) for run in range(runs)]
     found = [ProcessMemory(**memory) for memory in run_jobs(jobs, effort.processes)]
     for wide, memories in ((False, found[runs:]), (True, found[:runs])):
-        tenants = Hollow(size, wide, effort.seed).tenants
+        tenants = SimulatedLimiter(size, wide, effort.seed).tenants
         _add_process(result, f"{tenants} customers at a limiter", memories, budget.control_memory)
     result.notes.append(
         f"the hour of churn: the day's {load_profile.RESTARTS_PER_DAY} restarts and "
--- a/scale/messages/counter_demand.py
+++ b/scale/messages/counter_demand.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from scale.hollow import Hollow, Mix
 from scale.model import Size
+from scale.simulated_limiter import SimulatedLimiter
+from scale.synthetic_inputs import LoadMix
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,14 +27,16 @@
     ``near`` and ``over`` are shares of the tenants near and over their quota; ``warm_up`` and ``load`` are
     emulated seconds. ``wide``: all limiters serve each tenant.
     """
-    limiter = Hollow(Size(**size), wide, seed, Mix(near, over))
-    limiter.begin()
+    limiter = SimulatedLimiter(Size(**size), wide, seed, LoadMix(near, over))
+    limiter.start()
     limiter.run(load / 2)
-    limiter.calls = 0
+    limiter.counter_calls = 0
     limiter.run(load / 2)
-    first_calls = limiter.calls / (load / 2)
+    first_calls = limiter.counter_calls / (load / 2)
     limiter.run(warm_up)
-    limiter.calls = 0
-    limiter.arrived = 0
+    limiter.counter_calls = 0
+    limiter.requests = 0
     limiter.run(load)
-    return CounterDemand(first_calls=first_calls, calls=limiter.calls / load, requests=limiter.arrived / load)
+    return CounterDemand(
+        first_calls=first_calls, calls=limiter.counter_calls / load, requests=limiter.requests / load
+    )
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -11,8 +11,8 @@
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
 from quota_gateway.settings_parser import settings_from
-from scale.hollow import settings
 from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
+from scale.synthetic_inputs import synthetic_settings
 
 ENDPOINT = "s-00000000"
 IDLE_TIMEOUT = 30.0  # seconds
@@ -59,7 +59,9 @@
     async with stand_in.serve(_converse) as (host, port):
         pool = ConnectionPool(unix_clock(), REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
         pool.update_endpoint(ENDPOINT, f"{host}:{port}", True)
-        dispatcher = Dispatcher(settings_from(settings(3, 1.0)), decisions, unix_clock(), pool, None)
+        dispatcher = Dispatcher(
+            settings_from(synthetic_settings(3, 1.0)), decisions, unix_clock(), pool, None
+        )
         dispatcher.dispatch(model.TimerFired(0))
         status = await stand_in.wait(decisions.status)
         if status is not model.CallStatus.OK:
--- a/scale/messages/list_bytes.py
+++ b/scale/messages/list_bytes.py
@@ -10,9 +10,9 @@
 
 from quota_gateway.net.endpoint_watch import EndpointWatcher
 from quota_gateway.net.watch_event import WatchEvent
-from scale.hollow import whole_list
 from scale.messages.counting_stand_in import CountingStandIn, encode_chunk
 from scale.model import Size
+from scale.synthetic_inputs import complete_list_text
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
         await stand_in.read_until(reader, b"\r\n\r\n")
         stand_in.write(writer, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n")
         stand_in.write(writer, b"Transfer-Encoding: chunked\r\n\r\n")
-        stand_in.write(writer, encode_chunk(whole_list(size)))
+        stand_in.write(writer, encode_chunk(complete_list_text(size)))
         await reader.read()
 
     def on_event(event: WatchEvent) -> None:
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -9,7 +9,6 @@
 
 from quota_gateway.net.watch_event import parse_watch_event
 from scale import load_profile, regression
-from scale.hollow import CALM, STORE, TENSE, Hollow, Mix, told
 from scale.messages.counter_bytes import CALLS, CounterBytes
 from scale.messages.counter_demand import CounterDemand
 from scale.messages.counting_stand_in import encode_chunk
@@ -17,6 +16,8 @@
 from scale.messages.list_bytes import ListBytes
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.sample_sizes import FRACTIONS, QUICK_FRACTION, sample_sizes
+from scale.simulated_limiter import SimulatedLimiter
+from scale.synthetic_inputs import BUCKET_SECONDS, CALM_MIX, TENSE_MIX, LoadMix, watch_event_text
 from scale.worker import Job, run_job, run_jobs
 
 IDLE_SECONDS = 21.0  # in which the pings of an idle client are counted: ten of each connection
@@ -40,7 +41,7 @@
 
     wide: bool  # all limiters serve each tenant
     name: str
-    mix: Mix
+    mix: LoadMix
 
     def limiters_per_tenant(self, size: Size) -> str:
         """How many limiters serve a tenant, in words."""
@@ -48,7 +49,9 @@
 
 
 SCENARIOS = tuple(
-    Scenario(wide, name, mix) for wide in (False, True) for name, mix in (("calm", CALM), ("tense", TENSE))
+    Scenario(wide, name, mix)
+    for wide in (False, True)
+    for name, mix in (("calm", CALM_MIX), ("tense", TENSE_MIX))
 )
 Demands = dict[Scenario, list[CounterDemand]]  # by run
 
@@ -89,9 +92,10 @@
     return [
         "bytes are those of the messages, without TCP's and IP's own; the watch's lines are as short as JSON "
         "allows, and discovery's and the servers' answers bear the fewest headers",
-        f"counter: {CALM.near:.0%} of the customers are near their quota, {CALM.over:.0%} at three times it "
-        f"(calm), or {TENSE.near:.0%} and {TENSE.over:.0%} (tense), the rest at 0.3 of it; a customer's "
-        f"store holds {STORE:.0f} s of its quota; refused clients do not come again; the made counter "
+        f"counter: {CALM_MIX.near:.0%} of the customers are near their quota, {CALM_MIX.over:.0%} at three "
+        f"times it (calm), or {TENSE_MIX.near:.0%} and {TENSE_MIX.over:.0%} (tense), the rest at 0.3 of it; "
+        f"a customer's store holds {BUCKET_SECONDS:.0f} s of its quota; refused clients do not come again; "
+        "the made counter "
         f"answers each call in 5 ms, so that after {WARM_UP_SECONDS:.0f} emulated seconds the limiter's own "
         "bound binds no more: that is what it wants. A counter that is full slows its answers, and the "
         "limiters keep to what it bears",
@@ -153,8 +157,8 @@
 
 def _change_bytes(size: Size) -> float:
     """Mean bytes of a change of the list."""
-    limiter = Hollow(size, False, 1)
-    lines = [limiter.change() for _ in range(CHANGES)]
+    limiter = SimulatedLimiter(size, False, 1)
+    lines = [limiter.next_list_change() for _ in range(CHANGES)]
     for line in lines:
         parse_watch_event(json.loads(line))  # what is counted is what the limiter reads
     return mean(len(encode_chunk(line)) for line in lines)
@@ -178,7 +182,7 @@
 
 
 def _add_size_figures(size: Size, result: Result, traffic: ControlTraffic) -> None:
-    without_row = len(encode_chunk(told([], 2, False)))
+    without_row = len(encode_chunk(watch_event_text([], 2, False)))
     failures = load_profile.FAILURES_PER_DAY
     checks = (
         f"{failures} failures a day, each probed every {CHECK_INTERVAL:.0f} s for {CHECKED_SECONDS:.0f} s"
--- /dev/null
+++ b/scale/synthetic_inputs.py
@@ -0,0 +1,116 @@
+"""Settings, endpoint lists and mixes of tenants of any size, for a single limiter under measurement."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any
+
+from scale.model import Size
+
+PLAN_NAME = "basic"
+CLASS_COUNT = 4
+CLIENT_TIMEOUT = 2.0  # seconds that a client waits
+BUCKET_SECONDS = 4.0  # seconds of the quota that its bucket holds
+# Demand over quota of the three kinds of tenants.
+BELOW_QUOTA_LOAD = 0.3
+NEAR_QUOTA_LOAD = 0.95
+OVER_QUOTA_LOAD = 3.0
+_EFFECTS = ("idempotent", "deduplicated", "at_most_once")
+_WEIGHTS = 5  # different priority weights of the classes
+_PLACES = 1000  # steps in which shares of the tenants are drawn
+_PLACE_STRIDE = 7919  # prime, so that kinds of tenants are spread evenly over their numbers
+_NAME_FACTOR = 2654435761  # Knuth's multiplicative hash, for names that are spread evenly
+_PORT = 7070
+
+
+@dataclass(frozen=True, slots=True)
+class LoadMix:
+    """Shares of the tenants near their quota and several times over it; the rest is far below it."""
+
+    near: float
+    over: float
+
+    @property
+    def demand(self) -> float:
+        """Mean demand over quota."""
+        below = 1 - self.near - self.over
+        return self.near * NEAR_QUOTA_LOAD + self.over * OVER_QUOTA_LOAD + below * BELOW_QUOTA_LOAD
+
+    def demand_of(self, tenant: int) -> float:
+        """A tenant's demand over its quota, fixed by its number."""
+        place = tenant * _PLACE_STRIDE % _PLACES / _PLACES
+        if place < self.over:
+            return OVER_QUOTA_LOAD
+        return NEAR_QUOTA_LOAD if place < self.over + self.near else BELOW_QUOTA_LOAD
+
+
+CALM_MIX = LoadMix(near=0.12, over=0.06)
+TENSE_MIX = LoadMix(near=0.24, over=0.14)
+USUAL_MIX = LoadMix(near=0.18, over=0.10)
+
+
+def synthetic_settings(limiters: int, quota: float, class_count: int = CLASS_COUNT) -> dict[str, Any]:
+    """A settings object as the wire has it; ``quota`` in units a second."""
+    return {
+        "classes": [_request_class(number) for number in range(class_count)],
+        "tariffs": [
+            {"name": PLAN_NAME, "price": 1.0, "quota_rate": quota, "store_size": BUCKET_SECONDS * quota}
+        ],
+        "n_instances": limiters,
+        "me": 0,
+        "my_zone": "zone-0",
+        "discovery": "ask",
+        "limits": {
+            "max_attempts": 2,
+            "probes": True,
+            "retry_after": True,
+            "max_retry_after_s": 1.0,
+            "dial_timeout_s": 0.25,
+            "conn_idle_s": 30.0,
+        },
+        "contract": {"cold_from": 0.2, "warm_after_s": 10.0, "fall_multiple": 2.0, "fall_s": 2.0},
+        "specifics": {"has_counter": True, "count_wait_s": 0.05, "max_units": 4.0},
+    }
+
+
+def _request_class(number: int) -> dict[str, Any]:
+    return {
+        "name": f"class-{number}",
+        "aim_s": 0.5,
+        "worth": 1.0 + number % _WEIGHTS,
+        "effect": _EFFECTS[number % len(_EFFECTS)],
+        "group": "all",
+        "window_s": 4.0,
+        "hard_limit_s": CLIENT_TIMEOUT,
+    }
+
+
+def endpoint_row(number: int, size: Size, health: str = "ready", born_ms: int = 0) -> dict[str, Any]:
+    """An endpoint as discovery lists it; numbers beyond ``size.servers`` are replacements."""
+    place = number % size.servers
+    address = f"10.{place >> 16 & 255}.{place >> 8 & 255}.{place & 255}"
+    return {
+        "host": f"s-{number * _NAME_FACTOR % 2**32:08x}",
+        "dial": f"{address}:{_PORT}",
+        "site": f"zone-{place % size.zones}",
+        "class": "m2",
+        "block": place * size.services // size.servers,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born_ms,
+    }
+
+
+def watch_event_text(rows: Iterable[dict[str, Any]], sequence: int, complete: bool) -> str:
+    """A watch event of discovery, as short as JSON allows."""
+    # Row by row: a complete list as objects would count as the limiter's memory.
+    hosts = ",".join(json.dumps(row, separators=(",", ":")) for row in rows)
+    whole = "true" if complete else "false"
+    return f'{{"seq":{sequence},"whole":{whole},"hosts":[{hosts}]}}'
+
+
+def complete_list_text(size: Size) -> str:
+    """The watch event with the complete list of a fleet."""
+    return watch_event_text((endpoint_row(number, size) for number in range(size.servers)), 1, complete=True)
