--- /dev/null
+++ b/scale/fleet/limiter.py
@@ -0,0 +1,146 @@
+"""A limiter in virtual time: its starts and its end, and what it knows of the endpoint list."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from scale.fleet.discovery import EndpointHistory
+from scale.fleet.endpoint_watch import EndpointWatch
+from scale.fleet.limiter_process import LimiterProcess, ProcessMessage
+from scale.fleet.mailbox import Mailbox
+from scale.fleet.messages import (
+    AttemptEnded,
+    ClientRequest,
+    CounterAnswered,
+    DiscoveryCallDue,
+    DiscoveryCallTimedOut,
+    EndpointFailed,
+    EndpointsChanged,
+    Envelope,
+    HealthChecked,
+    LimiterKilled,
+    LimiterStarted,
+    TimerDue,
+    WatchLost,
+    WatchOpened,
+)
+from scale.fleet.parameters import CLIENT_START
+from scale.fleet.scenario import World
+from scale.fleet.tally import Tally
+
+_SEED_BITS = 62
+
+
+class Limiter:
+    """Passes messages on to its process, if it runs and is the one that they are for."""
+
+    def __init__(
+        self, index: int, world: World, *, history: EndpointHistory, tally: Tally, mailbox: Mailbox
+    ) -> None:
+        """Schedule the whole life of the limiter of that number."""
+        self._index = index
+        self._world = world
+        self._tally = tally
+        self._mailbox = mailbox
+        self._rng = Random(f"{world.seed} limiter {index}")
+        self._process: LimiterProcess | None = None
+        self._incarnation = 0
+        self._schedule_lifetime(history)
+        self._watch = EndpointWatch(
+            index, world, history=history, mailbox=mailbox, rng=self._rng, tally=tally
+        )
+        self._watch.schedule_loss()
+
+    def receive(self, envelope: Envelope) -> None:
+        """Handle one message or timer."""
+        _HANDLERS[type(envelope.event)](self, envelope.time, envelope.event)
+
+    def warming_up_endpoints(self) -> int:
+        """Endpoints of its subset that this limiter takes to be warming up."""
+        return 0 if self._process is None else self._process.warming_up_endpoints()
+
+    def _schedule_lifetime(self, history: EndpointHistory) -> None:
+        """Its start, its restart where it is killed, and what its agent is notified of."""
+        faults = self._world.faults
+        self._mailbox.schedule(self._rng.random() * CLIENT_START, LimiterStarted())
+        if faults.killed_at[self._index] < math.inf:
+            self._mailbox.schedule(faults.killed_at[self._index], LimiterKilled())
+            self._mailbox.schedule(faults.restarted_at[self._index], LimiterStarted())
+        for notification in history.notifications(self._index):
+            self._mailbox.schedule(notification.at, EndpointsChanged(notification.known_changes))
+
+    def _on_client_request(self, now: float, message: ClientRequest) -> None:
+        assert self._process is not None  # clients do not reach a limiter that is down
+        self._process.accept(now, message)
+
+    def _on_process_message(self, now: float, message: ProcessMessage) -> None:
+        if self._process is not None and message.incarnation == self._process.incarnation:
+            self._process.receive(now, message)
+
+    def _on_started(self, now: float, _: LimiterStarted) -> None:
+        self._incarnation += 1
+        self._process = LimiterProcess(
+            self._index,
+            self._world,
+            incarnation=self._incarnation,
+            seed=self._rng.getrandbits(_SEED_BITS),
+            now=now,
+            mailbox=self._mailbox,
+            tally=self._tally,
+        )
+        self._process.update_endpoints(now, self._watch.complete_list())
+        self._watch.reconnect(now, self._incarnation)
+
+    def _on_killed(self, now: float, _: LimiterKilled) -> None:
+        assert self._process is not None
+        self._process.kill(now)
+        self._process = None
+        self._watch.disconnect()
+
+    def _on_endpoints_changed(self, now: float, message: EndpointsChanged) -> None:
+        update = self._watch.changed(message)
+        if update is not None and self._process is not None:
+            self._process.update_endpoints(now, update)
+
+    def _on_endpoint_failed(self, now: float, message: EndpointFailed) -> None:
+        update = self._watch.endpoint_failed(message)
+        if update is not None and self._process is not None:
+            self._process.update_endpoints(now, update)
+
+    def _on_watch_lost(self, now: float, _: WatchLost) -> None:
+        if self._process is not None:
+            self._watch.reconnect(now, self._incarnation)
+
+    def _on_discovery_call_due(self, now: float, message: DiscoveryCallDue) -> None:
+        if self._process is not None and message.incarnation == self._incarnation:
+            self._watch.call(now, self._incarnation)
+
+    def _on_discovery_call_timed_out(self, now: float, message: DiscoveryCallTimedOut) -> None:
+        if self._process is not None and message.incarnation == self._incarnation:
+            self._watch.call_timed_out(now, message)
+
+    def _on_watch_opened(self, now: float, message: WatchOpened) -> None:
+        if self._process is not None and message.incarnation == self._incarnation:
+            update = self._watch.opened(now, message)
+            if update is not None:
+                self._process.update_endpoints(now, update)
+
+
+_HANDLERS: dict[type[Any], Callable[[Limiter, float, Any], None]] = {
+    ClientRequest: Limiter._on_client_request,
+    AttemptEnded: Limiter._on_process_message,
+    TimerDue: Limiter._on_process_message,
+    CounterAnswered: Limiter._on_process_message,
+    HealthChecked: Limiter._on_process_message,
+    LimiterStarted: Limiter._on_started,
+    LimiterKilled: Limiter._on_killed,
+    EndpointsChanged: Limiter._on_endpoints_changed,
+    EndpointFailed: Limiter._on_endpoint_failed,
+    WatchLost: Limiter._on_watch_lost,
+    DiscoveryCallDue: Limiter._on_discovery_call_due,
+    DiscoveryCallTimedOut: Limiter._on_discovery_call_timed_out,
+    WatchOpened: Limiter._on_watch_opened,
+}
--- /dev/null
+++ b/scale/fleet/lockstep.py
@@ -0,0 +1,145 @@
+"""Workers in lock-step: each hands messages to each other one after every window of virtual time."""
+
+from __future__ import annotations
+
+import traceback
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from enum import Enum
+from multiprocessing import get_context
+from multiprocessing.connection import Connection, wait
+from multiprocessing.process import BaseProcess
+from typing import Any, NamedTuple
+
+from scale.model import BrokenRunError
+
+# Takes the outbox for each worker and gives what the others, and the worker itself, had for this one.
+Exchange = Callable[[list[list[Any]]], list[Any]]
+# Index of the worker, number of workers, the exchange and the task; what it gives must be picklable.
+Work = Callable[[int, int, Exchange, Any], Any]
+
+_EXIT_TIMEOUT = 5.0  # seconds for a worker to exit once its pipe has ended
+
+
+class PeerLostError(Exception):
+    """Another worker is gone: it, and not this one, is the cause."""
+
+
+class _Status(Enum):
+    DONE = "done"
+    PEER_LOST = "peer lost"
+    FAILED = "failed"
+
+
+class _Outcome(NamedTuple):
+    """How a worker ended, with its result or the cause."""
+
+    status: _Status
+    content: Any
+
+
+@dataclass(slots=True)
+class _Worker:
+    process: BaseProcess
+    outcomes: Connection
+
+
+def run(
+    work: Work, count: int, task: Any, started: Callable[[list[int]], None] = lambda _pids: None
+) -> list[Any]:
+    """The workers' results in order; ``BrokenRunError`` names the causes where some of them fail or die.
+
+    ``work`` and ``task`` are pickled: each worker is a fresh process. ``started`` gets the process ids.
+    """
+    workers = _start(work, count, task)
+    started([worker.process.pid or 0 for worker in workers])
+    results = dict[int, Any]()
+    causes = list[str]()
+    try:
+        for index, outcome in _outcomes(workers):
+            if outcome.status is _Status.DONE:
+                results[index] = outcome.content
+            elif outcome.status is _Status.FAILED:
+                causes.append(f"worker {index}: {outcome.content}")
+        if len(results) < count:
+            raise BrokenRunError("; ".join(causes) or "the workers lost each other")
+    finally:
+        for worker in workers:
+            if worker.process.is_alive() and len(results) < count:
+                worker.process.terminate()
+            worker.process.join()
+    return [results[index] for index in range(count)]
+
+
+def _start(work: Work, count: int, task: Any) -> list[_Worker]:
+    context = get_context("spawn")
+    links: list[dict[int, Connection]] = [{} for _ in range(count)]
+    for one in range(count):
+        for other in range(one + 1, count):
+            links[one][other], links[other][one] = context.Pipe()
+    workers = list[_Worker]()
+    senders = list[Connection]()
+    for index in range(count):
+        receiver, sender = context.Pipe(duplex=False)
+        arguments = (work, index, count, links[index], sender, task)
+        workers.append(_Worker(context.Process(target=_run_worker, args=arguments, daemon=True), receiver))
+        senders.append(sender)
+    for worker in workers:
+        worker.process.start()
+    # Only the workers may hold these: an end that stays open here would hide the death of a worker.
+    for own_links in links:
+        for link in own_links.values():
+            link.close()
+    for sender in senders:
+        sender.close()
+    return workers
+
+
+def _outcomes(workers: list[_Worker]) -> Iterator[tuple[int, _Outcome]]:
+    """Each worker's index and how it ended, as they end."""
+    waiting: dict[Any, int] = {worker.outcomes: index for index, worker in enumerate(workers)}
+    while waiting:
+        for ready in wait(list(waiting)):
+            index = waiting.pop(ready)
+            try:
+                outcome = workers[index].outcomes.recv()
+            except (EOFError, OSError):
+                process = workers[index].process
+                process.join(_EXIT_TIMEOUT)
+                outcome = _Outcome(_Status.FAILED, f"it died with exit code {process.exitcode}")
+            yield index, outcome
+
+
+def _run_worker(
+    work: Work, index: int, count: int, links: dict[int, Connection], outcomes: Connection, task: Any
+) -> None:
+    try:
+        outcome = _Outcome(_Status.DONE, work(index, count, _exchange(index, links), task))
+    except PeerLostError as error:
+        outcome = _Outcome(_Status.PEER_LOST, str(error))
+    except BaseException:
+        outcome = _Outcome(_Status.FAILED, traceback.format_exc())
+    outcomes.send(outcome)
+
+
+def _exchange(index: int, links: dict[int, Connection]) -> Exchange:
+    peers = sorted(links)
+
+    def exchange(outboxes: list[list[Any]]) -> list[Any]:
+        """Send to each peer and receive from it."""
+        received = list[Any]()
+        try:
+            # Pairs in one order at all workers, and in a pair the lower one sends first: no cycle of waits.
+            for peer in peers:
+                if index < peer:
+                    links[peer].send(outboxes[peer])
+                    received += links[peer].recv()
+                else:
+                    inbox = links[peer].recv()
+                    links[peer].send(outboxes[peer])
+                    received += inbox
+        except (EOFError, OSError) as error:
+            raise PeerLostError(f"no worker at the other end: {error!r}") from None
+        return received + outboxes[index]
+
+    return exchange
