--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -10,7 +10,7 @@
 from quota_gateway import model
 from quota_gateway.net.http_common import split_address
 from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
-from quota_gateway.settings_parser import Timing, settings_from, timing_from
+from quota_gateway.settings_parser import Timing, parse_settings, parse_timing
 
 DEFAULT_MAX_SOCKETS = 1024  # file descriptors, where the file names no limit: the usual limit of a process
 SEED_BASE = 16  # the file's seed is a hexadecimal text
@@ -100,8 +100,8 @@
         seed=int(str(raw.get("seed") or "0"), SEED_BASE),
         max_sockets=int(limits.get("sockets") or DEFAULT_MAX_SOCKETS),
         initial_endpoints=parse_watch_event(raw["known"]) if raw.get("known") else None,
-        settings=settings_from(raw["settings"]),
-        timing=timing_from(raw["settings"]),
+        settings=parse_settings(raw["settings"]),
+        timing=parse_timing(raw["settings"]),
         raw_settings=raw["settings"],
     )
 
--- a/quota_gateway/decisions/admission.py
+++ b/quota_gateway/decisions/admission.py
@@ -8,10 +8,11 @@
 from quota_gateway.decisions.controller import LoadController
 from quota_gateway.state import OpenRequest
 
-GATE_DEPTH = 1.0  # seconds of the admit rate that the bucket holds
-SPARSE_DEPTH = 3.0  # requests that it holds at least
-TRICKLE = 0.1  # share of the arrivals that is admitted for readings: a closed gate would stay closed
-PRIORITY_RESERVE = 0.6  # share of the bucket that the least worthy work must leave
+GATE_TIME = 1.0  # seconds of the admit rate that the bucket holds
+MIN_GATE_TOKENS = 3.0  # requests that it holds at least
+MIN_ADMIT_FRACTION = 0.1  # of the arrivals, for load readings: a closed gate would stay closed
+FREE_TOKENS = 2  # tokens of the bucket's depth that no priority is reserved
+PRIORITY_RESERVE = 0.6  # share of the bucket that the work of lowest priority must leave
 RECENT_REQUESTS = 300  # that a priority is ranked among
 FIRST_GUESS = 0.1  # idle latency over the latency objective, until an answer tells
 REQUEST_WEIGHT = 0.02  # of one request in the means over requests
@@ -63,12 +64,12 @@
 
     def admits(self, now: float, request: OpenRequest) -> bool:
         """Whether there are tokens; a full bucket lets any one request pass, into debt."""
-        rate = max(TRICKLE * self.controller.arrival_rate, self.controller.admit_rate)
-        depth = max(SPARSE_DEPTH, rate * GATE_DEPTH)
+        rate = max(MIN_ADMIT_FRACTION * self.controller.arrival_rate, self.controller.admit_rate)
+        depth = max(MIN_GATE_TOKENS, rate * GATE_TIME)
         self.tokens = refilled(self.tokens, rate, now - self.refilled_at, depth)
         self.refilled_at = now
         reserve = PRIORITY_RESERVE * (1 - request.priority_percentile)
-        needed = request.work / self.work.mean_work + reserve * max(0, depth - 2)
+        needed = request.work / self.work.mean_work + reserve * max(0, depth - FREE_TOKENS)
         return self.controller.integral is None or self.tokens >= min(depth, needed)
 
     def take(self, request: OpenRequest) -> None:
--- a/quota_gateway/decisions/context.py
+++ b/quota_gateway/decisions/context.py
@@ -19,8 +19,8 @@
     process_count: int = 1  # processes of this gateway, which share what it may do
     classes: dict[str, RequestClass] = field(default_factory=dict)
     plans: dict[str, Plan] = field(init=False)
-    patience: float = field(init=False)  # seconds for which an endpoint may owe answers and give none
-    stay: float = field(init=False)  # seconds that a request is wanted to stay at an endpoint
+    unresponsive_timeout: float = field(init=False)  # seconds for which an endpoint may owe answers
+    target_residence_time: float = field(init=False)  # seconds of a request at an endpoint
 
     def __post_init__(self) -> None:
         self.reconfigure(self.settings)
@@ -32,6 +32,6 @@
         self.classes |= {request_class.name: request_class for request_class in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         objectives = [request_class.latency_objective for request_class in settings.classes] or [1.0]
-        self.patience = LATENCY_FRACTION * min(objectives)
-        # One for all classes: by its own, the class with the shortest would find the endpoints always full.
-        self.stay = LATENCY_FRACTION * sum(objectives) / len(objectives)
+        self.unresponsive_timeout = LATENCY_FRACTION * min(objectives)
+        # One for all classes: the class with the shortest would find the endpoints always full.
+        self.target_residence_time = LATENCY_FRACTION * sum(objectives) / len(objectives)
--- a/quota_gateway/decisions/controller.py
+++ b/quota_gateway/decisions/controller.py
@@ -14,7 +14,7 @@
 INTERVAL = 1.0  # seconds between two updates
 STALL = 2.5 * INTERVAL  # a longer gap means that this process stood still
 FULL_LOAD = 1.0  # reading of an endpoint that is overloaded or does not answer in time
-AMPLE_CAPACITY = 0.5 * REFERENCE  # load below which the endpoints surely bear more
+LOW_LOAD = 0.5 * REFERENCE  # below it the endpoints surely bear more
 ARRIVALS_WEIGHT = 0.3  # of the newest interval in the mean of the arrivals
 ENOUGH_READINGS = 3
 MAX_READING_AGE = (
@@ -65,7 +65,7 @@
         error = REFERENCE - self.load
         self.admit_rate = gain * error + (admitted if self.integral is None else self.integral)
         self.integral = self.admit_rate - gain * error
-        if self.load < AMPLE_CAPACITY and self.admit_rate < arrivals:
+        if self.load < LOW_LOAD and self.admit_rate < arrivals:
             self.integral = arrivals - gain * error
             self.admit_rate = arrivals
         if error < 0 or self.admit_rate <= arrivals:  # anti-windup
--- a/quota_gateway/decisions/counter_budget.py
+++ b/quota_gateway/decisions/counter_budget.py
@@ -29,10 +29,10 @@
         self.min_rate = MIN_RATE_PERCENT * MAX_RATE / gateways / 100
         self.tokens = SAVED_TIME * self.rate + draw  # calls that may be made
         self.refilled_at = now
-        self.usual_time = 0.0  # seconds of an answer
+        self.typical_latency = 0.0  # seconds of an answer
         # Seconds above the usual time that tell of a queue.
-        self.queued_time = QUEUED_FRACTION * timeout if timeout > 0 else float("inf")
-        self.last_sign = now  # of congestion or loss
+        self.queueing_threshold = QUEUED_FRACTION * timeout if timeout > 0 else float("inf")
+        self.last_congestion = now  # of congestion or loss
         self.failures = 0  # calls in vain, one behind the other
         self.unavailable_until = 0.0
 
@@ -44,20 +44,18 @@
         return self.tokens if now >= self.unavailable_until else 0.0
 
     def call_ended(self, now: float, status: CallStatus, made_at: float, draw: float = 0.5) -> None:
-        """Learn from the end of a call that was made at ``made_at``; ``draw`` is random, 0 to 1.
-
-        Calls that were out together end together: only the first is a sign. Two failures with no answer in
-        between are an outage; all gateways see it at once, so each draws its length.
-        """
+        """Learn from the end of a call that was made at ``made_at``; ``draw`` is random, 0 to 1."""
+        # Calls that were out together end together: only the first is a sign. Two failures with no answer in
+        # between are an outage; all gateways see it at once, so each draws its length.
         elapsed = now - made_at
         is_ok = status is CallStatus.OK
         if is_ok:
-            weight = SLOWER_WEIGHT if elapsed > self.usual_time > 0 else FASTER_WEIGHT
-            self.usual_time += (elapsed - self.usual_time) * weight
+            weight = SLOWER_WEIGHT if elapsed > self.typical_latency > 0 else FASTER_WEIGHT
+            self.typical_latency += (elapsed - self.typical_latency) * weight
             self.failures = 0
-        is_slow = not is_ok or elapsed > self.usual_time + self.queued_time
-        is_new_sign = made_at >= self.last_sign
-        self.last_sign = now if is_slow else self.last_sign
+        is_slow = not is_ok or elapsed > self.typical_latency + self.queueing_threshold
+        is_new_sign = made_at >= self.last_congestion
+        self.last_congestion = now if is_slow else self.last_congestion
         if not is_slow:
             increase = min(INCREASE_FRACTION * self.rate, INCREASE / self.rate)
             self.rate = min(MAX_RATE, self.rate + increase)
--- a/quota_gateway/decisions/endpoint_set.py
+++ b/quota_gateway/decisions/endpoint_set.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from math import ceil
 
 from quota_gateway import model
 from quota_gateway.arithmetic import moving_average
@@ -22,12 +23,12 @@
 
     context: Context
     by_name: dict[str, EndpointState] = field(default_factory=dict)
-    ring: list[EndpointState] = field(default_factory=list)  # those in use, from this gateway's own place on
+    hash_ring: list[EndpointState] = field(default_factory=list)  # those in use, in this gateway's order
     subset: list[EndpointState] = field(default_factory=list)
     suspended: frozenset[str] = frozenset()  # by operators
     has_list: bool = False  # whether a list has come
 
-    def listed_endpoints(self) -> list[EndpointState]:
+    def listed(self) -> list[EndpointState]:
         """Endpoints that the list names."""
         return [state for state in self.by_name.values() if not state.removed]
 
@@ -56,18 +57,19 @@
     def rebuild_hash_ring(self, now: float) -> None:
         """All gateways see one ring, each from a place of its own: their subsets add up evenly."""
         ring = [s for name, s in self.by_name.items() if s.available and name not in self.suspended]
-        ring.sort(key=lambda state: state.ring_position)
+        ring.sort(key=lambda state: state.hash_position)
         start = self.context.settings.gateway_index * len(ring) // self.context.settings.gateway_count
-        self.ring = ring[start:] + ring[:start]
+        self.hash_ring = ring[start:] + ring[:start]
         self.choose_subset(now)
 
     def choose_subset(self, now: float) -> None:
         """Take endpoints from the ring until enough of them are neither ejected nor unresponsive."""
-        wanted = max(MIN_SUBSET, -(-SUBSET_MULTIPLE * len(self.ring) // self.context.settings.gateway_count))
+        even_part = ceil(SUBSET_MULTIPLE * len(self.hash_ring) / self.context.settings.gateway_count)
+        wanted = max(MIN_SUBSET, even_part)
         self.subset = []
-        for state in self.ring:
+        for state in self.hash_ring:
             since = state.unresponsive_since
-            is_responsive = since is None or now - since <= self.context.patience
+            is_responsive = since is None or now - since <= self.context.unresponsive_timeout
             wanted -= state.ejected_until <= now and is_responsive
             self.subset.append(state)
             if wanted <= 0:
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -7,7 +7,7 @@
 from quota_gateway.decisions.context import LATENCY_FRACTION, Context
 from quota_gateway.decisions.controller import FULL_LOAD, REFERENCE
 from quota_gateway.decisions.endpoint_set import EndpointSet
-from quota_gateway.decisions.leases import UsageReporter
+from quota_gateway.decisions.leases import LeaseManager
 from quota_gateway.decisions.load_balancer import LoadBalancer
 from quota_gateway.decisions.outlier_detection import OutlierDetector
 from quota_gateway.decisions.retries import RetryBudget, may_reject, retry_after
@@ -26,14 +26,14 @@
     endpoints: EndpointSet
     balancer: LoadBalancer
     gate: AdmissionGate
-    reporter: UsageReporter
+    leases: LeaseManager
     outliers: OutlierDetector
     requests: dict[int, OpenRequest] = field(default_factory=dict)
     rejections: dict[str, int] = field(default_factory=dict)  # by reason, since the last log line
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
     def forward(self, now: float, request: OpenRequest, within_quota: bool, prepaid: bool = False) -> bool:
-        """Make the first attempt or reject the request; ``prepaid`` units are leased or told apart."""
+        """Make the first attempt or reject the request; ``prepaid`` units are leased or reported apart."""
         account = request.account
         plan = account.plan
         is_idle = 0 < self.gate.controller.load < OVER_QUOTA_LOAD
@@ -50,13 +50,13 @@
         request.within_quota = within_quota
         account.ceiling_tokens -= request.units if plan.ceiling_rate > 0 else 0.0
         if within_quota:
-            account.guaranteed = max(-request.units, account.guaranteed - request.units)
+            account.guaranteed_tokens = max(-request.units, account.guaranteed_tokens - request.units)
         if prepaid and account.leased >= request.units:
             account.leased -= request.units
         elif within_quota and not prepaid:
             account.tokens = min(account.tokens, max(0.0, account.tokens - request.units))
-            if not account.is_sparse or now < self.reporter.budget.unavailable_until:
-                self.reporter.add_usage(now, account, request.units)
+            if not account.is_sparse or now < self.leases.budget.unavailable_until:
+                self.leases.add_usage(now, account, request.units)
         return True
 
     def _attempt(self, now: float, request: OpenRequest) -> bool:
@@ -109,6 +109,7 @@
             self._retry(now, request, event)
 
     def _end(self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted) -> None:
+        """An attempt is over: take its work off the endpoint and learn from it."""
         state.end_work(request.work)
         request.account.open_attempts -= 1
         if event.status not in NO_SIGN_OF_LIFE:
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -12,7 +12,7 @@
 from quota_gateway.decisions.endpoint_set import EndpointSet
 from quota_gateway.decisions.forwarding import Forwarder
 from quota_gateway.decisions.handover import Handover
-from quota_gateway.decisions.leases import UsageReporter
+from quota_gateway.decisions.leases import LeaseManager
 from quota_gateway.decisions.load_balancer import LoadBalancer, SlowStart
 from quota_gateway.decisions.outlier_detection import OutlierDetector
 from quota_gateway.decisions.quota import AccountTable
@@ -37,12 +37,12 @@
         self.accounts = AccountTable(context)
         draw = context.rng.random()
         budget = CounterBudget(now, settings.gateway_count, draw, settings.counter_timeout)
-        self.reporter = UsageReporter(context, self.accounts, budget)
+        self.leases = LeaseManager(context, self.accounts, budget)
         self.slow_start = SlowStart(context)
         self.endpoints = endpoints = EndpointSet(context)
         self.balancer = LoadBalancer(context, endpoints, self.gate, self.slow_start)
         self.outliers = OutlierDetector(endpoints)
-        self.forwarder = Forwarder(context, endpoints, self.balancer, self.gate, self.reporter, self.outliers)
+        self.forwarder = Forwarder(context, endpoints, self.balancer, self.gate, self.leases, self.outliers)
         self.quota = QuotaAdmission(context, self.forwarder)
         self.handover = Handover(context, self.accounts, endpoints, self.gate, self.slow_start)
         self.timer_token = 0
@@ -55,7 +55,7 @@
             model.AttemptCompleted: self.forwarder.on_attempt_completed,
             model.UploadCompleted: self.forwarder.on_upload_completed,
             model.ClientDisconnected: lambda _now, event: self.forwarder.forget(event.request_id),
-            model.CounterReplied: self.reporter.on_reply,
+            model.CounterReplied: self.leases.on_reply,
             model.EndpointUpdate: self.endpoints.apply,
             model.HealthChecked: self.endpoints.on_health_check,
             model.TimerFired: self._on_timer,
@@ -97,18 +97,18 @@
         self.endpoints.forget_removed(state for request in requests for state in request.in_flight.values())
         self.endpoints.choose_subset(now)
         self.work.sorted_values = sorted(self.work.recent_values)
-        self.reporter.return_unused(now, self.work.mean_units)
+        self.leases.return_unused(now, self.work.mean_units)
         self.accounts.forget_idle(now)
         for account in self.accounts.accounts.values():
-            self.reporter.report_if_idle(now, account)
+            self.leases.report_overdue_usage(now, account)
 
     def _log_rejections(self, now: float) -> None:
         """Write the rejections since the last such line, and the state that explains them."""
         counts = self.forwarder.rejections, self.outliers.ejections
-        text = describe_rejections(now, *counts, self.endpoints.ring, self.reporter.lease_holders.values())
+        text = describe_rejections(now, *counts, self.endpoints.hash_ring, self.leases.lease_holders.values())
         text += f"; load {self.controller.load:.2f}, admit rate {self.controller.admit_rate:.0f}/s"
         text += f", completion rate {self.slow_start.completion_rate:.2f}"
-        text += ", counter unavailable" * (now < self.reporter.budget.unavailable_until)
+        text += ", counter unavailable" * (now < self.leases.budget.unavailable_until)
         self.context.actions.append(model.Log(text))
         for count in counts:
             count.clear()
@@ -133,7 +133,7 @@
             self.forwarder.finish(request, model.RejectionReason.ADMISSION_GATE)
 
     def _on_admin_request(self, now: float, event: model.AdminRequest) -> None:
-        listed_endpoints = self.endpoints.listed_endpoints()
+        listed_endpoints = self.endpoints.listed()
         if event.command is model.AdminCommand.STATUS:
             ok = self.endpoints.has_list and not self.is_shutting_down
         else:
@@ -156,7 +156,7 @@
 
     def _on_shutdown(self, now: float, _event: model.ShutdownStarted) -> None:
         self.is_shutting_down = True
-        self.reporter.shut_down(now)
+        self.leases.shut_down(now)
 
     def _on_settings(self, now: float, event: model.Settings) -> None:
         """New settings hold for what comes from now on; what is under way keeps its class."""
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -9,7 +9,7 @@
 from quota_gateway.decisions.quota import AccountTable
 from quota_gateway.model import HandOver, HandoverState, ProcessCountChanged
 
-FRESH_TIME = 5.0  # seconds after its start in which a process takes another's state
+TAKE_OVER_TIME = 5.0  # seconds after its start in which a process takes another's state
 MAX_ACCOUNTS = 4000  # in a handover: those met last
 
 
@@ -36,14 +36,14 @@
             mean_work=self.gate.work.mean_work,
             mean_units=self.gate.work.mean_units,
             base_latencies=dict(self.gate.work.base_latencies),
-            endpoints=tuple(state.export() for state in self.endpoints.listed_endpoints()),
+            endpoints=tuple(state.export() for state in self.endpoints.listed()),
             accounts=tuple(accounts[-MAX_ACCOUNTS:]),
         )
         self.context.actions.append(HandOver(state))
 
     def take_over(self, now: float, state: HandoverState) -> None:
         """Take what the process before knows, once and only when fresh; the controller starts anew."""
-        if self.has_imported or now - self.context.started_at > FRESH_TIME:
+        if self.has_imported or now - self.context.started_at > TAKE_OVER_TIME:
             return
         self.has_imported = True
         work = self.gate.work
@@ -57,6 +57,5 @@
                 known.take_over(now, handover)
         for account in state.accounts:
             if account.plan in self.context.plans:
-                gateways = account.serving_gateways
-                own = self.table.find_or_create(now, account.plan, account.account, gateways)
+                own = self.table.find_or_create(now, account.plan, account.account, account.serving_gateways)
                 own.take_over(now, account)
--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -4,7 +4,7 @@
 
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.counter_budget import CounterBudget
-from quota_gateway.decisions.quota import NO_UNITS, AccountTable, demand_now, lease_size, synchronise
+from quota_gateway.decisions.quota import DEMAND_WINDOW, NO_UNITS, AccountTable, lease_size, synchronise
 from quota_gateway.model import MAY_BE_COUNTED, CallStatus, CounterReplied, IncrementCounter
 from quota_gateway.state import Account, PendingCall
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class UsageReporter:
+class LeaseManager:
     """Makes the calls to the counter and takes their replies; knows which customers hold leases."""
 
     context: Context
@@ -27,12 +27,12 @@
     budget: CounterBudget
     lease_holders: dict[int, Account] = field(default_factory=dict)  # by counter id
 
-    def report(self, now: float, account: Account) -> None:
+    def report_usage(self, now: float, account: Account) -> None:
         """Tell the counter of unreported usage, if a call is left."""
         if self.budget.available(now) >= 1:
-            self.call(now, account)
+            self.call_counter(now, account)
 
-    def call(self, now: float, account: Account, units: float = 0.0, lease: float = 0.0) -> None:
+    def call_counter(self, now: float, account: Account, units: float = 0.0, lease: float = 0.0) -> None:
         """Tell the counter of unreported usage, of ``units`` more and of a lease that is asked for."""
         account.unreported_usage += units + lease
         account.tokens -= units + lease
@@ -47,27 +47,29 @@
     def add_usage(self, now: float, account: Account, units: float) -> None:
         """Units were used; the counter is told once they are so many that others should know of them."""
         account.unreported_usage += units
-        due = USAGE_FRACTION * min(account.tokens, account.plan.burst) / account.gateways
-        if account.unreported_usage >= due and account.gateways > 1:
-            self.report(now, account)
+        due = USAGE_FRACTION * min(account.tokens, account.plan.burst) / account.serving_gateways
+        if account.unreported_usage >= due and account.serving_gateways > 1:
+            self.report_usage(now, account)
 
-    def report_if_idle(self, now: float, account: Account) -> None:
+    def report_overdue_usage(self, now: float, account: Account) -> None:
         """Tell the counter of what has stayed unreported for a while."""
         is_due = abs(account.unreported_usage) > NO_UNITS and now - account.last_call > IDLE_TIME_TO_CALL
         if is_due and account.tokens < IDLE_FRACTION * account.plan.burst:
-            self.report(now, account)
+            self.report_usage(now, account)
 
     def extend_lease(self, now: float, account: Account) -> None:
         """Ask for units ahead of need, unless enough are there or asked for."""
         horizon = min(MAX_LEASE_TIME, max(MIN_LEASE_TIME, 2 * len(self.lease_holders) / self.budget.rate))
-        has_enough = account.lease_requested or account.leased > 0.5 * horizon * demand_now(now, account)
+        has_enough = account.lease_requested or account.leased > 0.5 * horizon * account.demand_now(
+            now, DEMAND_WINDOW
+        )
         if has_enough or self.budget.available(now) < 1:
             return
         units = lease_size(now, account, horizon)
         if units > 0 or now - account.last_call > REFRESH_TIME:
             self.lease_holders[account.counter_id] = account
             account.lease_requested = max(0.0, units)
-            self.call(now, account, lease=account.lease_requested)
+            self.call_counter(now, account, lease=account.lease_requested)
 
     def on_reply(self, now: float, event: CounterReplied) -> None:
         """A call has ended."""
@@ -89,15 +91,15 @@
         if event.status is CallStatus.OK:
             account.return_lease(max(0.0, min(account.leased, -account.tokens)))  # the bucket held less
             if account.unreported_usage > BACKLOG_FRACTION * account.plan.burst:
-                self.report(now, account)
+                self.report_usage(now, account)
         account.tokens = max(account.tokens, -account.lease_requested)  # what is asked for is taken off
 
-    def return_unused(self, now: float, least: float) -> None:
-        """A lease ends with its demand: give back what is above that, or all of it under ``least``."""
+    def return_unused(self, now: float, min_units: float) -> None:
+        """A lease ends with its demand: give back what is above that, or all of it under ``min_units``."""
         for counter_id, account in list(self.lease_holders.items()):
             account.refill(now)
-            wanted = MAX_LEASE_TIME * demand_now(now, account)
-            if wanted < least:
+            wanted = MAX_LEASE_TIME * account.demand_now(now, DEMAND_WINDOW)
+            if wanted < min_units:
                 account.return_lease(account.leased)
             elif account.leased > 2 * wanted:
                 account.return_lease(account.leased - wanted)
@@ -109,4 +111,4 @@
         self.return_unused(now, float("inf"))
         for account in self.table.accounts.values():
             if abs(account.unreported_usage) > NO_UNITS:
-                self.report(now, account)
+                self.report_usage(now, account)
--- a/quota_gateway/decisions/outlier_detection.py
+++ b/quota_gateway/decisions/outlier_detection.py
@@ -2,8 +2,9 @@
 
 from dataclasses import dataclass, field
 
+from quota_gateway import model
 from quota_gateway.decisions.endpoint_set import EndpointSet
-from quota_gateway.model import CONNECTION_LOST, NO_EVIDENCE, RESPONSES, AttemptCompleted, CallStatus
+from quota_gateway.model import CONNECTION_LOST, NO_EVIDENCE, RESPONSES, CallStatus, EjectionCause
 from quota_gateway.state import EndpointState
 
 CHANCE_LIMIT = 0.005  # failures in a row that chance would bring less often are none of chance
@@ -27,7 +28,7 @@
     ejections: dict[str, int] = field(default_factory=dict)  # by cause, since the last log line
     timeout_rate: float = 0.0  # of all attempts
 
-    def record(self, now: float, state: EndpointState, event: AttemptCompleted) -> None:
+    def record(self, now: float, state: EndpointState, event: model.AttemptCompleted) -> None:
         """Take in the end of an attempt, and eject the endpoint if it shows that it is an outlier."""
         peers = self.endpoints.subset or [state]
         usual = sorted(peer.failure_rate for peer in peers)[len(peers) // 2]
@@ -55,10 +56,9 @@
         is_outlier = is_failure and state.failure_rate > usual * (2 - is_down) + EJECTION_MARGIN
         ejected = sum(peer.ejected_until > now for peer in peers)
         if is_outlier and state.ejected_until <= now and (is_down or ejected < len(peers) / 2):
-            connection_cause = "unreachable" if is_unreachable else "resetting connections"
-            self._eject(now, state, "hung" if is_hung else connection_cause if is_down else "failing")
+            self._eject(now, state, EjectionCause.of(is_hung, is_down, is_unreachable))
 
-    def _is_hung(self, now: float, state: EndpointState, event: AttemptCompleted) -> bool:
+    def _is_hung(self, now: float, state: EndpointState, event: model.AttemptCompleted) -> bool:
         """Time-outs in a row with no answer at all, more than chance brings; half-open, one is enough."""
         is_timeout = event.status is CallStatus.TIMEOUT
         is_answer = event.status in RESPONSES
--- a/quota_gateway/decisions/quota.py
+++ b/quota_gateway/decisions/quota.py
@@ -1,7 +1,6 @@
 """A customer's quota as one gateway estimates it: demand here, usage elsewhere, and what is worth leasing."""
 
 from dataclasses import dataclass, field
-from math import exp
 
 from quota_gateway.decisions.context import Context
 from quota_gateway.model import Plan
@@ -15,18 +14,7 @@
 REMOTE_WINDOW = 3.0  # seconds that the remote usage is a mean of
 MIN_TOTAL_AGE = 0.05  # seconds between two totals, taken at least
 RESET_FRACTION = 0.5  # a total below this share of the last one is a counter that expired or restarted
-SPARSE_OVERFLOW = 0.5  # share of a full bucket that a sparse gateway tells as lost: another may tell less
-
-
-def demand_now(now: float, account: Account) -> float:
-    """Units a second that are asked for here; the mean forgets within seconds."""
-    return account.demand * exp((account.demand_at - now) / DEMAND_WINDOW)
-
-
-def add_demand(now: float, account: Account, units: float) -> None:
-    """A request asks for units, inside the quota or not."""
-    account.demand = demand_now(now, account) + units / DEMAND_WINDOW
-    account.demand_at = now
+SPARSE_OVERFLOW = 0.5  # of a full bucket: smaller overflows of a sparse account are left to others to report
 
 
 def lease_size(now: float, account: Account, horizon: float) -> float:
@@ -34,9 +22,9 @@
 
     A part by demand: an even one would leave the parts of idle gateways unused.
     """
-    demand = demand_now(now, account)
-    left = max(0.0, account.tokens - account.remote_usage * (now - account.last_synchronised))
-    part = LEASED_FRACTION * left * demand / max(NO_UNITS, demand + account.remote_usage)
+    demand = account.demand_now(now, DEMAND_WINDOW)
+    available = max(0.0, account.tokens - account.remote_usage * (now - account.last_synchronised))
+    part = LEASED_FRACTION * available * demand / max(NO_UNITS, demand + account.remote_usage)
     return min(demand * horizon, part) - account.leased
 
 
@@ -88,7 +76,8 @@
             start = self.context.started_at
             max_units = self.context.settings.max_units
             account = Account(now, plan, name, gateways, start, max_units, self.context.process_count)
-            account.remote_usage = plan.rate * (account.gateways - 1) / account.gateways * REMOTE_GUESS
+            count = account.serving_gateways
+            account.remote_usage = plan.rate * (count - 1) / count * REMOTE_GUESS
             self.accounts[plan_name, name] = account
             self.by_counter_id[account.counter_id] = account
         return account
--- a/quota_gateway/decisions/quota_admission.py
+++ b/quota_gateway/decisions/quota_admission.py
@@ -4,19 +4,19 @@
 
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.forwarding import Forwarder
-from quota_gateway.decisions.quota import add_demand
+from quota_gateway.decisions.quota import DEMAND_WINDOW
 from quota_gateway.state import OpenRequest
 
 IDLE_LOAD = 0.25  # load under which the endpoints bear a wrong guess of what the other gateways use
 IDLE_MARGIN = 0.25  # of a full bucket that must be left then
 AMPLE_MARGIN = 0.1  # of a full bucket that must be left for a grant that no call stands behind
 WORST_FRACTION = 0.9  # of the others' share of a full bucket that they may use at worst
-FRESH_TIME = 0.2  # seconds for which a total tells what the bucket holds: the others use little in it
+TOTAL_FRESH_TIME = 0.2  # seconds for which a total tells what the bucket holds: the others use little in it
 UNSPENT_FRACTION = (
     0.95  # of its guaranteed share that a customer must have left: a part of a unit may be gone
 )
 RETRY_CHANCE = 0.3  # a retry is most likely beyond its quota: first attempts have the calls before it
-MIN_SAMPLE = 0.2  # of requests: who asks counts for those that could not, and for no more than five in all
+MIN_SAMPLE = 0.2  # of requests: one that asks counts for those that could not, five in all at most
 MIN_CHANCE = 0.05  # under which no request asks
 CALL_TIME = 3  # time-outs of the counter that must be left to a request that asks
 
@@ -33,20 +33,20 @@
         account = request.account
         plan = account.plan
         forward = self.forwarder.forward
-        reporter = self.forwarder.reporter
-        add_demand(now, account, request.units)
+        leases = self.forwarder.leases
+        account.add_demand(now, request.units, DEMAND_WINDOW)
         remote_usage = account.remote_usage * (now - account.last_synchronised)
         expected = min(plan.burst, account.tokens - remote_usage)
-        reporter.budget.available(now)  # up to now at the rate so far
-        even_limit = -(-plan.concurrency_limit // account.gateways)
+        leases.budget.available(now)  # up to now at the rate so far
+        even_limit = -(-plan.concurrency_limit // account.serving_gateways)
         if plan.concurrency_limit > 0 and account.open_attempts >= even_limit:
             forward(now, request, within_quota=False)
         elif plan.rate <= 0:
             forward(now, request, within_quota=True)
         elif account.leased >= request.units:
             forward(now, request, within_quota=True, prepaid=True)
-            reporter.extend_lease(now, account)
-        elif not self.context.settings.has_counter or now < reporter.budget.unavailable_until:
+            leases.extend_lease(now, account)
+        elif not self.context.settings.has_counter or now < leases.budget.unavailable_until:
             forward(now, request, within_quota=self._is_within_guarantee(request, expected))
         elif account.tokens < request.units:
             forward(now, request, within_quota=False)
@@ -60,10 +60,10 @@
     def _admit_near_quota(self, now: float, request: OpenRequest, expected: float) -> None:
         """By what the bucket is taken to hold, or by the guarantee where no total has come lately."""
         account = request.account
-        is_fresh = account.counter_total is not None and now - account.last_synchronised < FRESH_TIME
-        is_guaranteed = account.guaranteed >= request.units and not is_fresh
+        is_fresh = account.counter_total is not None and now - account.last_synchronised < TOTAL_FRESH_TIME
+        is_guaranteed = account.guaranteed_tokens >= request.units and not is_fresh
         self.forwarder.forward(now, request, within_quota=expected >= request.units or is_guaranteed)
-        self.forwarder.reporter.extend_lease(now, account)
+        self.forwarder.leases.extend_lease(now, account)
 
     def _is_within_guarantee(self, request: OpenRequest, expected: float) -> bool:
         """Without a counter the even share is the guarantee, with headroom while the endpoints are idle."""
@@ -71,29 +71,31 @@
         if account.is_sparse:
             is_within = expected >= request.units
         else:
-            is_within = account.guaranteed >= request.units * self.context.rng.random()
+            is_within = account.guaranteed_tokens >= request.units * self.context.rng.random()
         has_headroom = expected - IDLE_MARGIN * account.plan.burst >= request.units
         return is_within or (self.forwarder.gate.controller.load < IDLE_LOAD and has_headroom)
 
     def _is_ample(self, now: float, request: OpenRequest, expected: float) -> bool:
         """Whether the bucket holds enough even if the other gateways used what they could at worst."""
         account = request.account
-        most = WORST_FRACTION * account.plan.burst * (1 - 1 / account.gateways)
+        max_remote = WORST_FRACTION * account.plan.burst * (1 - 1 / account.serving_gateways)
         rate = max(account.remote_usage, account.plan.rate)
-        surely = expected - min(most, rate * (now - account.last_synchronised))
-        return surely - AMPLE_MARGIN * account.plan.burst >= request.units or account.gateways <= 1
+        surely = expected - min(max_remote, rate * (now - account.last_synchronised))
+        return surely - AMPLE_MARGIN * account.plan.burst >= request.units or account.serving_gateways <= 1
 
     def _sample(self, now: float, request: OpenRequest, expected: float) -> None:
         """Too many gateways for leases: each meets this customer too seldom. Who may call counts for all."""
         account = request.account
         retry_chance = RETRY_CHANCE if request.is_retry else 1.0
-        chance = min(1.0, self.forwarder.reporter.budget.available(now) / 2) * retry_chance
+        chance = min(1.0, self.forwarder.leases.budget.available(now) / 2) * retry_chance
         call_time = CALL_TIME * self.context.settings.counter_timeout
         asks = request.deadline - now >= call_time and chance >= max(MIN_CHANCE, self.context.rng.random())
         # One request that nobody asked for goes on until its even share has come back.
-        least = max(request.units, UNSPENT_FRACTION * account.guaranteed_capacity)
-        is_within = expected >= request.units and not request.is_retry and account.guaranteed >= least
+        minimum = max(request.units, UNSPENT_FRACTION * account.guaranteed_capacity)
+        is_within = (
+            expected >= request.units and not request.is_retry and account.guaranteed_tokens >= minimum
+        )
         is_counted = self.forwarder.forward(now, request, within_quota=is_within, prepaid=asks) and is_within
         if asks:
             units = request.units / max(MIN_SAMPLE, chance) * is_counted
-            self.forwarder.reporter.call(now, account, units=units)
+            self.forwarder.leases.call_counter(now, account, units=units)
--- a/quota_gateway/lifecycle.py
+++ b/quota_gateway/lifecycle.py
@@ -23,7 +23,7 @@
 from quota_gateway.net.listener import ClientListener
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
-from quota_gateway.settings_parser import Timing, check_retuned
+from quota_gateway.settings_parser import Timing, check_reloaded_settings
 
 log = logging.getLogger("quota_gateway")  # the lines on the process itself carry the package's name
 
@@ -112,7 +112,7 @@
     process_group = ProcessGroup(environment.shared_directory if config.admin else None, config.name)
     metrics = Metrics(each.name for each in settings.classes)
     limits = connection_limits(config.max_sockets, process_count=1)
-    pool = ConnectionPool(clock, timing.dial_timeout, timing.conn_idle, limits.endpoints, metrics)
+    pool = ConnectionPool(clock, timing.connect_timeout, timing.idle_timeout, limits.endpoints, metrics)
     rng = Random(config.seed)
     counter = _build_counter_client(config, rng)
     gateway = _build_gateway(config, clock())
@@ -142,10 +142,10 @@
 def _build_discovery_client(timing: Timing, dispatcher: Dispatcher, rng: Random) -> DiscoveryClient:
     return DiscoveryClient(
         dispatcher.on_watch_event,
-        client_count=timing.callers,
+        client_count=timing.client_count,
         rng=rng,
-        answer_timeout=timing.answer,
-        max_poll_interval=timing.call_again,
+        answer_timeout=timing.answer_timeout,
+        max_poll_interval=timing.max_poll_interval,
     )
 
 
@@ -165,7 +165,7 @@
         components.dispatcher.on_watch_event(config.initial_endpoints)
         initial_version = config.initial_endpoints.version
     await _listen(components, config, environment)
-    components.discovery.watch(*config.discovery, initial_version)
+    components.discovery.set_address(*config.discovery, initial_version)
     if components.counter is not None:
         components.counter.start()
 
@@ -224,7 +224,7 @@
         settings.gateway_count,
         config.max_sockets,
         settings.counter_timeout * 1000,
-        config.timing.conn_idle,
+        config.timing.idle_timeout,
         settings.max_retry_after,
     )
 
@@ -261,12 +261,12 @@
     def _apply(self, updated: Config) -> None:
         components = self._components
         running_settings = self._running.settings
-        components.discovery.watch(*updated.discovery)
+        components.discovery.set_address(*updated.discovery)
         if components.counter is not None and updated.counter is not None:
             components.counter.set_address(*updated.counter)
             counter_timeout = updated.settings.counter_timeout or running_settings.counter_timeout
             components.counter.set_timeout(counter_timeout)
-        components.pool.set_timeouts(updated.timing.dial_timeout, updated.timing.conn_idle)
+        components.pool.set_timeouts(updated.timing.connect_timeout, updated.timing.idle_timeout)
         if updated.settings != running_settings:
             components.listener.parser.reconfigure(updated.settings)
             components.dispatcher.reconfigure(updated.settings)
@@ -275,7 +275,7 @@
 def _check_reload(updated: Config, running: Config) -> None:
     """``ConfigError`` where a running gateway cannot change to a configuration."""
     try:
-        check_retuned(updated.raw_settings, running.raw_settings)
+        check_reloaded_settings(updated.raw_settings, running.raw_settings)
         updated.settings.validate()
     except ValueError as error:
         raise ConfigError(str(error)) from None
--- a/quota_gateway/logs.py
+++ b/quota_gateway/logs.py
@@ -10,7 +10,7 @@
 LINE_FORMAT = "%(asctime)s %(name)s: %(message)s"
 
 
-class LogRateLimit(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Suppresses log records beyond a number per second; the next second's first record says how many."""
 
     def __init__(self, max_per_second: int) -> None:
@@ -36,5 +36,5 @@
 def configure_logging() -> None:
     """Send the log lines of all modules to standard error, rate limited."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(LogRateLimit(MAX_LINES_PER_SECOND))
+    handler.addFilter(RateLimitFilter(MAX_LINES_PER_SECOND))
     logging.basicConfig(level=logging.INFO, handlers=[handler], format=LINE_FORMAT)
--- a/quota_gateway/model/__init__.py
+++ b/quota_gateway/model/__init__.py
@@ -37,7 +37,7 @@
     UploadCompleted,
 )
 from quota_gateway.model.handover import AccountHandover, EndpointHandover, HandoverState
-from quota_gateway.model.rejection import RejectionReason
+from quota_gateway.model.rejection import EjectionCause, RejectionReason
 from quota_gateway.model.settings import (
     DeduplicationScope,
     Idempotency,
@@ -79,6 +79,7 @@
     "ClientDisconnected",
     "CounterReplied",
     "DeduplicationScope",
+    "EjectionCause",
     "Endpoint",
     "EndpointHandover",
     "EndpointHealth",
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -96,6 +96,8 @@
             "warm_up_time": (self.warm_up_time, 0),
             "counter_timeout": (self.counter_timeout, 0),
         }
-        for field, (value, least) in min_values.items():
-            if value < least:
-                raise InvalidSettingsError(f"impossible setting: {field} is {value}, at least {least} wanted")
+        for field, (value, minimum) in min_values.items():
+            if value < minimum:
+                raise InvalidSettingsError(
+                    f"impossible setting: {field} is {value}, at least {minimum} wanted"
+                )
--- a/quota_gateway/net/body_stream.py
+++ b/quota_gateway/net/body_stream.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from quota_gateway.net.http_common import MAX_BODY
+from quota_gateway.net.http_common import MAX_BUFFERED_BODY
 
 
 class BodySource(Protocol):
@@ -66,7 +66,7 @@
             return self._sink.write_chunk(data)
         self._buffer.append(data)
         self._buffered_size += len(data)
-        if self._buffered_size >= MAX_BODY:
+        if self._buffered_size >= MAX_BUFFERED_BODY:
             self._source.set_paused(True)
 
     def finish(self) -> None:
--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/client_connection.py
@@ -192,7 +192,7 @@
         elif self.request_queue:
             self._check_response(now)
         elif not self.reader.in_message:
-            if age > IDLE_TIMEOUT or self.listener.ending:
+            if age > IDLE_TIMEOUT or self.listener.closes_idle_connections:
                 self.closer.close_idle()
         elif self.reader.is_overdue(now, age):
             self.reject(408)
--- a/quota_gateway/net/client_request.py
+++ b/quota_gateway/net/client_request.py
@@ -40,9 +40,9 @@
     __slots__ = (
         "_chunked",
         "_connection",
-        "body",
         "event",
-        "head",
+        "forwarded_body",
+        "forwarded_head",
         "is_http_1_0",
         "keep_alive",
         "last_progress",
@@ -61,8 +61,8 @@
         self.is_http_1_0 = is_http_1_0
         self.event: model.Request | None = None
         self.request_id = b""
-        self.head = b""  # forwarded: the request line and headers without the empty line
-        self.body = b""
+        self.forwarded_head = b""  # forwarded: the request line and headers without the empty line
+        self.forwarded_body = b""
         self.upload: BodyStream | None = None  # a streamed body, in place of ``body``
         self.response: tuple[bytes, bytes] | None = None  # around the place of a ``Connection: close``
         self.response_stream: BodyStream | None = None  # a streamed response, in place of ``response``
--- a/quota_gateway/net/connection_closing.py
+++ b/quota_gateway/net/connection_closing.py
@@ -11,7 +11,7 @@
 import termios
 from typing import TYPE_CHECKING
 
-from quota_gateway.net.http_common import MAX_LONG
+from quota_gateway.net.http_common import MAX_STREAMED_BODY
 
 if TYPE_CHECKING:
     from quota_gateway.net.client_connection import ClientConnection
@@ -62,7 +62,7 @@
     def expect_upload(self) -> None:
         """Give the rest of an upload that was rejected early more time and bytes."""
         self._linger_time = UPLOAD_LINGER_TIME
-        self._max_discarded = MAX_LONG
+        self._max_discarded = MAX_STREAMED_BODY
 
     def discard(self, size: int) -> None:
         """Count discarded input; abort where it is too much."""
--- a/quota_gateway/net/connection_pool.py
+++ b/quota_gateway/net/connection_pool.py
@@ -32,16 +32,16 @@
     def __init__(
         self,
         clock: Clock,
-        dial_timeout: float,
-        conn_idle: float,
+        connect_timeout: float,
+        idle_timeout: float,
         max_connections: int,
         metrics: Metrics | None = None,
     ) -> None:
-        """``dial_timeout`` and ``conn_idle`` (after which endpoints close idle connections) in seconds."""
+        """Time-outs are seconds; after ``idle_timeout`` endpoints close idle connections."""
         self.clock = clock
-        self.streaming = set[UpstreamTransport]()  # connections with a streamed body in progress
-        self._connect_timeout = dial_timeout
-        self._idle_policy = IdlePolicy(conn_idle)
+        self.streaming_connections = set[UpstreamTransport]()  # connections with a streamed body in progress
+        self._connect_timeout = connect_timeout
+        self._idle_policy = IdlePolicy(idle_timeout)
         self._max_connections = max_connections
         self._endpoints = EndpointTable()
         self.stats = ConnectionStats()
@@ -71,10 +71,10 @@
         while self._endpoints.open_connections > self._max_connections and self._endpoints.evict_idle():
             pass
 
-    def set_timeouts(self, dial_timeout: float, conn_idle: float) -> None:
+    def set_timeouts(self, connect_timeout: float, idle_timeout: float) -> None:
         """Set other time-outs, in seconds, for connecting and for idle connections."""
-        self._connect_timeout = dial_timeout
-        self._idle_policy.set_idle_timeout(conn_idle)
+        self._connect_timeout = connect_timeout
+        self._idle_policy.set_idle_timeout(idle_timeout)
 
     def start(self, exchange: Exchange) -> None:
         """Send a request; ``exchange.on_complete`` is called once, maybe before this returns."""
@@ -200,7 +200,7 @@
 
     def on_connection_lost(self, connection: UpstreamConnection) -> None:
         """Forget a connection that has ended."""
-        self.streaming.discard(connection)
+        self.streaming_connections.discard(connection)
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
         self._endpoints.count_closed(connection.endpoint)
@@ -215,7 +215,7 @@
     def _scan(self) -> None:
         self._scan_timer = asyncio.get_running_loop().call_later(SCAN_INTERVAL, self._scan)
         self._endpoints.close_idle(self.clock() - self._idle_policy.max_idle)
-        for connection in [each for each in self.streaming if each.is_stalled(self.clock())]:
+        for connection in [each for each in self.streaming_connections if each.is_stalled(self.clock())]:
             log.warning("body stream to or from %s stalled", connection.endpoint.name)
             connection.abort()
         self._scan_count += 1
--- a/quota_gateway/net/discovery_client.py
+++ b/quota_gateway/net/discovery_client.py
@@ -32,7 +32,7 @@
         self._established: asyncio.Task[None] | None = None  # the watch that sent the last event
         self._candidate: asyncio.Task[None] | None = None  # the watch at the newest address, before its first
 
-    def watch(self, host: str, port: int, since_version: int | None = None) -> None:
+    def set_address(self, host: str, port: int, since_version: int | None = None) -> None:
         """Follow discovery at another address.
 
         Without a version discovery sends the complete list: another one need not have the same versions.
--- a/quota_gateway/net/health_check.py
+++ b/quota_gateway/net/health_check.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.model import CallStatus, HealthChecked
 from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.load_report import load_report
+from quota_gateway.net.load_report import parse_load_report
 
 HEALTH_CHECK_TIMEOUT = 0.25  # seconds
 HEALTH_PATH = b"/healthz"
@@ -32,7 +32,7 @@
     """What a completed health check tells the decisions; a report in a header comes before the body's."""
     load = exchange.load_report
     if with_load and exchange.status is CallStatus.OK and not load:
-        load = load_report(exchange.response_body.decode("latin-1"))
+        load = parse_load_report(exchange.response_body.decode("latin-1"))
     return HealthChecked(
         endpoint=exchange.endpoint, status=exchange.status, elapsed=exchange.elapsed, load_report=load
     )
--- a/quota_gateway/net/listener.py
+++ b/quota_gateway/net/listener.py
@@ -45,13 +45,13 @@
         self.parser = RequestParser(settings, self.clock)
         self.metrics = metrics or Metrics()
         self.draining = False
-        self.ending = False  # no idle connection is kept any more
+        self.closes_idle_connections = False  # no idle connection is kept any more
         self.open_request_ids = set[bytes]()
         self.active_connections = 0  # connections that have sent data
         self._max_connections = max_connections
         self._crowded_above = CROWDED_FRACTION * max_connections
         self._scan_timer: asyncio.TimerHandle | None = None
-        self._clients = dict[ClientConnection, None]()  # in the order of their connecting
+        self.connections = dict[ClientConnection, None]()  # in the order of their connecting
         self._server: asyncio.Server | None = None
         self._accept_queue: socket.socket | None = None  # the same listening socket, for its last clients
         self._is_inherited = False
@@ -85,15 +85,15 @@
 
     def connected(self, client: ClientConnection) -> None:
         """Register a connection; at the limit another one is evicted or, with all busy, this one aborted."""
-        if len(self._clients) >= self._max_connections and not self._evict_one():
+        if len(self.connections) >= self._max_connections and not self._evict_one():
             log.warning("out of client connections")
             client.abort()
-        self._clients[client] = None
+        self.connections[client] = None
 
     def _evict_one(self) -> bool:
         candidates = [
             (order, client.closer)
-            for client in self._clients
+            for client in self.connections
             if (order := client.closer.eviction_order) is not None
         ]
         candidates.sort(key=lambda candidate: candidate[0])
@@ -101,8 +101,8 @@
 
     def disconnected(self, client: ClientConnection) -> None:
         """Forget a connection."""
-        self._clients.pop(client, None)
-        if not self._clients:
+        self.connections.pop(client, None)
+        if not self.connections:
             self._is_empty.set()
 
     def _scan(self) -> None:
@@ -111,7 +111,7 @@
             self._scan_timer.cancel()
         self._scan_timer = asyncio.get_running_loop().call_later(SCAN_INTERVAL, self._scan)
         now = self.clock()
-        for client in list(self._clients):
+        for client in list(self.connections):
             client.check_timeouts(now)
 
     @property
@@ -174,7 +174,7 @@
     async def wait_until_empty(self, grace: float) -> None:
         """Wait at most ``grace`` seconds for all connections to end with their responses, or idle."""
         self._is_empty.clear()
-        if self._clients:
+        if self.connections:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._is_empty.wait(), grace)
 
@@ -185,7 +185,7 @@
         """
         await self.stop_accepting()
         await asyncio.sleep(0)  # what has just been accepted is registered then
-        self.ending = True
+        self.closes_idle_connections = True
         self._scan()
         await self.wait_until_empty(grace)
         if self._scan_timer is not None:
--- a/quota_gateway/net/load_report.py
+++ b/quota_gateway/net/load_report.py
@@ -8,7 +8,7 @@
 log = logging.getLogger(__name__)
 
 
-def load_report(text: str) -> dict[str, float]:
+def parse_load_report(text: str) -> dict[str, float]:
     """Parse ``inflight=7,queue=2`` into numbers by name; empty, with a warning, if any part is malformed."""
     report: dict[str, float] = {}
     try:
--- a/quota_gateway/net/process_group.py
+++ b/quota_gateway/net/process_group.py
@@ -130,7 +130,7 @@
             log.warning("the handover state of another process cannot be read: %s", error)
             return None
 
-    def suspensions(self) -> frozenset[str]:
+    def read_suspensions(self) -> frozenset[str]:
         """The endpoints that operators have suspended; a malformed file changes nothing."""
         return self._suspension_file.read()
 
@@ -149,7 +149,7 @@
         ``on_handover`` with the state that another process has left for this one.
         """
         process_count = self.process_count
-        suspensions = self.suspensions()
+        suspensions = self.read_suspensions()
         if process_count != self._notified_process_count or suspensions != self._notified_suspensions:
             self._notified_process_count = process_count
             self._notified_suspensions = suspensions
--- a/quota_gateway/net/request_body.py
+++ b/quota_gateway/net/request_body.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.http_common import MAX_BODY, MAX_LONG, PIECE
+from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_STREAMED_BODY, STREAM_RECEIVE_BUFFER
 from quota_gateway.net.request_parser import BadRequestError
 
 if TYPE_CHECKING:
@@ -59,14 +59,14 @@
         if self.upload is None:
             self._chunks.append(data)
             return
-        if self.size > MAX_LONG:
+        if self.size > MAX_STREAMED_BODY:
             raise BadRequestError(413, "body too large")
         self.upload.write(data)
 
     @property
     def is_too_long_to_collect(self) -> bool:
         """Whether the body must be streamed from now on."""
-        return self.size > MAX_BODY and self.upload is None
+        return self.size > MAX_BUFFERED_BODY and self.upload is None
 
     def start_upload(self, content_length: int | None) -> BodyStream:
         """Stream the body from here on, beginning with what has been collected."""
@@ -84,7 +84,7 @@
         if transport is not None:
             with contextlib.suppress(OSError):
                 client_socket = transport.get_extra_info("socket")
-                client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE)
+                client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER)
 
     def collected(self) -> bytes:
         """All chunks of a body that is not streamed."""
--- a/quota_gateway/net/request_head.py
+++ b/quota_gateway/net/request_head.py
@@ -5,7 +5,7 @@
 import re
 
 from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.http_common import MAX_HEAD, MAX_LONG, NOT_FORWARDED
+from quota_gateway.net.http_common import MAX_HEAD, MAX_STREAMED_BODY, NOT_FORWARDED
 from quota_gateway.net.request_parser import DECIMAL_PATTERN, PARSED_HEADERS, TIMEOUT, BadRequestError
 
 ABSOLUTE_FORM_PATTERN = re.compile(rb"https?://[^/?#]+(?=/)", re.IGNORECASE)
@@ -75,7 +75,7 @@
             if self.content_length is not None or not DECIMAL_PATTERN.fullmatch(value):
                 raise BadRequestError(400, "content-length is wrong")
             self.content_length = int(value)
-            if self.content_length > MAX_LONG:
+            if self.content_length > MAX_STREAMED_BODY:
                 raise BadRequestError(413, "body too large")
         elif key == b"expect":
             self.expects_continue = value.lower() == b"100-continue"
@@ -114,8 +114,8 @@
         elif upload is not None:
             self._forwarded_headers.append(b"Content-Length: %d\r\n" % (upload.content_length or 0))
         elif method == b"POST":
-            self._forwarded_headers.append(b"Content-Length: %d\r\n" % len(request.body))
-        elif request.body:
+            self._forwarded_headers.append(b"Content-Length: %d\r\n" % len(request.forwarded_body))
+        elif request.forwarded_body:
             raise BadRequestError(400, "a body where none belongs")
 
     def forwarded(self, method: bytes) -> bytes:
--- a/quota_gateway/net/request_reader.py
+++ b/quota_gateway/net/request_reader.py
@@ -9,7 +9,7 @@
 
 from quota_gateway.net.body_stream import BodyStream
 from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.http_common import MAX_BODY, MAX_HEAD
+from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_HEAD
 from quota_gateway.net.request_body import RequestBody
 from quota_gateway.net.request_head import RequestHead
 from quota_gateway.net.request_parser import REQUEST_ID, BadRequestError
@@ -120,7 +120,7 @@
         self.body.begin(connection.listener.clock())
         if head.expects_continue and not connection.request_queue:
             connection.write_continue()
-        if head.content_length is not None and head.content_length > MAX_BODY:
+        if head.content_length is not None and head.content_length > MAX_BUFFERED_BODY:
             self._start_upload()
 
     def on_body(self, data: bytes) -> None:
@@ -183,7 +183,7 @@
         if target.partition("?")[0] == "/healthz":
             request.respond(503 if listener.draining else 200)
             return
-        request.body = self.body.collected()
+        request.forwarded_body = self.body.collected()
         head.add_framing(request, method)
         event = listener.parser.parse(method, target, head.headers, request.upload is not None)
         request_id = head.headers[REQUEST_ID].lower()
@@ -193,5 +193,5 @@
         listener.open_request_ids.add(request_id)
         request.request_id = request_id
         request.event = event
-        request.head = head.forwarded(method)
+        request.forwarded_head = head.forwarded(method)
         listener.handler.on_request(request)
--- a/quota_gateway/net/request_table.py
+++ b/quota_gateway/net/request_table.py
@@ -30,7 +30,7 @@
     return min(ANSWER_MARGIN, ANSWER_MARGIN_FRACTION * timeout)
 
 
-class OpenRequest:
+class PendingRequest:
     """A request that has no final answer yet."""
 
     __slots__ = ("attempts", "deadline", "max_attempts", "request", "timer")
@@ -44,7 +44,7 @@
         self.timer: asyncio.TimerHandle | None = None  # answers for silent decisions
 
 
-class RequestTable(dict[int, OpenRequest]):
+class RequestTable(dict[int, PendingRequest]):
     """The open requests by id, and the actions of the decisions on them."""
 
     def __init__(
@@ -75,7 +75,7 @@
     def add(self, request: ClientRequest, event: model.Request) -> model.Request:
         """Register a request; returns its event with the time that the decisions have."""
         margin = _answer_margin(event.timeout)
-        opened = OpenRequest(request, self._max_attempts)
+        opened = PendingRequest(request, self._max_attempts)
         self[event.id] = opened
         if not event.uploading:  # else its timeout begins with its last byte
             self._start_deadline(opened, event, self._clock(), margin)
@@ -92,7 +92,9 @@
             self._pool.set_expiry(attempt, min(opened.deadline, now + attempt.timeout))
         return True
 
-    def _start_deadline(self, opened: OpenRequest, event: model.Request, now: float, margin: float) -> None:
+    def _start_deadline(
+        self, opened: PendingRequest, event: model.Request, now: float, margin: float
+    ) -> None:
         opened.deadline = now + event.timeout - margin
         last_moment = event.timeout - SILENCE_FRACTION * margin
         opened.timer = self._loop.call_later(last_moment, self.abandon, event.id, 504)
@@ -106,7 +108,7 @@
         for attempt in list(opened.attempts):
             self._pool.withdraw_unsent(attempt)
 
-    def close(self, request_id: int) -> OpenRequest | None:
+    def close(self, request_id: int) -> PendingRequest | None:
         """Remove a request and cancel its attempts; ``None`` if it is not open."""
         opened = self.pop(request_id, None)
         if opened is not None:
@@ -146,7 +148,7 @@
         else:
             self._pool.complete(attempt, model.CallStatus.NOT_SENT)
 
-    def _new_attempt(self, action: model.Forward, opened: OpenRequest, number: int) -> Exchange:
+    def _new_attempt(self, action: model.Forward, opened: PendingRequest, number: int) -> Exchange:
         request = opened.request
         timeout = action.timeout or math.inf
         expires_at = math.inf
@@ -154,8 +156,8 @@
             expires_at = min(opened.deadline, self._clock() + timeout)
         return Exchange(
             endpoint=action.endpoint,
-            request_head=request.head,
-            request_body=request.body,
+            request_head=request.forwarded_head,
+            request_body=request.forwarded_body,
             expires_at=expires_at,
             on_complete=partial(self._attempt_completed, action.request_id, number),
             on_response_started=partial(self._response_started, action.request_id),
--- a/quota_gateway/net/response_parser.py
+++ b/quota_gateway/net/response_parser.py
@@ -8,7 +8,7 @@
 import httptools
 
 from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.http_common import MAX_BODY, MAX_HEAD, NOT_FORWARDED
+from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_HEAD, NOT_FORWARDED
 
 STATUS_OK = 200
 FIRST_FINAL_STATUS = 200  # lower status codes are those of interim responses
@@ -166,7 +166,11 @@
         self._head_complete = True
         self.ends_at_eof = not self._chunked and self.content_length is None
         self._closes_connection = self._closes_connection or self._parser.get_http_version() == "1.0"
-        if self.content_length is not None and self.content_length > MAX_BODY and status != STATUS_OK:
+        if (
+            self.content_length is not None
+            and self.content_length > MAX_BUFFERED_BODY
+            and status != STATUS_OK
+        ):
             raise MalformedResponseError(f"body of {self.content_length} bytes with status {status}")
 
     def on_body(self, body: bytes) -> None:
@@ -178,7 +182,7 @@
             return
         self.body_size += len(body)
         self.body_parts.append(body)
-        if max(self.body_size, self.content_length or 0) > MAX_BODY:
+        if max(self.body_size, self.content_length or 0) > MAX_BUFFERED_BODY:
             self._on_large_body()
 
     def on_message_complete(self) -> None:
--- a/quota_gateway/net/upstream_connection.py
+++ b/quota_gateway/net/upstream_connection.py
@@ -13,8 +13,8 @@
 from quota_gateway.net.body_stream import BodyStream
 from quota_gateway.net.connection_stats import ConnectionStats
 from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.http_common import MAX_BODY, MAX_HEAD, PIECE
-from quota_gateway.net.load_report import load_report
+from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_HEAD, STREAM_RECEIVE_BUFFER
+from quota_gateway.net.load_report import parse_load_report
 from quota_gateway.net.response_parser import STATUS_OK, MalformedResponseError, ResponseParser
 from quota_gateway.net.upstream_transport import STALL_TIMEOUT, ExchangeOwner, UpstreamTransport
 
@@ -28,7 +28,7 @@
 # of it is streamed: it may run long, and then its first bytes count.
 STREAMING_DELAY = 0.2
 # Bytes of a response: interim ones, chunk sizes and trailers too.
-MAX_RESPONSE = MAX_HEAD + 2 * MAX_BODY
+MAX_RESPONSE = MAX_HEAD + 2 * MAX_BUFFERED_BODY
 CLIENT_ERROR_STATUSES = range(400, 500)
 OVERLOAD_STATUSES = (503, 504)
 
@@ -166,10 +166,10 @@
         self._copy_head(exchange)
         self.exchange = exchange.connection = None
         self.last_progress = self._owner.clock()
-        self._owner.streaming.add(self)
+        self._owner.streaming_connections.add(self)
         if self.transport is not None:
             raw_socket = self.transport.get_extra_info("socket")
-            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE)
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER)
         wanted = exchange.on_response_started(exchange, stream)
         self._owner.complete(exchange, CallStatus.OK)
         if not wanted:
@@ -207,7 +207,7 @@
         exchange.response_headers = b"".join(parser.header_lines)
         exchange.charged_units = parser.charged_units
         if parser.load is not None:
-            exchange.load_report = load_report(parser.load.decode("latin-1"))
+            exchange.load_report = parse_load_report(parser.load.decode("latin-1"))
 
     def _complete(self, status_code: int) -> None:
         """The response is complete; surplus bytes behind it must not meet the next request."""
@@ -218,7 +218,7 @@
         if stream is not None:
             parser.body_stream = None
             self.set_paused(False)
-            self._owner.streaming.discard(self)
+            self._owner.streaming_connections.discard(self)
             self._owner.release(self, reusable)
             return stream.finish()
         exchange = self.exchange
--- a/quota_gateway/net/upstream_transport.py
+++ b/quota_gateway/net/upstream_transport.py
@@ -24,7 +24,7 @@
     """What the writing of requests is reported to: the pool."""
 
     clock: Clock
-    streaming: set[UpstreamTransport]  # connections with a streamed body in progress
+    streaming_connections: set[UpstreamTransport]  # connections with a streamed body in progress
 
     def record_request_written(self, exchange: Exchange) -> None:
         """The request is written completely."""
@@ -82,7 +82,7 @@
         exchange.request_written = True
         if exchange.upload is not None:
             exchange.started_at = self._owner.clock()
-            self._owner.streaming.discard(self)
+            self._owner.streaming_connections.discard(self)
         self._owner.record_request_written(exchange)
 
     def _write_request(self, exchange: Exchange, data: bytes) -> None:
@@ -94,7 +94,7 @@
             self._owner.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
         elif exchange.upload is not None:
             self.last_progress = self._owner.clock()
-            self._owner.streaming.add(self)
+            self._owner.streaming_connections.add(self)
             exchange.upload.attach(self, not self._write_buffered)
         elif not self._write_buffered:
             self._on_request_written(exchange)
@@ -123,13 +123,13 @@
         """The upload broke off: without its end the endpoint never executes the request."""
         self.abort()
 
-    def set_paused(self, stop: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Read no further, or go on."""
-        if self.transport is None or self.transport.is_closing() or stop is self._reading_paused:
+        if self.transport is None or self.transport.is_closing() or paused is self._reading_paused:
             return
-        self._reading_paused = stop
+        self._reading_paused = paused
         self.last_progress = self._owner.clock()
-        if stop:
+        if paused:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
--- a/quota_gateway/settings_parser.py
+++ b/quota_gateway/settings_parser.py
@@ -33,16 +33,16 @@
 class Timing:
     """The settings that only the network modules need; times are seconds."""
 
-    dial_timeout: float  # to connect to an endpoint
-    conn_idle: float  # until an endpoint closes an idle connection
-    callers: int = 1  # gateways whose polls discovery serves in turn; 1 where it pushes
+    connect_timeout: float  # to connect to an endpoint
+    idle_timeout: float  # until an endpoint closes an idle connection
+    client_count: int = 1  # gateways whose polls discovery serves in turn; 1 where it pushes
     # The limits of a poll (``net.discovery_client`` has the reasons). A discovery that pushes does so through
     # a local agent that responds at once: there both are parts of the notice that a draining endpoint gives.
-    answer: float = 3.0  # until a call to discovery is given up
-    call_again: float = 4.5  # at most, from the start of one call to the start of the next
+    answer_timeout: float = 3.0  # until a call to discovery is given up
+    max_poll_interval: float = 4.5  # at most, from the start of one call to the start of the next
 
 
-def settings_from(raw: dict[str, Any]) -> model.Settings:
+def parse_settings(raw: dict[str, Any]) -> model.Settings:
     """The decisions' settings of a settings object; ``SettingsError`` names a key that cannot be read."""
     limits = _section(raw, "limits")
     contract = _section(raw, "contract")
@@ -99,20 +99,20 @@
     )
 
 
-def timing_from(raw: dict[str, Any]) -> Timing:
+def parse_timing(raw: dict[str, Any]) -> Timing:
     """The network timing of a settings object; ``SettingsError`` for what is unreadable or not above 0."""
     limits = _section(raw, "limits")
     is_polled = raw.get("discovery") == POLLED_DISCOVERY
     callers = max(1, int(_number(raw, "n_instances", 1))) if is_polled else 1
     timing = Timing(
-        dial_timeout=_number(limits, "dial_timeout_s", DEFAULT_DIAL_TIMEOUT),
-        conn_idle=_number(limits, "conn_idle_s", DEFAULT_IDLE_TIMEOUT),
-        callers=callers,
+        connect_timeout=_number(limits, "dial_timeout_s", DEFAULT_DIAL_TIMEOUT),
+        idle_timeout=_number(limits, "conn_idle_s", DEFAULT_IDLE_TIMEOUT),
+        client_count=callers,
     )
     if not is_polled:
         agent_timeout = _agent_timeout(raw)
-        timing = replace(timing, answer=agent_timeout, call_again=2 * agent_timeout)
-    if timing.dial_timeout <= 0 or timing.conn_idle <= 0:
+        timing = replace(timing, answer_timeout=agent_timeout, max_poll_interval=2 * agent_timeout)
+    if timing.connect_timeout <= 0 or timing.idle_timeout <= 0:
         raise SettingsError("settings: dial_timeout_s and conn_idle_s must be above 0")
     return timing
 
@@ -123,7 +123,7 @@
     return AGENT_TIMEOUT_FRACTION * (drain_notice or DEFAULT_DRAIN_NOTICE)
 
 
-def check_retuned(raw: dict[str, Any], running: dict[str, Any]) -> None:
+def check_reloaded_settings(raw: dict[str, Any], running: dict[str, Any]) -> None:
     """``SettingsError`` unless new settings are complete: they hold every key of the running ones.
 
     A gateway starts with fewer keys; but new settings have the form that it started with, and a key that
@@ -133,7 +133,7 @@
         if key not in raw:
             raise SettingsError(f"settings: {key} is missing")
         if isinstance(value, dict):
-            check_retuned(_section(raw, key), value)
+            check_reloaded_settings(_section(raw, key), value)
         elif isinstance(value, list):
             running_objects = [item for item in value if isinstance(item, dict)]
             if running_objects:
@@ -155,7 +155,7 @@
     for item in value:
         if not isinstance(item, dict):
             raise SettingsError(f"settings: {key} is not a list of objects")
-        check_retuned(item, required_keys)
+        check_reloaded_settings(item, required_keys)
 
 
 def _section(owner: dict[str, Any], key: str) -> dict[str, Any]:
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -10,7 +10,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.settings_parser import SettingsError, settings_from
+from quota_gateway.settings_parser import SettingsError, parse_settings
 from quota_gateway.simulator_protocol import (
     EndpointLists,
     WireError,
@@ -99,7 +99,7 @@
 
     def _begin(self, now: float, limiter_id: str, /, salt: int, raw_settings: dict[str, Any]) -> None:
         try:
-            settings = settings_from(raw_settings)
+            settings = parse_settings(raw_settings)
         except SettingsError as error:
             raise WireError(str(error)) from None
         self._gateways[limiter_id] = Gateway(settings, salt, now)
--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from hashlib import blake2b
+from math import exp
 from typing import NamedTuple
 
 from quota_gateway.arithmetic import refilled
@@ -26,9 +27,8 @@
         "counter_total",
         "demand",
         "demand_at",
-        "gateways",
-        "guaranteed",
         "guaranteed_capacity",
+        "guaranteed_tokens",
         "is_sparse",
         "last_call",
         "last_synchronised",
@@ -39,7 +39,8 @@
         "pending_calls",
         "plan",
         "remote_usage",
-        "split",
+        "serving_gateways",
+        "share_count",
         "tokens",
         "unreported_usage",
         "updated_at",
@@ -61,13 +62,15 @@
         self.name = name
         self.counter_id = int.from_bytes(blake2b(label, digest_size=8).digest(), "big") >> 1
         self.updated_at = now
-        self.gateways = max(1, gateways)  # that serve this customer
-        self.split = self.gateways * process_count  # shares that ceiling and guarantee are split into
+        self.serving_gateways = max(1, gateways)  # that serve this customer
+        self.share_count = (
+            self.serving_gateways * process_count
+        )  # shares that ceiling and guarantee are split into
         self.tokens = plan.burst + plan.rate * age  # in the global bucket; a total of the counter cuts them
         self.set_plan(plan, max_units)
-        self.guaranteed = self.guaranteed_capacity  # tokens of the guaranteed share
+        self.guaranteed_tokens = self.guaranteed_capacity  # tokens of the guaranteed share
         # A restart finds the ceiling's bucket used, so the share fills from this instance's start.
-        self.ceiling_tokens = refilled(0.0, plan.ceiling_rate, age, plan.ceiling_burst) / self.split
+        self.ceiling_tokens = refilled(0.0, plan.ceiling_rate, age, plan.ceiling_burst) / self.share_count
         self.counter_total: float | None = None
         self.last_synchronised = started_at  # with a total of the counter; at first the start
         self.remote_usage = 0.0  # units a second that other gateways grant
@@ -83,9 +86,9 @@
     def set_plan(self, plan: Plan, max_units: float) -> None:
         """Take the plan's terms, at first and when they change; a refill cuts the buckets to them."""
         self.plan = plan
-        self.is_sparse = plan.burst < 2 * self.gateways  # the even share holds next to nothing
-        least = min(max_units, plan.burst) if self.is_sparse else 0.0
-        self.guaranteed_capacity = max(plan.burst / self.gateways, least)
+        self.is_sparse = plan.burst < 2 * self.serving_gateways  # the even share holds next to nothing
+        minimum = min(max_units, plan.burst) if self.is_sparse else 0.0
+        self.guaranteed_capacity = max(plan.burst / self.serving_gateways, minimum)
 
     def refill(self, now: float) -> None:
         """Refill all three buckets up to now."""
@@ -94,13 +97,26 @@
         self.updated_at = now
         capacity = plan.burst + plan.rate * (now - self.last_synchronised)
         self.tokens = refilled(self.tokens, plan.rate, elapsed, capacity)
-        self.guaranteed = refilled(self.guaranteed, plan.rate / self.split, elapsed, self.guaranteed_capacity)
-        ceiling = refilled(self.ceiling_tokens * self.split, plan.ceiling_rate, elapsed, plan.ceiling_burst)
-        self.ceiling_tokens = ceiling / self.split
+        self.guaranteed_tokens = refilled(
+            self.guaranteed_tokens, plan.rate / self.share_count, elapsed, self.guaranteed_capacity
+        )
+        ceiling = refilled(
+            self.ceiling_tokens * self.share_count, plan.ceiling_rate, elapsed, plan.ceiling_burst
+        )
+        self.ceiling_tokens = ceiling / self.share_count
+
+    def demand_now(self, now: float, window: float) -> float:
+        """Units a second that are asked for here; the mean forgets within ``window`` seconds."""
+        return self.demand * exp((self.demand_at - now) / window)
+
+    def add_demand(self, now: float, units: float, window: float) -> None:
+        """A request asks for units, inside the quota or not."""
+        self.demand = self.demand_now(now, window) + units / window
+        self.demand_at = now
 
     def is_ceiling_full(self, now: float) -> bool:
         """Whether the ceiling's bucket has filled up by now."""
-        filled = self.ceiling_tokens * self.split + self.plan.ceiling_rate * (now - self.updated_at)
+        filled = self.ceiling_tokens * self.share_count + self.plan.ceiling_rate * (now - self.updated_at)
         return filled >= self.plan.ceiling_burst
 
     def return_lease(self, units: float) -> None:
@@ -112,17 +128,17 @@
     def adjust(self, units: float) -> None:
         """The answer told the true units: count so many more (or fewer) than were taken."""
         self.tokens -= units
-        self.guaranteed = min(self.guaranteed_capacity, self.guaranteed - units)
+        self.guaranteed_tokens = min(self.guaranteed_capacity, self.guaranteed_tokens - units)
         self.unreported_usage += units
 
     def set_process_count(self, now: float, process_count: int) -> AccountHandover:
         """Split the shares among the processes of this limiter; gives what a new one may take over."""
         self.refill(now)  # so far by the old split
-        before = self.split
-        self.split = self.gateways * process_count
-        if self.split <= before:
+        before = self.share_count
+        self.share_count = self.serving_gateways * process_count
+        if self.share_count <= before:
             return self._export(ceiling_tokens=0.0)
-        self.ceiling_tokens *= before / self.split
+        self.ceiling_tokens *= before / self.share_count
         return self._export(self.ceiling_tokens)
 
     def _export(self, ceiling_tokens: float) -> AccountHandover:
@@ -131,9 +147,9 @@
         return AccountHandover(
             plan=self.plan.name,
             account=self.name,
-            serving_gateways=self.gateways,
+            serving_gateways=self.serving_gateways,
             tokens=self.tokens + self.unreported_usage + in_calls,
-            guaranteed_tokens=self.guaranteed,
+            guaranteed_tokens=self.guaranteed_tokens,
             ceiling_tokens=ceiling_tokens,
             remote_usage_rate=self.remote_usage,
             last_synchronised=self.last_synchronised,
@@ -143,9 +159,9 @@
     def take_over(self, now: float, handover: AccountHandover) -> None:
         """Take the count of the process before, and the part of the ceiling that it gave away."""
         self.refill(now)
-        capacity = self.plan.ceiling_burst / self.split
+        capacity = self.plan.ceiling_burst / self.share_count
         self.ceiling_tokens = min(capacity, self.ceiling_tokens + handover.ceiling_tokens)
-        self.guaranteed = min(self.guaranteed, handover.guaranteed_tokens)
+        self.guaranteed_tokens = min(self.guaranteed_tokens, handover.guaranteed_tokens)
         is_fresh = self.counter_total is None and not self.pending_calls
         if is_fresh and handover.counter_total is not None and handover.last_synchronised <= now:
             self.counter_total = handover.counter_total
--- a/quota_gateway/state/endpoint.py
+++ b/quota_gateway/state/endpoint.py
@@ -18,7 +18,7 @@
     """One endpoint. Work is counted in seconds of latency on an idle endpoint; times are Unix times."""
 
     endpoint: Endpoint
-    ring_position: bytes = field(init=False)
+    hash_position: bytes = field(init=False)
     available: bool = True  # listed and healthy
     removed: bool = False  # from the endpoint list
     work_in_flight: float = 0.0
@@ -41,7 +41,7 @@
     allowance_updated: float = 0.0
 
     def __post_init__(self) -> None:
-        self.ring_position = blake2b(self.endpoint.name.encode(), digest_size=8).digest()
+        self.hash_position = blake2b(self.endpoint.name.encode(), digest_size=8).digest()
 
     def update(self, endpoint: Endpoint) -> bool:
         """Take an entry of the endpoint list; gives whether it is a later incarnation than the known one."""
--- a/quota_gateway/state/rejections.py
+++ b/quota_gateway/state/rejections.py
@@ -12,16 +12,16 @@
     now: float,
     rejections: Mapping[str, int],
     ejections: Mapping[str, int],
-    ring: list[EndpointState],
+    hash_ring: list[EndpointState],
     lease_holders: Iterable[Account],
 ) -> str:
     """Rejections by reason and ejections by cause, with the leases and endpoints as they stand now."""
     reasons = ", ".join(f"{reason} {count}" for reason, count in sorted(rejections.items()))
     causes = "".join(f", {count} as {cause}" for cause, count in sorted(ejections.items()))
     leases = [account.leased for account in lease_holders]
-    warming_up = sum(state.warming_since is not None for state in ring)
-    ejected = sum(state.ejected_until > now for state in ring)
+    warming_up = sum(state.warming_since is not None for state in hash_ring)
+    ejected = sum(state.ejected_until > now for state in hash_ring)
     return (
         f"rejected: {reasons}; leased {sum(leases):.0f} for {len(leases)}; warming up {warming_up}"
-        f"; ejected {ejected} of {len(ring)}{causes}"
+        f"; ejected {ejected} of {len(hash_ring)}{causes}"
     )
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -19,7 +19,7 @@
 from quota_gateway import model
 from quota_gateway.decisions.quota import IDLE_TIME
 from quota_gateway.net.watch_event import parse_watch_event
-from quota_gateway.settings_parser import check_retuned, settings_from
+from quota_gateway.settings_parser import check_reloaded_settings, parse_settings
 from scale import load_profile, regression
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.sample_sizes import sample_sizes
@@ -115,8 +115,8 @@
 
 def _reload(limiter: SimulatedLimiter, text: str) -> None:
     raw = json.loads(text)
-    check_retuned(raw, limiter.settings)
-    limiter.handle(settings_from(raw))
+    check_reloaded_settings(raw, limiter.settings)
+    limiter.handle(parse_settings(raw))
 
 
 def _timed(work: Callable[[], object]) -> float:
--- a/scale/latency/decisions.py
+++ b/scale/latency/decisions.py
@@ -11,7 +11,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.settings_parser import settings_from
+from quota_gateway.settings_parser import parse_settings
 from scale.latency.percentiles import Percentiles, percentiles
 from scale.latency.workload import (
     CLIENT_TIMEOUT,
@@ -83,7 +83,7 @@
 def measure_decisions(size: Size, servers: int, rate: float, seconds: float, seed: int) -> DecisionCost:
     """Time ``Gateway.handle`` alone, under the load that the limiters have, for so many emulated seconds."""
     rng = Random(seed)
-    gateway = Gateway(settings_from(limiter_settings(size, rate, quotas=True)), seed, 0.0)
+    gateway = Gateway(parse_settings(limiter_settings(size, rate, quotas=True)), seed, 0.0)
     endpoints = tuple(
         model.Endpoint(endpoint.name, model.EndpointHealth.HEALTHY, endpoint.zone)
         for endpoint in make_endpoints(servers, ["127.0.0.1:1"])
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -16,7 +16,7 @@
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
 from quota_gateway.net.exchange import Exchange
 from quota_gateway.net.listener import ClientListener
-from quota_gateway.settings_parser import settings_from
+from quota_gateway.settings_parser import parse_settings
 from scale.memory.allocation import MemoryUse, allocated_bytes, resident_bytes, start_tracing
 from scale.memory.forked_peer import FINISHED, fork_peer, wait_finished
 from scale.synthetic_inputs import synthetic_settings
@@ -63,7 +63,7 @@
     """What so many idle connections of clients hold that have had a response each."""
 
     async def main() -> MemoryUse:
-        parsed = settings_from(synthetic_settings(3, 1.0))
+        parsed = parse_settings(synthetic_settings(3, 1.0))
         pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
         dispatcher = Dispatcher(parsed, RejectAll(), unix_clock(), pool, None)
         listener = ClientListener(dispatcher, parsed, SPARE_CAPACITY * count)
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -16,7 +16,7 @@
 from quota_gateway.net.dispatcher import unix_clock
 from quota_gateway.net.request_parser import RequestParser
 from quota_gateway.net.watch_event import parse_watch_event
-from quota_gateway.settings_parser import settings_from
+from quota_gateway.settings_parser import parse_settings
 from scale.memory.allocation import MemoryUse, allocated_bytes
 from scale.model import Size
 from scale.synthetic_inputs import CLIENT_TIMEOUT, PLAN_NAME, complete_list_text, synthetic_settings
@@ -38,7 +38,7 @@
 
     async def main() -> MemoryUse:
         fleet = replace(Size(**size), servers=count)
-        gateway = Gateway(settings_from(synthetic_settings(fleet.limiters, 1.0)), 1, 0.0)
+        gateway = Gateway(parse_settings(synthetic_settings(fleet.limiters, 1.0)), 1, 0.0)
         pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
         text = complete_list_text(fleet)
         tracemalloc.start()
@@ -57,7 +57,7 @@
 def memory_of_tenants(count: int, size: dict[str, Any]) -> MemoryUse:
     """What the decisions hold for so many customers whose requests are over."""
     fleet = Size(**size)
-    gateway = Gateway(settings_from(synthetic_settings(fleet.limiters, 4.0)), 1, 0.0)
+    gateway = Gateway(parse_settings(synthetic_settings(fleet.limiters, 4.0)), 1, 0.0)
     endpoint_list = complete_list_text(replace(fleet, servers=LIST_LENGTH))
     gateway.handle(0.0, parse_watch_event(json.loads(endpoint_list)).update)
     serving_gateways = min(MAX_SERVING_GATEWAYS, fleet.limiters)
@@ -103,7 +103,7 @@
     text = json.dumps(synthetic_settings(3, 1.0, count))
     tracemalloc.start()
     raw = json.loads(text)
-    parsed = settings_from(raw)
+    parsed = parse_settings(raw)
     holders = (raw, Gateway(parsed, 1, 0.0), RequestParser(parsed))
     memory = MemoryUse(allocated_bytes())
     del holders
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -10,7 +10,7 @@
 from quota_gateway import model
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.dispatcher import Dispatcher, unix_clock
-from quota_gateway.settings_parser import settings_from
+from quota_gateway.settings_parser import parse_settings
 from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
 from scale.synthetic_inputs import synthetic_settings
 
@@ -60,7 +60,7 @@
         pool = ConnectionPool(unix_clock(), REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
         pool.update_endpoint(ENDPOINT, f"{host}:{port}", True)
         dispatcher = Dispatcher(
-            settings_from(synthetic_settings(3, 1.0)), decisions, unix_clock(), pool, None
+            parse_settings(synthetic_settings(3, 1.0)), decisions, unix_clock(), pool, None
         )
         dispatcher.dispatch(model.TimerFired(0))
         status = await stand_in.wait(decisions.status)
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -20,7 +20,7 @@
 
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings_parser import timing_from
+from quota_gateway.settings_parser import parse_timing
 from scale.model import BrokenRunError, Effort
 from scale.processes import split_address
 from scale.propagation.cases import Case, Fault
@@ -66,7 +66,7 @@
 
     def __init__(self, case: Case, seed: int) -> None:
         raw = {"n_instances": case.limiters, "contract": {"stop_sending_within_s": 2.0}}
-        timing = timing_from(raw | ({"discovery": "ask"} if case.shared else {}))
+        timing = parse_timing(raw | ({"discovery": "ask"} if case.shared else {}))
         self._is_expected: Callable[[WatchEvent], bool] = _any_event
         self._missing = set[int]()
         self._all_notified = asyncio.Event()
@@ -74,10 +74,10 @@
         self._clients = [
             DiscoveryClient(
                 partial(self._on_event, number),
-                timing.callers,
+                timing.client_count,
                 Random((seed << SEED_SHIFT) + number),
-                timing.answer,
-                timing.call_again,
+                timing.answer_timeout,
+                timing.max_poll_interval,
             )
             for number in range(case.limiters)
         ]
@@ -107,7 +107,7 @@
         """All go there, so many seconds apart."""
         host, port = split_address(address)
         for client in self._clients:
-            client.watch(host, port)
+            client.set_address(host, port)
             if interval:
                 await asyncio.sleep(interval)
 
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -16,7 +16,7 @@
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.watch_event import parse_watch_event
-from quota_gateway.settings_parser import settings_from
+from quota_gateway.settings_parser import parse_settings
 from quota_gateway.state import Account
 from scale.model import Size
 from scale.synthetic_inputs import (
@@ -78,7 +78,7 @@
         self.quota = size.rate / size.tenants / mix.demand  # units a second, of each tenant
         self.settings = synthetic_settings(size.limiters, self.quota)
         self.now = START_TIME
-        self.gateway = Gateway(settings_from(self.settings), seed, self.now)
+        self.gateway = Gateway(parse_settings(self.settings), seed, self.now)
         self.costs = dict[str, EventCost]()  # by the name of the event's type
         self.counter_calls = 0
         self.health_checks = 0
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -175,12 +175,12 @@
         self,
         script: Script,
         dials: dict[str, str],
-        conn_idle: float = 30.0,
+        idle_timeout: float = 30.0,
         counter: CounterClient | None = None,
     ) -> None:
         clock = unix_clock()
         self.script = script
-        self.pool = ConnectionPool(clock, dial_timeout=0.25, conn_idle=conn_idle, max_connections=64)
+        self.pool = ConnectionPool(clock, connect_timeout=0.25, idle_timeout=idle_timeout, max_connections=64)
         self.dispatcher = Dispatcher(SETTINGS, script, clock, self.pool, counter)
         self.listener = ClientListener(self.dispatcher, SETTINGS, max_connections=64)
         self.dispatcher.on_watch_event(listing(dials))
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -38,12 +38,12 @@
     def __init__(
         self,
         address: str,
-        conn_idle: float = 30.0,
+        idle_timeout: float = 30.0,
         max_connections: int = 200,
-        dial_timeout: float = 5.0,
+        connect_timeout: float = 5.0,
     ) -> None:
         self.clock = unix_clock()
-        self.pool = ConnectionPool(self.clock, dial_timeout, conn_idle, max_connections)
+        self.pool = ConnectionPool(self.clock, connect_timeout, idle_timeout, max_connections)
         self.pool.update_endpoint(ENDPOINT, address, True)
 
     async def __aenter__(self) -> PoolHarness:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -8,7 +8,7 @@
 
 from quota_gateway.net import endpoint_watch
 from quota_gateway.net.backoff import MAX_POLL_INTERVAL, poll_delay, reconnect_delay
-from quota_gateway.settings_parser import timing_from
+from quota_gateway.settings_parser import parse_timing
 
 
 def test_reconnects_are_spread_and_grow_rarer() -> None:
@@ -60,20 +60,23 @@
 @pytest.mark.parametrize("client_count", [1, 3, 40, 200, 420, 2000])
 def test_polls_are_close_enough_to_leave_time_for_an_answer_in_six_seconds(client_count: int) -> None:
     """Whatever is allowed after a failed poll, an update must be known 6 s after a return."""
-    timing = timing_from({"discovery": "ask", "n_instances": client_count})
+    timing = parse_timing({"discovery": "ask", "n_instances": client_count})
     for failures in range(1, 40):
-        for elapsed in (0.0, 0.5, timing.answer, timing.call_again, 30.0):
+        for elapsed in (0.0, 0.5, timing.answer_timeout, timing.max_poll_interval, 30.0):
             interval = elapsed + poll_delay(
-                client_count, failures, 1.0, max_interval=timing.call_again, elapsed=elapsed
+                client_count, failures, 1.0, max_interval=timing.max_poll_interval, elapsed=elapsed
             )
             assert interval <= max(4.5, elapsed), "a return just after a poll is found too late"
-    assert timing.answer <= timing.call_again <= 4.5 and timing.call_again == MAX_POLL_INTERVAL
+    assert (
+        timing.answer_timeout <= timing.max_poll_interval <= 4.5
+        and timing.max_poll_interval == MAX_POLL_INTERVAL
+    )
 
 
 def test_polls_are_spread_by_the_number_of_limiters_only_where_discovery_is_polled() -> None:
     raw = {"n_instances": 40, "discovery": "ask"}
-    assert timing_from(raw).callers == 40
-    assert timing_from(raw | {"discovery": "push"}).callers == timing_from({}).callers == 1
+    assert parse_timing(raw).client_count == 40
+    assert parse_timing(raw | {"discovery": "push"}).client_count == parse_timing({}).client_count == 1
 
 
 def test_first_poll_of_a_fleet_of_any_size_leaves_time_for_an_answer() -> None:
@@ -82,9 +85,11 @@
         assert endpoint_watch.SILENCE_TIMEOUT + poll_delay(client_count, 0, 1.0) < 5.5
         assert poll_delay(client_count, 0, 1.0) < 2.5
         assert poll_delay(client_count, 9, 1.0) <= 4.5
-    timing = timing_from({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
-    assert timing.answer + timing.call_again < 1.0, "a drain leaves 1 s from when the agent knows of it"
-    assert timing_from({"discovery": "ask"}).answer == 3.0
+    timing = parse_timing({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
+    assert timing.answer_timeout + timing.max_poll_interval < 1.0, (
+        "a drain leaves 1 s from when the agent knows of it"
+    )
+    assert parse_timing({"discovery": "ask"}).answer_timeout == 3.0
 
 
 class SimulatedFleet:
@@ -93,7 +98,7 @@
     def __init__(self, client_count: int, seed: int) -> None:
         self.client_count = client_count
         self.rngs = [Random(f"{seed} {number}") for number in range(client_count)]
-        self.timing = timing_from({"discovery": "ask", "n_instances": client_count})
+        self.timing = parse_timing({"discovery": "ask", "n_instances": client_count})
 
     def answer_delays(self, mode: str, outage: float, answers_per_second: float) -> list[float]:
         """Seconds from the return until each has the list, with one queue for the polls.
@@ -109,9 +114,9 @@
         return delays
 
     def _first_poll_after(self, outage: float, mode: str, rng: Random) -> float:
-        max_interval = self.timing.call_again
+        max_interval = self.timing.max_poll_interval
         # A poll of a half-open discovery before its return is never answered; a refused one ends at once.
-        elapsed = 0.0 if mode == "refused" else self.timing.answer
+        elapsed = 0.0 if mode == "refused" else self.timing.answer_timeout
         polled_at = poll_delay(self.client_count, 0, rng.random(), max_interval=max_interval)
         failures = 0
         while polled_at < outage:
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -74,7 +74,7 @@
         reader, writer = await limiter.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(ask())
-        while not any(connection._reading_paused for connection in limiter.pool.streaming):
+        while not any(connection._reading_paused for connection in limiter.pool.streaming_connections):
             await asyncio.sleep(0.01)
         assert sent < total  # the rest waits at the endpoint, not here
         reader._transport.resume_reading()  # type: ignore[attr-defined]
@@ -82,7 +82,7 @@
         received = 0
         while received < int(headers["content-length"]):
             received += len(await reader.read(1 << 20))
-        assert received == total and not limiter.pool.streaming
+        assert received == total and not limiter.pool.streaming_connections
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 9000000", b"Transfer-Encoding: chunked"])
@@ -148,7 +148,7 @@
     async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(upload("length", body))
-        while not any(client.reader.body.paused for client in limiter.listener._clients):
+        while not any(client.reader.body.paused for client in limiter.listener.connections):
             await asyncio.sleep(0.01)
         resume_reading.set()
         assert (await read_message(reader))[2] == b"hi"
@@ -217,9 +217,9 @@
 async def upload_until_backpressure(client: socket.socket, limiter: Limiter) -> int:
     """Send a body until its end alone is unread at the limiter; returns the size of the body."""
     client.sendall(upload_head("chunked", 0, ttl=60_000))
-    while not limiter.listener._clients:
+    while not limiter.listener.connections:
         await asyncio.sleep(0)
-    (connection,) = limiter.listener._clients
+    (connection,) = limiter.listener.connections
     client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
     size = 0x10001
     while True:
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -101,7 +101,7 @@
         reader, writer = await limiter.connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         sent = 0
-        clients = limiter.listener._clients
+        clients = limiter.listener.connections
         while not any(client._write_blocked for client in clients):
             writer.write(ask())
             sent += 1
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -206,7 +206,7 @@
         reader, writer = await limiter.connect()
         writer.write(ask(ttl=60000))
         (event,) = await script.until(model.Request)
-        client = list(limiter.listener._clients)[-1]
+        client = list(limiter.listener.connections)[-1]
         writer.write_eof()
         while not client.liveness.input_ended:
             await asyncio.sleep(0)
@@ -231,7 +231,7 @@
         reader, writer = await limiter.connect()
         writer.write(ask(ttl=60000))
         (event,) = await script.until(model.Request)
-        (client,) = limiter.listener._clients
+        (client,) = limiter.listener.connections
         writer.write_eof()
         while not client.liveness.input_ended:
             await asyncio.sleep(0)
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -70,11 +70,11 @@
             reader, writer = await limiter.connect()
             request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
             writer.write(request[: len(request) - 60_000 + sent])
-            while not limiter.listener._clients:
+            while not limiter.listener.connections:
                 await asyncio.sleep(0)
-            while list(limiter.listener._clients)[-1].reader.body.size < sent:
+            while list(limiter.listener.connections)[-1].reader.body.size < sent:
                 await asyncio.sleep(0)
-            client = list(limiter.listener._clients)[-1]
+            client = list(limiter.listener.connections)[-1]
             while not client.reader.head.complete:
                 await asyncio.sleep(0)
             began_at = client.reader.body.started_at - 2.3  # the head took so long
@@ -92,9 +92,9 @@
 async def test_late_and_slow_first_request_times_out_from_the_connect() -> None:
     async with Limiter(Script(reject), {}) as limiter:
         _, writer = await limiter.connect()
-        while not limiter.listener._clients:
+        while not limiter.listener.connections:
             await asyncio.sleep(0.001)
-        (client,) = limiter.listener._clients
+        (client,) = limiter.listener.connections
         began_at = client.phase_started_at - 1.9
         client.phase_started_at = began_at
         writer.write(b"GET /lookup")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,4 +11,4 @@
     assert read.counter == ("127.0.0.1", 6400) and read.seed == 0x8C1F30D27A5BE964
     endpoints = read.initial_endpoints
     assert endpoints is not None and endpoints.version == 41 and endpoints.update.complete
-    assert read.timing.dial_timeout == 1.0 and read.settings.max_attempts == 2
+    assert read.timing.connect_timeout == 1.0 and read.settings.max_attempts == 2
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -41,7 +41,7 @@
             client.sendall(ask())
             return unread
 
-        while not limiter.listener._clients:
+        while not limiter.listener.connections:
             await asyncio.sleep(0)
         monkeypatch.setattr(ConnectionCloser, "has_unread_input", property(send_after_look))
         await limiter.listener.close(1000)
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -78,7 +78,7 @@
 async def test_connection_with_an_unread_request_is_not_evicted() -> None:
     async with Limiter(Script(reject), {}) as limiter:
         clients = [socket.create_connection(limiter._address) for _ in range(3)]
-        while len(limiter.listener._clients) < 3:
+        while len(limiter.listener.connections) < 3:
             await asyncio.sleep(0)
         limiter.listener.set_max_connections(3)
         clients[0].sendall(ask())  # silent for longest, and unread when the next one connects
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -40,16 +40,16 @@
 
 
 @pytest.mark.parametrize(
-    ("dial_timeout", "timeout", "status"),
+    ("connect_timeout", "timeout", "status"),
     [(0.1, 10.0, CallStatus.UNREACHABLE), (10.0, 0.1, CallStatus.NOT_SENT)],
 )
 @async_test
 async def test_a_request_is_not_executed_where_connecting_never_completes(
-    dial_timeout: float, timeout: float, status: CallStatus
+    connect_timeout: float, timeout: float, status: CallStatus
 ) -> None:
     listener, clients = full_backlog()
     host, port = listener.getsockname()
-    async with PoolHarness(f"{host}:{port}", dial_timeout=dial_timeout) as harness:
+    async with PoolHarness(f"{host}:{port}", connect_timeout=connect_timeout) as harness:
         assert (await harness.fetch(timeout)).status is status
     for each in (listener, *clients):
         each.close()
@@ -108,14 +108,14 @@
 ) -> None:
     monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
     origin = Origin()
-    async with listening(origin.talk) as address, PoolHarness(address, conn_idle=30.0) as harness:
+    async with listening(origin.talk) as address, PoolHarness(address, idle_timeout=30.0) as harness:
         await asyncio.gather(harness.fetch(), harness.fetch())
         await harness.fetch()
         assert origin.connections == 2
         harness.set_clock(2e9 + 16.0)
         for endpoint in harness.pool._endpoints._by_name.values():
             for index, connection in enumerate(endpoint.idle):
-                connection.idle_since = 2e9 + index * 1e-6  # 16 s idle: past half of conn_idle
+                connection.idle_since = 2e9 + index * 1e-6  # 16 s idle: past half of idle_timeout
         await harness.fetch()
         assert origin.connections == 3
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -216,7 +216,7 @@
         await closing_began.wait()
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(limiter.listener._clients) < len(clients)  # the event loop had accepted one before
+        assert len(limiter.listener.connections) < len(clients)  # the event loop had accepted one before
         shortage.close()
         for client in clients:
             reader, writer = await asyncio.open_connection(sock=client)
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -13,7 +13,7 @@
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.http_common import split_address
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings_parser import timing_from
+from quota_gateway.settings_parser import parse_timing
 from tests.discovery_server import (
     RESPONSE_HEAD,
     ScriptedDiscovery,
@@ -57,7 +57,7 @@
             client = DiscoveryClient(on_event)
             for address in (old, "127.0.0.1:1", new, new):  # the third overtakes the second
                 host, port = address.split(":")
-                client.watch(host, int(port), 41 if address == old else None)
+                client.set_address(host, int(port), 41 if address == old else None)
                 if address == old:
                     await notified.wait()
             await new_discovery.polled.wait()
@@ -98,20 +98,20 @@
         loop = asyncio.get_running_loop()
         notified = asyncio.Event()
         discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], end=False)
-        timing = timing_from({"discovery": "ask", "n_instances": 200})
+        timing = parse_timing({"discovery": "ask", "n_instances": 200})
         async with listening(discovery.serve) as address:
             client = DiscoveryClient(
                 lambda _event: notified.set(),
                 client_count=200,
                 rng=Random(3),
-                answer_timeout=timing.answer * time_scale,
-                max_poll_interval=timing.call_again * time_scale,
+                answer_timeout=timing.answer_timeout * time_scale,
+                max_poll_interval=timing.max_poll_interval * time_scale,
             )
-            client.watch("127.0.0.1", 1, 41)
+            client.set_address("127.0.0.1", 1, 41)
             while max(failures, default=0) < 3:
                 await asyncio.sleep(0.01)
             moved_at = loop.time()
-            client.watch(*split_address(address))
+            client.set_address(*split_address(address))
             await notified.wait()
             assert failures[-1] == 0 and loop.time() - moved_at < 4 * time_scale
             client.close()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -207,7 +207,7 @@
         script.answer = lambda _event: too_late
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert not await script.until(model.AttemptCompleted, 0)
-        while limiter.listener._clients:
+        while limiter.listener.connections:
             await asyncio.sleep(0)
         messages = [record.getMessage() for record in caplog.records]
         assert messages == ["dropped an attempt for a request that has ended"]
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -12,7 +12,7 @@
 from quota_gateway.net import backoff, endpoint_watch
 from quota_gateway.net.endpoint_watch import EndpointWatcher
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings_parser import timing_from
+from quota_gateway.settings_parser import parse_timing
 from tests.discovery_server import (
     OVERLOADED_RESPONSE,
     RESPONSE_HEAD,
@@ -78,14 +78,14 @@
     def __init__(self, address: str, seed: int, time_scale: float) -> None:
         self._loop = asyncio.get_running_loop()
         self.first_event_at: asyncio.Future[float] = self._loop.create_future()
-        timing = timing_from({"discovery": "ask", "n_instances": FLEET_SIZE})
+        timing = parse_timing({"discovery": "ask", "n_instances": FLEET_SIZE})
         watcher = make_watcher(
             address,
             self._on_event,
             client_count=FLEET_SIZE,
             seed=seed,
-            answer_timeout=timing.answer * time_scale,
-            max_poll_interval=timing.call_again * time_scale,
+            answer_timeout=timing.answer_timeout * time_scale,
+            max_poll_interval=timing.max_poll_interval * time_scale,
         )
         self.task = self._loop.create_task(watcher.follow())
 
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -284,7 +284,7 @@
                 return [limiter.fetch(ask(path)) for path in paths]
 
             await counter.break_connection_under(fetches(3), advance)
-            budget = decisions.gateway.reporter.budget
+            budget = decisions.gateway.leases.budget
             assert budget.unavailable_until < decisions.now  # calls for further accounts are made
             await counter.break_connection_under(fetches(1), advance)
             assert budget.unavailable_until > decisions.now  # the second time, and no reply in between
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.net.http_common import MAX_BODY
+from quota_gateway.net.http_common import MAX_BUFFERED_BODY
 from tests.http_bodies import LONG_BODY, POST_PATH, chunked, read_body, read_head
 from tests.loopback import OK, Limiter, Script, ask, async_test, listening, read_message, send_on
 
@@ -51,7 +51,7 @@
         assert (await limiter.fetch(ask().replace(plain, form, 1)))[2] == b"hi"
 
 
-@pytest.mark.parametrize("size", [5, 2 * MAX_BODY])
+@pytest.mark.parametrize("size", [5, 2 * MAX_BUFFERED_BODY])
 @async_test
 async def test_client_that_expects_100_continue_gets_it(size: int) -> None:
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -89,7 +89,7 @@
     async with Limiter(Script(send_on), {}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(ask()[:40])
-        while not any(client.reader.in_message for client in limiter.listener._clients):
+        while not any(client.reader.in_message for client in limiter.listener.connections):
             await asyncio.sleep(0)
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
@@ -105,7 +105,7 @@
         reader, writer = await limiter.connect()
         request = ask()
         writer.write(request[:-2])
-        while not any(client.reader.in_message for client in limiter.listener._clients):
+        while not any(client.reader.in_message for client in limiter.listener.connections):
             await asyncio.sleep(0)
         limiter.listener.start_draining()
         await limiter.listener.close(0.01)
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from quota_gateway.net.load_report import load_report
+from quota_gateway.net.load_report import parse_load_report
 from tests.loopback import Origin, listening
 from tests.pool_harness import PoolHarness, async_test, empty_response
 
 
 def test_a_load_report_gives_numbers_by_name() -> None:
-    assert load_report("inflight=7,queue=2,util=0.61") == {"inflight": 7.0, "queue": 2.0, "util": 0.61}
+    assert parse_load_report("inflight=7,queue=2,util=0.61") == {"inflight": 7.0, "queue": 2.0, "util": 0.61}
 
 
 @pytest.mark.parametrize("malformed", ["", "queue", "queue=nan", "=3", "queue=2,,"])
 def test_a_malformed_load_report_is_dropped(malformed: str) -> None:
-    assert load_report(malformed) == {}
+    assert parse_load_report(malformed) == {}
 
 
 @async_test
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -4,11 +4,11 @@
 
 import logging
 
-from quota_gateway.logs import LogRateLimit
+from quota_gateway.logs import RateLimitFilter
 
 
 def test_a_flood_of_log_lines_is_rate_limited() -> None:
-    rate_limit = LogRateLimit(3)
+    rate_limit = RateLimitFilter(3)
     record = logging.LogRecord("x", 20, "", 0, "text", (), None)
     passed = sum(rate_limit.filter(record) for _ in range(1000))
     assert 3 <= passed <= 9  # three a second, however slow this machine is
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -86,23 +86,23 @@
     assert other.stdout is not None
     assert other.stdout.readline() == "2\n"
     assert group.process_count == 2
-    assert group.suspensions() == {"a", "b"}
+    assert group.read_suspensions() == {"a", "b"}
     other.kill()
     other.communicate()
 
 
 def test_suspensions_outlive_the_process_that_recorded_them(tmp_path: Path, group: ProcessGroup) -> None:
     assert group.process_count == 1
-    assert group.suspensions() == frozenset()
+    assert group.read_suspensions() == frozenset()
     group.set_suspended("a", True)
     suspend_in_another_process(tmp_path, group)
     assert group.process_count == 1  # the file of a killed process is stale, and is deleted
-    assert group.suspensions() == {"a", "b"}
+    assert group.read_suspensions() == {"a", "b"}
 
 
 def test_limiters_of_other_names_have_suspensions_of_their_own(tmp_path: Path, group: ProcessGroup) -> None:
     group.set_suspended("a", True)
-    assert ProcessGroup(str(tmp_path), "n2").suspensions() == frozenset()
+    assert ProcessGroup(str(tmp_path), "n2").read_suspensions() == frozenset()
 
 
 def test_a_malformed_suspension_file_changes_nothing_in_a_running_process(
@@ -113,12 +113,12 @@
     file = group_folder(tmp_path) / FILE_NAME
     for malformed in (b"", b"{", b'{"out": 3}', b"[]", b"\xff", b'{"out": [1]}'):
         file.write_bytes(malformed)
-        assert group.suspensions() == {"a", "b"}
+        assert group.read_suspensions() == {"a", "b"}
         started_now = ProcessGroup(str(tmp_path), "n1")
-        assert started_now.suspensions() == frozenset()
+        assert started_now.read_suspensions() == frozenset()
         started_now.close()
     assert group.set_suspended("a", False) == {"b"}
-    assert group.suspensions() == {"b"}
+    assert group.read_suspensions() == {"b"}
 
 
 def test_suspensions_stay_in_memory_without_a_folder(tmp_path: Path) -> None:
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -38,7 +38,7 @@
     simulation: GatewaySimulation, elapsed: float, has_headroom: bool
 ) -> None:
     next_id = send_steadily(simulation, 5, 10, 0, elapsed)  # of a plan without a quota: the load is measured
-    simulation.gateway.reporter.budget.unavailable_until = simulation.now + 60.0
+    simulation.gateway.leases.budget.unavailable_until = simulation.now + 60.0
     forwarded_before = len(simulation.forwarded)
     for request_id in range(next_id, next_id + 20):
         simulation.feed(make_request(request_id, "read", "small", "acct"))
@@ -63,7 +63,7 @@
     account.lease_requested = 0.0
     account.leased = 0.0
     account.tokens = 1.5
-    account.guaranteed = account.guaranteed_capacity
+    account.guaranteed_tokens = account.guaranteed_capacity
     account.remote_usage = 50.0
     account.last_synchronised = fleet.now - 0.1
     account.updated_at = fleet.now
@@ -71,7 +71,7 @@
     account.tokens = 1.5
     account.leased = 0.0
     account.last_synchronised = fleet.now - 5.0
-    account.guaranteed = account.guaranteed_capacity
+    account.guaranteed_tokens = account.guaranteed_capacity
     assert fleet.send_request(0)  # no total has come for long: the even share is this gateway's
 
 
@@ -116,8 +116,8 @@
     gateway = start_sparse_gateway(PLAN)
 
     def decide_without_a_call(request_id: int, now: float) -> type:
-        gateway.reporter.budget.tokens = 0.0
-        gateway.reporter.budget.refilled_at = now
+        gateway.leases.budget.tokens = 0.0
+        gateway.leases.budget.refilled_at = now
         (decision, *_) = gateway.handle(now, make_sparse_request(request_id, "a"))
         if isinstance(decision, model.Forward):
             complete(gateway, now, decision)
@@ -134,7 +134,7 @@
     """Each gateway took a customer that it did not know for one within its quota, and let its retry in."""
     gateway = start_sparse_gateway(SMALL_PLAN)
     for request_id in range(40):
-        gateway.reporter.budget.tokens = 0.0
+        gateway.leases.budget.tokens = 0.0
         is_retry = bool(request_id % 2)
         request = make_sparse_request(request_id, f"{request_id:016x}", is_retry)
         (decision, *_) = gateway.handle(100.0, request)
@@ -147,7 +147,7 @@
     gateway = start_sparse_gateway(SMALL_PLAN)
     counter_calls: list[model.IncrementCounter] = []
     for request_id in range(200):
-        gateway.reporter.budget.tokens = 0.5  # one request in four calls the counter
+        gateway.leases.budget.tokens = 0.5  # one request in four calls the counter
         for action in gateway.handle(100.0, make_sparse_request(request_id, f"{request_id:016x}")):
             if isinstance(action, model.IncrementCounter):
                 counter_calls.append(action)
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.settings_parser import SettingsError, check_retuned, settings_from
+from quota_gateway.settings_parser import SettingsError, check_reloaded_settings, parse_settings
 from tests.admin_client import fetch_metrics
 from tests.gateway_process import WIRE_SETTINGS, Program, config, free_port, started
 from tests.loopback import Origin, ask, listening, read_message, run
@@ -112,11 +112,11 @@
 )
 def test_incomplete_settings_are_rejected(change: Change) -> None:
     raw = json.loads(RUNNING_SETTINGS)
-    check_retuned(raw, json.loads(RUNNING_SETTINGS))
+    check_reloaded_settings(raw, json.loads(RUNNING_SETTINGS))
     change(raw)
     with pytest.raises(SettingsError):
-        check_retuned(raw, json.loads(RUNNING_SETTINGS))
-        settings_from(raw).validate()
+        check_reloaded_settings(raw, json.loads(RUNNING_SETTINGS))
+        parse_settings(raw).validate()
 
 
 class ReloadingLimiter:
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -31,7 +31,7 @@
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.process_group import ProcessGroup
 from quota_gateway.net.watch_event import WatchEvent
-from quota_gateway.settings_parser import Timing, check_retuned, settings_from, timing_from
+from quota_gateway.settings_parser import Timing, check_reloaded_settings, parse_settings, parse_timing
 from tests.loopback import SETTINGS, Limiter, Script, listening, run, send_on
 from tests.loopback import listing as listing_of
 
@@ -130,7 +130,7 @@
     assert names_in(folder) == ["bans.json", "bans.lock", own]
     (folder / "fresh").write_text('{"out": ["s7", "s3"]}')
     (folder / "fresh").rename(folder / "bans.json")
-    assert shared.suspensions() == {"s3", "s7"}
+    assert shared.read_suspensions() == {"s3", "s7"}
     assert shared.set_suspended("s7", False) == {"s3"}
     assert (folder / "bans.json").read_bytes() == b'{"out": ["s3"]}'
     shared.close()
@@ -257,16 +257,18 @@
 
 def test_every_key_of_the_settings_object() -> None:
     raw = json.loads(SETTINGS_TEXT)
-    assert settings_from(raw) == SETTINGS_READ
-    assert timing_from(raw) == Timing(0.375, 21.5, 7, 3.0, 4.5)
-    assert timing_from(raw | {"discovery": "push"}) == Timing(0.375, 21.5, 1, 0.6, 1.2)
+    assert parse_settings(raw) == SETTINGS_READ
+    assert parse_timing(raw) == Timing(0.375, 21.5, 7, 3.0, 4.5)
+    assert parse_timing(raw | {"discovery": "push"}) == Timing(0.375, 21.5, 1, 0.6, 1.2)
     off = {"limits": raw["limits"] | {"retry_after": False}, "report": {"how": "on_answer"}}
-    assert settings_from(raw | off) == replace(SETTINGS_READ, max_retry_after=0.0, load_in_health_check=False)
+    assert parse_settings(raw | off) == replace(
+        SETTINGS_READ, max_retry_after=0.0, load_in_health_check=False
+    )
 
 
 def test_the_one_key_of_a_class_that_may_be_missing_from_new_settings() -> None:
     raw = json.loads(SETTINGS_TEXT)
-    check_retuned(raw, raw | {"classes": [row | {"aim_stretch": 2.0} for row in raw["classes"]]})
+    check_reloaded_settings(raw, raw | {"classes": [row | {"aim_stretch": 2.0} for row in raw["classes"]]})
 
 
 @pytest.mark.parametrize("by_environment", [False, True])
@@ -291,7 +293,7 @@
     assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
     entry = model.Endpoint("s1", model.EndpointHealth.HEALTHY, "")
     assert read.initial_endpoints == WatchEvent(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
-    assert read.settings == SETTINGS_READ and read.timing == timing_from(raw["settings"])
+    assert read.settings == SETTINGS_READ and read.timing == parse_timing(raw["settings"])
 
 
 @pytest.mark.parametrize(("since", "query"), [(None, b""), (41, b"&since=41")])
