--- a/quota_gateway/lifecycle.py
+++ b/quota_gateway/lifecycle.py
@@ -328,7 +328,7 @@
     listener.start_draining()
     components.dispatcher.begin_shutdown()
     timeout = drain_timeout(components.dispatcher.settings)
-    if components.process_group.process_count > 1:
+    if components.process_group.count_processes() > 1:
         # The other process accepts. Clients that are connected here leave with their next response; a
         # connection closed sooner could cross a request on its way.
         await listener.stop_accepting()
--- a/quota_gateway/net/process_group.py
+++ b/quota_gateway/net/process_group.py
@@ -68,8 +68,7 @@
                 return lock
             lock.close()  # another process took the file for a stale one before it was locked
 
-    @property
-    def process_count(self) -> int:
+    def count_processes(self) -> int:
         """How many processes of this limiter run, with this one."""
         return 1 + len(self._other_processes())
 
@@ -148,7 +147,7 @@
         ``on_change`` is called with the number of processes and the suspended endpoints when either changes,
         ``on_handover`` with the state that another process has left for this one.
         """
-        process_count = self.process_count
+        process_count = self.count_processes()
         suspensions = self.read_suspensions()
         if process_count != self._notified_process_count or suspensions != self._notified_suspensions:
             self._notified_process_count = process_count
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -20,7 +20,7 @@
     unpack_message,
 )
 
-ERROR_PREFIX = "benchlink: "  # of the line on standard error: the simulator's name of this program
+ERROR_PREFIX = "simulator_adapter: "  # of the line on standard error
 EXIT_BAD_INPUT = 2
 
 
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -50,7 +50,7 @@
 
 group = ProcessGroup(sys.argv[1], "n1")
 group.set_suspended("b", True)
-print(group.process_count, flush=True)
+print(group.count_processes(), flush=True)
 sys.stdin.read()
 """
 
@@ -85,18 +85,18 @@
     )
     assert other.stdout is not None
     assert other.stdout.readline() == "2\n"
-    assert group.process_count == 2
+    assert group.count_processes() == 2
     assert group.read_suspensions() == {"a", "b"}
     other.kill()
     other.communicate()
 
 
 def test_suspensions_outlive_the_process_that_recorded_them(tmp_path: Path, group: ProcessGroup) -> None:
-    assert group.process_count == 1
+    assert group.count_processes() == 1
     assert group.read_suspensions() == frozenset()
     group.set_suspended("a", True)
     suspend_in_another_process(tmp_path, group)
-    assert group.process_count == 1  # the file of a killed process is stale, and is deleted
+    assert group.count_processes() == 1  # the file of a killed process is stale, and is deleted
     assert group.read_suspensions() == {"a", "b"}
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -85,7 +85,8 @@
     )
     assert completed.returncode != 0
     assert completed.stdout == ""
-    assert len(completed.stderr.strip().splitlines()) == 1 and completed.stderr.startswith("benchlink: ")
+    assert len(completed.stderr.strip().splitlines()) == 1
+    assert completed.stderr.startswith("simulator_adapter: ")
 
 
 def test_impossible_settings_stop_the_adapter_with_the_key(adapter: SimulatorAdapter) -> None:
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -95,9 +95,9 @@
     held = lock(folder / OTHER)
     (folder / f"notes-for-{OTHER}").write_text(NOTES_TEXT)
     (folder / "other-31-0a1b2c3d").touch()
-    assert shared.process_count == 2
+    assert shared.count_processes() == 2
     os.close(held)
-    assert shared.process_count == 1
+    assert shared.count_processes() == 1
     assert [name for name in names_in(folder) if name.endswith("0a1b2c3d")] == ["other-31-0a1b2c3d"]
     shared.close()
 
