--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 
 from quota_gateway import model
-from tests.loopback import Limiter, Script, ask, read_message, send_on
+from tests.loopback import LoopbackLimiter, ScriptedDecisions, forward_to_s1, http_request, read_message
 
-POST = ask("/post?account=00000000b4d65521", b"xy")
+POST = http_request("/post?account=00000000b4d65521", b"xy")
 LATE = 0.11  # seconds after a disconnect from which on no attempt may begin
 
 
@@ -21,7 +21,7 @@
 
 def on_timer(actions: list[model.Action]) -> Callable[[model.Event], list[model.Action]]:
     """Decisions that take ``actions`` when a timer fires, and forward every request."""
-    return lambda event: actions if isinstance(event, model.TimerFired) else send_on(event)
+    return lambda event: actions if isinstance(event, model.TimerFired) else forward_to_s1(event)
 
 
 async def has_ended(reader: asyncio.StreamReader) -> bool:
@@ -49,14 +49,14 @@
 
 async def assert_rejected(request_bytes: bytes, status: int) -> None:
     """Bad input is answered and closes its connection; another client's is unaffected."""
-    script = Script(reject)
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(reject)
+    async with LoopbackLimiter(script, {}) as limiter:
         other_reader, other = await limiter.connect()
         reader, writer = await limiter.connect()
-        writer.write(request_bytes + ask())  # nothing behind it is parsed as a request
+        writer.write(request_bytes + http_request())  # nothing behind it is parsed as a request
         first, headers, _ = await read_message(reader)
         assert int(first.split()[1]) == status and headers["connection"] == "close"
         assert await reader.read() == b""
         assert not [event for event in script.events if isinstance(event, model.Request)]
-        other.write(ask())
+        other.write(http_request())
         assert "429" in (await read_message(other_reader))[0]
--- a/tests/http_bodies.py
+++ b/tests/http_bodies.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from tests.loopback import ask
+from tests.loopback import http_request
 
 LONG_BODY = bytes(range(256)) * 4096 * 4  # 4 MiB
 POST_PATH = "/post?account=00000000b4d65521"
@@ -43,7 +43,7 @@
     headers = {"Content_Length": str(size)}
     if framing == "chunked":
         headers = {"Content_Length": "", "Transfer_Encoding": "chunked"}
-    return ask(POST_PATH, b"x", ttl, **headers)[:-1]
+    return http_request(POST_PATH, b"x", ttl, **headers)[:-1]
 
 
 def upload(framing: str, body: bytes) -> bytes:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,7 @@
-"""Helpers for the tests over loopback sockets: scripted peers and decisions, all on port 0."""
+"""Helpers for tests over loopback sockets: scripted endpoints and decisions, and a limiter between them.
+
+All of them listen on port 0.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +21,11 @@
 from quota_gateway.net.listener import ClientListener
 from quota_gateway.net.watch_event import WatchEvent
 
-LIMIT = 20.0  # generous: only a hang takes this long
+TIME_LIMIT = 20.0  # seconds; generous: only a hang takes this long
 Parameters = ParamSpec("Parameters")
-Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-IDS = count(0x9B1F03AA5C7E2D41)  # new with every request
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+REQUEST_IDS = count(0x9B1F03AA5C7E2D41)  # a new one for each request
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 SETTINGS = model.Settings(
     gateway_index=0,
@@ -39,11 +42,12 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    uvloop.run(asyncio.wait_for(main, LIMIT))
+    """Run a coroutine on an event loop of its own, with a time limit."""
+    uvloop.run(asyncio.wait_for(main, TIME_LIMIT))
 
 
 def async_test(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
-    """Make a test of a coroutine function: it runs on an event loop of its own, with a time limit."""
+    """Make a test of a coroutine function."""
 
     @wraps(test)
     def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -52,14 +56,14 @@
     return run_test
 
 
-def ask(
-    path: str = "/lookup?account=00000000b4d65521", body: bytes = b"", ttl: int = 5000, **headers: str
+def http_request(
+    path: str = "/lookup?account=00000000b4d65521", body: bytes = b"", timeout_ms: int = 5000, **headers: str
 ) -> bytes:
-    """A client's request; a header given as an empty text is left out."""
+    """A client's request; headers with ``_`` for ``-``, those with an empty value are left out."""
     method = "POST" if body else "GET"
     fields = {
-        "Host": "origin.svc", "X-Request-ID": f"{next(IDS):016x}",
-        "X-Priority-Class": path[1:].partition("?")[0], "X-Plan": "basic", "X-Timeout-Ms": str(ttl),
+        "Host": "origin.svc", "X-Request-ID": f"{next(REQUEST_IDS):016x}",
+        "X-Priority-Class": path[1:].partition("?")[0], "X-Plan": "basic", "X-Timeout-Ms": str(timeout_ms),
         "X-Quota": "units=1,spread=3,first=1",
     }  # fmt: skip
     fields |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -70,31 +74,32 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One HTTP message with a Content-Length: its first line, headers and body."""
+    """Read an HTTP message with a Content-Length; returns its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
-    first, *lines = head.rstrip().split("\r\n")
-    headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-    return first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    first_line, *header_lines = head.rstrip().split("\r\n")
+    fields = (header_line.partition(":") for header_line in header_lines)
+    headers = {name.lower(): value.strip() for name, _, value in fields}
+    return first_line, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
 @asynccontextmanager
-async def listening(talk: Talk) -> AsyncIterator[str]:
-    """A peer that talks as told on each connection; gives its address."""
+async def running_server(handle_connection: ConnectionHandler) -> AsyncIterator[str]:
+    """Serve each connection by the handler, and abort it when that returns; gives the address."""
     tasks = set[asyncio.Task[None]]()
 
-    async def guarded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_and_abort(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         tasks.add(task)
         try:
-            await talk(reader, writer)
+            await handle_connection(reader, writer)
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
             tasks.discard(task)
             writer.transport.abort()
 
-    server = await asyncio.start_server(guarded, "127.0.0.1", 0)
+    server = await asyncio.start_server(handle_and_abort, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     try:
         yield f"{host}:{port}"
@@ -104,53 +109,59 @@
             task.cancel()
 
 
-class Origin:
-    """A server that answers each request with what ``reply`` gives, or stays silent for None."""
+class ScriptedEndpoint:
+    """Gives each request the response that the script has for its number, counted from 1.
+
+    For ``None`` it stays silent, for an empty response it closes the connection.
+    """
 
-    def __init__(self, reply: Callable[[int], bytes | None] = lambda _n: OK) -> None:
-        self.reply = reply
-        self.seen = list[tuple[str, dict[str, str], bytes]]()
-        self.connections = 0
-        self.got = asyncio.Event()
-        self.left = asyncio.Event()
+    def __init__(self, response_for: Callable[[int], bytes | None] = lambda _number: OK_RESPONSE) -> None:
+        self.response_for = response_for
+        self.requests: list[tuple[str, dict[str, str], bytes]] = []  # first line, headers and body
+        self.connection_count = 0
+        self.request_received = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self.connection_count += 1
         try:
             while True:
-                self.seen.append(await read_message(reader))
-                self.got.set()
-                reply = self.reply(len(self.seen))
-                if reply == b"":
+                self.requests.append(await read_message(reader))
+                self.request_received.set()
+                response = self.response_for(len(self.requests))
+                if response == b"":
                     return
-                if reply is not None:
-                    writer.write(reply)
+                if response is not None:
+                    writer.write(response)
         finally:
-            self.left.set()
+            self.disconnected.set()
 
 
-class Script:
-    """Decisions as a test wants them; keeps the events that it was given."""
+class ScriptedDecisions:
+    """Decisions as a test wants them; records the events."""
 
-    def __init__(self, answer: Callable[[model.Event], list[model.Action]]) -> None:
-        self.answer, self.events = answer, list[model.Event]()
-        self.changed = asyncio.Event()
+    def __init__(self, decide: Callable[[model.Event], list[model.Action]]) -> None:
+        self.decide = decide
+        self.events: list[model.Event] = []
+        self.event_received = asyncio.Event()
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
+        """Record the event and answer with the actions of the script."""
         self.events.append(event)
-        self.changed.set()
-        return self.answer(event)
-
-    async def until(self, kind: type, count: int = 1) -> list[Any]:
-        """The events of a kind, once there are so many."""
-        while len(found := [e for e in self.events if isinstance(e, kind)]) < count:
-            self.changed.clear()
-            await self.changed.wait()
+        self.event_received.set()
+        return self.decide(event)
+
+    async def wait_for(self, kind: type, count: int = 1) -> list[Any]:
+        """Wait for so many events of a kind; returns all events of that kind."""
+        while len(found := [event for event in self.events if isinstance(event, kind)]) < count:
+            self.event_received.clear()
+            await self.event_received.wait()
         return found
 
 
-def send_on(event: model.Event) -> list[model.Action]:
-    """Passes each request to ``s1`` and refuses what does not come back served."""
+def forward_to_s1(event: model.Event) -> list[model.Action]:
+    """Forward each request to ``s1`` once, and reject what fails there."""
     if isinstance(event, model.Request):
         return [model.Forward(event.id, "s1", event.timeout)]
     if isinstance(event, model.AttemptCompleted) and not event.request_finished:
@@ -158,36 +169,36 @@
     return []
 
 
-def entry(name: str, health: model.EndpointHealth = model.EndpointHealth.HEALTHY) -> model.Endpoint:
-    return model.Endpoint(name, health, "a")
-
-
-def listing(
-    dials: dict[str, str], health: model.EndpointHealth = model.EndpointHealth.HEALTHY, whole: bool = True
+def watch_event(
+    addresses: dict[str, str],
+    health: model.EndpointHealth = model.EndpointHealth.HEALTHY,
+    complete: bool = True,
 ) -> WatchEvent:
-    return WatchEvent(1, model.EndpointUpdate(tuple(entry(name, health) for name in dials), whole), dials)
+    """An event of the endpoint watch with all endpoints in one state; addresses by endpoint name."""
+    endpoints = tuple(model.Endpoint(name, health, zone="a") for name in addresses)
+    return WatchEvent(1, model.EndpointUpdate(endpoints, complete), addresses)
 
 
-class Limiter:
-    """A node with its clients' and servers' sides, in this process."""
+class LoopbackLimiter:
+    """A limiter in this process, on real sockets but with the decisions of a test."""
 
     def __init__(
         self,
-        script: Script,
-        dials: dict[str, str],
+        decisions: ScriptedDecisions,
+        addresses: dict[str, str],
         idle_timeout: float = 30.0,
         counter: CounterClient | None = None,
     ) -> None:
         clock = unix_clock()
-        self.script = script
+        self.decisions = decisions
         self.pool = ConnectionPool(clock, connect_timeout=0.25, idle_timeout=idle_timeout, max_connections=64)
-        self.dispatcher = Dispatcher(SETTINGS, script, clock, self.pool, counter)
+        self.dispatcher = Dispatcher(SETTINGS, decisions, clock, self.pool, counter)
         self.listener = ClientListener(self.dispatcher, SETTINGS, max_connections=64)
-        self.dispatcher.on_watch_event(listing(dials))
-        self._address = ("", 0)
+        self.dispatcher.on_watch_event(watch_event(addresses))
+        self.address = ("", 0)  # of the clients' side, once it listens
 
-    async def __aenter__(self) -> Limiter:
-        self._address = await self.listener.listen("127.0.0.1", 0)
+    async def __aenter__(self) -> LoopbackLimiter:
+        self.address = await self.listener.listen("127.0.0.1", 0)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -195,11 +206,13 @@
         self.pool.close()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.open_connection(*self._address)
+        """Connect as a client."""
+        return await asyncio.open_connection(*self.address)
 
     async def fetch(self, request: bytes) -> tuple[str, dict[str, str], bytes]:
+        """Send one request on a connection of its own; returns the response."""
         reader, writer = await self.connect()
         writer.write(request)
-        answer = await read_message(reader)
+        response = await read_message(reader)
         writer.close()
-        return answer
+        return response
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -14,7 +14,7 @@
 from quota_gateway.net import admin
 from tests.admin_client import send_command, stalled_connections
 from tests.gateway_process import config, free_port, started
-from tests.loopback import Origin, listening, run
+from tests.loopback import ScriptedEndpoint, run, running_server
 
 MALFORMED_COMMANDS = (
     b"",
@@ -93,7 +93,7 @@
     async def main() -> None:
         port = free_port()
         async with (
-            listening(Origin().talk) as address,
+            running_server(ScriptedEndpoint().handle_connection) as address,
             started(config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)),
             stalled_connections(port),
         ):
@@ -109,7 +109,7 @@
 def test_nothing_is_shared_without_an_admin_address(tmp_path: Path) -> None:
     async def main() -> None:
         async with (
-            listening(Origin().talk) as address,
+            running_server(ScriptedEndpoint().handle_connection) as address,
             started(config(address), tmp_path, TMPDIR=str(tmp_path)) as program,
         ):
             assert " 200 " in await program.health()
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -13,7 +13,16 @@
 from quota_gateway import model
 from tests.client_helpers import DISCONNECTS, LATE, read_final
 from tests.http_bodies import LONG_BODY, chunked, read_body, read_head, upload, upload_head
-from tests.loopback import OK, Limiter, Script, ask, async_test, listening, read_message, send_on
+from tests.loopback import (
+    OK_RESPONSE,
+    LoopbackLimiter,
+    ScriptedDecisions,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
 
 LONG_RESPONSES = [
     b"Content-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY,
@@ -39,19 +48,19 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2 \r\n\r\nhi")
         await writer.drain()
 
-    script = Script(send_on)
-    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(forward_to_s1)
+    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
         reader, writer = await limiter.connect()
-        writer.write(ask())
+        writer.write(http_request())
         status, headers = await read_head(reader)
         assert " 200 " in status and await read_body(reader, headers) == LONG_BODY
-        (completed,) = await script.until(model.AttemptCompleted)
+        (completed,) = await script.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.OK
         assert completed.request_finished
         assert completed.charged_units == 3
         if reuses_connection:
             await asyncio.sleep(0.05)
-            writer.write(ask())
+            writer.write(http_request())
             assert (await read_message(reader))[2] == b"hi"
 
 
@@ -70,10 +79,13 @@
             await writer.drain()
             sent += len(LONG_BODY)
 
-    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    async with (
+        running_server(talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
-        writer.write(ask())
+        writer.write(http_request())
         while not any(connection._reading_paused for connection in limiter.pool.streaming_connections):
             await asyncio.sleep(0.01)
         assert sent < total  # the rest waits at the endpoint, not here
@@ -94,14 +106,14 @@
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (framing, size) + LONG_BODY[:800_000])
         await writer.drain()
 
-    script = Script(send_on)
-    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(forward_to_s1)
+    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
         reader, writer = await limiter.connect()
-        writer.write(ask())
+        writer.write(http_request())
         _, headers = await read_head(reader)
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
             await read_body(reader, headers)
-        assert len(await script.until(model.AttemptCompleted)) == 1
+        assert len(await script.wait_for(model.AttemptCompleted)) == 1
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
@@ -114,10 +126,10 @@
         _, headers = await read_head(reader)
         head_received.set()
         bodies.append(await read_body(reader, headers))
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
-    script = Script(send_on)
-    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(forward_to_s1)
+    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
         reader, writer = await limiter.connect()
         data = upload(framing, LONG_BODY)
         writer.write(data[:200_000])
@@ -143,9 +155,12 @@
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         _, headers = await read_head(reader)
         assert await read_body(reader, headers) == body
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
-    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    async with (
+        running_server(talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
         writer.write(upload("length", body))
         while not any(client.reader.body.paused for client in limiter.listener.connections):
@@ -159,14 +174,14 @@
     def reject(event: model.Event) -> list[model.Action]:
         return [model.Reject(event.id, 0.25)] if isinstance(event, model.Request) else []
 
-    script = Script(reject)
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(reject)
+    async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         data = upload("length", LONG_BODY)
         writer.write(data[:100_000])
         status, headers, _ = await read_message(reader)
         assert " 429 " in status and headers["connection"] == "close" and headers["retry-after"] == "0.250"
-        writer.write(data[100_000:] + ask())  # what follows is read and dropped, and is no request
+        writer.write(data[100_000:] + http_request())  # what follows is read and dropped, and is no request
         await writer.drain()
         assert await reader.read() == b""
         assert sum(isinstance(event, model.Request) for event in script.events) == 1
@@ -184,14 +199,14 @@
             await reader.readexactly(len(LONG_BODY))
         truncated.set()
 
-    script = Script(send_on)
-    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(forward_to_s1)
+    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
         _, writer = await limiter.connect()
         writer.write(upload("length", LONG_BODY)[:300_000])
         await head_received.wait()
         writer.close()
         await truncated.wait()
-        await script.until(model.ClientDisconnected)
+        await script.wait_for(model.ClientDisconnected)
 
 
 class PausedEndpoint:
@@ -209,12 +224,12 @@
         _, headers = await read_head(reader)
         try:
             self.body_size.set_result(len(await read_body(reader, headers)))
-            writer.write(OK)
+            writer.write(OK_RESPONSE)
         except (asyncio.IncompleteReadError, OSError, ValueError):
             self.body_size.set_result(0)
 
 
-async def upload_until_backpressure(client: socket.socket, limiter: Limiter) -> int:
+async def upload_until_backpressure(client: socket.socket, limiter: LoopbackLimiter) -> int:
     """Send a body until its end alone is unread at the limiter; returns the size of the body."""
     client.sendall(upload_head("chunked", 0, ttl=60_000))
     while not limiter.listener.connections:
@@ -243,8 +258,11 @@
 @async_test
 async def test_upload_with_an_unread_end_is_truncated_when_its_client_disconnects(disconnect: Any) -> None:
     endpoint = PausedEndpoint()
-    async with listening(endpoint.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-        client = socket.create_connection(limiter._address)
+    async with (
+        running_server(endpoint.talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
+        client = socket.create_connection(limiter.address)
         await upload_until_backpressure(client, limiter)
         disconnect(client)
         time.sleep(LATE)
@@ -255,8 +273,11 @@
 @async_test
 async def test_upload_with_an_unread_end_is_answered_when_its_client_half_closes() -> None:
     endpoint = PausedEndpoint()
-    async with listening(endpoint.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-        client = socket.create_connection(limiter._address)
+    async with (
+        running_server(endpoint.talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
+        client = socket.create_connection(limiter.address)
         size = await upload_until_backpressure(client, limiter)
         client.shutdown(socket.SHUT_WR)
         time.sleep(LATE)
@@ -274,10 +295,10 @@
         await read_head(reader)
         writer.transport.abort()
 
-    script = Script(send_on)
-    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(forward_to_s1)
+    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(upload("length", LONG_BODY)[:300_000])
         assert " 429 " in (await read_message(reader))[0]
-        (completed,) = await script.until(model.AttemptCompleted)
+        (completed,) = await script.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.RESET_BEFORE_REQUEST and not completed.may_retry
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -9,21 +9,33 @@
 from quota_gateway import model
 from quota_gateway.net import upstream_endpoint
 from tests.client_helpers import reject
-from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
+from tests.loopback import (
+    LoopbackLimiter,
+    ScriptedDecisions,
+    ScriptedEndpoint,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
 
 
 @async_test
 async def test_request_and_response_pass_through_unchanged() -> None:
     body = bytes(range(256)) * 256  # all of the 64 KiB that a body may have
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
-    origin = Origin(lambda _n: reply)
-    async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    origin = ScriptedEndpoint(lambda _n: reply)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         path = "/post?x=%20y&account=00000000b4d65521"
         status, headers, answer = await limiter.fetch(
-            ask(path, body, X_Priority_Class="post", X_Request_ID="9b1f03aa5c7e2d41")
+            http_request(path, body, X_Priority_Class="post", X_Request_ID="9b1f03aa5c7e2d41")
         )
         assert status == "HTTP/1.1 200 OK" and answer == body and headers["content-type"] == "a/b"
-        first, sent, received = origin.seen[0]
+        first, sent, received = origin.requests[0]
         assert first == f"POST {path} HTTP/1.1" and received == body
         assert sent["x-request-id"] == "9b1f03aa5c7e2d41"
         assert 0 < int(sent["x-timeout-ms"]) <= 5000
@@ -31,8 +43,8 @@
 
 @async_test
 async def test_rejection_is_immediate_and_carries_retry_after() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
-        status, headers, _ = await limiter.fetch(ask())
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
+        status, headers, _ = await limiter.fetch(http_request())
         assert status.startswith("HTTP/1.1 429") and float(headers["retry-after"]) == 0.25
 
 
@@ -52,9 +64,9 @@
             model.Fail(request_ids[0]),
         ]
 
-    async with Limiter(Script(answer_in_reverse), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(answer_in_reverse), {}) as limiter:
         reader, writer = await limiter.connect()
-        data = ask() + ask("/post?account=00000000b4d65521", b"abc") + ask()
+        data = http_request() + http_request("/post?account=00000000b4d65521", b"abc") + http_request()
         for start in range(0, len(data), 7):
             writer.write(data[start : start + 7])
             await writer.drain()
@@ -65,26 +77,29 @@
 
 @async_test
 async def test_client_disconnect_cancels_its_attempt() -> None:
-    origin = Origin(lambda _n: None)
-    script = Script(send_on)
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    origin = ScriptedEndpoint(lambda _n: None)
+    script = ScriptedDecisions(forward_to_s1)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         _, writer = await limiter.connect()
-        writer.write(ask())
-        await origin.got.wait()
+        writer.write(http_request())
+        await origin.request_received.wait()
         writer.close()
-        await script.until(model.ClientDisconnected)
-        (outcome,) = await script.until(model.AttemptCompleted)
+        await script.wait_for(model.ClientDisconnected)
+        (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status is model.CallStatus.CANCELLED and outcome.request_finished
-        await origin.left.wait()  # a cancelled attempt closes its connection
+        await origin.disconnected.wait()  # a cancelled attempt closes its connection
 
 
 @async_test
 async def test_connection_close_is_honoured_and_keep_alive_is_the_default() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         reader, writer = await limiter.connect()
-        writer.write(ask())
+        writer.write(http_request())
         assert "connection" not in (await read_message(reader))[1]
-        writer.write(ask(Connection="close"))
+        writer.write(http_request(Connection="close"))
         assert (await read_message(reader))[1]["connection"] == "close"
         assert await reader.read() == b""
 
@@ -95,21 +110,24 @@
     monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
 
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
-    origin = Origin(lambda _n: large)
-    script = Script(send_on)
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    origin = ScriptedEndpoint(lambda _n: large)
+    script = ScriptedDecisions(forward_to_s1)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         sent = 0
         clients = limiter.listener.connections
         while not any(client._write_blocked for client in clients):
-            writer.write(ask())
+            writer.write(http_request())
             sent += 1
-            await script.until(model.AttemptCompleted, sent)
-        writer.write(ask() + ask() + ask())
+            await script.wait_for(model.AttemptCompleted, sent)
+        writer.write(http_request() + http_request() + http_request())
         for _ in range(50):
             await asyncio.sleep(0)
-        assert len(await script.until(model.Request)) == sent
+        assert len(await script.wait_for(model.Request)) == sent
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(sent + 3):
             assert len((await read_message(reader))[2]) == 60_000
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -16,10 +16,20 @@
 from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.request_reader import MAX_PIPELINE
 from tests.client_helpers import DISCONNECTS, LATE, on_timer, read_final
-from tests.loopback import OK, Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
-
-
-def watch_maybe_gone(limiter: Limiter) -> asyncio.Event:
+from tests.loopback import (
+    OK_RESPONSE,
+    LoopbackLimiter,
+    ScriptedDecisions,
+    ScriptedEndpoint,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
+
+
+def watch_maybe_gone(limiter: LoopbackLimiter) -> asyncio.Event:
     """Set when the dispatcher is notified that a client may have gone."""
     notified = asyncio.Event()
     notify = limiter.dispatcher.on_client_maybe_gone
@@ -42,10 +52,13 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         await reader.read()
 
-    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    async with (
+        running_server(talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         maybe_gone = watch_maybe_gone(limiter)
         reader, writer = await limiter.connect()
-        writer.write(ask(ttl=15000))
+        writer.write(http_request(timeout_ms=15000))
         writer.write_eof()
         await maybe_gone.wait()
         release.set()
@@ -56,19 +69,22 @@
 
 @async_test
 async def test_nothing_more_is_forwarded_for_a_half_closed_client_and_it_is_rejected_at_once() -> None:
-    script = Script(lambda _event: [])
-    origin = Origin()
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         maybe_gone = watch_maybe_gone(limiter)
         reader, writer = await limiter.connect()
-        writer.write(ask(ttl=15000))
-        (event,) = await script.until(model.Request)  # it waits, as for the counter
+        writer.write(http_request(timeout_ms=15000))
+        (event,) = await script.wait_for(model.Request)  # it waits, as for the counter
         writer.write_eof()
         await maybe_gone.wait()
-        script.answer = on_timer(send_on(event))
+        script.decide = on_timer(forward_to_s1(event))
         limiter.dispatcher.dispatch(model.TimerFired(1))
         status, _, _ = await read_final(reader)
-        assert " 429 " in status and not origin.seen
+        assert " 429 " in status and not origin.requests
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
@@ -76,14 +92,14 @@
 @async_test
 async def test_disconnect_is_noticed_while_requests_wait(close_client: Any, request_count: int) -> None:
     """With a full pipeline its input is not read, and only a poll shows that it has gone."""
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
-        client = socket.create_connection(limiter._address)
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
+        client = socket.create_connection(limiter.address)
         for _ in range(request_count):
-            client.sendall(ask(ttl=60000))
-        await script.until(model.Request, request_count)
+            client.sendall(http_request(timeout_ms=60000))
+        await script.wait_for(model.Request, request_count)
         close_client(client)
-        assert len(await script.until(model.ClientDisconnected, request_count)) == request_count
+        assert len(await script.wait_for(model.ClientDisconnected, request_count)) == request_count
         assert not limiter.dispatcher.open_requests
 
 
@@ -93,8 +109,8 @@
 ) -> None:
     monkeypatch.setattr(listener, "SCAN_INTERVAL", 0.01)
 
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         polls = asyncio.Queue[None]()
         poll = ClientLiveness.poll
 
@@ -105,12 +121,12 @@
         monkeypatch.setattr(ClientLiveness, "poll", counting_poll)
         reader, writer = await limiter.connect()
         for _ in range(MAX_PIPELINE):
-            writer.write(ask(ttl=60000))
-        events = await script.until(model.Request, MAX_PIPELINE)
+            writer.write(http_request(timeout_ms=60000))
+        events = await script.wait_for(model.Request, MAX_PIPELINE)
         writer.write_eof()
         for _ in range(20):
             await polls.get()
-        script.answer = lambda _event: [model.Fail(event.id) for event in events]
+        script.decide = lambda _event: [model.Fail(event.id) for event in events]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         answers = await reader.read()
         assert answers.count(b"HTTP/1.1 100 ") == 1 and answers.count(b"HTTP/1.1 502 ") == MAX_PIPELINE
@@ -132,25 +148,25 @@
     time.sleep(LATE)
 
 
-async def keep_endpoint_connection(limiter: Limiter, monkeypatch: pytest.MonkeyPatch) -> None:
+async def keep_endpoint_connection(limiter: LoopbackLimiter, monkeypatch: pytest.MonkeyPatch) -> None:
     """Keep an endpoint connection idle, so that the next attempt is written in the step of its decision."""
     monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
-    answer = limiter.script.answer
-    limiter.script.answer = send_on
-    assert " 200 " in (await limiter.fetch(ask()))[0]
-    limiter.script.answer = answer
-    limiter.script.events.clear()
+    answer = limiter.decisions.decide
+    limiter.decisions.decide = forward_to_s1
+    assert " 200 " in (await limiter.fetch(http_request()))[0]
+    limiter.decisions.decide = answer
+    limiter.decisions.events.clear()
 
 
 async def assert_only_the_next_is_forwarded(
-    limiter: Limiter, origin: Origin, already_forwarded: int = 0
+    limiter: LoopbackLimiter, origin: ScriptedEndpoint, already_forwarded: int = 0
 ) -> None:
     """Nothing but ``already_forwarded`` requests went out before the one that is sent now."""
-    limiter.script.answer = send_on
-    request = ask()
+    limiter.decisions.decide = forward_to_s1
+    request = http_request()
     assert " 200 " in (await limiter.fetch(request))[0]
-    assert len(origin.seen) == already_forwarded + 1
-    assert origin.seen[-1][1]["x-request-id"].encode() in request
+    assert len(origin.requests) == already_forwarded + 1
+    assert origin.requests[-1][1]["x-request-id"].encode() in request
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
@@ -160,15 +176,18 @@
     close_client: Any, request_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They wait, as for the counter; with a full pipeline its input is not read either."""
-    script = Script(lambda _event: [])
-    origin = Origin()
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         await keep_endpoint_connection(limiter, monkeypatch)
-        client = socket.create_connection(limiter._address)
+        client = socket.create_connection(limiter.address)
         for _ in range(request_count):
-            client.sendall(ask(ttl=60000))
-        events = await script.until(model.Request, request_count)
-        script.answer = on_timer([action for event in events for action in send_on(event)])
+            client.sendall(http_request(timeout_ms=60000))
+        events = await script.wait_for(model.Request, request_count)
+        script.decide = on_timer([action for event in events for action in forward_to_s1(event)])
         disconnect(client, close_client)
         limiter.dispatcher.dispatch(model.TimerFired(1))
         await assert_only_the_next_is_forwarded(limiter, origin, 1)
@@ -179,16 +198,19 @@
 async def test_no_attempt_begins_for_a_client_that_left_a_response_unread(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    script = Script(lambda _event: [])
-    origin = Origin()
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         await keep_endpoint_connection(limiter, monkeypatch)
-        client = socket.create_connection(limiter._address)
-        client.sendall(ask(ttl=60000) + ask(ttl=60000))
-        first, second = await script.until(model.Request, 2)
-        script.answer = on_timer([model.Reject(first.id, 0.1)])
+        client = socket.create_connection(limiter.address)
+        client.sendall(http_request(timeout_ms=60000) + http_request(timeout_ms=60000))
+        first, second = await script.wait_for(model.Request, 2)
+        script.decide = on_timer([model.Reject(first.id, 0.1)])
         limiter.dispatcher.dispatch(model.TimerFired(1))
-        script.answer = on_timer(send_on(second))
+        script.decide = on_timer(forward_to_s1(second))
         disconnect(client, close_with_unread_input)
         limiter.dispatcher.dispatch(model.TimerFired(1))
         await assert_only_the_next_is_forwarded(limiter, origin, 1)
@@ -199,19 +221,22 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An interim response is sent to it, and what follows is not looked up in time."""
-    script = Script(lambda _event: [])
-    origin = Origin()
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         await keep_endpoint_connection(limiter, monkeypatch)
         reader, writer = await limiter.connect()
-        writer.write(ask(ttl=60000))
-        (event,) = await script.until(model.Request)
+        writer.write(http_request(timeout_ms=60000))
+        (event,) = await script.wait_for(model.Request)
         client = list(limiter.listener.connections)[-1]
         writer.write_eof()
         while not client.liveness.input_ended:
             await asyncio.sleep(0)
         time.sleep(LATE)
-        script.answer = on_timer(send_on(event))
+        script.decide = on_timer(forward_to_s1(event))
         limiter.dispatcher.dispatch(model.TimerFired(1))
         status, _, _ = await read_final(reader)
         assert " 429 " in status
@@ -225,17 +250,20 @@
 ) -> None:
     monkeypatch.setattr(client_liveness, "PRESENCE_GRACE", 10.0)  # a slow machine must not make it late
 
-    script = Script(lambda _event: [])
-    origin = Origin()
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        writer.write(ask(ttl=60000))
-        (event,) = await script.until(model.Request)
+        writer.write(http_request(timeout_ms=60000))
+        (event,) = await script.wait_for(model.Request)
         (client,) = limiter.listener.connections
         writer.write_eof()
         while not client.liveness.input_ended:
             await asyncio.sleep(0)
-        script.answer = on_timer(send_on(event))
+        script.decide = on_timer(forward_to_s1(event))
         # The connect waits for the event loop, and the confirmation would come between.
         monkeypatch.setattr(client_liveness, "RESET_WAIT", 10.0)
         limiter.dispatcher.dispatch(model.TimerFired(1))
@@ -252,7 +280,7 @@
     clients = list[socket.socket]()
 
     def fail_first(count: int) -> bytes:
-        return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if count <= request_count else OK
+        return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if count <= request_count else OK_RESPONSE
 
     def retry_errors(event: model.Event) -> list[model.Action]:
         if (
@@ -263,22 +291,25 @@
             if clients:
                 disconnect(clients.pop(), close_client)
             return [model.Forward(event.request_id, "s1", 60.0)]
-        return send_on(event)
-
-    script = Script(retry_errors)
-    origin = Origin(fail_first)
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-        client = socket.create_connection(limiter._address)
+        return forward_to_s1(event)
+
+    script = ScriptedDecisions(retry_errors)
+    origin = ScriptedEndpoint(fail_first)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        client = socket.create_connection(limiter.address)
         clients.append(client)
-        client.sendall(b"".join(ask(ttl=60000) for _ in range(request_count)))
-        outcomes = await script.until(model.AttemptCompleted, 2)
+        client.sendall(b"".join(http_request(timeout_ms=60000) for _ in range(request_count)))
+        outcomes = await script.wait_for(model.AttemptCompleted, 2)
         assert outcomes[0].status is model.CallStatus.ERROR and not clients
         while limiter.dispatcher.open_requests:
             await asyncio.sleep(0)
-        origin.reply = lambda _n: OK
-        script.answer = send_on
-        assert " 200 " in (await limiter.fetch(ask()))[0]  # behind whatever else was forwarded
-        ids = [headers["x-request-id"] for _, headers, _ in origin.seen]
+        origin.response_for = lambda _n: OK_RESPONSE
+        script.decide = forward_to_s1
+        assert " 200 " in (await limiter.fetch(http_request()))[0]  # behind whatever else was forwarded
+        ids = [headers["x-request-id"] for _, headers, _ in origin.requests]
         assert len(ids) == len(set(ids)) <= request_count + 1
 
 
@@ -309,13 +340,16 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio, name)
 
-    script = Script(send_on)
-    origin = Origin()
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(forward_to_s1)
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
-        client = socket.create_connection(limiter._address)
+        client = socket.create_connection(limiter.address)
         clients.append(client)
-        client.sendall(ask(ttl=60000))
-        (outcome,) = await script.until(model.AttemptCompleted)
+        client.sendall(http_request(timeout_ms=60000))
+        (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status in (model.CallStatus.NOT_SENT, model.CallStatus.CANCELLED)
         await assert_only_the_next_is_forwarded(limiter, origin)
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -9,7 +9,7 @@
 from quota_gateway import model
 from quota_gateway.net import client_connection, listener, request_body, request_reader
 from tests.client_helpers import POST, reject
-from tests.loopback import Limiter, Script, ask, async_test, read_message
+from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
 
 @pytest.fixture
@@ -28,16 +28,16 @@
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
 async def test_silent_and_half_sent_requests_time_out(sent: bytes, status: str) -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         patient, writer = await limiter.connect()
-        writer.write(ask())
-        (request,) = await script.until(model.Request)
+        writer.write(http_request())
+        (request,) = await script.wait_for(model.Request)
         silent, other = await limiter.connect()
         other.write(sent)
         answer = (await silent.read()).decode()
         assert (status in answer.splitlines()[0]) if status else answer == ""
-        script.answer = lambda _event: [model.Reject(request.id, 0.1)]
+        script.decide = lambda _event: [model.Reject(request.id, 0.1)]
         # An open request keeps its connection however long it takes.
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert " 429 " in (await read_message(patient))[0]
@@ -49,10 +49,10 @@
 async def test_body_in_steady_flow_may_take_longer_but_not_forever(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_body, "MIN_BODY_RATE", 10)
 
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         for size, status in ((20, " 429 "), (100, " 408 ")):
             reader, writer = await limiter.connect()
-            request = ask("/post?account=00000000b4d65521", b"x" * size)
+            request = http_request("/post?account=00000000b4d65521", b"x" * size)
             writer.write(request[:-size])
             answer = asyncio.create_task(read_message(reader))
             for _ in range(size):
@@ -65,10 +65,10 @@
 
 @async_test
 async def test_missing_body_behind_a_late_head_times_out_from_the_connect() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         for sent, times_out in ((0, True), (40_000, False)):  # one that flows keeps its time
             reader, writer = await limiter.connect()
-            request = ask("/post?account=00000000b4d65521", b"x" * 60_000)
+            request = http_request("/post?account=00000000b4d65521", b"x" * 60_000)
             writer.write(request[: len(request) - 60_000 + sent])
             while not limiter.listener.connections:
                 await asyncio.sleep(0)
@@ -90,7 +90,7 @@
 
 @async_test
 async def test_late_and_slow_first_request_times_out_from_the_connect() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         _, writer = await limiter.connect()
         while not limiter.listener.connections:
             await asyncio.sleep(0.001)
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -9,7 +9,15 @@
 
 from quota_gateway import model
 from quota_gateway.net import connection_pool
-from tests.loopback import Limiter, Script, ask, async_test, listening, read_message, send_on
+from tests.loopback import (
+    LoopbackLimiter,
+    ScriptedDecisions,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
 
 
 @async_test
@@ -41,11 +49,11 @@
     async def talk(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
-    script = Script(send_on)
-    async with listening(talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(forward_to_s1)
+    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
         monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
         reader, writer = await limiter.connect()
-        writer.write(ask(ttl=60000))
-        (outcome,) = await script.until(model.AttemptCompleted)
+        writer.write(http_request(timeout_ms=60000))
+        (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status is model.CallStatus.RESET_BEFORE_REQUEST
         assert " 429 " in (await read_message(reader))[0]
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -10,14 +10,16 @@
 from quota_gateway import model
 from quota_gateway.net.connection_closing import ConnectionCloser
 from tests.client_helpers import reject
-from tests.loopback import Limiter, Script, ask, async_test, read_message
+from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
 
 @async_test
 async def test_little_of_a_rejected_huge_body_is_discarded() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         _, writer = await limiter.connect()
-        writer.write(ask("/post?account=00000000b4d65521", b"x").replace(b"Length: 1", b"Length: 60000000"))
+        writer.write(
+            http_request("/post?account=00000000b4d65521", b"x").replace(b"Length: 1", b"Length: 60000000")
+        )
         sent = 0
         with pytest.raises(OSError):
             while sent < 60_000_000:
@@ -32,13 +34,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request between look and end meets an orderly end, as one that crosses it, and no reset."""
-    async with Limiter(Script(reject), {}) as limiter:
-        client = socket.create_connection(limiter._address)
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
+        client = socket.create_connection(limiter.address)
         has_unread_input = ConnectionCloser.has_unread_input.fget  # type: ignore[attr-defined]
 
         def send_after_look(self: ConnectionCloser) -> bool:
             unread: bool = has_unread_input(self)
-            client.sendall(ask())
+            client.sendall(http_request())
             return unread
 
         while not limiter.listener.connections:
@@ -51,14 +53,14 @@
 
 @async_test
 async def test_input_that_crosses_a_closing_response_does_not_eat_it() -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
-        client = socket.create_connection(limiter._address)
-        client.sendall(ask())
-        (event,) = await script.until(model.Request)
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
+        client = socket.create_connection(limiter.address)
+        client.sendall(http_request())
+        (event,) = await script.wait_for(model.Request)
         limiter.listener.start_draining()
         client.sendall(b"x" * 1000)  # unread when the response is written and the connection closed
-        script.answer = lambda _event: [model.Reject(event.id, 0.1)]
+        script.decide = lambda _event: [model.Reject(event.id, 0.1)]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         reader, writer = await asyncio.open_connection(sock=client)
         assert " 429 " in (await read_message(reader))[0]
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -8,30 +8,30 @@
 from quota_gateway import model
 from quota_gateway.net.client_connection import ClientConnection
 from tests.client_helpers import has_ended, reject
-from tests.loopback import Limiter, Script, ask, async_test, read_message
+from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
 
 @async_test
 async def test_full_listener_evicts_an_idle_connection() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         first, _ = await limiter.connect()
         later = [await limiter.connect() for _ in range(64)]
         assert await has_ended(first)
         reader, writer = later[-1]
-        writer.write(ask())
+        writer.write(http_request())
         assert "429" in (await read_message(reader))[0]
 
 
 @async_test
 async def test_silent_connections_are_evicted_first_and_busy_ones_stay() -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         busy, writer = await limiter.connect()
-        writer.write(ask())
-        (request,) = await script.until(model.Request)
-        script.answer = reject
+        writer.write(http_request())
+        (request,) = await script.wait_for(model.Request)
+        script.decide = reject
         usual, usual_writer = await limiter.connect()
-        usual_writer.write(ask())
+        usual_writer.write(http_request())
         await read_message(usual)
         _, half_writer = await limiter.connect()
         half_writer.write(b"GET /lo")
@@ -44,22 +44,22 @@
             assert await has_ended(reader)
         for _, silent_writer in more:  # now these send, and only the usual one is idle for longer
             silent_writer.write(b"GET /lo")
-        usual_writer.write(ask())
+        usual_writer.write(http_request())
         assert " 429 " in (await read_message(usual))[0]
-        script.answer = lambda _event: [model.Fail(request.id)]
+        script.decide = lambda _event: [model.Fail(request.id)]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert " 502 " in (await read_message(busy))[0]
 
 
 @async_test
 async def test_clients_that_send_once_and_keep_their_connection_do_not_use_up_the_limit() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         open_writers = list[asyncio.StreamWriter]()
         closed = 0
         for _ in range(60):  # of 64
             reader, writer = await limiter.connect()
             open_writers.append(writer)
-            writer.write(ask())
+            writer.write(http_request())
             _, headers, _ = await read_message(reader)
             if "connection" in headers:
                 assert await has_ended(reader)
@@ -70,18 +70,18 @@
         while limiter.listener.active_connections > 30:
             await asyncio.sleep(0)
         reader, writer = await limiter.connect()
-        writer.write(ask())
+        writer.write(http_request())
         assert "connection" not in (await read_message(reader))[1]
 
 
 @async_test
 async def test_connection_with_an_unread_request_is_not_evicted() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
-        clients = [socket.create_connection(limiter._address) for _ in range(3)]
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
+        clients = [socket.create_connection(limiter.address) for _ in range(3)]
         while len(limiter.listener.connections) < 3:
             await asyncio.sleep(0)
         limiter.listener.set_max_connections(3)
-        clients[0].sendall(ask())  # silent for longest, and unread when the next one connects
+        clients[0].sendall(http_request())  # silent for longest, and unread when the next one connects
         limiter.listener.connected(ClientConnection(limiter.listener))
         first, _ = await asyncio.open_connection(sock=clients[0])
         second, _ = await asyncio.open_connection(sock=clients[1])
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -11,10 +11,10 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net import upstream_endpoint
 from quota_gateway.net.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT, ConnectionPool
-from tests.loopback import OK, Origin, listening, read_message
+from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import ENDPOINT, PoolHarness, async_test
 
-OTHER_RESPONSE = OK.replace(b"hi", b"no")
+OTHER_RESPONSE = OK_RESPONSE.replace(b"hi", b"no")
 
 
 @async_test
@@ -57,12 +57,12 @@
 
 @async_test
 async def test_a_time_out_closes_the_connection_so_that_no_late_response_meets_the_next_request() -> None:
-    origin = Origin(lambda number: None if number == 1 else OK)
-    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+    origin = ScriptedEndpoint(lambda number: None if number == 1 else OK_RESPONSE)
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch(0.1)).status is CallStatus.TIMEOUT
-        await origin.left.wait()
+        await origin.disconnected.wait()
         assert (await harness.fetch()).status is CallStatus.OK
-        assert origin.connections == 2
+        assert origin.connection_count == 2
 
 
 @async_test
@@ -71,12 +71,12 @@
 
     async def answer_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
         await release.wait()
         writer.write(OTHER_RESPONSE)
         await reader.read()
 
-    async with listening(answer_twice) as address, PoolHarness(address) as harness:
+    async with running_server(answer_twice) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).response_body == b"hi"
         _, completed = harness.start()  # at once, before the copy has come
         release.set()
@@ -97,7 +97,7 @@
                 _, completed = harness.start()
                 server, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(server, 4096)
-                await loop.sock_sendall(server, OK)
+                await loop.sock_sendall(server, OK_RESPONSE)
                 assert (await completed).response_body == b"hi"
                 server.send(OTHER_RESPONSE)  # and no turn of the loop until the next request
 
@@ -107,26 +107,29 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
-    origin = Origin()
-    async with listening(origin.talk) as address, PoolHarness(address, idle_timeout=30.0) as harness:
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        PoolHarness(address, idle_timeout=30.0) as harness,
+    ):
         await asyncio.gather(harness.fetch(), harness.fetch())
         await harness.fetch()
-        assert origin.connections == 2
+        assert origin.connection_count == 2
         harness.set_clock(2e9 + 16.0)
         for endpoint in harness.pool._endpoints._by_name.values():
             for index, connection in enumerate(endpoint.idle):
                 connection.idle_since = 2e9 + index * 1e-6  # 16 s idle: past half of idle_timeout
         await harness.fetch()
-        assert origin.connections == 3
+        assert origin.connection_count == 3
 
 
 @async_test
 async def test_a_connection_that_the_endpoint_closes_is_not_reused() -> None:
-    closing = OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-    origin = Origin(lambda _number: closing)
-    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+    closing = OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+    origin = ScriptedEndpoint(lambda _number: closing)
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert [(await harness.fetch()).status for _ in range(2)] == [CallStatus.OK, CallStatus.OK]
-        assert origin.connections == 2
+        assert origin.connection_count == 2
 
 
 @pytest.mark.parametrize(
@@ -141,46 +144,46 @@
 async def test_draining_closes_idle_connections_and_stops_new_requests_at_once(
     drain: Callable[[ConnectionPool], None],
 ) -> None:
-    origin = Origin()
-    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+    origin = ScriptedEndpoint()
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         await harness.fetch()
         drain(harness.pool)
-        await origin.left.wait()
+        await origin.disconnected.wait()
         assert (await harness.fetch()).status is CallStatus.NOT_SENT
-        assert len(origin.seen) == 1
+        assert len(origin.requests) == 1
 
 
 @async_test
 async def test_an_endpoint_that_starts_draining_during_connecting_gets_no_request() -> None:
-    origin = Origin()
-    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+    origin = ScriptedEndpoint()
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         _, completed = harness.start()
         harness.pool.update_endpoint(ENDPOINT, address, False)
         assert (await completed).status is CallStatus.NOT_SENT
-        assert not origin.seen
+        assert not origin.requests
 
 
 @async_test
 async def test_a_new_address_gets_the_next_request() -> None:
-    old = Origin()
-    new = Origin()
+    old = ScriptedEndpoint()
+    new = ScriptedEndpoint()
     async with (
-        listening(old.talk) as old_address,
-        listening(new.talk) as new_address,
+        running_server(old.handle_connection) as old_address,
+        running_server(new.handle_connection) as new_address,
         PoolHarness(old_address) as harness,
     ):
         await harness.fetch()
         harness.pool.update_endpoint(ENDPOINT, new_address, True)
         await harness.fetch()
-        assert (len(old.seen), len(new.seen)) == (1, 1)
+        assert (len(old.requests), len(new.requests)) == (1, 1)
 
 
 @async_test
 async def test_connections_are_limited_per_endpoint_and_in_total() -> None:
-    silent = Origin(lambda _number: None)
+    silent = ScriptedEndpoint(lambda _number: None)
     limit = MAX_CONNECTIONS_PER_ENDPOINT
     async with (
-        listening(silent.talk) as address,
+        running_server(silent.handle_connection) as address,
         PoolHarness(address, max_connections=limit + 1) as harness,
     ):
         exchanges = [harness.start()[0] for _ in range(limit)]
@@ -195,8 +198,11 @@
 
 @async_test
 async def test_at_the_limit_an_idle_connection_is_evicted() -> None:
-    origin = Origin()
-    async with listening(origin.talk) as address, PoolHarness(address, max_connections=1) as harness:
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        PoolHarness(address, max_connections=1) as harness,
+    ):
         harness.pool.update_endpoint("s2", address, True)
         assert (await harness.fetch()).status is CallStatus.OK
         assert (await harness.fetch(endpoint="s2")).status is CallStatus.OK
@@ -209,10 +215,10 @@
     async def answer_when_released(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         await release.wait()
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
         await reader.read()
 
-    async with listening(answer_when_released) as address, PoolHarness(address) as harness:
+    async with running_server(answer_when_released) as address, PoolHarness(address) as harness:
         pool = harness.pool
         endpoints = pool._endpoints._by_name
         exchange, completed = harness.start()
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -12,7 +12,7 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net import counter_client
 from quota_gateway.net.counter_client import CounterClient
-from tests.loopback import listening, run
+from tests.loopback import run, running_server
 
 
 class CounterServer:
@@ -35,7 +35,7 @@
 ) -> AsyncIterator[tuple[CounterServer, asyncio.StreamWriter, CounterClient]]:
     """A client with an open connection, its server and the server's side of the connection."""
     server = CounterServer()
-    async with listening(server.serve) as address:
+    async with running_server(server.serve) as address:
         host, port = address.split(":")
         client = CounterClient(host, int(port), timeout)
         client.start()
@@ -121,7 +121,7 @@
             standby.transport.abort()
             await server.connections.get()
             other_server = CounterServer()
-            async with listening(other_server.serve) as address:
+            async with running_server(other_server.serve) as address:
                 host, port = address.split(":")
                 client.set_address(host, int(port))
                 writer = await other_server.connections.get()
@@ -202,7 +202,7 @@
 def test_move_connects_before_it_disconnects_and_results_keep_their_order() -> None:
     async def main() -> None:
         new_server = CounterServer()
-        async with connected(10.0) as (old_server, old, client), listening(new_server.serve) as address:
+        async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
             in_flight = increment(client, 7)
             await old_server.requests.get()
             host, port = address.split(":")
@@ -232,7 +232,7 @@
 def test_second_move_overtakes_the_first_and_a_dead_address_leaves_the_old_connection_active() -> None:
     async def main() -> None:
         new_server = CounterServer()
-        async with connected(10.0) as (old_server, old, client), listening(new_server.serve) as address:
+        async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
             host, port = address.split(":")
             client.set_address("127.0.0.1", 1)
             first = increment(client, 1)
@@ -267,7 +267,7 @@
             await reader.readline()
             writer.write(b"ok nan\r\n")
 
-        async with listening(serve) as address:
+        async with running_server(serve) as address:
             host, port = address.split(":")
             client = CounterClient(host, int(port), 10.0)
             client.start()
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -20,7 +20,16 @@
 from quota_gateway.net import listener
 from tests.client_helpers import on_timer, reject
 from tests.gateway_process import Program, config, free_port, started
-from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
+from tests.loopback import (
+    LoopbackLimiter,
+    ScriptedDecisions,
+    ScriptedEndpoint,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
 
 LIST_WITHIN = 6.0  # seconds from discovery's return until the limiter must use its list
 DESCRIPTORS = 256  # the smallest limit that the specification names
@@ -42,7 +51,7 @@
     """A client that connects and sends a request."""
     host, port = program._listen.split(":")
     client = socket.create_connection((host, int(port)))
-    client.sendall(ask())
+    client.sendall(http_request())
     return client
 
 
@@ -125,9 +134,12 @@
     tmp_path: Path,
 ) -> None:
     """Far more clients than the limit allows connect; a few among them send requests throughout."""
-    known = Origin()
-    listed = Origin()
-    async with listening(known.talk) as known_address, listening(listed.talk) as listed_address:
+    known = ScriptedEndpoint()
+    listed = ScriptedEndpoint()
+    async with (
+        running_server(known.handle_connection) as known_address,
+        running_server(listed.handle_connection) as listed_address,
+    ):
         peers = ReturningPeers(listed_address)
         async with started(limited_config(known_address, peers), tmp_path) as program:
             silent = await crowd_in_one_step(program)
@@ -138,7 +150,7 @@
                 max_descriptors = max(max_descriptors, open_descriptors(program))
             await peers.start()
             returned_at = asyncio.get_running_loop().time()
-            while not (peers.list_sent.is_set() and peers.counter_reached.is_set() and listed.seen):
+            while not (peers.list_sent.is_set() and peers.counter_reached.is_set() and listed.requests):
                 silent += connect_silent(program, 5)
                 await assert_served(connect_sending(program))
                 max_descriptors = max(max_descriptors, open_descriptors(program))
@@ -165,21 +177,24 @@
 
 @async_test
 async def test_lack_of_descriptors_is_no_fault_of_the_endpoint() -> None:
-    script = Script(lambda _event: [])
-    origin = Origin()
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    origin = ScriptedEndpoint()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        writer.write(ask())
-        (event,) = await script.until(model.Request)
-        script.answer = on_timer(send_on(event))
+        writer.write(http_request())
+        (event,) = await script.wait_for(model.Request)
+        script.decide = on_timer(forward_to_s1(event))
         with no_free_descriptor():
             limiter.dispatcher.dispatch(model.TimerFired(1))
-            (outcome,) = await script.until(model.AttemptCompleted)
+            (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status is model.CallStatus.NOT_SENT
         assert " 429 " in (await read_message(reader))[0]
         assert limiter.pool._endpoints.open_connections == 0
-        script.answer = send_on
-        assert " 200 " in (await limiter.fetch(ask()))[0]
+        script.decide = forward_to_s1
+        assert " 200 " in (await limiter.fetch(http_request()))[0]
         writer.close()
 
 
@@ -190,10 +205,10 @@
     """Connections are accepted once there are descriptors again, and closing does not fail."""
     monkeypatch.setattr(listener, "DESCRIPTOR_WAIT", 10.0)  # a slow machine must not make it late
 
-    async with Limiter(Script(reject), {}) as limiter:
-        clients = [socket.create_connection(limiter._address) for _ in range(3)]
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
+        clients = [socket.create_connection(limiter.address) for _ in range(3)]
         for client in clients:  # connected, and sent, before the event loop runs again
-            client.sendall(ask())
+            client.sendall(http_request())
         limiter.listener.start_draining()
         assert limiter.listener._server is not None
         server: asyncio.Server = limiter.listener._server
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -22,7 +22,7 @@
     read_request_path,
     scale_times,
 )
-from tests.loopback import listening, run
+from tests.loopback import run, running_server
 
 
 class DelayedDiscovery:
@@ -53,7 +53,7 @@
             versions.append(event.version)
             notified.set()
 
-        async with listening(old_discovery.serve) as old, listening(new_discovery.serve) as new:
+        async with running_server(old_discovery.serve) as old, running_server(new_discovery.serve) as new:
             client = DiscoveryClient(on_event)
             for address in (old, "127.0.0.1:1", new, new):  # the third overtakes the second
                 host, port = address.split(":")
@@ -99,7 +99,7 @@
         notified = asyncio.Event()
         discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], end=False)
         timing = parse_timing({"discovery": "ask", "n_instances": 200})
-        async with listening(discovery.serve) as address:
+        async with running_server(discovery.serve) as address:
             client = DiscoveryClient(
                 lambda _event: notified.set(),
                 client_count=200,
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -10,16 +10,16 @@
 from quota_gateway import model
 from quota_gateway.net.dispatcher import unix_clock
 from tests.loopback import (
-    OK,
-    Limiter,
-    Origin,
-    Script,
-    ask,
+    OK_RESPONSE,
+    LoopbackLimiter,
+    ScriptedDecisions,
+    ScriptedEndpoint,
     async_test,
-    listening,
-    listing,
+    forward_to_s1,
+    http_request,
     read_message,
-    send_on,
+    running_server,
+    watch_event,
 )
 
 
@@ -29,17 +29,20 @@
 
 @async_test
 async def test_known_endpoints_are_the_first_event_and_complete() -> None:
-    script = Script(send_on)
-    async with Limiter(script, {"s1": "127.0.0.1:1"}):
+    script = ScriptedDecisions(forward_to_s1)
+    async with LoopbackLimiter(script, {"s1": "127.0.0.1:1"}):
         assert isinstance(script.events[0], model.EndpointUpdate) and script.events[0].complete
 
 
 @async_test
 async def test_successful_request_ends_with_a_completed_attempt() -> None:
-    script = Script(send_on)
-    async with listening(Origin().talk) as address, Limiter(script, {"s1": address}) as limiter:
-        assert (await limiter.fetch(ask()))[2] == b"hi"
-        (completed,) = await script.until(model.AttemptCompleted)
+    script = ScriptedDecisions(forward_to_s1)
+    async with (
+        running_server(ScriptedEndpoint().handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        assert (await limiter.fetch(http_request()))[2] == b"hi"
+        (completed,) = await script.wait_for(model.AttemptCompleted)
         result = completed.attempt, completed.status, completed.request_finished
         assert result == (0, model.CallStatus.OK, True)
         assert limiter.dispatcher.open_requests == 0
@@ -47,12 +50,12 @@
 
 @async_test
 async def test_client_of_silent_decisions_is_answered_before_its_timeout() -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         started_at = time.monotonic()
-        assert " 504 " in (await limiter.fetch(ask(ttl=300)))[0]
+        assert " 504 " in (await limiter.fetch(http_request(timeout_ms=300)))[0]
         assert time.monotonic() - started_at > 0.2
-        await script.until(model.ClientDisconnected)  # so that the decisions forget it
+        await script.wait_for(model.ClientDisconnected)  # so that the decisions forget it
 
 
 @async_test
@@ -60,15 +63,20 @@
     def forward_with_long_timeout(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request):
             return [model.Forward(event.id, "s1", 60.0)]
-        return send_on(event)
-
-    silent = Origin(lambda _number: None)
-    script = Script(forward_with_long_timeout)
-    async with listening(silent.talk) as address, Limiter(script, {"s1": address}) as limiter:
-        assert " 429 " in (await limiter.fetch(ask(ttl=400)))[0]  # the decisions' answer to the time-out
-        (completed,) = await script.until(model.AttemptCompleted)
+        return forward_to_s1(event)
+
+    silent = ScriptedEndpoint(lambda _number: None)
+    script = ScriptedDecisions(forward_with_long_timeout)
+    async with (
+        running_server(silent.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        assert (
+            " 429 " in (await limiter.fetch(http_request(timeout_ms=400)))[0]
+        )  # the decisions' answer to the time-out
+        (completed,) = await script.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT and completed.elapsed < 0.4
-        assert int(silent.seen[0][1]["x-timeout-ms"]) < 400
+        assert int(silent.requests[0][1]["x-timeout-ms"]) < 400
 
 
 @async_test
@@ -83,11 +91,14 @@
         return []
 
     failure = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
-    failing = Origin(lambda _number: failure)
-    script = Script(retry_until_not_sent)
-    async with listening(failing.talk) as address, Limiter(script, {"s1": address}) as limiter:
-        assert " 502 " in (await limiter.fetch(ask()))[0]
-        assert len(failing.seen) == 2  # max_attempts
+    failing = ScriptedEndpoint(lambda _number: failure)
+    script = ScriptedDecisions(retry_until_not_sent)
+    async with (
+        running_server(failing.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        assert " 502 " in (await limiter.fetch(http_request()))[0]
+        assert len(failing.requests) == 2  # max_attempts
 
 
 @async_test
@@ -100,13 +111,16 @@
             model.CancelAttempt(event.id, 0), model.Forward(99, "nobody", 1.0), model.Reject(99, 0.1),
         ]  # fmt: skip
 
-    origin = Origin()
-    script = Script(answer_and_go_on)
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    origin = ScriptedEndpoint()
+    script = ScriptedDecisions(answer_and_go_on)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        writer.write(ask() + ask(Connection="close"))
+        writer.write(http_request() + http_request(Connection="close"))
         answers = (await reader.read()).count(b"HTTP/1.1 429")
-        assert answers == 2 and not origin.seen
+        assert answers == 2 and not origin.requests
 
 
 @async_test
@@ -116,13 +130,16 @@
             return [model.Forward(event.id, "s1", 5.0), model.Forward(event.id, "s2", 5.0)]
         return []
 
-    silent = Origin(lambda _number: None)
-    responsive = Origin()
-    async with listening(silent.talk) as silent_address, listening(responsive.talk) as responsive_address:
-        script = Script(hedge)
-        async with Limiter(script, {"s1": silent_address, "s2": responsive_address}) as limiter:
-            assert " 200 " in (await limiter.fetch(ask()))[0]
-            completed = await script.until(model.AttemptCompleted, 2)
+    silent = ScriptedEndpoint(lambda _number: None)
+    responsive = ScriptedEndpoint()
+    async with (
+        running_server(silent.handle_connection) as silent_address,
+        running_server(responsive.handle_connection) as responsive_address,
+    ):
+        script = ScriptedDecisions(hedge)
+        async with LoopbackLimiter(script, {"s1": silent_address, "s2": responsive_address}) as limiter:
+            assert " 200 " in (await limiter.fetch(http_request()))[0]
+            completed = await script.wait_for(model.AttemptCompleted, 2)
             attempts = {event.attempt: event for event in completed}
             assert attempts[1].status is model.CallStatus.OK and attempts[1].request_finished
             assert attempts[0].status is model.CallStatus.CANCELLED and attempts[0].request_finished
@@ -133,13 +150,16 @@
     def fail_on_posts(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request) and event.request_class == "post":
             raise ZeroDivisionError
-        return send_on(event)
-
-    script = Script(fail_on_posts)
-    async with listening(Origin().talk) as address, Limiter(script, {"s1": address}) as limiter:
-        post = ask("/post?account=00000000b4d65521", b"abc")
+        return forward_to_s1(event)
+
+    script = ScriptedDecisions(fail_on_posts)
+    async with (
+        running_server(ScriptedEndpoint().handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        post = http_request("/post?account=00000000b4d65521", b"abc")
         assert " 500 " in (await limiter.fetch(post))[0]
-        assert " 200 " in (await limiter.fetch(ask()))[0]
+        assert " 200 " in (await limiter.fetch(http_request()))[0]
     assert "the decisions failed on Request" in caplog.text
 
 
@@ -153,24 +173,27 @@
             raise ZeroDivisionError
         return [model.SetTimer(0.01, 7)] if isinstance(event, model.EndpointUpdate) else []
 
-    script = Script(fail_once)
-    async with Limiter(script, {}):
-        assert await script.until(model.TimerFired, 2) == [model.TimerFired(7)] * 2
+    script = ScriptedDecisions(fail_once)
+    async with LoopbackLimiter(script, {}):
+        assert await script.wait_for(model.TimerFired, 2) == [model.TimerFired(7)] * 2
 
 
 @pytest.mark.parametrize("complete", [True, False])
 @async_test
 async def test_draining_endpoint_gets_nothing_even_if_the_decisions_forward_to_it(complete: bool) -> None:
-    origin = Origin()
-    script = Script(send_on)
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-        assert " 200 " in (await limiter.fetch(ask()))[0]
+    origin = ScriptedEndpoint()
+    script = ScriptedDecisions(forward_to_s1)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        assert " 200 " in (await limiter.fetch(http_request()))[0]
         remaining = {} if complete else {"s1": address}
-        drained = listing(remaining, model.EndpointHealth.DRAINING, complete)
+        drained = watch_event(remaining, model.EndpointHealth.DRAINING, complete)
         limiter.dispatcher.on_watch_event(drained)
-        await origin.left.wait()
-        assert " 429 " in (await limiter.fetch(ask()))[0]
-        assert len(origin.seen) == 1
+        await origin.disconnected.wait()
+        assert " 429 " in (await limiter.fetch(http_request()))[0]
+        assert len(origin.requests) == 1
 
 
 @async_test
@@ -181,32 +204,35 @@
         return []
 
     unavailable = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-    origin = Origin(lambda number: OK if number == 1 else unavailable)
-    script = Script(check_and_count)
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-        (healthy,) = await script.until(model.HealthChecked)
+    origin = ScriptedEndpoint(lambda number: OK_RESPONSE if number == 1 else unavailable)
+    script = ScriptedDecisions(check_and_count)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        (healthy,) = await script.wait_for(model.HealthChecked)
         assert (healthy.endpoint, healthy.status) == ("s1", model.CallStatus.OK)
-        assert origin.seen[0][0] == "GET /healthz HTTP/1.1"
-        limiter.dispatcher.on_watch_event(listing({"s1": address}))
-        assert (await script.until(model.HealthChecked, 2))[1].status is model.CallStatus.ERROR
+        assert origin.requests[0][0] == "GET /healthz HTTP/1.1"
+        limiter.dispatcher.on_watch_event(watch_event({"s1": address}))
+        assert (await script.wait_for(model.HealthChecked, 2))[1].status is model.CallStatus.ERROR
         without_counter = model.CounterReplied(5, model.CallStatus.UNREACHABLE)
         assert script.events.count(without_counter) == 2
 
 
 @async_test
 async def test_disconnected_client_gets_no_answer_and_no_attempt(caplog: pytest.LogCaptureFixture) -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
-        writer.write(ask())
-        (request,) = await script.until(model.Request)
+        writer.write(http_request())
+        (request,) = await script.wait_for(model.Request)
         writer.transport.abort()  # a half-close would not do: such a client waits for its answer
-        await script.until(model.ClientDisconnected)
+        await script.wait_for(model.ClientDisconnected)
         assert not limiter.dispatcher.open_requests and not limiter.listener.open_request_ids
         too_late: list[model.Action] = [model.Reject(request.id, 0.1), model.Forward(request.id, "s1", 1.0)]
-        script.answer = lambda _event: too_late
+        script.decide = lambda _event: too_late
         limiter.dispatcher.dispatch(model.TimerFired(1))
-        assert not await script.until(model.AttemptCompleted, 0)
+        assert not await script.wait_for(model.AttemptCompleted, 0)
         while limiter.listener.connections:
             await asyncio.sleep(0)
         messages = [record.getMessage() for record in caplog.records]
@@ -215,26 +241,32 @@
 
 @async_test
 async def test_open_requests_are_answered_when_the_process_ends() -> None:
-    silent = Origin(lambda _number: None)
-    script = Script(send_on)
-    async with listening(silent.talk) as address, Limiter(script, {"s1": address}) as limiter:
+    silent = ScriptedEndpoint(lambda _number: None)
+    script = ScriptedDecisions(forward_to_s1)
+    async with (
+        running_server(silent.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        writer.write(ask())
-        await silent.got.wait()
+        writer.write(http_request())
+        await silent.request_received.wait()
         limiter.listener.start_draining()
         await limiter.listener.close(0.01)
         limiter.dispatcher.abandon_all()
         assert " 504 " in (await read_message(reader))[0]
-        await script.until(model.ClientDisconnected)
+        await script.wait_for(model.ClientDisconnected)
         await limiter.listener.close(10)
 
 
 @async_test
 async def test_charged_units_come_with_a_successful_attempt() -> None:
     response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Units-Charged: 3\r\n\r\nhi"
-    origin = Origin(lambda _number: response)
-    script = Script(send_on)
-    async with listening(origin.talk) as address, Limiter(script, {"s1": address}) as limiter:
-        assert " 200 " in (await limiter.fetch(ask()))[0]
-        (completed,) = await script.until(model.AttemptCompleted)
+    origin = ScriptedEndpoint(lambda _number: response)
+    script = ScriptedDecisions(forward_to_s1)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        assert " 200 " in (await limiter.fetch(http_request()))[0]
+        (completed,) = await script.wait_for(model.AttemptCompleted)
         assert completed.charged_units == 3.0
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -23,7 +23,7 @@
     read_request_path,
     scale_times,
 )
-from tests.loopback import listening, run
+from tests.loopback import run, running_server
 
 FLEET_SIZE = 200
 
@@ -38,7 +38,7 @@
         if len(events) >= count and len(discovery.request_paths) >= connections:
             enough.set()
 
-    async with listening(discovery.serve) as address:
+    async with running_server(discovery.serve) as address:
         host, port = address.split(":")
         task = asyncio.create_task(EndpointWatcher(host, int(port), 41, on_event).follow())
         await enough.wait()
@@ -217,7 +217,7 @@
                 await writer.drain()
                 await asyncio.sleep(0.02)
 
-        async with listening(serve) as address:
+        async with running_server(serve) as address:
             host, port = address.split(":")
             watcher = EndpointWatcher(host, int(port), 41, lambda _event: notified.set())
             watcher.answer_timeout = 0.3
@@ -272,7 +272,7 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        async with listening(ScriptedDiscovery().serve) as address:
+        async with running_server(ScriptedDiscovery().serve) as address:
             host, port = address.split(":")  # nobody listens there from the end of this block on
         fleet = [FleetMember(address, seed, time_scale) for seed in range(24)]
         await asyncio.sleep(12 * time_scale)
@@ -298,7 +298,7 @@
 
     async def main() -> None:
         discovery = QueueingDiscovery(answers_per_second=16.0)
-        async with listening(discovery.serve) as address:
+        async with running_server(discovery.serve) as address:
             queue_task = asyncio.create_task(discovery.process_queue())
             fleet = [FleetMember(address, seed, time_scale) for seed in range(40)]
             for member in fleet:
@@ -320,7 +320,7 @@
             unanswered.append(len(watcher._unanswered))
             await discovery.serve(reader, writer)
 
-        async with listening(serve) as address:
+        async with running_server(serve) as address:
             watcher = make_watcher(
                 address,
                 lambda _event: None,
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -17,12 +17,22 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.counter_client import CounterClient
 from quota_gateway.net.dispatcher import unix_clock
-from tests.loopback import OK, SETTINGS, Limiter, Origin, Script, ask, async_test, listening, listing
+from tests.loopback import (
+    OK_RESPONSE,
+    SETTINGS,
+    LoopbackLimiter,
+    ScriptedDecisions,
+    ScriptedEndpoint,
+    async_test,
+    http_request,
+    running_server,
+    watch_event,
+)
 
 LINGER_AND_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s: closing the socket resets the connection
 
 
-class RealDecisions(Script):
+class RealDecisions(ScriptedDecisions):
     """The decisions themselves, on a clock that a test may put forward."""
 
     def __init__(self, settings: model.Settings = SETTINGS) -> None:
@@ -31,12 +41,12 @@
         super().__init__(lambda event: self.gateway.handle(self.now, event))
 
 
-def decisions_in_real_time() -> Script:
+def decisions_in_real_time() -> ScriptedDecisions:
     """The decisions themselves; endpoints warm up slowly and are overloaded soon."""
     settings = replace(SETTINGS, initial_capacity=0.15, warm_up_time=15.0, overload_multiple=2.5)
     clock = unix_clock()
     gateway = Gateway(settings, 1, clock())
-    return Script(lambda event: gateway.handle(clock(), event))
+    return ScriptedDecisions(lambda event: gateway.handle(clock(), event))
 
 
 class ResettingEndpoint:
@@ -67,18 +77,20 @@
             asyncio.get_running_loop().remove_reader(listener)
 
 
-async def send_requests(limiter: Limiter, decisions: RealDecisions, number: int, interval: float) -> None:
+async def send_requests(
+    limiter: LoopbackLimiter, decisions: RealDecisions, number: int, interval: float
+) -> None:
     """Send requests one after the other; the clock of the decisions advances before each."""
     for _ in range(number):
         decisions.now += interval
-        await limiter.fetch(ask())
+        await limiter.fetch(http_request())
 
 
 @async_test
 async def test_endpoint_that_resets_new_connections_is_not_taken_as_unreachable() -> None:
     decisions = RealDecisions(replace(SETTINGS, warm_up_time=60.0))
     with resetting_endpoint() as (endpoint, address):
-        async with Limiter(decisions, {"s1": address}) as limiter:
+        async with LoopbackLimiter(decisions, {"s1": address}) as limiter:
             await send_requests(limiter, decisions, number=60, interval=0.1)
             assert endpoint.reset_count >= 20
     assert {event.status for event in decisions.events if isinstance(event, model.AttemptCompleted)} <= {
@@ -95,60 +107,60 @@
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
         self.recovered = False
-        self.silent = Origin(lambda _number: None)
-        self.breaking = Origin(lambda _number: OK if self.recovered else b"")
+        self.silent = ScriptedEndpoint(lambda _number: None)
+        self.breaking = ScriptedEndpoint(lambda _number: OK_RESPONSE if self.recovered else b"")
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         self.writers.append(writer)
         origin = self.silent if len(self.writers) < 3 else self.breaking
-        await origin.talk(reader, writer)
+        await origin.handle_connection(reader, writer)
 
     async def wait_for_silent_requests(self, number: int) -> None:
         """Wait until so many requests are kept."""
-        while len(self.silent.seen) < number:
+        while len(self.silent.requests) < number:
             await asyncio.sleep(0)
 
 
 @async_test
 async def test_endpoint_ejected_with_requests_of_two_classes_recovers_from_half_open() -> None:
     endpoint = RecoveringEndpoint()
-    healthy = Origin()
+    healthy = ScriptedEndpoint()
     async with (
-        listening(endpoint.talk) as one,
-        listening(healthy.talk) as two,
-        listening(healthy.talk) as three,
+        running_server(endpoint.talk) as one,
+        running_server(healthy.handle_connection) as two,
+        running_server(healthy.handle_connection) as three,
     ):
         decisions = RealDecisions(replace(SETTINGS, max_attempts=1))
-        async with Limiter(decisions, {"s1": one}) as limiter:
-            lookup = asyncio.create_task(limiter.fetch(ask()))
+        async with LoopbackLimiter(decisions, {"s1": one}) as limiter:
+            lookup = asyncio.create_task(limiter.fetch(http_request()))
             await endpoint.wait_for_silent_requests(1)
-            post = asyncio.create_task(limiter.fetch(ask("/post?account=00000000b4d65521", b"x")))
+            post = asyncio.create_task(limiter.fetch(http_request("/post?account=00000000b4d65521", b"x")))
             await endpoint.wait_for_silent_requests(2)
             for writer, task in zip(endpoint.writers, (lookup, post), strict=True):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 await task
-            limiter.dispatcher.on_watch_event(listing({"s1": one, "s2": two, "s3": three}))
+            limiter.dispatcher.on_watch_event(watch_event({"s1": one, "s2": two, "s3": three}))
             while not decisions.gateway.endpoints.by_name["s1"].half_open:
                 await send_requests(limiter, decisions, number=1, interval=0.1)
             endpoint.recovered = True
-            request_count = len(endpoint.breaking.seen)
+            request_count = len(endpoint.breaking.requests)
             decisions.now += 20.0
             await send_requests(limiter, decisions, number=40, interval=0.1)
-            assert len(endpoint.breaking.seen) > request_count
+            assert len(endpoint.breaking.requests) > request_count
 
 
 @async_test
 async def test_resets_common_to_all_endpoints_eject_none_of_them() -> None:
     """Of each endpoint's responses one in eight is a reset, sometimes two in a row; none of them is down."""
 
-    def resetting_origin(shift: int) -> Origin:
-        return Origin(lambda number: b"" if (number + shift) % 16 in (0, 1) else OK)
+    def resetting_origin(shift: int) -> ScriptedEndpoint:
+        return ScriptedEndpoint(lambda number: b"" if (number + shift) % 16 in (0, 1) else OK_RESPONSE)
 
-    peers = [listening(resetting_origin(shift).talk) for shift in (0, 5, 10)]
+    peers = [running_server(resetting_origin(shift).handle_connection) for shift in (0, 5, 10)]
     async with peers[0] as one, peers[1] as two, peers[2] as three:
         decisions = RealDecisions()
-        async with Limiter(decisions, {"s1": one, "s2": two, "s3": three}) as limiter:
+        async with LoopbackLimiter(decisions, {"s1": one, "s2": two, "s3": three}) as limiter:
             servers = decisions.gateway.endpoints.by_name.values()
             ejected = 0
             for _ in range(400):
@@ -167,10 +179,10 @@
         requests_received.release()
         await break_connections.wait()
 
-    async with listening(talk) as address:
+    async with running_server(talk) as address:
         decisions = RealDecisions(replace(SETTINGS, max_attempts=1))
-        async with Limiter(decisions, {"s1": address}) as limiter:
-            tasks = [asyncio.create_task(limiter.fetch(ask())) for _ in range(4)]
+        async with LoopbackLimiter(decisions, {"s1": address}) as limiter:
+            tasks = [asyncio.create_task(limiter.fetch(http_request())) for _ in range(4)]
             for _ in tasks:
                 await requests_received.acquire()
             decisions.now += 0.5
@@ -183,18 +195,21 @@
 
 @async_test
 async def test_response_after_a_single_time_out_does_not_start_a_warm_up() -> None:
-    origin = Origin(lambda number: OK if number > 1 else None)
+    origin = ScriptedEndpoint(lambda number: OK_RESPONSE if number > 1 else None)
     lookup = model.RequestClass("lookup", 0.1, 1.0, model.Idempotency.INHERENT)
     settings = replace(SETTINGS, classes=(lookup,), warm_up_time=60.0, max_attempts=1)
     decisions = RealDecisions(settings)
-    async with listening(origin.talk) as address, Limiter(decisions, {"s1": address}) as limiter:
-        task = asyncio.create_task(limiter.fetch(ask()))
-        await origin.got.wait()
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(decisions, {"s1": address}) as limiter,
+    ):
+        task = asyncio.create_task(limiter.fetch(http_request()))
+        await origin.request_received.wait()
         decisions.now += 0.5  # nothing came from the endpoint for as long as the request waited
         assert " 429 " in (await task)[0]
-        (completed,) = await decisions.until(model.AttemptCompleted)
+        (completed,) = await decisions.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT
-        assert " 200 " in (await limiter.fetch(ask()))[0]
+        assert " 200 " in (await limiter.fetch(http_request()))[0]
         assert decisions.gateway.endpoints.by_name["s1"].warming_since is None
 
 
@@ -202,35 +217,37 @@
 async def test_malformed_responses_of_all_endpoints_eject_none_of_them() -> None:
     """Counted as broken connections they made each endpoint unreachable, then warming up for 15 s."""
     malformed = b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\nhi"
-    origin = Origin(lambda number: malformed if number % 6 == 0 else OK)
-    async with listening(origin.talk) as address:
+    origin = ScriptedEndpoint(lambda number: malformed if number % 6 == 0 else OK_RESPONSE)
+    async with running_server(origin.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
-        async with Limiter(decisions_in_real_time(), addresses) as limiter:
-            answers = [(await limiter.fetch(ask()))[0] for _ in range(30)]  # within the fair share
+        async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
+            answers = [(await limiter.fetch(http_request()))[0] for _ in range(30)]  # within the fair share
             assert all(" 200 " in answer for answer in answers)  # a lookup may be retried elsewhere
 
 
 @async_test
 async def test_single_broken_connections_make_no_endpoint_unreachable() -> None:
     """Each counted as a crash, and the next response as a restart: soon all endpoints were warming up."""
-    origin = Origin(lambda number: b"" if number % 6 == 0 else OK)
-    async with listening(origin.talk) as address:
+    origin = ScriptedEndpoint(lambda number: b"" if number % 6 == 0 else OK_RESPONSE)
+    async with running_server(origin.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
-        async with Limiter(decisions_in_real_time(), addresses) as limiter:
-            answers = [(await limiter.fetch(ask()))[0] for _ in range(30)]
+        async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
+            answers = [(await limiter.fetch(http_request()))[0] for _ in range(30)]
             assert all(" 200 " in answer for answer in answers)
 
 
 @async_test
 async def test_rejected_request_fails_without_a_retry_and_is_no_failure_of_the_endpoint() -> None:
     rejection = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
-    origin = Origin(lambda number: rejection if number <= 8 else OK)
-    async with listening(origin.talk) as address:
+    origin = ScriptedEndpoint(lambda number: rejection if number <= 8 else OK_RESPONSE)
+    async with running_server(origin.handle_connection) as address:
         addresses = {"s1": address, "s2": address}
-        async with Limiter(decisions_in_real_time(), addresses) as limiter:
+        async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
             for attempts in range(1, 9):
-                assert " 502 " in (await limiter.fetch(ask()))[0] and len(origin.seen) == attempts
-            assert " 200 " in (await limiter.fetch(ask()))[0]
+                assert (
+                    " 502 " in (await limiter.fetch(http_request()))[0] and len(origin.requests) == attempts
+                )
+            assert " 200 " in (await limiter.fetch(http_request()))[0]
 
 
 class BreakingCounter:
@@ -273,15 +290,18 @@
     def advance() -> None:
         decisions.now += 0.1
 
-    async with listening(counter.talk) as counter_address, listening(Origin().talk) as address:
+    async with (
+        running_server(counter.talk) as counter_address,
+        running_server(ScriptedEndpoint().handle_connection) as address,
+    ):
         host, port = counter_address.split(":")
         client = CounterClient(host, int(port), 10.0)
         client.start()
-        async with Limiter(decisions, {"s1": address}, counter=client) as limiter:
+        async with LoopbackLimiter(decisions, {"s1": address}, counter=client) as limiter:
 
             def fetches(number: int) -> list[Awaitable[tuple[str, dict[str, str], bytes]]]:
                 paths = [f"/lookup?account={next(accounts):016x}" for _ in range(number)]
-                return [limiter.fetch(ask(path)) for path in paths]
+                return [limiter.fetch(http_request(path)) for path in paths]
 
             await counter.break_connection_under(fetches(3), advance)
             budget = decisions.gateway.leases.budget
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -8,7 +8,16 @@
 
 from quota_gateway.net.http_common import MAX_BUFFERED_BODY
 from tests.http_bodies import LONG_BODY, POST_PATH, chunked, read_body, read_head
-from tests.loopback import OK, Limiter, Script, ask, async_test, listening, read_message, send_on
+from tests.loopback import (
+    OK_RESPONSE,
+    LoopbackLimiter,
+    ScriptedDecisions,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
 
 
 @pytest.mark.parametrize(
@@ -24,8 +33,11 @@
         )
         await writer.drain()
 
-    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-        status, _, body = await limiter.fetch(ask())
+    async with (
+        running_server(talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
+        status, _, body = await limiter.fetch(http_request())
         assert " 200 " in status and body == b"hello"
 
 
@@ -45,10 +57,13 @@
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first_line, _ = await read_head(reader)
         assert first_line == "GET /lookup?account=00000000b4d65521 HTTP/1.1"
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
-    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
-        assert (await limiter.fetch(ask().replace(plain, form, 1)))[2] == b"hi"
+    async with (
+        running_server(talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
+        assert (await limiter.fetch(http_request().replace(plain, form, 1)))[2] == b"hi"
 
 
 @pytest.mark.parametrize("size", [5, 2 * MAX_BUFFERED_BODY])
@@ -57,11 +72,14 @@
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         _, headers = await read_head(reader)
         assert await read_body(reader, headers) == LONG_BODY[:size] and "expect" not in headers
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
-    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    async with (
+        running_server(talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        writer.write(ask(POST_PATH, b"x", Content_Length=str(size), Expect="100-continue")[:-1])
+        writer.write(http_request(POST_PATH, b"x", Content_Length=str(size), Expect="100-continue")[:-1])
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         writer.write(LONG_BODY[:size])
         assert (await read_message(reader))[2] == b"hi"
--- a/tests/test_idle_policy.py
+++ b/tests/test_idle_policy.py
@@ -9,14 +9,14 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net import upstream_endpoint
 from quota_gateway.net.exchange import Exchange
-from tests.loopback import OK, Origin, listening, read_message
+from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import PoolHarness, async_test
 
 
 async def break_on_reuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Answers a connection's first request and breaks at its second."""
     await read_message(reader)
-    writer.write(OK)
+    writer.write(OK_RESPONSE)
     await read_message(reader)
 
 
@@ -33,7 +33,7 @@
 @async_test
 async def test_where_idle_connections_break_on_reuse_none_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
-    async with listening(break_on_reuse) as address, PoolHarness(address) as harness:
+    async with running_server(break_on_reuse) as address, PoolHarness(address) as harness:
         results = list[CallStatus]()
         for second in range(6):  # each idle time is as long as the others, however busy this machine is
             harness.set_clock(float(second))
@@ -46,10 +46,10 @@
 async def test_only_an_immediate_break_shows_that_a_connection_was_stale(
     break_delay: float, reused: bool
 ) -> None:
-    origin = Origin()
+    origin = ScriptedEndpoint()
     async with (
-        listening(break_on_reuse) as breaking,
-        listening(origin.talk) as sound,
+        running_server(break_on_reuse) as breaking,
+        running_server(origin.handle_connection) as sound,
         PoolHarness(breaking) as harness,
     ):
         harness.pool.update_endpoint("s2", sound, True)
@@ -59,15 +59,15 @@
         await harness.fetch(endpoint="s2")
         harness.set_clock(harness.clock() + 0.18)  # over the trusted fraction of 0.2
         await harness.fetch(endpoint="s2")
-        assert origin.connections == (1 if reused else 2)
+        assert origin.connection_count == (1 if reused else 2)
 
 
 @async_test
 async def test_random_breaks_do_not_end_the_reuse_of_connections() -> None:
-    origin = Origin()
+    origin = ScriptedEndpoint()
     async with (
-        listening(break_on_reuse) as breaking,
-        listening(origin.talk) as sound,
+        running_server(break_on_reuse) as breaking,
+        running_server(origin.handle_connection) as sound,
         PoolHarness(breaking) as harness,
     ):
         harness.pool.update_endpoint("s2", sound, True)
@@ -78,4 +78,4 @@
         await harness.fetch(endpoint="s2")
         harness.set_clock(harness.clock() + 0.04)
         await harness.fetch(endpoint="s2")
-        assert origin.connections == 1
+        assert origin.connection_count == 1
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -8,10 +8,17 @@
 from pathlib import Path
 
 from tests.gateway_process import WIRE_SETTINGS, Program, config, started
-from tests.loopback import Origin, Talk, ask, listening, read_message, run
+from tests.loopback import (
+    ConnectionHandler,
+    ScriptedEndpoint,
+    http_request,
+    read_message,
+    run,
+    running_server,
+)
 
 
-def pushing_agent(endpoint: str, version: int, connected: asyncio.Queue[str]) -> Talk:
+def pushing_agent(endpoint: str, version: int, connected: asyncio.Queue[str]) -> ConnectionHandler:
     """An agent of discovery that pushes one endpoint list and then keeps the watch open."""
 
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -25,7 +32,7 @@
     return talk
 
 
-def unresponsive_counter(connected: asyncio.Queue[str]) -> Talk:
+def unresponsive_counter(connected: asyncio.Queue[str]) -> ConnectionHandler:
     """A counter that accepts connections and never responds."""
 
     async def talk(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
@@ -35,11 +42,11 @@
     return talk
 
 
-async def send_until_received(program: Program, origin: Origin) -> None:
+async def send_until_received(program: Program, origin: ScriptedEndpoint) -> None:
     """Send requests until one is forwarded to an endpoint."""
-    while not origin.seen:
+    while not origin.requests:
         reader, writer = await program.connect()
-        writer.write(ask())
+        writer.write(http_request())
         await read_message(reader)
 
 
@@ -55,15 +62,15 @@
                 await release.wait()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 
-        async with listening(talk) as endpoint, started(config(endpoint), tmp_path) as program:
+        async with running_server(talk) as endpoint, started(config(endpoint), tmp_path) as program:
             early_reader, early_writer = await program.connect()
-            early_writer.write(ask())
+            early_writer.write(http_request())
             await received.wait()
             program.process.send_signal(signal.SIGTERM)
             while " 200 " in await program.health():
                 pass
             late_reader, late_writer = await program.connect()
-            late_writer.write(ask())
+            late_writer.write(http_request())
             release.set()
             for reader in (early_reader, late_reader):
                 status, headers, body = await read_message(reader)
@@ -76,14 +83,14 @@
 
 def test_sighup_switches_to_new_addresses_and_a_malformed_file_changes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        origin = Origin()
+        origin = ScriptedEndpoint()
         connected = asyncio.Queue[str]()
         path = tmp_path / "config.json"
 
         async with (
-            listening(origin.talk) as endpoint,
-            listening(pushing_agent(endpoint, 1, connected)) as discovery,
-            listening(unresponsive_counter(connected)) as counter,
+            running_server(origin.handle_connection) as endpoint,
+            running_server(pushing_agent(endpoint, 1, connected)) as discovery,
+            running_server(unresponsive_counter(connected)) as counter,
         ):
             raw = config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
             raw["settings"] = WIRE_SETTINGS | {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
@@ -107,12 +114,12 @@
 
 def test_sigkill_and_a_restart_at_the_same_address(tmp_path: Path) -> None:
     async def main() -> None:
-        async with listening(Origin().talk) as endpoint:
+        async with running_server(ScriptedEndpoint().handle_connection) as endpoint:
             raw = config(endpoint)
             for _ in range(2):
                 async with started(raw, tmp_path) as program:
                     reader, writer = await program.connect()
-                    writer.write(ask())
+                    writer.write(http_request())
                     assert (await read_message(reader))[2] == b"hi"
                     program.process.kill()
                     assert await program.process.wait() == -signal.SIGKILL
@@ -122,11 +129,11 @@
 
 def test_a_list_from_discovery_replaces_the_initial_one(tmp_path: Path) -> None:
     async def main() -> None:
-        origin = Origin()
+        origin = ScriptedEndpoint()
         connected = asyncio.Queue[str]()
         async with (
-            listening(origin.talk) as endpoint,
-            listening(pushing_agent(endpoint, 42, connected)) as discovery,
+            running_server(origin.handle_connection) as endpoint,
+            running_server(pushing_agent(endpoint, 42, connected)) as discovery,
             started(config("127.0.0.1:1", discovery), tmp_path) as program,
         ):
             await connected.get()
@@ -151,12 +158,15 @@
         raw["settings"] = WIRE_SETTINGS | {"discovery": "ask", "n_instances": 200}
         async with started(raw, folder) as program:
             reader, writer = await program.connect()
-            writer.write(ask(ttl=10_000))
+            writer.write(http_request(timeout_ms=10_000))
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
 
     async def main() -> None:
-        async with listening(Origin().talk) as endpoint, listening(unresponsive) as discovery:
+        async with (
+            running_server(ScriptedEndpoint().handle_connection) as endpoint,
+            running_server(unresponsive) as discovery,
+        ):
             await asyncio.gather(*(start_and_send(index, endpoint, discovery) for index in range(6)))
 
     run(main())
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -10,13 +10,22 @@
 from quota_gateway import model
 from quota_gateway.net import request_reader
 from tests.client_helpers import reject
-from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, send_on
+from tests.loopback import (
+    LoopbackLimiter,
+    ScriptedDecisions,
+    ScriptedEndpoint,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
 
 
 @async_test
 async def test_health_check_succeeds_until_draining() -> None:
     request = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         assert " 200 " in (await limiter.fetch(request))[0]
         limiter.listener.start_draining()
         assert " 503 " in (await limiter.fetch(request))[0]
@@ -24,16 +33,16 @@
 
 @async_test
 async def test_draining_answers_accepted_requests_and_closes_behind_them() -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         idle, _ = await limiter.connect()
-        writer.write(ask() + ask())
-        first, second = await script.until(model.Request, 2)
+        writer.write(http_request() + http_request())
+        first, second = await script.wait_for(model.Request, 2)
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(10))
         assert await idle.read() == b""
-        script.answer = lambda _event: [model.Fail(first.id), model.Reject(second.id, 0.1)]
+        script.decide = lambda _event: [model.Fail(first.id), model.Reject(second.id, 0.1)]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert "502" in (await read_message(reader))[0]
         status, headers, _ = await read_message(reader)
@@ -43,10 +52,10 @@
 
 @async_test
 async def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
-        clients = [socket.create_connection(limiter._address) for _ in range(3)]
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
+        clients = [socket.create_connection(limiter.address) for _ in range(3)]
         for client in clients:  # connected, and sent, before the event loop runs again
-            client.sendall(ask())
+            client.sendall(http_request())
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
         for client in clients:
@@ -67,9 +76,12 @@
         writer.write(b"x" * 10_000)
         await reader.read()
 
-    async with listening(talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    async with (
+        running_server(talk) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        writer.write(ask())
+        writer.write(http_request())
         head = await reader.readuntil(b"\r\n\r\n")  # begun before the drain: it promises to stay open
         assert b"close" not in head
         limiter.listener.start_draining()
@@ -86,9 +98,9 @@
 async def test_incomplete_head_is_still_answered_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_reader, "HEAD_TIMEOUT", 0.3)
 
-    async with Limiter(Script(send_on), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(forward_to_s1), {}) as limiter:
         reader, writer = await limiter.connect()
-        writer.write(ask()[:40])
+        writer.write(http_request()[:40])
         while not any(client.reader.in_message for client in limiter.listener.connections):
             await asyncio.sleep(0)
         limiter.listener.start_draining()
@@ -100,10 +112,13 @@
 
 @async_test
 async def test_request_that_completes_at_the_very_end_is_rejected_and_not_dropped() -> None:
-    origin = Origin(lambda _n: None)
-    async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    origin = ScriptedEndpoint(lambda _n: None)
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        request = ask()
+        request = http_request()
         writer.write(request[:-2])
         while not any(client.reader.in_message for client in limiter.listener.connections):
             await asyncio.sleep(0)
@@ -115,18 +130,18 @@
         status, headers, _ = await read_message(reader)
         assert " 503 " in status
         assert headers["connection"] == "close" and headers["retry-after"] == "0.100"
-        assert not origin.seen
+        assert not origin.requests
         writer.close()
         await closing
 
 
 @async_test
 async def test_request_that_was_never_forwarded_is_rejected_at_the_end_and_not_failed() -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
-        writer.write(ask())
-        await script.until(model.Request)
+        writer.write(http_request())
+        await script.wait_for(model.Request)
         limiter.listener.start_draining()
         limiter.dispatcher.abandon_all()
         status, headers, _ = await read_message(reader)
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quota_gateway.net.load_report import parse_load_report
-from tests.loopback import Origin, listening
+from tests.loopback import ScriptedEndpoint, running_server
 from tests.pool_harness import PoolHarness, async_test, empty_response
 
 
@@ -20,6 +20,6 @@
 
 @async_test
 async def test_the_load_report_of_a_response_header_is_parsed() -> None:
-    origin = Origin(lambda _number: empty_response("200 OK", "X-Server-Load: queue=2\r\n"))
-    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+    origin = ScriptedEndpoint(lambda _number: empty_response("200 OK", "X-Server-Load: queue=2\r\n"))
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).load_report == {"queue": 2.0}
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -9,7 +9,7 @@
 from quota_gateway.net.metrics import Metrics
 from tests.admin_client import fetch_metrics, parse_metrics, send_command, stalled_connections
 from tests.gateway_process import Program, config, free_port, started
-from tests.loopback import OK, Origin, ask, listening, read_message, run
+from tests.loopback import OK_RESPONSE, ScriptedEndpoint, http_request, read_message, run, running_server
 
 
 def rendered(metrics: Metrics) -> dict[str, int]:
@@ -38,13 +38,13 @@
 
 
 def break_second_response(count: int) -> bytes:
-    return b"" if count == 2 else OK
+    return b"" if count == 2 else OK_RESPONSE
 
 
 async def request(program: Program) -> str:
     """The first line of the response to one request."""
     reader, writer = await program.connect()
-    writer.write(ask())
+    writer.write(http_request())
     status_line, _, _ = await read_message(reader)
     return status_line
 
@@ -78,7 +78,7 @@
     async def main() -> None:
         port = free_port()
         async with (
-            listening(Origin(break_second_response).talk) as address,
+            running_server(ScriptedEndpoint(break_second_response).handle_connection) as address,
             started(config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)) as program,
             stalled_connections(port),
         ):
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -15,7 +15,7 @@
 from quota_gateway.settings_parser import SettingsError, check_reloaded_settings, parse_settings
 from tests.admin_client import fetch_metrics
 from tests.gateway_process import WIRE_SETTINGS, Program, config, free_port, started
-from tests.loopback import Origin, ask, listening, read_message, run
+from tests.loopback import ScriptedEndpoint, http_request, read_message, run, running_server
 from tests.simulation import (
     IDEMPOTENT_CLASS,
     GatewaySimulation,
@@ -142,7 +142,7 @@
     async def request(self, request_class: str) -> str:
         """The first line of the response to a request of a class."""
         reader, writer = await self._program.connect()
-        writer.write(ask(f"/{request_class}?account=00000000b4d65521"))
+        writer.write(http_request(f"/{request_class}?account=00000000b4d65521"))
         status_line, _, _ = await read_message(reader)
         return status_line
 
@@ -166,7 +166,7 @@
 def test_sighup_loads_new_classes_and_nothing_of_an_invalid_file(tmp_path: Path) -> None:
     async def main() -> None:
         port = free_port()
-        async with listening(Origin().talk) as address:
+        async with running_server(ScriptedEndpoint().handle_connection) as address:
             raw = config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
             async with started(raw, tmp_path, TMPDIR=str(tmp_path)) as program:
                 await check_reloads(ReloadingLimiter(program, tmp_path / "config.json", port), raw)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -9,22 +9,35 @@
 from quota_gateway import model
 from quota_gateway.net.request_reader import MAX_PIPELINE
 from tests.client_helpers import POST, assert_rejected, reject
-from tests.loopback import Limiter, Origin, Script, ask, async_test, listening, read_message, run, send_on
+from tests.loopback import (
+    LoopbackLimiter,
+    ScriptedDecisions,
+    ScriptedEndpoint,
+    async_test,
+    forward_to_s1,
+    http_request,
+    read_message,
+    run,
+    running_server,
+)
 
 
 @async_test
 async def test_large_body_may_arrive_in_many_reads() -> None:
-    origin = Origin()
+    origin = ScriptedEndpoint()
     body = b"x" * 60_000
-    async with listening(origin.talk) as address, Limiter(Script(send_on), {"s1": address}) as limiter:
+    async with (
+        running_server(origin.handle_connection) as address,
+        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
+    ):
         reader, writer = await limiter.connect()
-        request = ask("/post?account=00000000b4d65521", body)
+        request = http_request("/post?account=00000000b4d65521", body)
         for start in range(0, len(request), 4096):
             writer.write(request[start : start + 4096])
             await writer.drain()
             await asyncio.sleep(0.001)  # so that each part is a read of its own
         assert " 200 " in (await read_message(reader))[0]
-        assert origin.seen[0][2] == body
+        assert origin.requests[0][2] == body
 
 
 @pytest.mark.parametrize(
@@ -32,20 +45,20 @@
     [
         (b"nonsense\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nX: " + b"a" * 70_000, 400),
-        (ask(X_Filler="a" * 40_000), 400),
-        (ask("/lookup?account=00000000b4d65521&x=" + "a" * 40_000), 400),
-        (ask(Content_Length="-1"), 400),
-        (ask(Content_Length="12345678901"), 400),
-        (ask(Content_Length="60000000"), 413),
-        (ask(Content_Length="1") + b"x", 400),
-        (ask().replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
-        (ask("/post?account=00000000b4d65521", b"xy", Transfer_Encoding="chunked"), 400),
+        (http_request(X_Filler="a" * 40_000), 400),
+        (http_request("/lookup?account=00000000b4d65521&x=" + "a" * 40_000), 400),
+        (http_request(Content_Length="-1"), 400),
+        (http_request(Content_Length="12345678901"), 400),
+        (http_request(Content_Length="60000000"), 413),
+        (http_request(Content_Length="1") + b"x", 400),
+        (http_request().replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
+        (http_request("/post?account=00000000b4d65521", b"xy", Transfer_Encoding="chunked"), 400),
         (POST.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n"), 400),
         (POST.replace(b"Content-Length: 2", b"Transfer-Encoding: gzip"), 400),
         (POST.replace(b"\r\n\r\n", b"\r\nContent-Length: 2\r\n\r\n"), 400),
-        (ask(Content_Length="65537") + b"x" * 65_537, 413),
-        (ask("/post?account=00000000b4d65521", b"x", Content_Length="60000000"), 413),
-        (ask().replace(b"GET", b"DELETE", 1), 405),
+        (http_request(Content_Length="65537") + b"x" * 65_537, 413),
+        (http_request("/post?account=00000000b4d65521", b"x", Content_Length="60000000"), 413),
+        (http_request().replace(b"GET", b"DELETE", 1), 405),
     ],
 )
 def test_malformed_request_is_rejected_and_affects_no_other_client(request_bytes: bytes, status: int) -> None:
@@ -54,44 +67,46 @@
 
 @async_test
 async def test_upgrade_offer_is_ignored() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         reader, writer = await limiter.connect()
-        writer.write(ask(Connection="upgrade", Upgrade="h2c") + ask())
+        writer.write(http_request(Connection="upgrade", Upgrade="h2c") + http_request())
         assert ["429" in (await read_message(reader))[0] for _ in range(2)] == [True, True]
 
 
 @async_test
 async def test_chunked_body_over_the_limit_is_rejected() -> None:
-    async with Limiter(Script(reject), {}) as limiter:
-        head = ask(Transfer_Encoding="chunked")
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
+        head = http_request(Transfer_Encoding="chunked")
         first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
         assert " 413 " in first
 
 
 @async_test
 async def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
-        writer.write(ask(X_Request_ID="00000000000000ab"))
-        (request,) = await script.until(model.Request)
-        assert " 409 " in (await limiter.fetch(ask(X_Request_ID="00000000000000AB")))[0]
-        script.answer = lambda event: reject(event) or [model.Fail(request.id)]
+        writer.write(http_request(X_Request_ID="00000000000000ab"))
+        (request,) = await script.wait_for(model.Request)
+        assert " 409 " in (await limiter.fetch(http_request(X_Request_ID="00000000000000AB")))[0]
+        script.decide = lambda event: reject(event) or [model.Fail(request.id)]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert " 502 " in (await read_message(reader))[0]
-        assert " 429 " in (await limiter.fetch(ask(X_Request_ID="00000000000000ab")))[0]  # free again
+        assert (
+            " 429 " in (await limiter.fetch(http_request(X_Request_ID="00000000000000ab")))[0]
+        )  # free again
         assert not limiter.listener.open_request_ids
 
 
 @async_test
 async def test_hundreds_of_requests_in_one_read_are_bounded() -> None:
-    script = Script(lambda _event: [])
-    async with Limiter(script, {}) as limiter:
+    script = ScriptedDecisions(lambda _event: [])
+    async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
-        writer.write(b"".join(ask() for _ in range(200)))
-        await script.until(model.Request, MAX_PIPELINE)
+        writer.write(b"".join(http_request() for _ in range(200)))
+        await script.wait_for(model.Request, MAX_PIPELINE)
         reader, other = await limiter.connect()
-        script.answer = reject
-        other.write(ask())
+        script.decide = reject
+        other.write(http_request())
         assert " 429 " in (await read_message(reader))[0]
-        assert len(await script.until(model.Request)) == MAX_PIPELINE + 1
+        assert len(await script.wait_for(model.Request)) == MAX_PIPELINE + 1
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -14,7 +14,7 @@
 from scale.stand_ins.discovery import DiscoveryStandIn, make_endpoints
 from scale.stand_ins.endpoints import EndpointsSpec, EndpointsStandIn
 from scale.stand_ins.timers import PreciseTimers
-from tests.loopback import LIMIT, run
+from tests.loopback import TIME_LIMIT, run
 
 
 async def connect(address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -114,7 +114,7 @@
         discovery.close()
 
     # On the standard loop: uvloop's timers count whole milliseconds and may fire that much early.
-    asyncio.run(asyncio.wait_for(main(), LIMIT))
+    asyncio.run(asyncio.wait_for(main(), TIME_LIMIT))
 
 
 def test_endpoints_report_their_service_time_and_whether_the_connection_is_new() -> None:
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -9,7 +9,7 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net import upstream_connection, upstream_endpoint
 from quota_gateway.net.exchange import Exchange
-from tests.loopback import OK, Origin, listening, read_message
+from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, async_test, empty_response
 
 HUGE_BODY = b"x" * 32_000_000  # more than the sockets' buffers hold
@@ -18,8 +18,8 @@
 @pytest.mark.parametrize(
     ("response", "status"),
     [
-        (OK, CallStatus.OK),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, CallStatus.OK),
+        (OK_RESPONSE, CallStatus.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK_RESPONSE, CallStatus.OK),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", CallStatus.OK),
         (empty_response("500 Error"), CallStatus.ERROR),
         (empty_response("404 Not Found"), CallStatus.REJECTED),
@@ -54,7 +54,10 @@
 )
 @async_test
 async def test_each_ending_has_its_status(response: bytes, status: CallStatus) -> None:
-    async with listening(Origin(lambda _number: response).talk) as address, PoolHarness(address) as harness:
+    async with (
+        running_server(ScriptedEndpoint(lambda _number: response).handle_connection) as address,
+        PoolHarness(address) as harness,
+    ):
         exchange = await harness.fetch(0.3 if status is CallStatus.TIMEOUT else 10.0)
         assert exchange.status is status
         assert exchange.response_body == (b"hi" if status is CallStatus.OK else b"")
@@ -71,7 +74,7 @@
         accepted.set()
         await break_connection.wait()
 
-    async with listening(accept_and_break) as address, PoolHarness(address) as harness:
+    async with running_server(accept_and_break) as address, PoolHarness(address) as harness:
         exchange, completed = harness.start(body=HUGE_BODY)
         await accepted.wait()
         assert not exchange.request_written
@@ -83,10 +86,10 @@
 async def test_a_response_before_the_request_is_complete_is_none() -> None:
     async def answer_unread(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         reader._transport.pause_reading()  # type: ignore[attr-defined]
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
         await asyncio.Event().wait()
 
-    async with listening(answer_unread) as address, PoolHarness(address) as harness:
+    async with running_server(answer_unread) as address, PoolHarness(address) as harness:
         _, completed = harness.start(body=HUGE_BODY)
         assert (await completed).status is CallStatus.RESET_BEFORE_REQUEST
 
@@ -98,8 +101,8 @@
 ) -> None:
     monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", settle_delay)
     surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
-    origin = Origin(lambda number: OK + surplus if number == 1 else OK)
-    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+    origin = ScriptedEndpoint(lambda number: OK_RESPONSE + surplus if number == 1 else OK_RESPONSE)
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         bodies = list[bytes]()
         finished = asyncio.Event()
 
@@ -116,7 +119,7 @@
 
         start_exchange()
         await finished.wait()
-        assert bodies == [b"hi", b"hi"] and origin.connections == 2
+        assert bodies == [b"hi", b"hi"] and origin.connection_count == 2
 
 
 @pytest.mark.parametrize(
@@ -132,7 +135,10 @@
     incomplete: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP", 0.05)
-    async with listening(Origin(lambda _number: incomplete).talk) as address, PoolHarness(address) as harness:
+    async with (
+        running_server(ScriptedEndpoint(lambda _number: incomplete).handle_connection) as address,
+        PoolHarness(address) as harness,
+    ):
         assert (await harness.fetch()).status is CallStatus.ERROR  # well before it expires
 
 
@@ -144,10 +150,10 @@
         await read_message(reader)
         writer.write(b"HTTP/1.1 103 Early Hints\r\n\r\n")
         await asyncio.sleep(0.1)
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
         await reader.read()
 
-    async with listening(answer_late) as address, PoolHarness(address) as harness:
+    async with running_server(answer_late) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).status is CallStatus.OK
 
 
@@ -156,6 +162,6 @@
 )
 @async_test
 async def test_charged_units_are_read_where_they_are_a_number(value: str, charged: float | None) -> None:
-    origin = Origin(lambda _number: empty_response("200 OK", f"X-Units-Charged: {value}\r\n"))
-    async with listening(origin.talk) as address, PoolHarness(address) as harness:
+    origin = ScriptedEndpoint(lambda _number: empty_response("200 OK", f"X-Units-Charged: {value}\r\n"))
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).charged_units == charged
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -32,8 +32,8 @@
 from quota_gateway.net.process_group import ProcessGroup
 from quota_gateway.net.watch_event import WatchEvent
 from quota_gateway.settings_parser import Timing, check_reloaded_settings, parse_settings, parse_timing
-from tests.loopback import SETTINGS, Limiter, Script, listening, run, send_on
-from tests.loopback import listing as listing_of
+from tests.loopback import SETTINGS, LoopbackLimiter, ScriptedDecisions, forward_to_s1, run, running_server
+from tests.loopback import watch_event as listing_of
 
 ROOT = Path(__file__).parent.parent
 OTHER = "process-31-0a1b2c3d"  # the file of a process of another version
@@ -320,7 +320,7 @@
             writer.write(b"%x\r\n%b\r\n" % (len(line), line))
             await asyncio.Event().wait()
 
-        async with listening(agent) as address:
+        async with running_server(agent) as address:
             host, port = address.split(":")
             task = asyncio.create_task(EndpointWatcher(host, int(port), since, told.put_nowait).follow())
             assert await told.get() == WatchEvent(58, model.EndpointUpdate(entries, False), dials)
@@ -336,7 +336,9 @@
         heads, served = list[bytes](), asyncio.Queue[None]()
 
         def decide(event: model.Event) -> list[model.Action]:
-            return [model.CheckHealth("s1")] if isinstance(event, model.EndpointUpdate) else send_on(event)
+            return (
+                [model.CheckHealth("s1")] if isinstance(event, model.EndpointUpdate) else forward_to_s1(event)
+            )
 
         async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -350,7 +352,10 @@
             b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
             b"X-Timeout-Ms: 5000\r\nX-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\n%b\r\n"
         )
-        async with listening(talk) as dial, Limiter(Script(decide), {"s1": dial}) as limiter:
+        async with (
+            running_server(talk) as dial,
+            LoopbackLimiter(ScriptedDecisions(decide), {"s1": dial}) as limiter,
+        ):
             await served.get()
             limiter.dispatcher.settings = replace(SETTINGS, load_in_health_check=True)
             limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
