--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -12,7 +12,7 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net import counter_client
 from quota_gateway.net.counter_client import CounterClient
-from tests.loopback import run, running_server
+from tests.loopback import async_test, running_server
 
 
 class CounterServer:
@@ -54,119 +54,107 @@
     return result
 
 
-def test_calls_are_pipelined_and_answered_in_order() -> None:
-    async def main() -> None:
-        async with connected(10.0) as (server, writer, client):
-            results = [
-                increment(client, 7, -2.5),
-                increment(client, 8),
-                increment(client, 9),
-                increment(client, 10),
-            ]
-            assert await server.requests.get() == b"tally 7 -2.500000 4000\r\n"
-            for _ in range(3):
-                await server.requests.get()
-            for chunk in (b"ok 1", b"2.5\r", b"\nbusy\r\ner", b"ror\r\nok 3e2\r\n"):
-                writer.write(chunk)
-                await asyncio.sleep(0)
-            assert [await result for result in results] == [
-                (CallStatus.OK, 12.5),
-                (CallStatus.OVERLOADED, 0.0),
-                (CallStatus.ERROR, 0.0),
-                (CallStatus.OK, 300.0),
-            ]
-
-    run(main())
-
-
-def test_timed_out_call_keeps_its_place_in_the_pipeline(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def main() -> None:
-        async with connected(0.05) as (server, writer, client):
-            # The connection is slow, not unresponsive.
-            monkeypatch.setattr(client, "_fail_over_from_unresponsive", lambda _call: None)
-            assert await increment(client, 1) == (CallStatus.TIMEOUT, 0.0)
-            client.set_timeout(10.0)
-            second = increment(client, 2)
-            for _ in range(2):
-                await server.requests.get()
-            writer.write(b"ok 1\r\nok 2\r\n")
-            assert await second == (CallStatus.OK, 2.0)
-
-    run(main())
-
-
-def test_unresponsive_connection_is_replaced_by_the_standby() -> None:
-    async def main() -> None:
-        async with connected(0.05) as (server, _unresponsive, client):
-            standby = await server.connections.get()  # opened before any call
-            while client._standby is None:
-                await asyncio.sleep(0.001)
-            timed_out = increment(client, 1)
+@async_test
+async def test_calls_are_pipelined_and_answered_in_order() -> None:
+    async with connected(10.0) as (server, writer, client):
+        results = [
+            increment(client, 7, -2.5),
+            increment(client, 8),
+            increment(client, 9),
+            increment(client, 10),
+        ]
+        assert await server.requests.get() == b"tally 7 -2.500000 4000\r\n"
+        for _ in range(3):
             await server.requests.get()
-            assert await timed_out == (CallStatus.TIMEOUT, 0.0)
-            client.set_timeout(10.0)
-            served = increment(client, 1)
+        for chunk in (b"ok 1", b"2.5\r", b"\nbusy\r\ner", b"ror\r\nok 3e2\r\n"):
+            writer.write(chunk)
+            await asyncio.sleep(0)
+        assert [await result for result in results] == [
+            (CallStatus.OK, 12.5),
+            (CallStatus.OVERLOADED, 0.0),
+            (CallStatus.ERROR, 0.0),
+            (CallStatus.OK, 300.0),
+        ]
+
+
+@async_test
+async def test_timed_out_call_keeps_its_place_in_the_pipeline(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with connected(0.05) as (server, writer, client):
+        # The connection is slow, not unresponsive.
+        monkeypatch.setattr(client, "_fail_over_from_unresponsive", lambda _call: None)
+        assert await increment(client, 1) == (CallStatus.TIMEOUT, 0.0)
+        client.set_timeout(10.0)
+        second = increment(client, 2)
+        for _ in range(2):
             await server.requests.get()
-            standby.write(b"ok 2\r\n")  # before the unresponsive connection is closed
-            assert await served == (CallStatus.OK, 2.0)
-            await server.connections.get()  # the next standby
-
-    run(main())
-
-
-def test_standby_is_replaced_when_lost_and_follows_the_address() -> None:
-    async def main() -> None:
-        async with connected(10.0) as (server, _active, client):
-            standby = await server.connections.get()
-            standby.transport.abort()
-            await server.connections.get()
-            other_server = CounterServer()
-            async with running_server(other_server.serve) as address:
-                host, port = address.split(":")
-                client.set_address(host, int(port))
-                writer = await other_server.connections.get()
-                await other_server.connections.get()
-                served = increment(client, 5)
-                await other_server.requests.get()
-                writer.write(b"ok 9\r\n")
-                assert await served == (CallStatus.OK, 9.0)
-
-    run(main())
-
-
-def test_lost_connection_resets_written_calls_and_spares_unsent_ones() -> None:
-    async def main() -> None:
-        async with connected(10.0) as (server, writer, client):
-            written = increment(client, 1)
-            await server.requests.get()
-            connection = client._active
-            assert connection is not None
-            connection.pause_writing()  # as with a full socket buffer
-            partly_written = increment(client, 2)
-            connection.resume_writing()
-            connection.pause_writing()
-            unsent = increment(client, 3)
-            await server.requests.get()
-            writer.transport.abort()
-            assert (await written)[0] is CallStatus.RESET_AFTER_REQUEST
-            # The last request that was handed over while writing was paused.
-            assert (await partly_written)[0] is CallStatus.UNREACHABLE
-            writer = await server.connections.get()  # reconnected at once
-            assert (await server.requests.get()).startswith(b"tally 3 ")
-            writer.write(b"ok 4\r\n")
-            assert await unsent == (CallStatus.OK, 4.0)
-
-    run(main())
-
-
-def test_call_without_a_connection_times_out_unsent() -> None:
-    async def main() -> None:
-        client = CounterClient("127.0.0.1", 1, 0.05)
-        client.start()
-        assert await increment(client, 1) == (CallStatus.UNREACHABLE, 0.0)
-        client.close()
-
-    run(main())
+        writer.write(b"ok 1\r\nok 2\r\n")
+        assert await second == (CallStatus.OK, 2.0)
+
+
+@async_test
+async def test_unresponsive_connection_is_replaced_by_the_standby() -> None:
+    async with connected(0.05) as (server, _unresponsive, client):
+        standby = await server.connections.get()  # opened before any call
+        while client._standby is None:
+            await asyncio.sleep(0.001)
+        timed_out = increment(client, 1)
+        await server.requests.get()
+        assert await timed_out == (CallStatus.TIMEOUT, 0.0)
+        client.set_timeout(10.0)
+        served = increment(client, 1)
+        await server.requests.get()
+        standby.write(b"ok 2\r\n")  # before the unresponsive connection is closed
+        assert await served == (CallStatus.OK, 2.0)
+        await server.connections.get()  # the next standby
+
+
+@async_test
+async def test_standby_is_replaced_when_lost_and_follows_the_address() -> None:
+    async with connected(10.0) as (server, _active, client):
+        standby = await server.connections.get()
+        standby.transport.abort()
+        await server.connections.get()
+        other_server = CounterServer()
+        async with running_server(other_server.serve) as address:
+            host, port = address.split(":")
+            client.set_address(host, int(port))
+            writer = await other_server.connections.get()
+            await other_server.connections.get()
+            served = increment(client, 5)
+            await other_server.requests.get()
+            writer.write(b"ok 9\r\n")
+            assert await served == (CallStatus.OK, 9.0)
+
+
+@async_test
+async def test_lost_connection_resets_written_calls_and_spares_unsent_ones() -> None:
+    async with connected(10.0) as (server, writer, client):
+        written = increment(client, 1)
+        await server.requests.get()
+        connection = client._active
+        assert connection is not None
+        connection.pause_writing()  # as with a full socket buffer
+        partly_written = increment(client, 2)
+        connection.resume_writing()
+        connection.pause_writing()
+        unsent = increment(client, 3)
+        await server.requests.get()
+        writer.transport.abort()
+        assert (await written)[0] is CallStatus.RESET_AFTER_REQUEST
+        # The last request that was handed over while writing was paused.
+        assert (await partly_written)[0] is CallStatus.UNREACHABLE
+        writer = await server.connections.get()  # reconnected at once
+        assert (await server.requests.get()).startswith(b"tally 3 ")
+        writer.write(b"ok 4\r\n")
+        assert await unsent == (CallStatus.OK, 4.0)
+
+
+@async_test
+async def test_call_without_a_connection_times_out_unsent() -> None:
+    client = CounterClient("127.0.0.1", 1, 0.05)
+    client.start()
+    assert await increment(client, 1) == (CallStatus.UNREACHABLE, 0.0)
+    client.close()
 
 
 @pytest.mark.parametrize(
@@ -181,101 +169,90 @@
         b"ok 1_0\r\n",
     ],
 )
-def test_malformed_answer_fails_calls_in_flight_and_a_new_connection_serves(answer: bytes) -> None:
-    async def main() -> None:
-        async with connected(10.0) as (server, writer, client):
-            first = increment(client, 1)
-            second = increment(client, 2)
-            for _ in range(2):
-                await server.requests.get()
-            writer.write(answer + b"ok 5\r\n" * answer.endswith(b"\n"))  # must not answer the second call
-            assert [await first, await second] == [(CallStatus.MALFORMED, 0.0)] * 2
-            third = increment(client, 3)  # sent on the new connection
-            writer = await server.connections.get()
-            assert (await server.requests.get()).startswith(b"tally 3 ")
-            writer.write(b"ok 7\r\n")
-            assert await third == (CallStatus.OK, 7.0)
-
-    run(main())
-
-
-def test_move_connects_before_it_disconnects_and_results_keep_their_order() -> None:
-    async def main() -> None:
-        new_server = CounterServer()
-        async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
-            in_flight = increment(client, 7)
-            await old_server.requests.get()
-            host, port = address.split(":")
-            client.set_address(host, int(port))
-            during = increment(client, 8)  # the new connection is not open: the old one still serves
-            assert (await old_server.requests.get()).startswith(b"tally 8 ")
-            new = await new_server.connections.get()
-            while client._active is None or client._active.address[1] != int(port):
-                await asyncio.sleep(0.001)
-            later = increment(client, 7)
-            other = increment(client, 9)
-            assert (await new_server.requests.get()).startswith(b"tally 7 ")
-            await new_server.requests.get()
-            new.write(b"ok 2\r\nok 9\r\n")
-            assert await other == (CallStatus.OK, 9.0)
-            assert not later.done()  # an earlier call for this counter is in flight on the old connection
-            old.write(b"ok 1\r\nok 8\r\n")
-            results = [await in_flight, await later, await during]
-            assert results == [(CallStatus.OK, 1.0), (CallStatus.OK, 2.0), (CallStatus.OK, 8.0)]
-            assert not client._order
-            while client._draining:  # and the old connection closes by itself
-                await asyncio.sleep(0.001)
-
-    run(main())
-
-
-def test_second_move_overtakes_the_first_and_a_dead_address_leaves_the_old_connection_active() -> None:
-    async def main() -> None:
-        new_server = CounterServer()
-        async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
-            host, port = address.split(":")
-            client.set_address("127.0.0.1", 1)
-            first = increment(client, 1)
-            await old_server.requests.get()
-            old.write(b"ok 1\r\n")
-            assert await first == (CallStatus.OK, 1.0)
-            client.set_address("127.0.0.1", 2)
-            client.set_address(host, int(port))
-            (await new_server.connections.get()).write(b"")
-
-    run(main())
-
-
-def test_idle_connection_is_pinged_and_an_unresponsive_one_replaced(
+@async_test
+async def test_malformed_answer_fails_calls_in_flight_and_a_new_connection_serves(answer: bytes) -> None:
+    async with connected(10.0) as (server, writer, client):
+        first = increment(client, 1)
+        second = increment(client, 2)
+        for _ in range(2):
+            await server.requests.get()
+        writer.write(answer + b"ok 5\r\n" * answer.endswith(b"\n"))  # must not answer the second call
+        assert [await first, await second] == [(CallStatus.MALFORMED, 0.0)] * 2
+        third = increment(client, 3)  # sent on the new connection
+        writer = await server.connections.get()
+        assert (await server.requests.get()).startswith(b"tally 3 ")
+        writer.write(b"ok 7\r\n")
+        assert await third == (CallStatus.OK, 7.0)
+
+
+@async_test
+async def test_move_connects_before_it_disconnects_and_results_keep_their_order() -> None:
+    new_server = CounterServer()
+    async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
+        in_flight = increment(client, 7)
+        await old_server.requests.get()
+        host, port = address.split(":")
+        client.set_address(host, int(port))
+        during = increment(client, 8)  # the new connection is not open: the old one still serves
+        assert (await old_server.requests.get()).startswith(b"tally 8 ")
+        new = await new_server.connections.get()
+        while client._active is None or client._active.address[1] != int(port):
+            await asyncio.sleep(0.001)
+        later = increment(client, 7)
+        other = increment(client, 9)
+        assert (await new_server.requests.get()).startswith(b"tally 7 ")
+        await new_server.requests.get()
+        new.write(b"ok 2\r\nok 9\r\n")
+        assert await other == (CallStatus.OK, 9.0)
+        assert not later.done()  # an earlier call for this counter is in flight on the old connection
+        old.write(b"ok 1\r\nok 8\r\n")
+        results = [await in_flight, await later, await during]
+        assert results == [(CallStatus.OK, 1.0), (CallStatus.OK, 2.0), (CallStatus.OK, 8.0)]
+        assert not client._order
+        while client._draining:  # and the old connection closes by itself
+            await asyncio.sleep(0.001)
+
+
+@async_test
+async def test_second_move_overtakes_the_first_and_a_dead_address_leaves_the_old_connection_active() -> None:
+    new_server = CounterServer()
+    async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
+        host, port = address.split(":")
+        client.set_address("127.0.0.1", 1)
+        first = increment(client, 1)
+        await old_server.requests.get()
+        old.write(b"ok 1\r\n")
+        assert await first == (CallStatus.OK, 1.0)
+        client.set_address("127.0.0.1", 2)
+        client.set_address(host, int(port))
+        (await new_server.connections.get()).write(b"")
+
+
+@async_test
+async def test_idle_connection_is_pinged_and_an_unresponsive_one_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(counter_client, "CHECK_INTERVAL", 0.01)
     monkeypatch.setattr(counter_client, "PING_INTERVAL", 0.02)
     monkeypatch.setattr(counter_client, "UNRESPONSIVE_TIMEOUTS", 0.01)
+    async with connected(10.0) as (server, _, _):
+        assert await server.requests.get() == b"ping\r\n"
+        await server.connections.get()  # no pong was sent: a new connection
 
-    async def main() -> None:
-        async with connected(10.0) as (server, _, _):
-            assert await server.requests.get() == b"ping\r\n"
-            await server.connections.get()  # no pong was sent: a new connection
 
-    run(main())
+@async_test
+async def test_malformed_answers_are_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readline()
+        writer.write(b"ok nan\r\n")
 
-
-def test_malformed_answers_are_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    async def main() -> None:
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readline()
-            writer.write(b"ok nan\r\n")
-
-        async with running_server(serve) as address:
-            host, port = address.split(":")
-            client = CounterClient(host, int(port), 10.0)
-            client.start()
-            for counter_id in range(3):
-                assert (await increment(client, counter_id))[0] is CallStatus.MALFORMED
-            client.close()
-
-    run(main())
+    async with running_server(serve) as address:
+        host, port = address.split(":")
+        client = CounterClient(host, int(port), 10.0)
+        client.start()
+        for counter_id in range(3):
+            assert (await increment(client, counter_id))[0] is CallStatus.MALFORMED
+        client.close()
     assert sum("malformed answer of the counter" in record.getMessage() for record in caplog.records) == 1
 
 
@@ -283,31 +260,27 @@
     ("timeout", "waited", "closed"),
     [(0.03, 0.1, False), (0.03, 0.4, True), (0.2, 1.5, False), (0.2, 2.5, True), (0.005, 0.1, True)],
 )
-def test_connection_with_a_call_in_flight_for_many_timeouts_is_closed(
+@async_test
+async def test_connection_with_a_call_in_flight_for_many_timeouts_is_closed(
     timeout: float, waited: float, closed: bool
 ) -> None:
-    async def main() -> None:
-        async with connected(timeout) as (_, _, client):
-            client.increment(1, 1.0, 10.0, lambda _status, _total: None)
-            while (connection := client._active) is None or not connection.in_flight:
-                await asyncio.sleep(0.001)
-            connection.in_flight[0].sent_at -= waited
-            assert client._check_timer is not None
-            client._check_timer.cancel()
-            client._check()
-            assert connection.usable is not closed
-
-    run(main())
-
-
-def test_failed_connects_are_retried_with_backoff() -> None:
-    async def main() -> None:
-        client = CounterClient("127.0.0.1", 1, 0.05, Random(1))  # nobody listens there
-        client.start()
-        connector = client._connector
-        while connector.consecutive_failures < 4:
-            await asyncio.sleep(0.01)
-        assert connector.next_attempt_at - connector.last_attempt_at >= 0.4
-        client.close()
-
-    run(main())
+    async with connected(timeout) as (_, _, client):
+        client.increment(1, 1.0, 10.0, lambda _status, _total: None)
+        while (connection := client._active) is None or not connection.in_flight:
+            await asyncio.sleep(0.001)
+        connection.in_flight[0].sent_at -= waited
+        assert client._check_timer is not None
+        client._check_timer.cancel()
+        client._check()
+        assert connection.usable is not closed
+
+
+@async_test
+async def test_failed_connects_are_retried_with_backoff() -> None:
+    client = CounterClient("127.0.0.1", 1, 0.05, Random(1))  # nobody listens there
+    client.start()
+    connector = client._connector
+    while connector.consecutive_failures < 4:
+        await asyncio.sleep(0.01)
+    assert connector.next_attempt_at - connector.last_attempt_at >= 0.4
+    client.close()
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -22,7 +22,7 @@
     read_request_path,
     scale_times,
 )
-from tests.loopback import run, running_server
+from tests.loopback import async_test, running_server
 
 
 class DelayedDiscovery:
@@ -42,36 +42,34 @@
         await asyncio.Event().wait()
 
 
-def test_move_follows_the_old_address_until_the_new_one_has_sent_an_event() -> None:
-    async def main() -> None:
-        old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], end=False)
-        new_discovery = DelayedDiscovery()
-        versions = list[int]()
-        notified = asyncio.Event()
-
-        def on_event(event: WatchEvent) -> None:
-            versions.append(event.version)
-            notified.set()
-
-        async with running_server(old_discovery.serve) as old, running_server(new_discovery.serve) as new:
-            client = DiscoveryClient(on_event)
-            for address in (old, "127.0.0.1:1", new, new):  # the third overtakes the second
-                host, port = address.split(":")
-                client.set_address(host, int(port), 41 if address == old else None)
-                if address == old:
-                    await notified.wait()
-            await new_discovery.polled.wait()
-            assert client._established is not None and not client._established.cancelled()
-            old_watch = client._established
-            notified.clear()
-            new_discovery.may_answer.set()
-            await notified.wait()
-            assert versions == [57, 3] and new_discovery.request_paths == ["/v1/servers?follow=1"]
-            await asyncio.wait([old_watch])
-            assert old_watch.cancelled()
-            client.close()
-
-    run(main())
+@async_test
+async def test_move_follows_the_old_address_until_the_new_one_has_sent_an_event() -> None:
+    old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], end=False)
+    new_discovery = DelayedDiscovery()
+    versions = list[int]()
+    notified = asyncio.Event()
+
+    def on_event(event: WatchEvent) -> None:
+        versions.append(event.version)
+        notified.set()
+
+    async with running_server(old_discovery.serve) as old, running_server(new_discovery.serve) as new:
+        client = DiscoveryClient(on_event)
+        for address in (old, "127.0.0.1:1", new, new):  # the third overtakes the second
+            host, port = address.split(":")
+            client.set_address(host, int(port), 41 if address == old else None)
+            if address == old:
+                await notified.wait()
+        await new_discovery.polled.wait()
+        assert client._established is not None and not client._established.cancelled()
+        old_watch = client._established
+        notified.clear()
+        new_discovery.may_answer.set()
+        await notified.wait()
+        assert versions == [57, 3] and new_discovery.request_paths == ["/v1/servers?follow=1"]
+        await asyncio.wait([old_watch])
+        assert old_watch.cancelled()
+        client.close()
 
 
 @pytest.fixture
@@ -87,33 +85,30 @@
     return recorded
 
 
-def test_move_after_consecutive_failures_polls_the_new_address_without_their_backoff(
+@async_test
+async def test_move_after_consecutive_failures_polls_the_new_address_without_their_backoff(
     monkeypatch: pytest.MonkeyPatch, failures: list[int]
 ) -> None:
     """The new address must be known 4 s after the signal, however long polls of the old one have failed."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
-
-    async def main() -> None:
-        loop = asyncio.get_running_loop()
-        notified = asyncio.Event()
-        discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], end=False)
-        timing = parse_timing({"discovery": "ask", "n_instances": 200})
-        async with running_server(discovery.serve) as address:
-            client = DiscoveryClient(
-                lambda _event: notified.set(),
-                client_count=200,
-                rng=Random(3),
-                answer_timeout=timing.answer_timeout * time_scale,
-                max_poll_interval=timing.max_poll_interval * time_scale,
-            )
-            client.set_address("127.0.0.1", 1, 41)
-            while max(failures, default=0) < 3:
-                await asyncio.sleep(0.01)
-            moved_at = loop.time()
-            client.set_address(*split_address(address))
-            await notified.wait()
-            assert failures[-1] == 0 and loop.time() - moved_at < 4 * time_scale
-            client.close()
-
-    run(main())
+    loop = asyncio.get_running_loop()
+    notified = asyncio.Event()
+    discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], end=False)
+    timing = parse_timing({"discovery": "ask", "n_instances": 200})
+    async with running_server(discovery.serve) as address:
+        client = DiscoveryClient(
+            lambda _event: notified.set(),
+            client_count=200,
+            rng=Random(3),
+            answer_timeout=timing.answer_timeout * time_scale,
+            max_poll_interval=timing.max_poll_interval * time_scale,
+        )
+        client.set_address("127.0.0.1", 1, 41)
+        while max(failures, default=0) < 3:
+            await asyncio.sleep(0.01)
+        moved_at = loop.time()
+        client.set_address(*split_address(address))
+        await notified.wait()
+        assert failures[-1] == 0 and loop.time() - moved_at < 4 * time_scale
+        client.close()
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -23,7 +23,7 @@
     read_request_path,
     scale_times,
 )
-from tests.loopback import run, running_server
+from tests.loopback import async_test, running_server
 
 FLEET_SIZE = 200
 
@@ -94,168 +94,141 @@
             self.first_event_at.set_result(self._loop.time())
 
 
-def test_chunks_may_end_anywhere() -> None:
-    async def main() -> None:
-        data = message(42) + b"\n" + message(43, "draining") + message(44, "gone", dial="")
-        script = [RESPONSE_HEAD] + [chunk(data[start : start + 11]) for start in range(0, len(data), 11)]
-        events = await follow(ScriptedDiscovery(script), 3)
-        states = [event.update.endpoints[0].health for event in events]
-        assert states == [
-            model.EndpointHealth.HEALTHY,
-            model.EndpointHealth.DRAINING,
-            model.EndpointHealth.REMOVED,
-        ]
+@async_test
+async def test_chunks_may_end_anywhere() -> None:
+    data = message(42) + b"\n" + message(43, "draining") + message(44, "gone", dial="")
+    script = [RESPONSE_HEAD] + [chunk(data[start : start + 11]) for start in range(0, len(data), 11)]
+    events = await follow(ScriptedDiscovery(script), 3)
+    states = [event.update.endpoints[0].health for event in events]
+    assert states == [
+        model.EndpointHealth.HEALTHY,
+        model.EndpointHealth.DRAINING,
+        model.EndpointHealth.REMOVED,
+    ]
 
-    run(main())
 
-
-def test_watch_that_ends_is_resumed_from_the_last_version() -> None:
-    async def main() -> None:
-        discovery = ScriptedDiscovery(
-            [RESPONSE_HEAD, chunk(message(57))], [RESPONSE_HEAD, chunk(message(58))]
-        )
-        await follow(discovery, 2, 2)
-        assert discovery.request_paths == ["/v1/servers?follow=1&since=41", "/v1/servers?follow=1&since=57"]
-
-    run(main())
+@async_test
+async def test_watch_that_ends_is_resumed_from_the_last_version() -> None:
+    discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], [RESPONSE_HEAD, chunk(message(58))])
+    await follow(discovery, 2, 2)
+    assert discovery.request_paths == ["/v1/servers?follow=1&since=41", "/v1/servers?follow=1&since=57"]
 
 
-def test_silent_watch_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
+@async_test
+async def test_silent_watch_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.2)
-
-    async def main() -> None:
-        discovery = ScriptedDiscovery([RESPONSE_HEAD], [RESPONSE_HEAD, chunk(message(58))], end=False)
-        await follow(discovery, 1, 2)
-        assert len(discovery.request_paths) == 2
-
-    run(main())
+    discovery = ScriptedDiscovery([RESPONSE_HEAD], [RESPONSE_HEAD, chunk(message(58))], end=False)
+    await follow(discovery, 1, 2)
+    assert len(discovery.request_paths) == 2
 
 
-def test_malformed_lines_are_dropped_and_the_watch_goes_on() -> None:
-    async def main() -> None:
-        malformed = [
-            b"not json\n", b"[]\n", b'{"seq":1}\n', b'{"seq":1,"whole":true,"hosts":[3]}\n', b"\xff\n",
-            message(9, "upbeat"), message(9, dial="nowhere"), message(9, born_ms="then"),
-        ]  # fmt: skip
-        script = [RESPONSE_HEAD, chunk(b"".join(malformed) + message(60))]
-        events = await follow(ScriptedDiscovery(script), 1)
-        assert [event.version for event in events] == [60]
+@async_test
+async def test_malformed_lines_are_dropped_and_the_watch_goes_on() -> None:
+    malformed = [
+        b"not json\n", b"[]\n", b'{"seq":1}\n', b'{"seq":1,"whole":true,"hosts":[3]}\n', b"\xff\n",
+        message(9, "upbeat"), message(9, dial="nowhere"), message(9, born_ms="then"),
+    ]  # fmt: skip
+    script = [RESPONSE_HEAD, chunk(b"".join(malformed) + message(60))]
+    events = await follow(ScriptedDiscovery(script), 1)
+    assert [event.version for event in events] == [60]
 
-    run(main())
 
-
-def test_empty_list_is_ignored_and_consecutive_malformed_lines_are_logged_once(
+@async_test
+async def test_empty_list_is_ignored_and_consecutive_malformed_lines_are_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def main() -> None:
-        empty_list = b'{"seq":58,"whole":true,"hosts":[]}\n'
-        no_change = b'{"seq":59,"whole":false,"hosts":[]}\n'
-        lines = empty_list * 30 + b"not json\n" * 30 + no_change + message(60)
-        events = await follow(ScriptedDiscovery([RESPONSE_HEAD, chunk(lines)]), 2)
-        assert [(event.version, event.update.complete) for event in events] == [(59, False), (60, False)]
-
-    run(main())
+    empty_list = b'{"seq":58,"whole":true,"hosts":[]}\n'
+    no_change = b'{"seq":59,"whole":false,"hosts":[]}\n'
+    lines = empty_list * 30 + b"not json\n" * 30 + no_change + message(60)
+    events = await follow(ScriptedDiscovery([RESPONSE_HEAD, chunk(lines)]), 2)
+    assert [(event.version, event.update.complete) for event in events] == [(59, False), (60, False)]
     assert (
         len([record for record in caplog.records if "dropped a malformed line" in record.getMessage()]) == 1
     )
 
 
-def test_consecutive_failures_are_logged_once(
+@async_test
+async def test_consecutive_failures_are_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(backoff, "MIN_POLL_SPREAD", 0.001)
-
-    async def main() -> None:
-        scripts = [[OVERLOADED_RESPONSE]] * 12
-        discovery = ScriptedDiscovery(*scripts, [RESPONSE_HEAD, chunk(message(58))])
-        events = await follow(discovery, 1, 13)
-        assert events[0].version == 58
-
-    run(main())
+    scripts = [[OVERLOADED_RESPONSE]] * 12
+    discovery = ScriptedDiscovery(*scripts, [RESPONSE_HEAD, chunk(message(58))])
+    events = await follow(discovery, 1, 13)
+    assert events[0].version == 58
     ended = [record for record in caplog.records if "watch on discovery ended" in record.getMessage()]
     assert len(ended) == 1
 
 
-def test_rejected_version_is_not_requested_again() -> None:
-    async def main() -> None:
-        rejection = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"
-        discovery = ScriptedDiscovery([rejection], [RESPONSE_HEAD, chunk(message(1))])
-        await follow(discovery, 1, 2)
-        assert discovery.request_paths[1] == "/v1/servers?follow=1"
-
-    run(main())
-
+@async_test
+async def test_rejected_version_is_not_requested_again() -> None:
+    rejection = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"
+    discovery = ScriptedDiscovery([rejection], [RESPONSE_HEAD, chunk(message(1))])
+    await follow(discovery, 1, 2)
+    assert discovery.request_paths[1] == "/v1/servers?follow=1"
 
-def test_overloaded_discovery_is_not_asked_for_the_complete_list() -> None:
-    async def main() -> None:
-        discovery = ScriptedDiscovery([OVERLOADED_RESPONSE], [RESPONSE_HEAD, chunk(message(58))])
-        await follow(discovery, 1, 2)
-        assert discovery.request_paths[1] == "/v1/servers?follow=1&since=41"
 
-    run(main())
+@async_test
+async def test_overloaded_discovery_is_not_asked_for_the_complete_list() -> None:
+    discovery = ScriptedDiscovery([OVERLOADED_RESPONSE], [RESPONSE_HEAD, chunk(message(58))])
+    await follow(discovery, 1, 2)
+    assert discovery.request_paths[1] == "/v1/servers?follow=1&since=41"
 
 
 @pytest.mark.parametrize("start", [b"HTTP/1.1 200 O", RESPONSE_HEAD])
-def test_incomplete_head_and_incomplete_line_are_silence(
+@async_test
+async def test_incomplete_head_and_incomplete_line_are_silence(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.3)
+    request_paths = list[str]()
+    notified = asyncio.Event()
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        request_paths.append(await read_request_path(reader))
+        if len(request_paths) > 1:
+            writer.write(RESPONSE_HEAD + chunk(message(58)))
+            await reader.read()
+            return
+        writer.write(start)
+        while True:  # a trickle until the limiter closes the connection
+            writer.write(chunk(b"{") if start is RESPONSE_HEAD else b"x")
+            await writer.drain()
+            await asyncio.sleep(0.02)
+
+    async with running_server(serve) as address:
+        host, port = address.split(":")
+        watcher = EndpointWatcher(host, int(port), 41, lambda _event: notified.set())
+        watcher.answer_timeout = 0.3
+        task = asyncio.create_task(watcher.follow())
+        await notified.wait()
+        task.cancel()
 
-    async def main() -> None:
-        request_paths = list[str]()
-        notified = asyncio.Event()
-
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            request_paths.append(await read_request_path(reader))
-            if len(request_paths) > 1:
-                writer.write(RESPONSE_HEAD + chunk(message(58)))
-                await reader.read()
-                return
-            writer.write(start)
-            while True:  # a trickle until the limiter closes the connection
-                writer.write(chunk(b"{") if start is RESPONSE_HEAD else b"x")
-                await writer.drain()
-                await asyncio.sleep(0.02)
-
-        async with running_server(serve) as address:
-            host, port = address.split(":")
-            watcher = EndpointWatcher(host, int(port), 41, lambda _event: notified.set())
-            watcher.answer_timeout = 0.3
-            task = asyncio.create_task(watcher.follow())
-            await notified.wait()
-            task.cancel()
-
-    run(main())
-
-
-def test_watch_is_restarted_for_the_change_in_a_malformed_line() -> None:
-    async def main() -> None:
-        malformed_and_next = message(58, "upbeat") + message(59, host="s2")
-        discovery = ScriptedDiscovery(
-            [RESPONSE_HEAD, chunk(message(57) + malformed_and_next)],
-            [RESPONSE_HEAD, chunk(message(59, "draining"))],
-            end=False,
-        )
-        events = await follow(discovery, 3, 2)
-        assert [event.version for event in events] == [57, 59, 59]
-        assert events[2].update.endpoints[0].health is model.EndpointHealth.DRAINING
-        assert discovery.request_paths[1] == "/v1/servers?follow=1&since=57"
-
-    run(main())
-
-
-def test_watch_is_not_restarted_repeatedly_for_a_line_that_stays_malformed() -> None:
-    async def main() -> None:
-        malformed = message(58, "upbeat")
-        discovery = ScriptedDiscovery(
-            [RESPONSE_HEAD, chunk(malformed)],
-            [RESPONSE_HEAD, chunk(malformed), chunk(message(60))],
-            end=False,
-        )
-        events = await follow(discovery, 1, 2)
-        assert [event.version for event in events] == [60] and len(discovery.request_paths) == 2
 
-    run(main())
+@async_test
+async def test_watch_is_restarted_for_the_change_in_a_malformed_line() -> None:
+    malformed_and_next = message(58, "upbeat") + message(59, host="s2")
+    discovery = ScriptedDiscovery(
+        [RESPONSE_HEAD, chunk(message(57) + malformed_and_next)],
+        [RESPONSE_HEAD, chunk(message(59, "draining"))],
+        end=False,
+    )
+    events = await follow(discovery, 3, 2)
+    assert [event.version for event in events] == [57, 59, 59]
+    assert events[2].update.endpoints[0].health is model.EndpointHealth.DRAINING
+    assert discovery.request_paths[1] == "/v1/servers?follow=1&since=57"
+
+
+@async_test
+async def test_watch_is_not_restarted_repeatedly_for_a_line_that_stays_malformed() -> None:
+    malformed = message(58, "upbeat")
+    discovery = ScriptedDiscovery(
+        [RESPONSE_HEAD, chunk(malformed)],
+        [RESPONSE_HEAD, chunk(malformed), chunk(message(60))],
+        end=False,
+    )
+    events = await follow(discovery, 1, 2)
+    assert [event.version for event in events] == [60] and len(discovery.request_paths) == 2
 
 
 async def answer_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -265,76 +238,69 @@
     await reader.read()
 
 
-def test_watcher_that_was_refused_for_long_has_the_list_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+@async_test
+async def test_watcher_that_was_refused_for_long_has_the_list_in_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """On sockets, in a tenth of the time: nobody listens, then discovery is back at its address."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
-
-    async def main() -> None:
-        loop = asyncio.get_running_loop()
-        async with running_server(ScriptedDiscovery().serve) as address:
-            host, port = address.split(":")  # nobody listens there from the end of this block on
-        fleet = [FleetMember(address, seed, time_scale) for seed in range(24)]
-        await asyncio.sleep(12 * time_scale)
-        assert not any(member.first_event_at.done() for member in fleet)
-        returned_at = loop.time()
-        server = await asyncio.start_server(answer_at_once, host, int(port))
-        delays = [await member.first_event_at - returned_at for member in fleet]
-        for member in fleet:
-            member.task.cancel()
-        server.close()
-        late = [delay for delay in delays if delay > 6 * time_scale]
-        assert len(delays) == 24 and not late, late
-
-    run(main())
-
-
-def test_overloaded_discovery_answers_all_in_the_order_of_arrival(
+    loop = asyncio.get_running_loop()
+    async with running_server(ScriptedDiscovery().serve) as address:
+        host, port = address.split(":")  # nobody listens there from the end of this block on
+    fleet = [FleetMember(address, seed, time_scale) for seed in range(24)]
+    await asyncio.sleep(12 * time_scale)
+    assert not any(member.first_event_at.done() for member in fleet)
+    returned_at = loop.time()
+    server = await asyncio.start_server(answer_at_once, host, int(port))
+    delays = [await member.first_event_at - returned_at for member in fleet]
+    for member in fleet:
+        member.task.cancel()
+    server.close()
+    late = [delay for delay in delays if delay > 6 * time_scale]
+    assert len(delays) == 24 and not late, late
+
+
+@async_test
+async def test_overloaded_discovery_answers_all_in_the_order_of_arrival(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The queue takes eight times the time between requests: who leaves it never gets to its head."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
-
-    async def main() -> None:
-        discovery = QueueingDiscovery(answers_per_second=16.0)
-        async with running_server(discovery.serve) as address:
-            queue_task = asyncio.create_task(discovery.process_queue())
-            fleet = [FleetMember(address, seed, time_scale) for seed in range(40)]
-            for member in fleet:
-                await member.first_event_at
-            for task in (queue_task, *(member.task for member in fleet)):
-                task.cancel()
-
-    run(main())
+    discovery = QueueingDiscovery(answers_per_second=16.0)
+    async with running_server(discovery.serve) as address:
+        queue_task = asyncio.create_task(discovery.process_queue())
+        fleet = [FleetMember(address, seed, time_scale) for seed in range(40)]
+        for member in fleet:
+            await member.first_event_at
+        for task in (queue_task, *(member.task for member in fleet)):
+            task.cancel()
 
 
-def test_unanswered_requests_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+@async_test
+async def test_unanswered_requests_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     scale_times(monkeypatch, 0.02)
+    unanswered = list[int]()
+    discovery = QueueingDiscovery(answers_per_second=1.0)
 
-    async def main() -> None:
-        unanswered = list[int]()
-        discovery = QueueingDiscovery(answers_per_second=1.0)
-
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            unanswered.append(len(watcher._unanswered))
-            await discovery.serve(reader, writer)
-
-        async with running_server(serve) as address:
-            watcher = make_watcher(
-                address,
-                lambda _event: None,
-                client_count=1,
-                seed=1,
-                answer_timeout=0.02,
-                max_poll_interval=0.03,
-            )
-            task = asyncio.create_task(watcher.follow())
-            while len(unanswered) < 12:
-                await asyncio.sleep(0.01)
-            task.cancel()
-            assert max(unanswered) == endpoint_watch.MAX_UNANSWERED_REQUESTS
-            while discovery.open_connections:  # cancelling the watcher closes all of them
-                await asyncio.sleep(0.01)
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        unanswered.append(len(watcher._unanswered))
+        await discovery.serve(reader, writer)
 
-    run(main())
+    async with running_server(serve) as address:
+        watcher = make_watcher(
+            address,
+            lambda _event: None,
+            client_count=1,
+            seed=1,
+            answer_timeout=0.02,
+            max_poll_interval=0.03,
+        )
+        task = asyncio.create_task(watcher.follow())
+        while len(unanswered) < 12:
+            await asyncio.sleep(0.01)
+        task.cancel()
+        assert max(unanswered) == endpoint_watch.MAX_UNANSWERED_REQUESTS
+        while discovery.open_connections:  # cancelling the watcher closes all of them
+            await asyncio.sleep(0.01)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -11,9 +11,9 @@
 from tests.loopback import (
     ConnectionHandler,
     ScriptedEndpoint,
+    async_test,
     http_request,
     read_message,
-    run,
     running_server,
 )
 
@@ -50,99 +50,92 @@
         await read_message(reader)
 
 
-def test_sigterm_drains_accepted_requests_and_accepts_late_clients(tmp_path: Path) -> None:
-    async def main() -> None:
-        received = asyncio.Event()
-        release = asyncio.Event()
+@async_test
+async def test_sigterm_drains_accepted_requests_and_accepts_late_clients(tmp_path: Path) -> None:
+    received = asyncio.Event()
+    release = asyncio.Event()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            while True:
-                await read_message(reader)
-                received.set()
-                await release.wait()
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
-
-        async with running_server(talk) as endpoint, started(config(endpoint), tmp_path) as program:
-            early_reader, early_writer = await program.connect()
-            early_writer.write(http_request())
-            await received.wait()
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            await read_message(reader)
+            received.set()
+            await release.wait()
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+
+    async with running_server(talk) as endpoint, started(config(endpoint), tmp_path) as program:
+        early_reader, early_writer = await program.connect()
+        early_writer.write(http_request())
+        await received.wait()
+        program.process.send_signal(signal.SIGTERM)
+        while " 200 " in await program.health():
+            pass
+        late_reader, late_writer = await program.connect()
+        late_writer.write(http_request())
+        release.set()
+        for reader in (early_reader, late_reader):
+            status, headers, body = await read_message(reader)
+            assert " 200 " in status and body == b"hi"
+            assert await reader.read() == b"" and headers["connection"] == "close"
+        assert await program.process.wait() == 0
+
+
+@async_test
+async def test_sighup_switches_to_new_addresses_and_a_malformed_file_changes_nothing(tmp_path: Path) -> None:
+    origin = ScriptedEndpoint()
+    connected = asyncio.Queue[str]()
+    path = tmp_path / "config.json"
+
+    async with (
+        running_server(origin.handle_connection) as endpoint,
+        running_server(pushing_agent(endpoint, 1, connected)) as discovery,
+        running_server(unresponsive_counter(connected)) as counter,
+    ):
+        raw = config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
+        raw["settings"] = WIRE_SETTINGS | {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
+        async with started(raw, tmp_path) as program:
+            for text in ("{", "[]", json.dumps(raw | {"counter": 5})):
+                path.write_text(text)
+                program.process.send_signal(signal.SIGHUP)
+                assert " 200 " in await program.health()
+            path.write_text(json.dumps(raw | {"discovery": discovery, "counter": counter}))
+            program.process.send_signal(signal.SIGHUP)
+            peers = set[str]()
+            while peers != {"agent", "counter"}:  # a second connection to the counter may come first
+                peers.add(await connected.get())
+            await send_until_received(program, origin)  # the pushed list holds the right address
             program.process.send_signal(signal.SIGTERM)
-            while " 200 " in await program.health():
-                pass
-            late_reader, late_writer = await program.connect()
-            late_writer.write(http_request())
-            release.set()
-            for reader in (early_reader, late_reader):
-                status, headers, body = await read_message(reader)
-                assert " 200 " in status and body == b"hi"
-                assert await reader.read() == b"" and headers["connection"] == "close"
+            program.process.send_signal(signal.SIGHUP)
             assert await program.process.wait() == 0
 
-    run(main())
-
-
-def test_sighup_switches_to_new_addresses_and_a_malformed_file_changes_nothing(tmp_path: Path) -> None:
-    async def main() -> None:
-        origin = ScriptedEndpoint()
-        connected = asyncio.Queue[str]()
-        path = tmp_path / "config.json"
 
-        async with (
-            running_server(origin.handle_connection) as endpoint,
-            running_server(pushing_agent(endpoint, 1, connected)) as discovery,
-            running_server(unresponsive_counter(connected)) as counter,
-        ):
-            raw = config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
-            raw["settings"] = WIRE_SETTINGS | {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
+@async_test
+async def test_sigkill_and_a_restart_at_the_same_address(tmp_path: Path) -> None:
+    async with running_server(ScriptedEndpoint().handle_connection) as endpoint:
+        raw = config(endpoint)
+        for _ in range(2):
             async with started(raw, tmp_path) as program:
-                for text in ("{", "[]", json.dumps(raw | {"counter": 5})):
-                    path.write_text(text)
-                    program.process.send_signal(signal.SIGHUP)
-                    assert " 200 " in await program.health()
-                path.write_text(json.dumps(raw | {"discovery": discovery, "counter": counter}))
-                program.process.send_signal(signal.SIGHUP)
-                peers = set[str]()
-                while peers != {"agent", "counter"}:  # a second connection to the counter may come first
-                    peers.add(await connected.get())
-                await send_until_received(program, origin)  # the pushed list holds the right address
-                program.process.send_signal(signal.SIGTERM)
-                program.process.send_signal(signal.SIGHUP)
-                assert await program.process.wait() == 0
-
-    run(main())
-
-
-def test_sigkill_and_a_restart_at_the_same_address(tmp_path: Path) -> None:
-    async def main() -> None:
-        async with running_server(ScriptedEndpoint().handle_connection) as endpoint:
-            raw = config(endpoint)
-            for _ in range(2):
-                async with started(raw, tmp_path) as program:
-                    reader, writer = await program.connect()
-                    writer.write(http_request())
-                    assert (await read_message(reader))[2] == b"hi"
-                    program.process.kill()
-                    assert await program.process.wait() == -signal.SIGKILL
-
-    run(main())
-
-
-def test_a_list_from_discovery_replaces_the_initial_one(tmp_path: Path) -> None:
-    async def main() -> None:
-        origin = ScriptedEndpoint()
-        connected = asyncio.Queue[str]()
-        async with (
-            running_server(origin.handle_connection) as endpoint,
-            running_server(pushing_agent(endpoint, 42, connected)) as discovery,
-            started(config("127.0.0.1:1", discovery), tmp_path) as program,
-        ):
-            await connected.get()
-            await send_until_received(program, origin)
-
-    run(main())
-
-
-def test_processes_started_together_are_ready_and_serve_while_discovery_does_not_respond(
+                reader, writer = await program.connect()
+                writer.write(http_request())
+                assert (await read_message(reader))[2] == b"hi"
+                program.process.kill()
+                assert await program.process.wait() == -signal.SIGKILL
+
+
+@async_test
+async def test_a_list_from_discovery_replaces_the_initial_one(tmp_path: Path) -> None:
+    origin = ScriptedEndpoint()
+    connected = asyncio.Queue[str]()
+    async with (
+        running_server(origin.handle_connection) as endpoint,
+        running_server(pushing_agent(endpoint, 42, connected)) as discovery,
+        started(config("127.0.0.1:1", discovery), tmp_path) as program,
+    ):
+        await connected.get()
+        await send_until_received(program, origin)
+
+
+@async_test
+async def test_processes_started_together_are_ready_and_serve_while_discovery_does_not_respond(
     tmp_path: Path,
 ) -> None:
     """A restart of most of the fleet overloads discovery: no process waits for it to start."""
@@ -162,11 +155,8 @@
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
 
-    async def main() -> None:
-        async with (
-            running_server(ScriptedEndpoint().handle_connection) as endpoint,
-            running_server(unresponsive) as discovery,
-        ):
-            await asyncio.gather(*(start_and_send(index, endpoint, discovery) for index in range(6)))
-
-    run(main())
+    async with (
+        running_server(ScriptedEndpoint().handle_connection) as endpoint,
+        running_server(unresponsive) as discovery,
+    ):
+        await asyncio.gather(*(start_and_send(index, endpoint, discovery) for index in range(6)))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -9,7 +9,14 @@
 from quota_gateway.net.metrics import Metrics
 from tests.admin_client import fetch_metrics, parse_metrics, send_command, stalled_connections
 from tests.gateway_process import Program, config, free_port, started
-from tests.loopback import OK_RESPONSE, ScriptedEndpoint, http_request, read_message, run, running_server
+from tests.loopback import (
+    OK_RESPONSE,
+    ScriptedEndpoint,
+    async_test,
+    http_request,
+    read_message,
+    running_server,
+)
 
 
 def rendered(metrics: Metrics) -> dict[str, int]:
@@ -74,15 +81,13 @@
     assert await send_command(port, b"RESTORE s1") == "SUCCESS\n"
 
 
-def test_the_metrics_of_a_running_limiter(tmp_path: Path) -> None:
-    async def main() -> None:
-        port = free_port()
-        async with (
-            running_server(ScriptedEndpoint(break_second_response).handle_connection) as address,
-            started(config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)) as program,
-            stalled_connections(port),
-        ):
-            await check_metrics_of_requests(program, port)
-            await check_metrics_of_a_suspended_endpoint(program, port)
-
-    run(main())
+@async_test
+async def test_the_metrics_of_a_running_limiter(tmp_path: Path) -> None:
+    port = free_port()
+    async with (
+        running_server(ScriptedEndpoint(break_second_response).handle_connection) as address,
+        started(config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)) as program,
+        stalled_connections(port),
+    ):
+        await check_metrics_of_requests(program, port)
+        await check_metrics_of_a_suspended_endpoint(program, port)
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -16,7 +16,7 @@
 from quota_gateway.state import Account
 from tests.admin_client import fetch_metrics, send_command
 from tests.gateway_process import Program, config, free_port, started
-from tests.loopback import http_request, read_message, run, running_server
+from tests.loopback import async_test, http_request, read_message, running_server
 from tests.simulation import GatewaySimulation, endpoint_list, make_request, make_settings
 
 STEP = 0.05  # seconds
@@ -201,24 +201,24 @@
 
 
 @pytest.mark.parametrize("inherited", [True, False])
-def test_a_new_version_takes_over_the_address_and_the_suspensions(inherited: bool, tmp_path: Path) -> None:
-    async def main() -> None:
-        origin = BlockingOrigin()
-        old_port = free_port()
-        new_port = free_port()
-        with socket.create_server(("127.0.0.1", 0)) as listener:
-            deployment = Deployment(tmp_path, listener, inherited)
-            async with running_server(origin.talk) as address, deployment.start(address, old_port) as old:
-                assert await send_command(old_port, b"STATUS") == "SUCCESS\n"
-                reader, writer = await old.connect()
-                writer.write(http_request())
-                await origin.received.wait()
-                assert await send_command(old_port, b"SUSPEND s1") == "SUCCESS\n"
-                async with deployment.start(address, new_port) as new:
-                    await check_takeover(old, old_port, new_port)
-                    origin.released.set()
-                    await check_last_response(reader)
-                    assert await old.process.wait() == 0
-                    await check_service(new, new_port)
-
-    run(main())
+@async_test
+async def test_a_new_version_takes_over_the_address_and_the_suspensions(
+    inherited: bool, tmp_path: Path
+) -> None:
+    origin = BlockingOrigin()
+    old_port = free_port()
+    new_port = free_port()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        deployment = Deployment(tmp_path, listener, inherited)
+        async with running_server(origin.talk) as address, deployment.start(address, old_port) as old:
+            assert await send_command(old_port, b"STATUS") == "SUCCESS\n"
+            reader, writer = await old.connect()
+            writer.write(http_request())
+            await origin.received.wait()
+            assert await send_command(old_port, b"SUSPEND s1") == "SUCCESS\n"
+            async with deployment.start(address, new_port) as new:
+                await check_takeover(old, old_port, new_port)
+                origin.released.set()
+                await check_last_response(reader)
+                assert await old.process.wait() == 0
+                await check_service(new, new_port)
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -15,7 +15,7 @@
 from quota_gateway.settings_parser import SettingsError, check_reloaded_settings, parse_settings
 from tests.admin_client import fetch_metrics
 from tests.gateway_process import WIRE_SETTINGS, Program, config, free_port, started
-from tests.loopback import ScriptedEndpoint, http_request, read_message, run, running_server
+from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
 from tests.simulation import (
     IDEMPOTENT_CLASS,
     GatewaySimulation,
@@ -163,12 +163,10 @@
     assert " 200 " in await limiter.request("lookup")
 
 
-def test_sighup_loads_new_classes_and_nothing_of_an_invalid_file(tmp_path: Path) -> None:
-    async def main() -> None:
-        port = free_port()
-        async with running_server(ScriptedEndpoint().handle_connection) as address:
-            raw = config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
-            async with started(raw, tmp_path, TMPDIR=str(tmp_path)) as program:
-                await check_reloads(ReloadingLimiter(program, tmp_path / "config.json", port), raw)
-
-    run(main())
+@async_test
+async def test_sighup_loads_new_classes_and_nothing_of_an_invalid_file(tmp_path: Path) -> None:
+    port = free_port()
+    async with running_server(ScriptedEndpoint().handle_connection) as address:
+        raw = config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
+        async with started(raw, tmp_path, TMPDIR=str(tmp_path)) as program:
+            await check_reloads(ReloadingLimiter(program, tmp_path / "config.json", port), raw)
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -14,17 +14,15 @@
 from scale.stand_ins.control import Setup
 from scale.stand_ins.counter import CounterSpec
 from scale.stand_ins.endpoints import EndpointsSpec
-from tests.loopback import run
+from tests.loopback import async_test
 
 
-def test_dead_stand_in_breaks_the_run_with_its_cause(tmp_path: Path) -> None:
-    async def main() -> None:
-        setup = Setup(4, EndpointsSpec(), CounterSpec(), 1)
-        async with start_stand_ins(tmp_path, setup) as stand_ins:
-            os.kill(stand_ins.process.pid, signal.SIGKILL)
-            with pytest.raises(BrokenRunError, match="the stand-ins ended with -9"):
-                await guard(asyncio.sleep(10), stand_ins)
-            with pytest.raises(BrokenRunError, match="the stand-ins ended with -9"):
-                await stand_ins.stats()
-
-    run(main())
+@async_test
+async def test_dead_stand_in_breaks_the_run_with_its_cause(tmp_path: Path) -> None:
+    setup = Setup(4, EndpointsSpec(), CounterSpec(), 1)
+    async with start_stand_ins(tmp_path, setup) as stand_ins:
+        os.kill(stand_ins.process.pid, signal.SIGKILL)
+        with pytest.raises(BrokenRunError, match="the stand-ins ended with -9"):
+            await guard(asyncio.sleep(10), stand_ins)
+        with pytest.raises(BrokenRunError, match="the stand-ins ended with -9"):
+            await stand_ins.stats()
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -32,7 +32,14 @@
 from quota_gateway.net.process_group import ProcessGroup
 from quota_gateway.net.watch_event import WatchEvent
 from quota_gateway.settings_parser import Timing, check_reloaded_settings, parse_settings, parse_timing
-from tests.loopback import SETTINGS, LoopbackLimiter, ScriptedDecisions, forward_to_s1, run, running_server
+from tests.loopback import (
+    SETTINGS,
+    LoopbackLimiter,
+    ScriptedDecisions,
+    async_test,
+    forward_to_s1,
+    running_server,
+)
 from tests.loopback import watch_event as listing_of
 
 ROOT = Path(__file__).parent.parent
@@ -166,43 +173,41 @@
 """
 
 
-def test_the_replies_at_the_second_address() -> None:
-    async def main() -> None:
-        figures, clock = Metrics(["lookup", "post"]), unix_clock()
-        for status in (200, 429, 503, 502, 504, 400):
-            figures.record_request("lookup", status)
-        figures.record_request("post", 429)
-        figures.upstream_attempts, figures.streaming_responses, figures.reloads, figures.reload_errors = (
-            11,
-            4,
-            6,
-            7,
-        )
-        upstream = ConnectionPool(clock, 0.25, 30.0, 64)
-        node = Dispatcher(SETTINGS, Gateway(SETTINGS, 1, clock()), clock, upstream, None, figures)
-        mgmt = AdminListener(node)
-        address = await mgmt.listen("127.0.0.1", 0)
-
-        async def call(line: bytes) -> str:
-            reader, writer = await asyncio.open_connection(*address)
-            writer.write(line)
-            reply = await reader.read()
-            writer.close()
-            return reply.decode()
-
-        assert await call(b"STATUS\n") == "FAILURE\n"
-        node.on_watch_event(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
-        assert await call(b"STATUS\n") == "SUCCESS\n"
-        assert await call(b"SUSPEND s1\n") == "SUCCESS\n"
-        assert await call(b"METRICS\n") == FIGURES_TEXT
-        assert await call(b"RESTORE s1\n") == "SUCCESS\n"
-        assert await call(b"RESTORE s1\n") == "SUCCESS\n"
-        assert await call(b"SUSPEND s9\n") == "FAILURE\n"
-        assert await call(b"METRICS\n") == FIGURES_TEXT.replace("skipped_servers=1", "skipped_servers=0")
-        mgmt.close()
-        upstream.close()
-
-    run(main())
+@async_test
+async def test_the_replies_at_the_second_address() -> None:
+    figures, clock = Metrics(["lookup", "post"]), unix_clock()
+    for status in (200, 429, 503, 502, 504, 400):
+        figures.record_request("lookup", status)
+    figures.record_request("post", 429)
+    figures.upstream_attempts, figures.streaming_responses, figures.reloads, figures.reload_errors = (
+        11,
+        4,
+        6,
+        7,
+    )
+    upstream = ConnectionPool(clock, 0.25, 30.0, 64)
+    node = Dispatcher(SETTINGS, Gateway(SETTINGS, 1, clock()), clock, upstream, None, figures)
+    mgmt = AdminListener(node)
+    address = await mgmt.listen("127.0.0.1", 0)
+
+    async def call(line: bytes) -> str:
+        reader, writer = await asyncio.open_connection(*address)
+        writer.write(line)
+        reply = await reader.read()
+        writer.close()
+        return reply.decode()
+
+    assert await call(b"STATUS\n") == "FAILURE\n"
+    node.on_watch_event(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
+    assert await call(b"STATUS\n") == "SUCCESS\n"
+    assert await call(b"SUSPEND s1\n") == "SUCCESS\n"
+    assert await call(b"METRICS\n") == FIGURES_TEXT
+    assert await call(b"RESTORE s1\n") == "SUCCESS\n"
+    assert await call(b"RESTORE s1\n") == "SUCCESS\n"
+    assert await call(b"SUSPEND s9\n") == "FAILURE\n"
+    assert await call(b"METRICS\n") == FIGURES_TEXT.replace("skipped_servers=1", "skipped_servers=0")
+    mgmt.close()
+    upstream.close()
 
 
 SETTINGS_TEXT = """{
@@ -297,7 +302,8 @@
 
 
 @pytest.mark.parametrize(("since", "query"), [(None, b""), (41, b"&since=41")])
-def test_the_call_to_discovery_and_a_line_of_it(since: int | None, query: bytes) -> None:
+@async_test
+async def test_the_call_to_discovery_and_a_line_of_it(since: int | None, query: bytes) -> None:
     line = (
         b'{"seq": 58, "whole": false, "hosts": [{"host": "s1", "dial": "10.1.0.18:7070", "site": "a", '
         b'"class": "m2", "block": 3, "health": "ready", "share": 1.5, "born_ms": 1800000000250}, '
@@ -310,79 +316,71 @@
         model.Endpoint("s3", model.EndpointHealth.REMOVED, ""),
     )
     dials = {"s1": "10.1.0.18:7070", "s2": "10.1.0.19:7071", "s3": ""}
-
-    async def main() -> None:
-        asked, told = asyncio.Queue[bytes](), asyncio.Queue[WatchEvent]()
-
-        async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.put_nowait(await reader.readuntil(b"\r\n\r\n"))
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            writer.write(b"%x\r\n%b\r\n" % (len(line), line))
-            await asyncio.Event().wait()
-
-        async with running_server(agent) as address:
-            host, port = address.split(":")
-            task = asyncio.create_task(EndpointWatcher(host, int(port), since, told.put_nowait).follow())
-            assert await told.get() == WatchEvent(58, model.EndpointUpdate(entries, False), dials)
-            request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
-            assert await asked.get() == request
-            task.cancel()
-
-    run(main())
-
-
-def test_the_request_to_a_server_the_probes_and_the_answers_to_a_client() -> None:
-    async def main() -> None:
-        heads, served = list[bytes](), asyncio.Queue[None]()
-
-        def decide(event: model.Event) -> list[model.Action]:
-            return (
-                [model.CheckHealth("s1")] if isinstance(event, model.EndpointUpdate) else forward_to_s1(event)
-            )
-
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            while True:
-                heads.append(await reader.readuntil(b"\r\n\r\n"))
-                status = b"200 OK" if len(heads) < 4 else b"500 Error"
-                writer.write(b"HTTP/1.1 %b\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi" % status)
-                served.put_nowait(None)
-
-        ask = (
-            b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
-            b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
-            b"X-Timeout-Ms: 5000\r\nX-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\n%b\r\n"
-        )
-        async with (
-            running_server(talk) as dial,
-            LoopbackLimiter(ScriptedDecisions(decide), {"s1": dial}) as limiter,
-        ):
-            await served.get()
-            limiter.dispatcher.settings = replace(SETTINGS, load_in_health_check=True)
-            limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
-            await served.get()
-            reader, writer = await limiter.connect()
-            writer.write(ask % (1, b""))
-            good = await reader.readuntil(b"hi")
-            writer.write(ask % (2, b"Connection: close\r\n"))
-            refused = await reader.read()
-            writer.close()
-        assert good == b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi"
-        refusal = b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nConnection: close\r\n"
-        assert refused == refusal + b"Content-Length: 0\r\n\r\n"
-        # The time that is left stands last, and is the one part that differs from run to run.
-        lookup = (
-            b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
-            b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
-            b"X-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\nX-Timeout-Ms: N\r\n\r\n"
-        )
-        assert [re.sub(rb": [0-9]+\r\n\r\n$", b": N\r\n\r\n", head) for head in heads] == [
-            b"GET /healthz HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
-            b"GET /load HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
-            lookup % 1,
-            lookup % 2,
-        ]
-
-    run(main())
+    asked, told = asyncio.Queue[bytes](), asyncio.Queue[WatchEvent]()
+
+    async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        asked.put_nowait(await reader.readuntil(b"\r\n\r\n"))
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        writer.write(b"%x\r\n%b\r\n" % (len(line), line))
+        await asyncio.Event().wait()
+
+    async with running_server(agent) as address:
+        host, port = address.split(":")
+        task = asyncio.create_task(EndpointWatcher(host, int(port), since, told.put_nowait).follow())
+        assert await told.get() == WatchEvent(58, model.EndpointUpdate(entries, False), dials)
+        request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
+        assert await asked.get() == request
+        task.cancel()
+
+
+@async_test
+async def test_the_request_to_a_server_the_probes_and_the_answers_to_a_client() -> None:
+    heads, served = list[bytes](), asyncio.Queue[None]()
+
+    def decide(event: model.Event) -> list[model.Action]:
+        return [model.CheckHealth("s1")] if isinstance(event, model.EndpointUpdate) else forward_to_s1(event)
+
+    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            heads.append(await reader.readuntil(b"\r\n\r\n"))
+            status = b"200 OK" if len(heads) < 4 else b"500 Error"
+            writer.write(b"HTTP/1.1 %b\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi" % status)
+            served.put_nowait(None)
+
+    ask = (
+        b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
+        b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
+        b"X-Timeout-Ms: 5000\r\nX-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\n%b\r\n"
+    )
+    async with (
+        running_server(talk) as dial,
+        LoopbackLimiter(ScriptedDecisions(decide), {"s1": dial}) as limiter,
+    ):
+        await served.get()
+        limiter.dispatcher.settings = replace(SETTINGS, load_in_health_check=True)
+        limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
+        await served.get()
+        reader, writer = await limiter.connect()
+        writer.write(ask % (1, b""))
+        good = await reader.readuntil(b"hi")
+        writer.write(ask % (2, b"Connection: close\r\n"))
+        refused = await reader.read()
+        writer.close()
+    assert good == b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi"
+    refusal = b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nConnection: close\r\n"
+    assert refused == refusal + b"Content-Length: 0\r\n\r\n"
+    # The time that is left stands last, and is the one part that differs from run to run.
+    lookup = (
+        b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
+        b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
+        b"X-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\nX-Timeout-Ms: N\r\n\r\n"
+    )
+    assert [re.sub(rb": [0-9]+\r\n\r\n$", b": N\r\n\r\n", head) for head in heads] == [
+        b"GET /healthz HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
+        b"GET /load HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
+        lookup % 1,
+        lookup % 2,
+    ]
 
 
 def test_the_deploy_file_names_what_is_there() -> None:
