--- a/quota_gateway/model/status.py
+++ b/quota_gateway/model/status.py
@@ -14,9 +14,7 @@
     TIMEOUT = "timeout"  # no answer in time: it may have run
     UNREACHABLE = "unreachable"  # no connection: refused, or it never came up
     RESET_BEFORE_REQUEST = "reset before request"  # the connection broke before all was written: it never ran
-    RESET_AFTER_REQUEST = (
-        "reset after request"  # the connection broke later: it may have run, or been counted
-    )
+    RESET_AFTER_REQUEST = "reset after request"  # the connection broke later: it may have run or been counted
     MALFORMED = "malformed"  # the counter's answer cannot be read: it was counted, or may have been
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
--- a/quota_gateway/net/admin_calls.py
+++ b/quota_gateway/net/admin_calls.py
@@ -2,20 +2,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 
 from quota_gateway import model
+from quota_gateway.net.admin import ReplyCallback
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.request_table import RequestTable
 
-OnReply = Callable[[bool, str], None]  # takes success or failure, and the text of the metrics
-
 
 @dataclass(frozen=True, slots=True)
 class _AdminCall:
     command: model.AdminCommand
-    on_reply: OnReply
+    on_reply: ReplyCallback
 
 
 class AdminCalls:
@@ -28,7 +26,7 @@
         self._calls: dict[int, _AdminCall] = {}
         self._last_id = 0
 
-    def add(self, command: model.AdminCommand, on_reply: OnReply) -> int:
+    def add(self, command: model.AdminCommand, on_reply: ReplyCallback) -> int:
         """Register a call; returns its id."""
         self._last_id += 1
         self._calls[self._last_id] = _AdminCall(command, on_reply)
--- a/quota_gateway/net/backoff.py
+++ b/quota_gateway/net/backoff.py
@@ -43,7 +43,7 @@
     max_interval: float = MAX_POLL_INTERVAL,
     elapsed: float = 0.0,
 ) -> float:
-    """Seconds until the next poll of discovery, whose last one took ``elapsed`` seconds.
+    """Seconds until the next poll of discovery, ``elapsed`` seconds after the last one was known to be alive.
 
     Exponential back-off with full jitter, and with partial jitter once the polls of a fleet are spread out:
     full jitter would poll twice as often then, and no sooner at the latest. ``max_interval`` bounds the time
--- a/quota_gateway/net/body_stream.py
+++ b/quota_gateway/net/body_stream.py
@@ -34,7 +34,7 @@
 
 
 class BodyStream:
-    """One body between its source and its sink; without a sink it buffers about ``MAX_BODY`` bytes."""
+    """One body between its source and its sink; without a sink some ``MAX_BUFFERED_BODY`` are buffered."""
 
     __slots__ = (
         "_buffer",
--- a/quota_gateway/net/client_request.py
+++ b/quota_gateway/net/client_request.py
@@ -63,7 +63,7 @@
         self.request_id = b""
         self.forwarded_head = b""  # forwarded: the request line and headers without the empty line
         self.forwarded_body = b""
-        self.upload: BodyStream | None = None  # a streamed body, in place of ``body``
+        self.upload: BodyStream | None = None  # a streamed body, in place of ``forwarded_body``
         self.response: tuple[bytes, bytes] | None = None  # around the place of a ``Connection: close``
         self.response_stream: BodyStream | None = None  # a streamed response, in place of ``response``
         self.response_head: bytes | None = None  # of the streamed response, until it is written
--- a/quota_gateway/net/counter_client.py
+++ b/quota_gateway/net/counter_client.py
@@ -124,6 +124,10 @@
         return self._loop.time()
 
     def on_writable(self) -> None:
+        """A connection takes more requests."""
+        self._flush()
+
+    def _flush(self) -> None:
         """Send what the active connection takes.
 
         One request at a time goes to the transport: those that are queued here are known not to be written.
@@ -151,7 +155,7 @@
         if connection is self._active:
             self._active = self._standby
             self._standby = None
-            self.on_writable()
+            self._flush()
         elif connection is self._standby:
             self._standby = None
         else:
@@ -167,16 +171,15 @@
 
     def _enqueue(self, call: CounterCall) -> None:
         self._unsent.append(call)
-        self.on_writable()
+        self._flush()
 
     def _on_timeout(self, call: CounterCall) -> None:
         if call in self._unsent:
             self._unsent.remove(call)
             self.complete(call, CallResult(CallStatus.UNREACHABLE))
         else:
-            self.complete(
-                call, CallResult(CallStatus.TIMEOUT)
-            )  # it stays in flight: its answer may still come
+            # It stays in flight: its answer may still come.
+            self.complete(call, CallResult(CallStatus.TIMEOUT))
             self._fail_over_from_unresponsive(call)
 
     def _fail_over_from_unresponsive(self, call: CounterCall) -> None:
@@ -190,7 +193,7 @@
             self._active = standby
             self._standby = None
             self._drain(active)
-            self.on_writable()
+            self._flush()
             self._open_missing_connections()
 
     def _drain(self, connection: CounterConnection) -> None:
@@ -255,5 +258,5 @@
         if not connection.usable:
             self.on_connection_lost(connection)  # it was lost before it was known here
         elif connection is self._active:
-            self.on_writable()
+            self._flush()
             self._open_missing_connections()  # the standby
--- a/quota_gateway/net/dispatcher.py
+++ b/quota_gateway/net/dispatcher.py
@@ -14,7 +14,8 @@
 from typing import Any, Protocol
 
 from quota_gateway import model
-from quota_gateway.net.admin_calls import AdminCalls, OnReply
+from quota_gateway.net.admin import ReplyCallback
+from quota_gateway.net.admin_calls import AdminCalls
 from quota_gateway.net.client_request import ClientRequest
 from quota_gateway.net.connection_pool import ConnectionPool
 from quota_gateway.net.counter_client import CounterClient
@@ -165,7 +166,7 @@
         if request.event is not None:
             self._requests.stop_forwarding(request.event.id)
 
-    def on_admin_command(self, command: model.AdminCommand, endpoint: str, on_reply: OnReply) -> None:
+    def on_admin_command(self, command: model.AdminCommand, endpoint: str, on_reply: ReplyCallback) -> None:
         """An operator has sent a command; ``endpoint`` is empty where it names none."""
         self.dispatch(model.AdminRequest(self._admin_calls.add(command, on_reply), command, endpoint))
 
--- a/quota_gateway/net/handover_codec.py
+++ b/quota_gateway/net/handover_codec.py
@@ -113,7 +113,7 @@
 
 
 class _JsonObject:
-    """A JSON object and its location in the file; each accessor raises ``HandoverFormatError``."""
+    """A JSON object and its location in the file; accessors check the form (``HandoverFormatError``)."""
 
     __slots__ = ("_location", "_members")
 
--- a/quota_gateway/net/http_common.py
+++ b/quota_gateway/net/http_common.py
@@ -6,7 +6,7 @@
 MAX_STREAMED_BODY = 40 * 1024 * 1024  # bytes of a streamed request body
 STREAM_RECEIVE_BUFFER = (
     128 * 1024
-)  # bytes of socket receive buffer for a streamed body: memory must do for hundreds of them
+)  # bytes of a socket's receive buffer for a streamed body: hundreds must fit
 MAX_HEAD = 32 * 1024  # bytes of a request line or status line with its headers
 MAX_PORT = 65535
 # Headers that belong to one connection and are never forwarded (RFC 9110, 7.6.1), and the framing headers,
--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -63,9 +63,8 @@
         self.counter_id = int.from_bytes(blake2b(label, digest_size=8).digest(), "big") >> 1
         self.updated_at = now
         self.serving_gateways = max(1, gateways)  # that serve this customer
-        self.share_count = (
-            self.serving_gateways * process_count
-        )  # shares that ceiling and guarantee are split into
+        # Shares that ceiling and guarantee are split into.
+        self.share_count = self.serving_gateways * process_count
         self.tokens = plan.burst + plan.rate * age  # in the global bucket; a total of the counter cuts them
         self.set_plan(plan, max_units)
         self.guaranteed_tokens = self.guaranteed_capacity  # tokens of the guaranteed share
