--- a/quota_gateway/decisions/quota_admission.py
+++ b/quota_gateway/decisions/quota_admission.py
@@ -37,7 +37,7 @@
         account.add_demand(now, request.units, DEMAND_WINDOW)
         remote_usage = account.remote_usage * (now - account.last_synchronised)
         expected = min(plan.burst, account.tokens - remote_usage)
-        leases.budget.available(now)  # up to now at the rate so far
+        leases.budget.available(now)  # refills it at the rate so far
         even_limit = -(-plan.concurrency_limit // account.serving_gateways)
         if plan.concurrency_limit > 0 and account.open_attempts >= even_limit:
             forward(now, request, within_quota=False)
@@ -90,7 +90,7 @@
         chance = min(1.0, self.forwarder.leases.budget.available(now) / 2) * retry_chance
         call_time = CALL_TIME * self.context.settings.counter_timeout
         asks = request.deadline - now >= call_time and chance >= max(MIN_CHANCE, self.context.rng.random())
-        # One request that nobody asked for goes on until its even share has come back.
+        # Without a call one request is granted until the guaranteed share that it took has refilled.
         minimum = max(request.units, UNSPENT_FRACTION * account.guaranteed_capacity)
         is_within = (
             expected >= request.units and not request.is_retry and account.guaranteed_tokens >= minimum
--- a/quota_gateway/net/client_liveness.py
+++ b/quota_gateway/net/client_liveness.py
@@ -55,7 +55,8 @@
         """Whether an attempt may begin for the client.
 
         The socket is polled where the event loop may not have read the end yet. A client that ended its input
-        within ``PRESENCE_GRACE`` may wait half-closed, and is served.
+        within ``PRESENCE_GRACE`` may wait half-closed, and is served. A poll that finds it gone aborts
+        the connection, and one that is in doubt has unsent attempts withdrawn.
         """
         connection = self._connection
         if connection.transport is None or connection.transport.is_closing():
--- a/quota_gateway/net/connection_pool.py
+++ b/quota_gateway/net/connection_pool.py
@@ -15,7 +15,7 @@
 from quota_gateway.net.metrics import Metrics
 from quota_gateway.net.upstream_connection import UpstreamConnection
 from quota_gateway.net.upstream_endpoint import UpstreamEndpoint
-from quota_gateway.net.upstream_transport import Clock, UpstreamTransport
+from quota_gateway.net.upstream_writer import Clock, UpstreamWriter
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
     ) -> None:
         """Time-outs are seconds; after ``idle_timeout`` endpoints close idle connections."""
         self.clock = clock
-        self.streaming_connections = set[UpstreamTransport]()  # connections with a streamed body in progress
+        self.streaming_connections = set[UpstreamWriter]()  # connections with a streamed body in progress
         self._connect_timeout = connect_timeout
         self._idle_policy = IdlePolicy(idle_timeout)
         self._max_connections = max_connections
@@ -154,6 +154,7 @@
         remaining = exchange.expires_at - self.clock()
         endpoint = connection.endpoint
         usable = connection.address == endpoint.address and self._endpoints.is_usable(endpoint)
+        # The client is asked last: that polls its socket, and may withdraw this very exchange.
         if remaining <= 0 or not usable or exchange.has_lost_client():
             self.release(connection, True)
             return self.complete(exchange, CallStatus.NOT_SENT)
--- a/quota_gateway/net/exchange.py
+++ b/quota_gateway/net/exchange.py
@@ -50,7 +50,10 @@
     timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
 
     def has_lost_client(self) -> bool:
-        """Whether there is a client to ask and it is connected no more."""
+        """Poll whether the client has left; false where there is no client, as for a health check.
+
+        A client that may have left has its unsent exchanges withdrawn, this one included.
+        """
         return self.is_client_connected is not None and not self.is_client_connected()
 
     def may_be_executing(self) -> bool:
--- a/quota_gateway/net/upstream_connection.py
+++ b/quota_gateway/net/upstream_connection.py
@@ -16,7 +16,7 @@
 from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_HEAD, STREAM_RECEIVE_BUFFER
 from quota_gateway.net.load_report import parse_load_report
 from quota_gateway.net.response_parser import STATUS_OK, MalformedResponseError, ResponseParser
-from quota_gateway.net.upstream_transport import STALL_TIMEOUT, ExchangeOwner, UpstreamTransport
+from quota_gateway.net.upstream_writer import STALL_TIMEOUT, ExchangeOwner, UpstreamWriter
 
 if TYPE_CHECKING:
     from quota_gateway.net.upstream_endpoint import UpstreamEndpoint
@@ -48,7 +48,7 @@
         """The connection has ended."""
 
 
-class UpstreamConnection(UpstreamTransport):
+class UpstreamConnection(UpstreamWriter):
     """A connection to an endpoint; it carries one exchange at a time.
 
     It is the source of a streamed response (``body_stream.BodySource``).
--- a/quota_gateway/net/upstream_transport.py
+++ b/quota_gateway/net/upstream_writer.py
@@ -24,7 +24,7 @@
     """What the writing of requests is reported to: the pool."""
 
     clock: Clock
-    streaming_connections: set[UpstreamTransport]  # connections with a streamed body in progress
+    streaming_connections: set[UpstreamWriter]  # connections with a streamed body in progress
 
     def record_request_written(self, exchange: Exchange) -> None:
         """The request is written completely."""
@@ -33,7 +33,7 @@
         """The exchange is over."""
 
 
-class UpstreamTransport(asyncio.Protocol):
+class UpstreamWriter(asyncio.Protocol):
     """Writes one request at a time.
 
     A request that was not written completely was never executed; from its last byte on it may have been.
--- a/quota_gateway/settings_parser.py
+++ b/quota_gateway/settings_parser.py
@@ -36,8 +36,8 @@
     connect_timeout: float  # to connect to an endpoint
     idle_timeout: float  # until an endpoint closes an idle connection
     client_count: int = 1  # limiters whose polls discovery serves in turn; 1 where it pushes
-    # The limits of a poll: ``net.backoff`` and ``net.endpoint_watch`` have the reasons. Where discovery pushes,
-    # a local agent responds at once, and both are parts of the notice that a draining endpoint gives.
+    # The limits of a poll: ``net.backoff`` and ``net.endpoint_watch`` have the reasons. Where discovery
+    # pushes, a local agent responds at once, and both are parts of the notice of a draining endpoint.
     answer_timeout: float = 3.0  # until a call to discovery is given up
     max_poll_interval: float = 4.5  # at most, from the start of one call to the start of the next
 
