--- a/quota_gateway/net/counter_client.py
+++ b/quota_gateway/net/counter_client.py
@@ -123,11 +123,7 @@
         """Return the seconds of the event loop's clock."""
         return self._loop.time()
 
-    def on_writable(self) -> None:
-        """A connection takes more requests."""
-        self._flush()
-
-    def _flush(self) -> None:
+    def flush(self) -> None:
         """Send what the active connection takes.
 
         One request at a time goes to the transport: those that are queued here are known not to be written.
@@ -155,7 +151,7 @@
         if connection is self._active:
             self._active = self._standby
             self._standby = None
-            self._flush()
+            self.flush()
         elif connection is self._standby:
             self._standby = None
         else:
@@ -171,7 +167,7 @@
 
     def _enqueue(self, call: CounterCall) -> None:
         self._unsent.append(call)
-        self._flush()
+        self.flush()
 
     def _on_timeout(self, call: CounterCall) -> None:
         if call in self._unsent:
@@ -193,7 +189,7 @@
             self._active = standby
             self._standby = None
             self._drain(active)
-            self._flush()
+            self.flush()
             self._open_missing_connections()
 
     def _drain(self, connection: CounterConnection) -> None:
@@ -258,5 +254,5 @@
         if not connection.usable:
             self.on_connection_lost(connection)  # it was lost before it was known here
         elif connection is self._active:
-            self._flush()
+            self.flush()
             self._open_missing_connections()  # the standby
--- a/quota_gateway/net/counter_connection.py
+++ b/quota_gateway/net/counter_connection.py
@@ -57,8 +57,8 @@
     def now(self) -> float:
         """Return the seconds of the event loop's clock."""
 
-    def on_writable(self) -> None:
-        """Handle a connection that takes requests again."""
+    def flush(self) -> None:
+        """Send what waits: the connection takes requests again."""
 
     def complete(self, call: CounterCall, result: CallResult) -> None:
         """Handle the end of a call."""
@@ -126,7 +126,7 @@
     def resume_writing(self) -> None:
         """Handle an empty send buffer."""
         self.write_paused = False
-        self._owner.on_writable()
+        self._owner.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Handle the end of the connection: calls in flight may have been counted."""
