--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,6 +1,7 @@
-"""State that the decisions keep: records with their mechanical transitions, such as a refill or a reset.
+"""State that the decisions keep: records of endpoint, customer and request with their transitions.
 
-What is chosen, and every constant that a choice depends on, stands in ``quota_gateway.decisions``.
+Some transitions decide: the size of the guaranteed share, the split of a ceiling, what a process takes over, what
+counts as a restart. They belong to the decisions, though not to the policy files that the deploy file names.
 """
 
 from quota_gateway.state.account import Account, PendingCall
