--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,7 +1,7 @@
 """State that the decisions keep: records of endpoint, customer and request with their transitions.
 
-Some transitions decide: the size of the guaranteed share, the split of a ceiling, what a process takes over, what
-counts as a restart. They belong to the decisions, though not to the policy files that the deploy file names.
+Some transitions decide: the size of the guaranteed share, the split of a ceiling, what a process takes over,
+what counts as a restart. They belong to the decisions, though not to the deploy file's policy files.
 """
 
 from quota_gateway.state.account import Account, PendingCall
