--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -8,8 +8,8 @@
 from typing import Any, NamedTuple, Self
 
 from quota_gateway import model
-from quota_gateway.net.http_common import split_address
-from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
+from quota_gateway.net.common.http_common import split_address
+from quota_gateway.net.discovery.watch_event import WatchEvent, parse_watch_event
 from quota_gateway.settings_parser import Timing, parse_settings, parse_timing
 
 DEFAULT_MAX_SOCKETS = 1024  # file descriptors, where the file names no limit: the usual limit of a process
--- a/quota_gateway/lifecycle.py
+++ b/quota_gateway/lifecycle.py
@@ -15,14 +15,14 @@
 from quota_gateway import model
 from quota_gateway.config import Config, ConfigError, ConfigUnreadableError, Environment, load_config
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.net.admin import AdminListener
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.dispatcher import Dispatcher, unix_clock, unix_offset
-from quota_gateway.net.listener import ClientListener
-from quota_gateway.net.metrics import Metrics
-from quota_gateway.net.process_group import ProcessGroup
+from quota_gateway.net.admin.listener import AdminListener
+from quota_gateway.net.client.listener import ClientListener
+from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock, unix_offset
+from quota_gateway.net.process_group.group import ProcessGroup
+from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import Timing, check_reloaded_settings
 
 log = logging.getLogger("quota_gateway")  # the lines on the process itself carry the package's name
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin/listener.py
@@ -12,7 +12,7 @@
 from typing import Protocol, cast
 
 from quota_gateway import model
-from quota_gateway.net.acceptor import Acceptor, create_listening_socket
+from quota_gateway.net.common.acceptor import Acceptor, create_listening_socket
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/connection_closing.py
+++ b/quota_gateway/net/client/closing.py
@@ -9,13 +9,13 @@
 import termios
 from typing import TYPE_CHECKING
 
-from quota_gateway.net.client_stats import VOLUNTARY, CloseReason
-from quota_gateway.net.http_common import MAX_STREAMED_BODY
-from quota_gateway.net.invariants import Invariant
-from quota_gateway.net.socket_calls import shut_down_sending
+from quota_gateway.net.client.stats import VOLUNTARY, CloseReason
+from quota_gateway.net.common.http_common import MAX_STREAMED_BODY
+from quota_gateway.net.common.invariants import Invariant
+from quota_gateway.net.common.socket_calls import shut_down_sending
 
 if TYPE_CHECKING:
-    from quota_gateway.net.client_connection import ClientConnection
+    from quota_gateway.net.client.connection import ClientConnection
 
 LINGER_TIME = 0.5  # seconds in which input is still discarded: a reset would eat the response
 MAX_DISCARDED = 128 * 1024  # bytes of it: how much is read must not be the sender's choice
--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/client/connection.py
@@ -7,15 +7,15 @@
 from collections import deque
 from typing import TYPE_CHECKING, cast
 
-from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.client_liveness import ClientLiveness
-from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.client_stats import CloseReason
-from quota_gateway.net.connection_closing import ConnectionCloser
-from quota_gateway.net.request_reader import MAX_PIPELINE, RequestReader
+from quota_gateway.net.client.closing import ConnectionCloser
+from quota_gateway.net.client.liveness import ClientLiveness
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.client.request_reader import MAX_PIPELINE, RequestReader
+from quota_gateway.net.client.stats import CloseReason
+from quota_gateway.net.common.body_stream import BodyStream
 
 if TYPE_CHECKING:
-    from quota_gateway.net.listener import ClientListener
+    from quota_gateway.net.client.listener import ClientListener
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/listener.py
+++ b/quota_gateway/net/client/listener.py
@@ -8,14 +8,14 @@
 import socket
 
 from quota_gateway import model
-from quota_gateway.net.acceptor import Acceptor, create_listening_socket, errno_name
-from quota_gateway.net.client_connection import ClientConnection
-from quota_gateway.net.client_request import RequestHandler
-from quota_gateway.net.client_stats import ClientStats, CloseReason
-from quota_gateway.net.connection_closing import ConnectionCloser
-from quota_gateway.net.metrics import Metrics
-from quota_gateway.net.request_parser import RequestParser
-from quota_gateway.net.stall_detector import HEARTBEAT_INTERVAL, StallDetector
+from quota_gateway.net.client.closing import ConnectionCloser
+from quota_gateway.net.client.connection import ClientConnection
+from quota_gateway.net.client.request import RequestHandler
+from quota_gateway.net.client.request_parser import RequestParser
+from quota_gateway.net.client.stall_detector import HEARTBEAT_INTERVAL, StallDetector
+from quota_gateway.net.client.stats import ClientStats, CloseReason
+from quota_gateway.net.common.acceptor import Acceptor, create_listening_socket, errno_name
+from quota_gateway.net.common.metrics import Metrics
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/client_liveness.py
+++ b/quota_gateway/net/client/liveness.py
@@ -9,10 +9,10 @@
 import struct
 from typing import TYPE_CHECKING
 
-from quota_gateway.net.client_stats import CloseReason
+from quota_gateway.net.client.stats import CloseReason
 
 if TYPE_CHECKING:
-    from quota_gateway.net.client_connection import ClientConnection
+    from quota_gateway.net.client.connection import ClientConnection
 
 # Seconds in which a client that has gone shows it by a reset: a round trip, and a slow event loop.
 RESET_WAIT = 0.1
--- a/quota_gateway/net/client_request.py
+++ b/quota_gateway/net/client/request.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING, Protocol
 
 from quota_gateway import model
-from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.client_stats import CloseReason
-from quota_gateway.net.invariants import Invariant
+from quota_gateway.net.client.stats import CloseReason
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.invariants import Invariant
 
 if TYPE_CHECKING:
-    from quota_gateway.net.client_connection import ClientConnection
+    from quota_gateway.net.client.connection import ClientConnection
 
 REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
--- a/quota_gateway/net/request_body.py
+++ b/quota_gateway/net/client/request_body.py
@@ -6,12 +6,12 @@
 import socket
 from typing import TYPE_CHECKING
 
-from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_STREAMED_BODY, STREAM_RECEIVE_BUFFER
-from quota_gateway.net.request_parser import BadRequestError
+from quota_gateway.net.client.request_parser import BadRequestError
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_STREAMED_BODY, STREAM_RECEIVE_BUFFER
 
 if TYPE_CHECKING:
-    from quota_gateway.net.client_connection import ClientConnection
+    from quota_gateway.net.client.connection import ClientConnection
 
 BODY_TIMEOUT = 2.05  # seconds in which a body must be complete, unless it keeps ``MIN_BODY_RATE``
 SILENCE_TIMEOUT = 2.05  # seconds without a byte: who stops in a body and stays is owed an error within 3 s
--- a/quota_gateway/net/request_head.py
+++ b/quota_gateway/net/client/request_head.py
@@ -4,9 +4,9 @@
 
 import re
 
-from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.http_common import MAX_HEAD, MAX_STREAMED_BODY, NOT_FORWARDED
-from quota_gateway.net.request_parser import DECIMAL_PATTERN, PARSED_HEADERS, TIMEOUT, BadRequestError
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.client.request_parser import DECIMAL_PATTERN, PARSED_HEADERS, TIMEOUT, BadRequestError
+from quota_gateway.net.common.http_common import MAX_HEAD, MAX_STREAMED_BODY, NOT_FORWARDED
 
 ABSOLUTE_FORM_PATTERN = re.compile(rb"https?://[^/?#]+(?=/)", re.IGNORECASE)
 TARGET_PATTERN = re.compile(rb"[!-~]+")
--- a/quota_gateway/net/request_reader.py
+++ b/quota_gateway/net/client/request_reader.py
@@ -9,15 +9,15 @@
 import httptools
 
 from quota_gateway import model
-from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_HEAD
-from quota_gateway.net.request_body import RequestBody
-from quota_gateway.net.request_head import RequestHead
-from quota_gateway.net.request_parser import REQUEST_ID, BadRequestError
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.client.request_body import RequestBody
+from quota_gateway.net.client.request_head import RequestHead
+from quota_gateway.net.client.request_parser import REQUEST_ID, BadRequestError
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD
 
 if TYPE_CHECKING:
-    from quota_gateway.net.client_connection import ClientConnection
+    from quota_gateway.net.client.connection import ClientConnection
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/body_stream.py
+++ b/quota_gateway/net/common/body_stream.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from quota_gateway.net.http_common import MAX_BUFFERED_BODY
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY
 
 
 class BodySource(Protocol):
--- a/quota_gateway/net/metrics.py
+++ b/quota_gateway/net/common/metrics.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from quota_gateway.net.invariants import InvariantMonitor
+from quota_gateway.net.common.invariants import InvariantMonitor
 
 STATUS_OK = 200
 REJECTION_STATUSES = (429, 503)
--- /dev/null
+++ b/quota_gateway/net/counter/__init__.py
@@ -0,0 +1,4 @@
+"""The client of the shared counter: pipelined calls, the standby connection and failover.
+
+It imports only ``common``.
+"""
--- a/quota_gateway/net/counter_client.py
+++ b/quota_gateway/net/counter/client.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.counter_connection import (
+from quota_gateway.net.counter.connection import (
     PING_REQUEST,
     CallResult,
     CompletionHandler,
@@ -16,7 +16,7 @@
     CounterConnection,
     increment_request,
 )
-from quota_gateway.net.counter_connector import CounterConnector
+from quota_gateway.net.counter.connector import CounterConnector
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/counter_connector.py
+++ b/quota_gateway/net/counter/connector.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from random import Random
 
-from quota_gateway.net.backoff import reconnect_delay
-from quota_gateway.net.counter_connection import Address, ConnectionOwner, CounterConnection
+from quota_gateway.net.common.backoff import reconnect_delay
+from quota_gateway.net.counter.connection import Address, ConnectionOwner, CounterConnection
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/discovery_client.py
+++ b/quota_gateway/net/discovery/client.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from random import Random
 
-from quota_gateway.net.backoff import MAX_POLL_INTERVAL
-from quota_gateway.net.endpoint_watch import SILENCE_TIMEOUT, DiscoveryContact, EndpointWatcher
-from quota_gateway.net.watch_event import WatchEvent
+from quota_gateway.net.common.backoff import MAX_POLL_INTERVAL
+from quota_gateway.net.discovery.watch_event import WatchEvent
+from quota_gateway.net.discovery.watcher import SILENCE_TIMEOUT, DiscoveryContact, EndpointWatcher
 
 
 class DiscoveryClient:
--- a/quota_gateway/net/watch_event.py
+++ b/quota_gateway/net/discovery/watch_event.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from quota_gateway import model
-from quota_gateway.net.http_common import split_address
+from quota_gateway.net.common.http_common import split_address
 
 HEALTH_STATES = {
     "ready": model.EndpointHealth.HEALTHY,
--- a/quota_gateway/net/endpoint_watch.py
+++ b/quota_gateway/net/discovery/watcher.py
@@ -14,8 +14,8 @@
 
 import httptools
 
-from quota_gateway.net.backoff import MAX_POLL_INTERVAL, poll_delay
-from quota_gateway.net.watch_event import WatchEvent, parse_watch_event
+from quota_gateway.net.common.backoff import MAX_POLL_INTERVAL, poll_delay
+from quota_gateway.net.discovery.watch_event import WatchEvent, parse_watch_event
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/admin_calls.py
+++ b/quota_gateway/net/dispatch/admin_calls.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 from quota_gateway import model
-from quota_gateway.net.admin import ReplyCallback
-from quota_gateway.net.metrics import Metrics
-from quota_gateway.net.process_group import ProcessGroup
-from quota_gateway.net.request_table import RequestTable
+from quota_gateway.net.admin.listener import ReplyCallback
+from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.dispatch.request_table import RequestTable
+from quota_gateway.net.process_group.group import ProcessGroup
 
 SAVE_TIMEOUT = 0.7  # seconds that a reply waits until a suspension is recorded; it is owed within 1 s
 SAVE_POLL_INTERVAL = 0.05  # seconds
--- a/quota_gateway/net/attempt_guard.py
+++ b/quota_gateway/net/dispatch/attempt_guard.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from quota_gateway import model
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.invariants import Invariant, InvariantMonitor
-from quota_gateway.net.request_log import describe_request
+from quota_gateway.net.common.invariants import Invariant, InvariantMonitor
+from quota_gateway.net.dispatch.request_log import describe_request
+from quota_gateway.net.upstream.exchange import Exchange
 
 if TYPE_CHECKING:
-    from quota_gateway.net.request_table import PendingRequest
+    from quota_gateway.net.dispatch.request_table import PendingRequest
 
 
 def may_have_executed(attempt: Exchange) -> bool:
--- a/quota_gateway/net/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -14,17 +14,17 @@
 from typing import Any, Protocol
 
 from quota_gateway import model
-from quota_gateway.net.admin import ReplyCallback
-from quota_gateway.net.admin_calls import AdminCalls
-from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.health_check import health_check_event, new_health_check
-from quota_gateway.net.metrics import Metrics
-from quota_gateway.net.process_group import ProcessGroup
-from quota_gateway.net.request_table import RequestTable
-from quota_gateway.net.watch_event import WatchEvent
+from quota_gateway.net.admin.listener import ReplyCallback
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.discovery.watch_event import WatchEvent
+from quota_gateway.net.dispatch.admin_calls import AdminCalls
+from quota_gateway.net.dispatch.request_table import RequestTable
+from quota_gateway.net.process_group.group import ProcessGroup
+from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.upstream.health_check import health_check_event, new_health_check
+from quota_gateway.net.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/request_log.py
+++ b/quota_gateway/net/dispatch/request_log.py
@@ -7,31 +7,15 @@
 
 import logging
 from collections.abc import Sequence
-from typing import TYPE_CHECKING
 
 from quota_gateway import model
-
-if TYPE_CHECKING:
-    from quota_gateway.net.exchange import Exchange
+from quota_gateway.net.upstream.exchange import Exchange, describe_attempt
 
 log = logging.getLogger(__name__)
 
 MAX_LINES_PER_SECOND = 2  # the others of that second are only counted
 
 
-def describe_attempt(number: int, attempt: Exchange) -> str:
-    """One attempt: its endpoint and that one's incarnation, its connection, how and when it ended."""
-    connection = "no connection"
-    if attempt.connection_number:
-        kind = "reused" if attempt.on_reused_connection else "new"
-        connection = f"{kind} connection {attempt.connection_number}"
-    written = "written" if attempt.request_written else "not written"
-    ending = attempt.status.value if attempt.completed else "out"
-    endpoint = f"{attempt.endpoint} (started {attempt.endpoint_started_at:.3f})"
-    ended = f"{ending} after {attempt.elapsed:.3f} s"
-    return f"attempt {number} at {endpoint} on {connection}, {written}, {ended}"
-
-
 def describe_request(request_id: bytes, event: model.Request, attempts: Sequence[Exchange]) -> str:
     """A request by its client's id, and its attempts in their order."""
     steps = [describe_attempt(number, attempt) for number, attempt in enumerate(attempts)]
--- a/quota_gateway/net/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -13,13 +13,13 @@
 from functools import partial
 
 from quota_gateway import model
-from quota_gateway.net.attempt_guard import AttemptGuard
-from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.invariants import Invariant, InvariantMonitor
-from quota_gateway.net.request_log import RequestLog, describe_request
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.invariants import Invariant, InvariantMonitor
+from quota_gateway.net.dispatch.attempt_guard import AttemptGuard
+from quota_gateway.net.dispatch.request_log import RequestLog, describe_request
+from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/accepting_file.py
+++ b/quota_gateway/net/process_group/accepting_file.py
@@ -6,7 +6,7 @@
 import logging
 from pathlib import Path
 
-from quota_gateway.net.shared_files import FileLock
+from quota_gateway.net.process_group.shared_files import FileLock
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/process_group.py
+++ b/quota_gateway/net/process_group/group.py
@@ -16,11 +16,11 @@
 from pathlib import Path
 
 from quota_gateway import model
-from quota_gateway.net.accepting_file import AcceptingFile, accepting_path, is_accepting
-from quota_gateway.net.handover_files import HandoverFiles, handover_path, temporary_path
-from quota_gateway.net.shared_files import FileLock
-from quota_gateway.net.suspension_file import FILE_NAME as SUSPENSION_FILE_NAME
-from quota_gateway.net.suspension_file import SuspensionFile
+from quota_gateway.net.process_group.accepting_file import AcceptingFile, accepting_path, is_accepting
+from quota_gateway.net.process_group.handover_files import HandoverFiles, handover_path, temporary_path
+from quota_gateway.net.process_group.shared_files import FileLock
+from quota_gateway.net.process_group.suspension_file import FILE_NAME as SUSPENSION_FILE_NAME
+from quota_gateway.net.process_group.suspension_file import SuspensionFile
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/handover_files.py
+++ b/quota_gateway/net/process_group/handover_files.py
@@ -8,8 +8,12 @@
 from pathlib import Path
 
 from quota_gateway import model
-from quota_gateway.net.handover_codec import HandoverFormatError, decode_handover, encode_handover
-from quota_gateway.net.shared_files import replace_file
+from quota_gateway.net.process_group.handover_codec import (
+    HandoverFormatError,
+    decode_handover,
+    encode_handover,
+)
+from quota_gateway.net.process_group.shared_files import replace_file
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/suspension_file.py
+++ b/quota_gateway/net/process_group/suspension_file.py
@@ -10,7 +10,7 @@
 import logging
 from pathlib import Path
 
-from quota_gateway.net.shared_files import FileLock, replace_file
+from quota_gateway.net.process_group.shared_files import FileLock, replace_file
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/upstream_connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -11,16 +11,16 @@
 from typing import TYPE_CHECKING, Protocol
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.connection_stats import ConnectionStats
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_HEAD, STREAM_RECEIVE_BUFFER
-from quota_gateway.net.load_report import parse_load_report
-from quota_gateway.net.response_parser import STATUS_OK, MalformedResponseError, ResponseParser
-from quota_gateway.net.upstream_writer import STALL_TIMEOUT, ExchangeOwner, UpstreamWriter
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD, STREAM_RECEIVE_BUFFER
+from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.upstream.load_report import parse_load_report
+from quota_gateway.net.upstream.response_parser import STATUS_OK, MalformedResponseError, ResponseParser
+from quota_gateway.net.upstream.stats import ConnectionStats
+from quota_gateway.net.upstream.writer import STALL_TIMEOUT, ExchangeOwner, UpstreamWriter
 
 if TYPE_CHECKING:
-    from quota_gateway.net.upstream_endpoint import UpstreamEndpoint
+    from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 
 # Seconds between two parts of a response. A length that promises more than comes would otherwise end as a
 # time-out, much later, and that speaks of an unresponsive endpoint.
--- a/quota_gateway/net/upstream_endpoint.py
+++ b/quota_gateway/net/upstream/endpoint.py
@@ -5,8 +5,8 @@
 import math
 from dataclasses import dataclass, field
 
-from quota_gateway.net.connection_stats import ConnectionStats
-from quota_gateway.net.upstream_connection import UpstreamConnection
+from quota_gateway.net.upstream.connection import UpstreamConnection
+from quota_gateway.net.upstream.stats import ConnectionStats
 
 # Seconds that a connection stays idle before its next request: what an endpoint sends behind a response (a
 # second copy, noise) comes when nothing waits there, and closes the connection. Without the delay it would
--- a/quota_gateway/net/endpoint_table.py
+++ b/quota_gateway/net/upstream/endpoint_table.py
@@ -5,8 +5,8 @@
 import logging
 import math
 
-from quota_gateway.net.http_common import split_address
-from quota_gateway.net.upstream_endpoint import UpstreamEndpoint
+from quota_gateway.net.common.http_common import split_address
+from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.body_stream import BodyStream
+from quota_gateway.net.common.body_stream import BodyStream
 
 
 class ExchangeConnection(Protocol):
@@ -67,3 +67,16 @@
         """
         upload_incomplete = self.upload is not None and not self.request_written
         return self.connection is not None and not upload_incomplete
+
+
+def describe_attempt(number: int, attempt: Exchange) -> str:
+    """One attempt: its endpoint and that one's incarnation, its connection, how and when it ended."""
+    connection = "no connection"
+    if attempt.connection_number:
+        kind = "reused" if attempt.on_reused_connection else "new"
+        connection = f"{kind} connection {attempt.connection_number}"
+    written = "written" if attempt.request_written else "not written"
+    ending = attempt.status.value if attempt.completed else "out"
+    endpoint = f"{attempt.endpoint} (started {attempt.endpoint_started_at:.3f})"
+    ended = f"{ending} after {attempt.elapsed:.3f} s"
+    return f"attempt {number} at {endpoint} on {connection}, {written}, {ended}"
--- a/quota_gateway/net/health_check.py
+++ b/quota_gateway/net/upstream/health_check.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from quota_gateway.model import CallStatus, HealthChecked
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.load_report import parse_load_report
+from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.upstream.load_report import parse_load_report
 
 HEALTH_CHECK_TIMEOUT = 0.25  # seconds
 HEALTH_PATH = b"/healthz"
--- a/quota_gateway/net/connection_pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -9,16 +9,15 @@
 from collections import Counter
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.connection_stats import ConnectionStats
-from quota_gateway.net.endpoint_table import EndpointTable
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.idle_policy import STALE_BREAK_WINDOW, IdlePolicy
-from quota_gateway.net.invariants import Invariant
-from quota_gateway.net.metrics import Metrics
-from quota_gateway.net.request_log import describe_attempt
-from quota_gateway.net.upstream_connection import UpstreamConnection
-from quota_gateway.net.upstream_endpoint import UpstreamEndpoint
-from quota_gateway.net.upstream_writer import Clock, UpstreamWriter
+from quota_gateway.net.common.invariants import Invariant
+from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.upstream.connection import UpstreamConnection
+from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
+from quota_gateway.net.upstream.endpoint_table import EndpointTable
+from quota_gateway.net.upstream.exchange import Exchange, describe_attempt
+from quota_gateway.net.upstream.idle_policy import STALE_BREAK_WINDOW, IdlePolicy
+from quota_gateway.net.upstream.stats import ConnectionStats
+from quota_gateway.net.upstream.writer import Clock, UpstreamWriter
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/response_parser.py
+++ b/quota_gateway/net/upstream/response_parser.py
@@ -7,8 +7,8 @@
 
 import httptools
 
-from quota_gateway.net.body_stream import BodyStream
-from quota_gateway.net.http_common import MAX_BUFFERED_BODY, MAX_HEAD, NOT_FORWARDED
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD, NOT_FORWARDED
 
 STATUS_OK = 200
 FIRST_FINAL_STATUS = 200  # lower status codes are those of interim responses
--- a/quota_gateway/net/upstream_writer.py
+++ b/quota_gateway/net/upstream/writer.py
@@ -10,11 +10,11 @@
 from typing import TYPE_CHECKING, Protocol, cast
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.socket_calls import shut_down_sending
+from quota_gateway.net.common.socket_calls import shut_down_sending
+from quota_gateway.net.upstream.exchange import Exchange
 
 if TYPE_CHECKING:
-    from quota_gateway.net.upstream_endpoint import UpstreamEndpoint
+    from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 
 STALL_TIMEOUT = 15.0  # seconds without a byte, read or written, until a streamed body is given up
 NATIVE_INT = struct.Struct("i")  # what the FIONREAD call fills in
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -18,7 +18,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.quota import IDLE_TIME
-from quota_gateway.net.watch_event import parse_watch_event
+from quota_gateway.net.discovery.watch_event import parse_watch_event
 from quota_gateway.settings_parser import check_reloaded_settings, parse_settings
 from scale import load_profile, regression
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
--- a/scale/fleet/endpoint_watch.py
+++ b/scale/fleet/endpoint_watch.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from quota_gateway import model
-from quota_gateway.net.backoff import poll_delay
-from quota_gateway.net.endpoint_watch import SILENCE_TIMEOUT
+from quota_gateway.net.common.backoff import poll_delay
+from quota_gateway.net.discovery.watcher import SILENCE_TIMEOUT
 from scale.fleet.discovery import EndpointHistory
 from scale.fleet.mailbox import Mailbox
 from scale.fleet.messages import (
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -12,10 +12,10 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.dispatcher import Dispatcher, unix_clock
-from quota_gateway.net.exchange import Exchange
-from quota_gateway.net.listener import ClientListener
+from quota_gateway.net.client.listener import ClientListener
+from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import parse_settings
 from scale.memory.allocation import MemoryUse, allocated_bytes, resident_bytes, start_tracing
 from scale.memory.forked_peer import FINISHED, fork_peer, wait_finished
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -10,9 +10,9 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.dispatcher import unix_clock
-from quota_gateway.net.watch_event import parse_watch_event
+from quota_gateway.net.discovery.watch_event import parse_watch_event
+from quota_gateway.net.dispatch.dispatcher import unix_clock
+from quota_gateway.net.upstream.pool import ConnectionPool
 from scale import load_profile
 from scale.memory.allocation import resident_bytes
 from scale.model import Size
--- a/scale/messages/counter_bytes.py
+++ b/scale/messages/counter_bytes.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.counter.client import CounterClient
 from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
 
 CALLS = 200  # whose bytes are counted
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -8,8 +8,8 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import parse_settings
 from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
 from scale.synthetic_inputs import synthetic_settings
--- a/scale/messages/list_bytes.py
+++ b/scale/messages/list_bytes.py
@@ -8,8 +8,8 @@
 
 import uvloop
 
-from quota_gateway.net.endpoint_watch import EndpointWatcher
-from quota_gateway.net.watch_event import WatchEvent
+from quota_gateway.net.discovery.watch_event import WatchEvent
+from quota_gateway.net.discovery.watcher import EndpointWatcher
 from scale.messages.counting_stand_in import CountingStandIn, encode_chunk
 from scale.model import Size
 from scale.synthetic_inputs import complete_list_text
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass, replace
 from statistics import mean, median
 
-from quota_gateway.net.watch_event import parse_watch_event
+from quota_gateway.net.discovery.watch_event import parse_watch_event
 from scale import load_profile, regression
 from scale.messages.counter_bytes import CALLS, CounterBytes
 from scale.messages.counter_demand import CounterDemand
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -18,8 +18,8 @@
 
 import uvloop
 
-from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.watch_event import WatchEvent
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.watch_event import WatchEvent
 from quota_gateway.settings_parser import parse_timing
 from scale.model import BrokenRunError, Effort
 from scale.processes import split_address
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -15,7 +15,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.net.watch_event import parse_watch_event
+from quota_gateway.net.discovery.watch_event import parse_watch_event
 from quota_gateway.settings_parser import parse_settings
 from quota_gateway.state import Account
 from scale.model import Size
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quota_gateway.net import invariants
+from quota_gateway.net.common import invariants
 from soak.fault_control import build_library
 from tests.gateway_process import ProcessFaults
 from tests.simulation import GatewaySimulation, start_simulation
--- a/tests/discovery_server.py
+++ b/tests/discovery_server.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from quota_gateway.net import backoff, endpoint_watch
+from quota_gateway.net.common import backoff
+from quota_gateway.net.discovery import watcher as endpoint_watch
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 OVERLOADED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,11 +15,11 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.dispatcher import Dispatcher, unix_clock
-from quota_gateway.net.listener import ClientListener
-from quota_gateway.net.watch_event import WatchEvent
+from quota_gateway.net.client.listener import ClientListener
+from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.discovery.watch_event import WatchEvent
+from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.upstream.pool import ConnectionPool
 
 TIME_LIMIT = 20.0  # seconds; generous: only a hang takes this long
 Parameters = ParamSpec("Parameters")
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, ParamSpec
 
-from quota_gateway.net.connection_pool import ConnectionPool
-from quota_gateway.net.dispatcher import unix_clock
-from quota_gateway.net.exchange import Exchange
+from quota_gateway.net.dispatch.dispatcher import unix_clock
+from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.upstream.pool import ConnectionPool
 from tests.loopback import run
 
 ENDPOINT = "s1"
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -11,7 +11,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import admin
+from quota_gateway.net.admin import listener as admin
 from tests.admin_client import send_command, stalled_connections
 from tests.gateway_process import config, free_port, started
 from tests.loopback import ScriptedEndpoint, run, running_server
--- a/tests/test_attempts_out.py
+++ b/tests/test_attempts_out.py
@@ -9,7 +9,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import upstream_connection, upstream_endpoint
+from quota_gateway.net.upstream import connection as upstream_connection
+from quota_gateway.net.upstream import endpoint as upstream_endpoint
 from tests.loopback import (
     OK_RESPONSE,
     LoopbackLimiter,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from quota_gateway.net import endpoint_watch
-from quota_gateway.net.backoff import MAX_POLL_INTERVAL, poll_delay, reconnect_delay
+from quota_gateway.net.common.backoff import MAX_POLL_INTERVAL, poll_delay, reconnect_delay
+from quota_gateway.net.discovery import watcher as endpoint_watch
 from quota_gateway.settings_parser import parse_timing
 
 
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import upstream_endpoint
+from quota_gateway.net.upstream import endpoint as upstream_endpoint
 from tests.client_helpers import reject
 from tests.loopback import (
     LoopbackLimiter,
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -11,10 +11,13 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import client_liveness, connection_pool, listener, upstream_endpoint
-from quota_gateway.net.client_liveness import ClientLiveness
-from quota_gateway.net.client_request import ClientRequest
-from quota_gateway.net.request_reader import MAX_PIPELINE
+from quota_gateway.net.client import listener
+from quota_gateway.net.client import liveness as client_liveness
+from quota_gateway.net.client.liveness import ClientLiveness
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.client.request_reader import MAX_PIPELINE
+from quota_gateway.net.upstream import endpoint as upstream_endpoint
+from quota_gateway.net.upstream import pool as connection_pool
 from tests.client_helpers import DISCONNECTS, LATE, on_timer, read_final
 from tests.loopback import (
     OK_RESPONSE,
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -7,7 +7,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import client_connection, listener, request_body, request_reader
+from quota_gateway.net.client import connection as client_connection
+from quota_gateway.net.client import listener, request_body, request_reader
 from tests.client_helpers import POST, on_timer, reject
 from tests.loopback import (
     LoopbackLimiter,
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import connection_pool
+from quota_gateway.net.upstream import pool as connection_pool
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.connection_closing import ConnectionCloser
+from quota_gateway.net.client.closing import ConnectionCloser
 from tests.client_helpers import reject
 from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -6,7 +6,7 @@
 import socket
 
 from quota_gateway import model
-from quota_gateway.net.client_connection import ClientConnection
+from quota_gateway.net.client.connection import ClientConnection
 from tests.client_helpers import has_ended, on_timer, reject
 from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -9,8 +9,8 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net import upstream_endpoint
-from quota_gateway.net.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT, ConnectionPool
+from quota_gateway.net.upstream import endpoint as upstream_endpoint
+from quota_gateway.net.upstream.pool import MAX_CONNECTIONS_PER_ENDPOINT, ConnectionPool
 from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import ENDPOINT, PoolHarness, async_test
 
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -10,8 +10,8 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net import counter_client
-from quota_gateway.net.counter_client import CounterClient
+from quota_gateway.net.counter import client as counter_client
+from quota_gateway.net.counter.client import CounterClient
 from tests.loopback import async_test, running_server
 
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -17,7 +17,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import listener
+from quota_gateway.net.client import listener
 from tests.client_helpers import on_timer, reject
 from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import (
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from quota_gateway.net import endpoint_watch
-from quota_gateway.net.backoff import poll_delay
-from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.http_common import split_address
-from quota_gateway.net.watch_event import WatchEvent
+from quota_gateway.net.common.backoff import poll_delay
+from quota_gateway.net.common.http_common import split_address
+from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.watch_event import WatchEvent
 from quota_gateway.settings_parser import parse_timing
 from tests.discovery_server import (
     RESPONSE_HEAD,
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -9,8 +9,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.dispatcher import unix_clock
-from quota_gateway.net.invariants import Invariant, Violation
+from quota_gateway.net.common.invariants import Invariant, Violation
+from quota_gateway.net.dispatch.dispatcher import unix_clock
 from tests.client_helpers import on_timer
 from tests.loopback import (
     OK_RESPONSE,
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -10,10 +10,11 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import backoff, endpoint_watch
-from quota_gateway.net.endpoint_watch import EndpointWatcher
-from quota_gateway.net.http_common import split_address
-from quota_gateway.net.watch_event import WatchEvent
+from quota_gateway.net.common import backoff
+from quota_gateway.net.common.http_common import split_address
+from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery.watch_event import WatchEvent
+from quota_gateway.net.discovery.watcher import EndpointWatcher
 from quota_gateway.settings_parser import parse_timing
 from tests.discovery_server import (
     OVERLOADED_RESPONSE,
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -9,7 +9,11 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.handover_codec import HandoverFormatError, decode_handover, encode_handover
+from quota_gateway.net.process_group.handover_codec import (
+    HandoverFormatError,
+    decode_handover,
+    encode_handover,
+)
 
 STATE = model.HandoverState(
     completion_rate=0.5,
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.net.http_common import MAX_BUFFERED_BODY
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY
 from tests.http_bodies import LONG_BODY, POST_PATH, chunked, read_body, read_head
 from tests.loopback import (
     OK_RESPONSE,
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net import request_reader
+from quota_gateway.net.client import request_reader
 from tests.client_helpers import reject
 from tests.loopback import (
     LoopbackLimiter,
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from quota_gateway.net.load_report import parse_load_report
+from quota_gateway.net.upstream.load_report import parse_load_report
 from tests.loopback import ScriptedEndpoint, running_server
 from tests.pool_harness import PoolHarness, async_test, empty_response
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.net.metrics import Metrics
+from quota_gateway.net.common.metrics import Metrics
 from tests.admin_client import fetch_metrics, parse_metrics, send_command, stalled_connections
 from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import (
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -32,6 +32,19 @@
     "net": ("net", "model"),
 }
 
+NETWORK_PACKAGES = (
+    "admin",
+    "client",
+    "common",
+    "counter",
+    "discovery",
+    "dispatch",
+    "process_group",
+    "upstream",
+)
+# What a module of a network package may import beside its own package, where it is not ``common`` alone.
+ALLOWED_NETWORK_IMPORTS = {"common": (), "dispatch": NETWORK_PACKAGES}
+
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_paths_on_a_page_exist(page: Path) -> None:
@@ -66,12 +79,28 @@
 
 @pytest.mark.parametrize("layer", ALLOWED_IMPORTS)
 def test_layers_import_downwards_only(layer: str) -> None:
-    modules = sorted((ROOT / "quota_gateway" / layer).glob("*.py"))
+    modules = sorted((ROOT / "quota_gateway" / layer).rglob("*.py"))
     assert modules
     for module in modules:
         assert _imported_layers(module.read_text()) <= set(ALLOWED_IMPORTS[layer]), module.name
 
 
+@pytest.mark.parametrize("package", NETWORK_PACKAGES)
+def test_network_packages_import_downwards_only(package: str) -> None:
+    allowed = {package, *ALLOWED_NETWORK_IMPORTS.get(package, ("common",))}
+    modules = sorted((ROOT / "quota_gateway" / "net" / package).glob("*.py"))
+    assert modules
+    for module in modules:
+        imported = set(re.findall(r"quota_gateway\.net\.(\w+)", module.read_text()))
+        assert imported <= allowed, module.name
+
+
+def test_every_network_module_is_in_a_package() -> None:
+    net = ROOT / "quota_gateway" / "net"
+    assert [path.name for path in net.glob("*.py")] == ["__init__.py"]
+    assert {path.name for path in net.iterdir() if (path / "__init__.py").exists()} == set(NETWORK_PACKAGES)
+
+
 def test_the_example_configuration_starts_a_limiter(tmp_path: Path) -> None:
     found = re.search(r"```json\n(.*?)```", README.read_text(), re.DOTALL)
     assert found
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -14,8 +14,8 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.process_group import ProcessGroup
-from quota_gateway.net.suspension_file import FILE_NAME
+from quota_gateway.net.process_group.group import ProcessGroup
+from quota_gateway.net.process_group.suspension_file import FILE_NAME
 
 HANDOVER_STATE = model.HandoverState(
     completion_rate=0.5,
@@ -50,7 +50,7 @@
 # Joins the group, suspends an endpoint, prints the number of processes and waits to be killed.
 OTHER_PROCESS = """
 import sys
-from quota_gateway.net.process_group import ProcessGroup
+from quota_gateway.net.process_group.group import ProcessGroup
 
 group = ProcessGroup(sys.argv[1], "n1")
 group.set_suspended("b", True)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.request_reader import MAX_PIPELINE
+from quota_gateway.net.client.request_reader import MAX_PIPELINE
 from tests.client_helpers import POST, assert_rejected, reject
 from tests.loopback import (
     LoopbackLimiter,
--- a/tests/test_shared_files.py
+++ b/tests/test_shared_files.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from quota_gateway.net.shared_files import FileLock, replace_file
+from quota_gateway.net.process_group.shared_files import FileLock, replace_file
 
 
 def test_a_lock_excludes_others_until_it_is_closed(tmp_path: Path) -> None:
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from quota_gateway.net.stall_detector import AFTERMATH, HEARTBEAT_INTERVAL, StallDetector
+from quota_gateway.net.client.stall_detector import AFTERMATH, HEARTBEAT_INTERVAL, StallDetector
 
 
 def test_while_the_event_loop_runs_nothing_has_waited_longer_than_a_turn() -> None:
--- a/tests/test_suspension_file.py
+++ b/tests/test_suspension_file.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quota_gateway.net.suspension_file import FILE_NAME, MAX_SUSPENSIONS, SuspensionFile
+from quota_gateway.net.process_group.suspension_file import FILE_NAME, MAX_SUSPENSIONS, SuspensionFile
 
 
 def test_a_suspension_by_one_process_is_read_by_another(tmp_path: Path) -> None:
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -11,10 +11,13 @@
 
 from quota_gateway import model
 from quota_gateway.model import CallStatus
-from quota_gateway.net import connection_pool, counter_connector, endpoint_watch, upstream_endpoint
-from quota_gateway.net.counter_client import CounterClient
-from quota_gateway.net.endpoint_watch import EndpointWatcher
-from quota_gateway.net.invariants import Invariant, Violation
+from quota_gateway.net.common.invariants import Invariant, Violation
+from quota_gateway.net.counter import connector as counter_connector
+from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery.watcher import EndpointWatcher
+from quota_gateway.net.upstream import endpoint as upstream_endpoint
+from quota_gateway.net.upstream import pool as connection_pool
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -7,8 +7,9 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net import upstream_connection, upstream_endpoint
-from quota_gateway.net.exchange import Exchange
+from quota_gateway.net.upstream import connection as upstream_connection
+from quota_gateway.net.upstream import endpoint as upstream_endpoint
+from quota_gateway.net.upstream.exchange import Exchange
 from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, async_test, empty_response
 
--- a/tests/test_watch_event.py
+++ b/tests/test_watch_event.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.watch_event import parse_watch_event
+from quota_gateway.net.discovery.watch_event import parse_watch_event
 from tests.discovery_server import message
 
 
