--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -12,6 +12,43 @@
 from soak.process_troubles import ProcessTroubles
 from soak.troubles import TROUBLES, Family, Target
 
+# Seed 7, 20 s, 6 limiters: kind, start, duration, limiters, endpoints, draw. A renamed kind changes its name
+# here and nothing else: the same seed keeps its draws, times and targets.
+PLAN_OF_SEED_7 = [
+    ("upgrade_both_end", 2.815974, 3.372498, (3,), (), 0.445375),
+    ("stall", 3.073719, 2.101419, (4,), (), 0.210536),
+    ("resets", 3.289224, 1.686760, (), (3,), 0.685056),
+    ("upgrade_back", 5.197599, 1.762849, (0, 1, 2, 3, 4, 5), (), 0.688514),
+    ("path_delay", 5.732300, 1.634090, (), (0, 3), 0.311750),
+    ("accept_fails", 5.754566, 2.568542, (5,), (), 0.387031),
+    ("upgrade_back", 7.297971, 2.024268, (5,), (), 0.473869),
+    ("interrupted_waits", 7.343748, 1.707232, (3,), (), 0.404050),
+    ("half_close", 7.493497, 2.500648, (0, 1, 2, 3, 4, 5), (), 0.773966),
+    ("stop", 8.934897, 1.966625, (1,), (), 0.645834),
+    ("folder_broken", 9.186365, 1.475383, (4,), (), 0.248309),
+    ("path_reset", 11.289415, 1.933449, (), (0, 3), 0.772240),
+    ("cold_back", 11.451819, 2.909872, (), (3, 7), 0.058718),
+    ("burst", 11.649896, 2.544552, (0, 1, 2, 3, 4, 5), (), 0.730900),
+    ("counter_silent", 14.139634, 0.706493, (5,), (), 0.719088),
+    ("cold_back", 14.297621, 1.448431, (), (7, 8), 0.968777),
+    ("burst", 14.506715, 1.453449, (2,), (), 0.965183),
+]  # fmt: skip
+
+
+def _rounded(kind: str, start: float, duration: float) -> tuple[str, float, float]:
+    return kind, round(start, 6), round(duration, 6)
+
+
+def test_the_plan_of_a_seed_stays_as_it_is() -> None:
+    plan = make_plan(7, 20.0, 6)
+    assert plan.held == (False, False, False, False, True, False)
+    assert (plan.endpoints, plan.clock_error) == (9, 0.0)
+    rows = [
+        (*_rounded(each.kind, each.at, each.duration), each.limiters, each.endpoints, round(each.draw, 6))
+        for each in plan.troubles
+    ]
+    assert rows == PLAN_OF_SEED_7
+
 
 def test_a_plan_follows_from_its_seed_alone() -> None:
     assert make_plan(7, 30.0, 24) == make_plan(7, 30.0, 24)
