--- a/quota_gateway/decisions/counter_budget.py
+++ b/quota_gateway/decisions/counter_budget.py
@@ -43,6 +43,10 @@
         self.refilled_at = max(self.refilled_at, now)
         return self.tokens if now >= self.unavailable_until else 0.0
 
+    def spend(self) -> None:
+        """Take one call from the budget, which may go into debt."""
+        self.tokens -= 1
+
     def call_ended(self, now: float, status: CallStatus, made_at: float, draw: float = 0.5) -> None:
         """Learn from the end of a call that was made at ``made_at``; ``draw`` is random, 0 to 1."""
         # Calls that were out together end together: only the first is a sign. Two failures with no answer in
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -48,15 +48,14 @@
         self.gate.controller.admitted += 1
         self.retry_budget.credit()
         request.within_quota = within_quota
-        account.ceiling_tokens -= request.units if plan.ceiling_rate > 0 else 0.0
-        if within_quota:
-            account.guaranteed_tokens = max(-request.units, account.guaranteed_tokens - request.units)
+        account.charge_shares(request.units, within_quota=within_quota)
         if prepaid and account.leased >= request.units:
-            account.leased -= request.units
+            account.charge_lease(request.units)
         elif within_quota and not prepaid:
-            account.tokens = min(account.tokens, max(0.0, account.tokens - request.units))
-            if not account.is_sparse or now < self.leases.budget.unavailable_until:
-                self.leases.add_usage(now, account, request.units)
+            is_reported = not account.is_sparse or now < self.leases.budget.unavailable_until
+            account.charge(request.units, is_reported=is_reported)
+            if is_reported:
+                self.leases.report_significant_usage(now, account)
         return True
 
     def _attempt(self, now: float, request: OpenRequest) -> bool:
@@ -68,7 +67,7 @@
             return False
         request.in_flight[len(request.attempts)] = state
         request.attempts.append(Attempt(state, now))
-        request.account.open_attempts += 1
+        request.account.start_attempt()
         state.work_in_flight += request.work
         if request.uploading:
             timeout = request.useful_time  # from the last byte on
@@ -112,7 +111,7 @@
     def _end(self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted) -> None:
         """An attempt is over: take its work off the endpoint and learn from it."""
         state.end_work(request.work)
-        request.account.open_attempts -= 1
+        request.account.finish_attempt()
         if event.status not in NO_SIGN_OF_LIFE:
             state.unresponsive_since = now if state.work_in_flight > NO_WORK else None
         if event.status is CallStatus.OK:
@@ -124,7 +123,7 @@
         self.outliers.record(now, state, event)
         if event.charged_units is not None and request.within_quota:
             charged = min(event.charged_units, self.context.settings.max_units)
-            request.account.adjust(charged - request.units)
+            request.account.correct_charge(charged - request.units)
         if state.work_in_flight <= NO_WORK:
             state.unresponsive_since = None  # with nothing in flight it owes no answer
 
@@ -161,6 +160,6 @@
             return
         for state in request.in_flight.values():
             state.end_work(request.work)
-            request.account.open_attempts -= 1
+            request.account.finish_attempt()
             if state.work_in_flight <= NO_WORK:
                 state.unresponsive_since = None  # nobody waits: it owes nothing any more
--- a/quota_gateway/decisions/quota_admission.py
+++ b/quota_gateway/decisions/quota_admission.py
@@ -4,7 +4,6 @@
 
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.forwarding import Forwarder
-from quota_gateway.decisions.quota import DEMAND_WINDOW
 from quota_gateway.state import OpenRequest
 
 IDLE_LOAD = 0.25  # load under which the endpoints bear a wrong guess of what the other gateways use
@@ -34,9 +33,8 @@
         plan = account.plan
         forward = self.forwarder.forward
         leases = self.forwarder.leases
-        account.add_demand(now, request.units, DEMAND_WINDOW)
-        remote_usage = account.remote_usage * (now - account.last_synchronised)
-        expected = min(plan.burst, account.tokens - remote_usage)
+        account.record_demand(now, request.units)
+        expected = min(plan.burst, account.tokens - account.expected_remote_usage(now))
         leases.budget.available(now)  # refills it at the rate so far
         even_limit = -(-plan.concurrency_limit // account.serving_gateways)
         if plan.concurrency_limit > 0 and account.open_attempts >= even_limit:
@@ -79,7 +77,7 @@
         """Whether the bucket holds enough even if the other gateways used what they could at worst."""
         account = request.account
         max_remote = WORST_FRACTION * account.plan.burst * (1 - 1 / account.serving_gateways)
-        rate = max(account.remote_usage, account.plan.rate)
+        rate = max(account.remote_usage_rate, account.plan.rate)
         surely = expected - min(max_remote, rate * (now - account.last_synchronised))
         return surely - AMPLE_MARGIN * account.plan.burst >= request.units or account.serving_gateways <= 1
 
@@ -98,4 +96,5 @@
         is_counted = self.forwarder.forward(now, request, within_quota=is_within, prepaid=asks) and is_within
         if asks:
             units = request.units / max(MIN_SAMPLE, chance) * is_counted
-            self.forwarder.leases.call_counter(now, account, units=units)
+            account.reserve(units)
+            self.forwarder.leases.call_counter(now, account)
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -4,8 +4,9 @@
 what counts as a restart. They belong to the decisions, though not to the deploy file's policy files.
 """
 
-from quota_gateway.state.account import Account, PendingCall
+from quota_gateway.state.account import Account
 from quota_gateway.state.endpoint import NO_WORK, EndpointState
+from quota_gateway.state.global_bucket import PendingCall
 from quota_gateway.state.rejections import describe_rejections
 from quota_gateway.state.request import Attempt, OpenRequest
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -6,7 +6,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions import counter_budget
-from quota_gateway.decisions.leases import MAX_LEASE_TIME
+from quota_gateway.decisions.leases import MAX_LEASE_SECONDS
 from quota_gateway.state import Account, PendingCall
 from tests.quota_fleet import COUNTER_DELAY, PLAN, QuotaFleet
 from tests.simulation import (
@@ -105,7 +105,7 @@
 def test_unused_lease_is_returned_once_the_demand_has_gone(fleet: QuotaFleet) -> None:
     fleet.send_poisson_traffic(6.0, [30.0, 0.0, 0.0])
     assert fleet.leased_units > 0 or fleet.account().lease_requested > 0
-    fleet.advance_to(fleet.now + 3 * MAX_LEASE_TIME)
+    fleet.advance_to(fleet.now + 3 * MAX_LEASE_SECONDS)
     assert fleet.leased_units == 0
     fleet.send_poisson_traffic(0.5, [0.0, 30.0, 0.0])  # and another gateway has it
     assert fleet.granted_units[1] > 10
@@ -159,7 +159,7 @@
     fleet.counter_total = 0.0
     granted_before = fleet.granted_units[0]
     fleet.send_poisson_traffic(3.0, [18.0, 0.0, 0.0])
-    fleet.advance_to(fleet.now + 4 * MAX_LEASE_TIME)
+    fleet.advance_to(fleet.now + 4 * MAX_LEASE_SECONDS)
     assert account.leased == 0.0
     granted = fleet.granted_units[0] - granted_before
     assert fleet.counter_total + account.unreported_usage == pytest.approx(granted, abs=4.0)
@@ -171,7 +171,7 @@
     fleet.advance_to(fleet.now + 0.1)
     account = fleet.account()
     account.leased = 0.0
-    account.lease_requested = call.leased
+    account.lease_requested = call.lease
     account.unreported_usage = 0.0
     account.tokens = tokens
     account.updated_at = fleet.now
@@ -195,7 +195,7 @@
     fleet: QuotaFleet, status: model.CallStatus, is_granted: bool
 ) -> None:
     """What may have been counted is taken for counted: reported once, it is used once at most."""
-    call = PendingCall(amount=6.0, leased=5.0, made_at=0.0)  # one unit used, five leased ahead
+    call = PendingCall(amount=6.0, lease=5.0, made_at=0.0)  # one unit used, five leased ahead
     account = prepare_lease_call(fleet, tokens=7.0, call=call)
     fleet.feed(0, model.CounterReplied(account.counter_id, status))
     assert account.leased == (5.0 if is_granted else 0.0) and account.lease_requested == 0.0
@@ -204,7 +204,7 @@
 
 
 def test_lease_is_cut_where_the_bucket_held_less_than_was_requested(fleet: QuotaFleet) -> None:
-    call = PendingCall(amount=8.0, leased=8.0, made_at=0.0)
+    call = PendingCall(amount=8.0, lease=8.0, made_at=0.0)
     account = prepare_lease_call(fleet, tokens=2.0, call=call)
     used_by_others = 7.0  # of the ten units that the bucket had
     total = (account.counter_total or 0.0) + 8.0 + used_by_others
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -64,7 +64,7 @@
     account.leased = 0.0
     account.tokens = 1.5
     account.guaranteed_tokens = account.guaranteed_capacity
-    account.remote_usage = 50.0
+    account.remote_usage_rate = 50.0
     account.last_synchronised = fleet.now - 0.1
     account.updated_at = fleet.now
     assert not fleet.send_request(0)  # the others use what came since
