--- a/quota_gateway/decisions/quota.py
+++ b/quota_gateway/decisions/account_table.py
@@ -6,7 +6,7 @@
 from quota_gateway.model import Plan
 from quota_gateway.state import Account
 
-IDLE_TIME = 60.0  # seconds without a request after which an account is removed
+IDLE_ACCOUNT_SECONDS = 60.0  # seconds without a request after which an account is removed
 
 
 @dataclass(slots=True, eq=False)
@@ -43,7 +43,7 @@
     def forget_idle(self, now: float) -> None:
         """Remove accounts without recent requests and open attempts."""
         for key, account in list(self.accounts.items()):
-            is_idle = now - account.updated_at > IDLE_TIME and not account.open_attempts
+            is_idle = now - account.updated_at > IDLE_ACCOUNT_SECONDS and not account.open_attempts
             # An account that is created anew starts with a full ceiling, so a partly used one is kept.
             if is_idle and account.is_ceiling_full(now):
                 del self.by_counter_id[account.counter_id]
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from quota_gateway import model
+from quota_gateway.decisions.account_table import AccountTable
 from quota_gateway.decisions.admission import AdmissionGate, WorkEstimator
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.controller import INTERVAL, LoadController
@@ -15,7 +16,6 @@
 from quota_gateway.decisions.leases import LeaseManager
 from quota_gateway.decisions.load_balancer import LoadBalancer, SlowStart
 from quota_gateway.decisions.outlier_detection import OutlierDetector
-from quota_gateway.decisions.quota import AccountTable
 from quota_gateway.decisions.quota_admission import QuotaAdmission
 from quota_gateway.state import OpenRequest, describe_rejections
 
--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 from math import inf
 
+from quota_gateway.decisions.account_table import AccountTable
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.counter_budget import CounterBudget
-from quota_gateway.decisions.quota import AccountTable
 from quota_gateway.model import CallStatus, CounterReplied, IncrementCounter
 from quota_gateway.state import Account
 
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from quota_gateway import model
-from quota_gateway.decisions.quota import IDLE_TIME
+from quota_gateway.decisions.account_table import IDLE_ACCOUNT_SECONDS
 from quota_gateway.net.discovery.watch_event import parse_watch_event
 from quota_gateway.settings_parser import check_reloaded_settings, parse_settings
 from scale import load_profile, regression
@@ -200,11 +200,12 @@
 
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
     """The costs at the size, and the share of a core that control takes of them."""
-    remembered = SimulatedLimiter(size, True, 1).expected_tenants(IDLE_TIME)
+    remembered = SimulatedLimiter(size, True, 1).expected_tenants(IDLE_ACCOUNT_SECONDS)
     result.notes.append(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
-        f"{remembered} of {size.tenants} come within the {IDLE_TIME:.0f} s after which one is forgotten: "
-        "the third share is the lines' at that number, the second that of a limiter that knows all"
+        f"{remembered} of {size.tenants} come within the {IDLE_ACCOUNT_SECONDS:.0f} s "
+        "after which one is forgotten: the third share is the lines' at that number, the second that of a "
+        "limiter that knows all"
     )
     few = SimulatedLimiter(size, False, 1).tenants
     for costs, customers in (
