--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from quota_gateway.config import ConfigError, Environment, load_config
-from quota_gateway.lifecycle import serve
+from quota_gateway.lifecycle.process import serve
 from quota_gateway.logs import configure_logging
 
 EXIT_SUCCESS = 0
--- /dev/null
+++ b/quota_gateway/lifecycle/components.py
@@ -0,0 +1,88 @@
+"""The parts of one gateway process, and how they are connected with each other."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+from quota_gateway.config import Config, ConfigError, Environment
+from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.lifecycle.connection_limits import connection_limits
+from quota_gateway.net.admin.listener import AdminListener
+from quota_gateway.net.client.listener import ClientListener
+from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock, unix_offset
+from quota_gateway.net.process_group.group import ProcessGroup
+from quota_gateway.net.upstream.pool import ConnectionPool
+from quota_gateway.settings_parser import Timing
+
+
+@dataclass(frozen=True, slots=True)
+class Components:
+    """The parts of one gateway process."""
+
+    metrics: Metrics
+    process_group: ProcessGroup
+    pool: ConnectionPool
+    counter: CounterClient | None
+    dispatcher: Dispatcher
+    listener: ClientListener
+    admin: AdminListener | None
+    discovery: DiscoveryClient
+
+
+def build_components(config: Config, environment: Environment) -> Components:
+    """Create and connect all parts, without opening sockets; raise ConfigError for unusable settings."""
+    settings = config.settings
+    timing = config.timing
+    clock_offset = unix_offset()
+    clock = unix_clock(clock_offset)
+    # Without an admin address no endpoint can be suspended, and no second process starts.
+    shared_directory = environment.shared_directory if config.admin else None
+    process_group = ProcessGroup(shared_directory, config.name, clock_offset)
+    metrics = Metrics(each.name for each in settings.classes)
+    limits = connection_limits(config.max_sockets, process_count=1)
+    pool = ConnectionPool(clock, timing.connect_timeout, timing.idle_timeout, limits.endpoints, metrics)
+    rng = Random(config.seed)
+    counter = _build_counter_client(config, rng)
+    gateway = _build_gateway(config, clock())
+    dispatcher = Dispatcher(
+        settings, gateway, clock, pool=pool, counter=counter, metrics=metrics, process_group=process_group
+    )
+    return Components(
+        metrics=metrics,
+        process_group=process_group,
+        pool=pool,
+        counter=counter,
+        dispatcher=dispatcher,
+        listener=ClientListener(dispatcher, settings, limits.clients, metrics),
+        admin=AdminListener(dispatcher) if config.admin else None,
+        discovery=_build_discovery_client(timing, dispatcher, rng),
+    )
+
+
+def _build_counter_client(config: Config, rng: Random) -> CounterClient | None:
+    """Return the client of the shared counter; None without a counter or a timeout for its replies."""
+    timeout = config.settings.counter_timeout
+    if config.counter is None or not timeout:
+        return None
+    return CounterClient(*config.counter, timeout, rng)
+
+
+def _build_discovery_client(timing: Timing, dispatcher: Dispatcher, rng: Random) -> DiscoveryClient:
+    return DiscoveryClient(
+        dispatcher.on_watch_event,
+        client_count=timing.client_count,
+        rng=rng,
+        answer_timeout=timing.answer_timeout,
+        max_poll_interval=timing.max_poll_interval,
+    )
+
+
+def _build_gateway(config: Config, now: float) -> Gateway:
+    try:
+        return Gateway(config.settings, config.seed, now)
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
--- /dev/null
+++ b/quota_gateway/lifecycle/shutdown.py
@@ -0,0 +1,54 @@
+"""Graceful shutdown: every accepted request gets its response before the platform sends SIGKILL."""
+
+from __future__ import annotations
+
+import asyncio
+
+from quota_gateway import model
+from quota_gateway.lifecycle.components import Components
+
+ACCEPT_PERIOD_SECONDS = 0.5  # after SIGTERM, in which clients that cannot know of it are still accepted
+# The platform sends SIGKILL this long after SIGTERM, on top of the longest deadline (MAX_DEADLINE_SECONDS at
+# most).
+KILL_GRACE_SECONDS = 0.7
+MAX_DEADLINE_SECONDS = 3.0  # also used where the settings have no deadline
+SIGNAL_DELAY_SECONDS = 0.2  # reserve before SIGKILL, since SIGTERM may be handled late
+FLUSH_TIMEOUT_SECONDS = 0.15  # to write the last responses after the drain has timed out
+
+
+def drain_timeout(settings: model.Settings) -> float:
+    """Return the seconds in which accepted requests are answered, from the end of the accept period."""
+    longest_deadline = max((each.deadline for each in settings.classes), default=0.0)
+    kill_delay = min(longest_deadline or MAX_DEADLINE_SECONDS, MAX_DEADLINE_SECONDS) + KILL_GRACE_SECONDS
+    return kill_delay - SIGNAL_DELAY_SECONDS - FLUSH_TIMEOUT_SECONDS - ACCEPT_PERIOD_SECONDS
+
+
+async def shut_down(components: Components) -> None:
+    """Drain, answer the requests that are still open, and close all connections and files."""
+    await _drain(components)
+    components.dispatcher.abandon_all()
+    await components.listener.close(FLUSH_TIMEOUT_SECONDS)
+    if components.admin is not None:
+        await components.admin.close()
+    components.process_group.close()
+    components.discovery.close()
+    components.pool.close()
+    if components.counter is not None:
+        components.counter.close()
+
+
+async def _drain(components: Components) -> None:
+    """Stop accepting clients, and wait for the responses to the accepted requests."""
+    listener = components.listener
+    listener.start_draining()
+    components.dispatcher.begin_shutdown()
+    timeout = drain_timeout(components.dispatcher.settings)
+    components.process_group.withdraw_accepting()
+    if components.process_group.has_accepting_peer():
+        # The other process accepts new clients. Connected clients migrate with their next response; closing
+        # their connections sooner could cross a request on its way.
+        await listener.stop_accepting()
+        await listener.wait_until_empty(ACCEPT_PERIOD_SECONDS + timeout)
+    else:
+        await asyncio.sleep(ACCEPT_PERIOD_SECONDS)
+        await listener.close(timeout)
--- /dev/null
+++ b/quota_gateway/lifecycle/startup.py
@@ -0,0 +1,111 @@
+"""Startup: open the sockets once the suspensions are known, and connect to discovery and the counter."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import socket
+from functools import partial
+
+from quota_gateway.config import Config, ConfigError, Environment
+from quota_gateway.lifecycle.components import Components
+from quota_gateway.lifecycle.connection_limits import connection_limits
+from quota_gateway.net.process_group.group import GroupChange, ProcessGroup
+
+log = logging.getLogger("quota_gateway")  # lines on the process itself carry the package's name
+
+# How long a start waits for a suspension file that cannot be read. A process must be ready within 6 s.
+SUSPENSIONS_TIMEOUT_SECONDS = 4.0
+SUSPENSIONS_POLL_SECONDS = 0.05
+
+
+async def start(components: Components, config: Config, environment: Environment) -> None:
+    """Accept clients and operators, then connect to discovery and the counter; may raise ConfigError."""
+    on_group_changed = partial(_on_group_changed, components, config.max_sockets)
+    components.process_group.watch(on_group_changed, components.dispatcher.on_handover)
+    initial_version = None
+    if config.initial_endpoints is not None:
+        components.dispatcher.on_watch_event(config.initial_endpoints)
+        initial_version = config.initial_endpoints.version
+    await _wait_for_suspensions(components.process_group)
+    await _listen(components, config, environment)
+    components.process_group.announce_accepting()
+    components.discovery.set_address(*config.discovery, initial_version)
+    if components.counter is not None:
+        components.counter.start()
+
+
+def announce_ready(config: Config) -> None:
+    """Log that the process is ready, after exempting its long-lived objects from garbage collection."""
+    _freeze_long_lived_objects()
+    _log_ready(config)
+
+
+async def _wait_for_suspensions(process_group: ProcessGroup) -> None:
+    """Wait until the suspensions can be read: without them, suspended endpoints would receive requests."""
+    deadline = asyncio.get_running_loop().time() + SUSPENSIONS_TIMEOUT_SECONDS
+    while not process_group.knows_suspensions:
+        if asyncio.get_running_loop().time() > deadline:
+            log.error("starting without the suspensions of earlier processes, which cannot be read")
+            return
+        await asyncio.sleep(SUSPENSIONS_POLL_SECONDS)
+
+
+def _on_group_changed(components: Components, max_descriptors: int, change: GroupChange) -> None:
+    """Divide the descriptors among the running processes, and notify the decisions."""
+    limits = connection_limits(max_descriptors, change.process_count)
+    components.listener.set_max_connections(limits.clients)
+    components.pool.set_max_connections(limits.endpoints)
+    components.dispatcher.on_process_group_changed(
+        change.process_count, change.suspended_endpoints, change.seconds_unknown
+    )
+
+
+async def _listen(components: Components, config: Config, environment: Environment) -> None:
+    try:
+        inherited = _inherited_socket(environment.listen_fd)
+        # Without an inherited socket, a new version can still listen at the address of the old one.
+        await components.listener.listen(*config.listen, inherited, beside=config.admin is not None)
+        if components.admin is not None and config.admin is not None:
+            await components.admin.listen(*config.admin)
+    except OSError as error:
+        raise ConfigError(f"cannot listen: {error}") from None
+
+
+def _inherited_socket(descriptor: str) -> socket.socket | None:
+    """Return the listening socket that the platform passes to every process; None without a descriptor."""
+    if not descriptor:
+        return None
+    try:
+        inherited = socket.socket(fileno=int(descriptor))
+        if not _is_listening(inherited):
+            raise ValueError("it does not listen")
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"LB_LISTEN_FD={descriptor:.20}: {error}") from None
+    return inherited
+
+
+def _is_listening(candidate: socket.socket) -> bool:
+    is_stream = candidate.type is socket.SOCK_STREAM
+    return is_stream and bool(candidate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
+
+
+def _freeze_long_lived_objects() -> None:
+    # All objects that exist now live as long as the process.
+    gc.collect()
+    gc.freeze()
+
+
+def _log_ready(config: Config) -> None:
+    settings = config.settings
+    log.info(
+        "ready: gateway %d of %d, %d file descriptors, counter timeout %.0f ms, "
+        "idle connection timeout %.1f s, Retry-After at most %.2f s",
+        settings.gateway_index,
+        settings.gateway_count,
+        config.max_sockets,
+        settings.counter_timeout * 1000,
+        config.timing.idle_timeout,
+        settings.max_retry_after,
+    )
--- a/quota_gateway/net/process_group/accepting_file.py
+++ b/quota_gateway/net/process_group/accepting_file.py
@@ -1,4 +1,4 @@
-"""A lock that a process holds while it accepts clients, for the others to see."""
+"""A lock that a process holds while it accepts clients, visible to the other processes of its group."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPTING_FILE_PREFIX = "accepting-"  # followed by the process file of one that accepts clients
+ACCEPTING_FILE_PREFIX = "accepting-"  # followed by the name of the process file
 
 
-def accepting_path(folder: Path, process_file: str) -> Path:
-    """The file that a process locks."""
-    return folder / f"{ACCEPTING_FILE_PREFIX}{process_file}"
+def accepting_path(directory: Path, process_file: str) -> Path:
+    """Return the path of the file that a process locks while it accepts clients."""
+    return directory / f"{ACCEPTING_FILE_PREFIX}{process_file}"
 
 
-def is_accepting(folder: Path, process_file: str) -> bool:
-    """Whether a process surely accepts clients; where the folder fails nothing is sure."""
-    path = accepting_path(folder, process_file)
+def is_accepting(directory: Path, process_file: str) -> bool:
+    """Whether a process is known to accept clients; false if the shared directory cannot be read."""
+    path = accepting_path(directory, process_file)
     try:
         if not path.exists():
             return False
@@ -31,27 +31,31 @@
 
 
 class AcceptingFile:
-    """This process's announcement."""
+    """The announcement that this process accepts clients."""
 
     def __init__(self) -> None:
-        """Begin without one."""
-        self.is_wanted = False
+        """Begin without an announcement."""
+        self._is_requested = False
         self._lock: FileLock | None = None
 
-    def write(self, folder: Path, process_file: str) -> None:
-        """Take the lock if it is wanted and not held; where the folder fails that can be tried again."""
-        if not self.is_wanted or self._lock is not None:
+    def request(self) -> None:
+        """Have the announcement written by the next ``write``."""
+        self._is_requested = True
+
+    def write(self, directory: Path, process_file: str) -> None:
+        """Lock the file if that is requested and not done yet; after a failure, call it again."""
+        if not self._is_requested or self._lock is not None:
             return
         try:
-            self._lock = FileLock(accepting_path(folder, process_file))
+            self._lock = FileLock(accepting_path(directory, process_file))
         except OSError as error:
             log.warning("cannot announce yet that clients are accepted: %s", error)
 
-    def withdraw(self, folder: Path | None, process_file: str) -> None:
-        """Give the lock up."""
-        self.is_wanted = False
-        if self._lock is not None and folder is not None:
+    def withdraw(self, directory: Path | None, process_file: str) -> None:
+        """Delete the file and release its lock."""
+        self._is_requested = False
+        if self._lock is not None and directory is not None:
             with contextlib.suppress(OSError):
-                accepting_path(folder, process_file).unlink(missing_ok=True)
+                accepting_path(directory, process_file).unlink(missing_ok=True)
             self._lock.close()
         self._lock = None
--- a/quota_gateway/net/process_group/handover_codec.py
+++ b/quota_gateway/net/process_group/handover_codec.py
@@ -1,7 +1,7 @@
-"""Encoder and decoder of the handover file: what an old process of a limiter passes to a new one, as JSON.
+"""Encoder and decoder of the handover file: the state that an old process passes to a new one, as JSON.
 
-The keys belong to the file format, whatever the fields are called here: processes of different versions
-exchange these files during an upgrade. Times are Unix times in seconds, rates are per second.
+The keys are part of the file format, independent of the field names in the code: processes of different
+versions exchange these files during an upgrade. Times are Unix times in seconds, rates are per second.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 from quota_gateway import model
 
-MAX_QUOTED_VALUE = 40  # characters of a malformed value that an error quotes
+MAX_QUOTED_LENGTH = 40  # characters of a malformed value in an error text
 
 
 class HandoverFormatError(ValueError):
-    """A handover file that cannot be decoded: where in it, what stands there, and what was expected."""
+    """A handover file is malformed; the text names the place, the value found and the form expected."""
 
     def __init__(self, *, location: str, found: str, expected: str) -> None:
         """``location`` is a path of keys and indices in the file, for example ``file.servers[0].born``."""
@@ -29,7 +29,7 @@
 
 
 def encode_handover(state: model.HandoverState, clock_offset: float) -> str:
-    """The text of the handover file; ``clock_offset``: this process's Unix time less its monotonic time."""
+    """Return the handover file's text; ``clock_offset`` is Unix time minus monotonic time."""
     return json.dumps(
         {
             "clock": clock_offset,
@@ -70,10 +70,11 @@
 
 
 def decode_handover(data: bytes, clock_offset: float) -> model.HandoverState:
-    """The state that a handover file holds; raises ``HandoverFormatError`` where it is malformed.
+    """Decode a handover file; raise ``HandoverFormatError`` if it is malformed.
 
-    The wall clock may have been stepped between the starts of the two processes, which have the monotonic
-    clock in common: times are brought to the Unix time of this process, whose ``clock_offset`` is given.
+    Times are converted to this process's Unix time: the wall clock may have been stepped between the starts
+    of the two processes, which share the monotonic clock. ``clock_offset`` is this process's Unix time minus
+    its monotonic time.
     """
     try:
         document = json.loads(data)
@@ -121,7 +122,7 @@
 
 
 class _JsonObject:
-    """A JSON object and its location in the file; accessors check the form (``HandoverFormatError``)."""
+    """A JSON object and its location; accessors raise ``HandoverFormatError`` for a wrong type."""
 
     __slots__ = ("_location", "_members")
 
@@ -130,23 +131,23 @@
         self._location = location
 
     def has(self, key: str) -> bool:
-        """Whether there is a value under a key."""
+        """Whether the object has a key."""
         return isinstance(self._members, dict) and key in self._members
 
     def text(self, key: str) -> str:
-        """The value as text, whatever its type."""
+        """Return the value as text, whatever its type."""
         return str(self._value(key))
 
     def number(self, key: str) -> float:
-        """A finite number."""
+        """Return a finite number."""
         return _finite_number(self._value(key), self._location_of(key))
 
     def optional_number(self, key: str) -> float | None:
-        """A finite number, or None for null."""
+        """Return a finite number, or None for null."""
         return None if self._value(key) is None else self.number(key)
 
     def numbers_by_name(self, key: str) -> dict[str, float]:
-        """An object whose values are finite numbers."""
+        """Return an object whose values are finite numbers."""
         location = self._location_of(key)
         members = self._value(key)
         if not isinstance(members, dict):
@@ -154,7 +155,7 @@
         return {str(name): _finite_number(value, f"{location}.{name}") for name, value in members.items()}
 
     def objects(self, key: str) -> Iterator[_JsonObject]:
-        """The elements of an array of objects."""
+        """Yield the elements of an array of objects."""
         values = self._value(key)
         location = self._location_of(key)
         try:
@@ -189,4 +190,4 @@
 
 
 def _quote(value: Any) -> str:
-    return f"{value!r:.{MAX_QUOTED_VALUE}}"
+    return f"{value!r:.{MAX_QUOTED_LENGTH}}"
--- a/quota_gateway/net/process_group/handover_files.py
+++ b/quota_gateway/net/process_group/handover_files.py
@@ -1,4 +1,4 @@
-"""The handover files of a process: the one that it leaves for another process, and the one left for it."""
+"""The handover files of a process: the one that it writes for its successor, and the one written for it."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 log = logging.getLogger(__name__)
 
-HANDOVER_FILE_PREFIX = "notes-for-"  # followed by the process file of the one that is to read it
-MAX_HANDOVER_SIZE = 4 * 1024 * 1024  # bytes that are read
-HANDOVER_RETRY_TIME = 5.0  # seconds in which a handover that could not be written is tried again
+HANDOVER_FILE_PREFIX = "notes-for-"  # followed by the process file of the reader
+MAX_HANDOVER_BYTES = 4 * 1024 * 1024
+RETRY_TIMEOUT_SECONDS = 5.0  # for a handover that could not be written; a process reads it no later
 
 
-def handover_path(folder: Path, process_file: str) -> Path:
-    """The file that is left for a process."""
-    return folder / f"{HANDOVER_FILE_PREFIX}{process_file}"
+def handover_path(directory: Path, process_file: str) -> Path:
+    """Return the path of the handover file for a process."""
+    return directory / f"{HANDOVER_FILE_PREFIX}{process_file}"
 
 
-def temporary_path(folder: Path, process_file: str) -> Path:
-    """The file that a process writes before it is left for another one."""
-    return folder / f"{HANDOVER_FILE_PREFIX}{process_file}.new"
+def temporary_path(directory: Path, process_file: str) -> Path:
+    """Return the path at which a process writes a handover before it is renamed."""
+    return directory / f"{HANDOVER_FILE_PREFIX}{process_file}.new"
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,53 +38,55 @@
 
     successor: str  # process file
     state: model.HandoverState
-    made_at: float  # seconds of the monotonic clock
+    created_at: float  # seconds of the monotonic clock
 
 
 class HandoverFiles:
-    """Writes to each other process once, and reads once: a part of a ceiling must not be taken twice."""
+    """Writes to each other process once, and reads once: a part of a ceiling must not be used twice."""
 
     def __init__(self, clock_offset: float) -> None:
-        """``clock_offset`` is this process's Unix time less its monotonic time."""
+        """``clock_offset`` is this process's Unix time minus its monotonic time, in seconds."""
         self._clock_offset = clock_offset
-        self._successors = set[str]()  # process files of those that were left a state
+        self._successors = set[str]()  # process files of those that have been handed a state
         self._pending: PendingHandover | None = None
-        self._is_read = False  # and its file could not be removed
+        self._is_read = False  # and its file could not be deleted
 
     def new_successor(self, running: list[str]) -> str | None:
-        """The one process among the others that has been left nothing; None where that is none or several."""
+        """Return the one running process without a handover; None if there is none, or more than one."""
         joined = [process for process in running if process not in self._successors]
         return joined[0] if len(joined) == 1 else None
 
-    def leave(self, folder: Path, process_file: str, successor: str, state: model.HandoverState) -> None:
-        """Leave a state for another process; if the folder fails, ``write_pending`` tries again."""
+    def hand_over(
+        self, directory: Path, process_file: str, successor: str, state: model.HandoverState
+    ) -> None:
+        """Write the state for another process; on failure ``write_pending`` retries."""
         self._successors.add(successor)
         self._pending = PendingHandover(successor, state, time.monotonic())
-        self.write_pending(folder, process_file)
+        self.write_pending(directory, process_file)
 
-    def write_pending(self, folder: Path, process_file: str) -> None:
-        """Write what could not be written, as long as the other process would take it."""
+    def write_pending(self, directory: Path, process_file: str) -> None:
+        """Write the pending handover, if any; discard it after ``RETRY_TIMEOUT_SECONDS``."""
         pending = self._pending
         if pending is None:
             return
         try:
             text = encode_handover(pending.state, self._clock_offset)
-            path = handover_path(folder, pending.successor)
-            replace_file(path, text, temporary=temporary_path(folder, process_file))
+            path = handover_path(directory, pending.successor)
+            replace_file(path, text, temporary=temporary_path(directory, process_file))
             self._pending = None
         except OSError as error:
             log.warning("the handover state could not be written: %s", error)
-            if time.monotonic() - pending.made_at > HANDOVER_RETRY_TIME:
+            if time.monotonic() - pending.created_at > RETRY_TIMEOUT_SECONDS:
                 self._pending = None
 
-    def take(self, folder: Path, process_file: str) -> model.HandoverState | None:
-        """The state that another process has left for this one; None where there is none or malformed."""
+    def read(self, directory: Path, process_file: str) -> model.HandoverState | None:
+        """Read and delete the state written for this process; None if there is none or it is malformed."""
         if self._is_read:
             return None
-        path = handover_path(folder, process_file)
+        path = handover_path(directory, process_file)
         try:
             with path.open("rb") as file:
-                data = file.read(MAX_HANDOVER_SIZE)
+                data = file.read(MAX_HANDOVER_BYTES)
         except FileNotFoundError:
             return None
         except OSError as error:
--- a/quota_gateway/net/process_group/shared_files.py
+++ b/quota_gateway/net/process_group/shared_files.py
@@ -11,16 +11,16 @@
 
 
 class FileLock:
-    """An exclusive ``flock`` on a file, which is created where it is missing; released by ``close``.
+    """An exclusive ``flock`` on a file, which is created if missing; released by ``close``.
 
-    The kernel releases it as well when the process ends, however it ends. ``acquired`` is false where another
-    process holds the lock. Raises ``OSError`` where the file cannot be opened or locked: that tells nothing.
+    The kernel also releases the lock when the process exits for any reason. ``acquired`` is false if another
+    process holds the lock. An ``OSError`` means that it is unknown whether the lock is held.
     """
 
     __slots__ = ("_descriptor", "acquired")
 
     def __init__(self, path: Path) -> None:
-        """Open the file and try to lock it; does not wait: a stopped process may hold the lock for long."""
+        """Open the file and try to lock it without waiting: a stopped process may hold the lock."""
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
         self.acquired = False
         try:
@@ -39,7 +39,7 @@
             os.close(self._descriptor)
 
     def __enter__(self) -> FileLock:
-        """Enter a block at whose end the lock is released; ``acquired`` tells whether it is held."""
+        """Enter a block at whose end the lock is released; check ``acquired`` first."""
         return self
 
     def __exit__(
@@ -53,9 +53,9 @@
 
 
 def replace_file(path: Path, text: str, *, temporary: Path) -> None:
-    """Write a file of the same folder and rename it, so that readers find the old text or the new one.
+    """Replace a file atomically: write ``temporary``, in the same directory, and rename it.
 
-    Raises ``OSError`` where either step fails.
+    Raises ``OSError`` if either step fails.
     """
     temporary.write_text(text)
     temporary.rename(path)
--- a/quota_gateway/net/process_group/suspension_file.py
+++ b/quota_gateway/net/process_group/suspension_file.py
@@ -1,7 +1,7 @@
-"""The endpoints that operators have suspended, kept in one file for all processes of a limiter.
+"""The endpoints that operators have suspended, recorded in one file for all processes of a limiter.
 
-The file outlives the processes, so that a suspension holds across restarts and upgrades. The folder may fail
-for a while: a command that is not in the file yet holds in this process, and is written when that works.
+The file outlives the processes, so that a suspension holds across restarts and upgrades. The shared directory
+may be temporarily unavailable: until a command can be recorded, it holds in this process only.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 log = logging.getLogger(__name__)
 
-FILE_NAME = "bans.json"  # the names of the files and of the key belong to the format on disk
+FILE_NAME = "bans.json"  # file names and key are part of the format on disk
 LOCK_FILE_NAME = "bans.lock"
 NAMES_KEY = "out"
-MAX_SUSPENSIONS = 4096  # endpoints; one more is refused
-MAX_FILE_SIZE = 4 * 1024 * 1024  # bytes that are read
+MAX_SUSPENSIONS = 4096  # endpoints
+MAX_FILE_BYTES = 4 * 1024 * 1024
 
 
 class SuspensionFormatError(ValueError):
-    """A file of suspended endpoints that cannot be decoded."""
+    """The file of suspended endpoints is malformed."""
 
 
 def _encode(endpoints: frozenset[str]) -> str:
@@ -30,7 +30,7 @@
 
 
 def _decode(data: bytes) -> frozenset[str]:
-    """The suspended endpoints; raises ``SuspensionFormatError`` where the file is malformed."""
+    """Return the suspended endpoints; raise ``SuspensionFormatError`` for malformed data."""
     try:
         document = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -44,22 +44,22 @@
 
 
 class SuspensionFile:
-    """The suspended endpoints; without a folder they are kept in memory for this process alone."""
+    """The suspended endpoints; without a shared directory they are only in this process's memory."""
 
-    def __init__(self, folder: Path | None, process_file: str) -> None:
-        """``process_file`` is a name that no other process has, for temporary files."""
-        self._folder = folder
+    def __init__(self, directory: Path | None, process_file: str) -> None:
+        """``process_file`` is unique to this process; it names the temporary file."""
+        self._directory = directory
         self._temporary_name = f"{FILE_NAME}.{process_file}"
-        self._recorded = frozenset[str]()  # as the file has them, or had when it was read last
-        self._unsaved = dict[str, bool]()  # by endpoint, whether it is suspended: not in the file yet
-        self._content: bytes | None = None  # of the file when it was read last
+        self._recorded = frozenset[str]()  # the content of the file when it was last read
+        self._unsaved = dict[str, bool]()  # commands not in the file yet: endpoint to whether it is suspended
+        self._content: bytes | None = None  # of the file when it was last read
         self._error_logged = False
-        self.is_known = folder is None  # whether the file was read, is missing or malformed
+        self.is_known = directory is None  # whether the file has been read, or found missing or malformed
 
     @property
     def is_saved(self) -> bool:
-        """Whether all commands so far are in the file, as far as there is one."""
-        return self._folder is None or not self._unsaved
+        """Whether all commands so far are in the file; always true without a shared directory."""
+        return self._directory is None or not self._unsaved
 
     @property
     def _endpoints(self) -> frozenset[str]:
@@ -67,10 +67,10 @@
         return self._recorded - self._unsaved.keys() | suspended
 
     def read(self) -> frozenset[str]:
-        """The suspended endpoints; those read last where the file is missing or cannot be read."""
-        if self._folder is not None:
+        """Return the suspended endpoints; if the file cannot be read, those that were read last."""
+        if self._directory is not None:
             try:
-                self._load(self._folder / FILE_NAME)
+                self._load(self._directory / FILE_NAME)
                 self._error_logged = False
             except (OSError, SuspensionFormatError) as error:
                 self._log_once(
@@ -79,10 +79,10 @@
         return self._endpoints
 
     def _load(self, path: Path) -> None:
-        """Read the file; ``OSError`` where nothing is known of it, ``SuspensionFormatError`` if malformed."""
+        """Read the file; raise ``OSError`` if it is unreadable, ``SuspensionFormatError`` if malformed."""
         try:
             with path.open("rb") as file:
-                content = file.read(MAX_FILE_SIZE)
+                content = file.read(MAX_FILE_BYTES)
         except FileNotFoundError:
             self.is_known = True
             return
@@ -92,10 +92,10 @@
             self._content = content
 
     def update(self, endpoint: str, suspended: bool) -> frozenset[str]:
-        """Suspend or restore an endpoint for all processes, and return those that are suspended then.
+        """Suspend or restore an endpoint for all processes; return the endpoints that are now suspended.
 
-        It holds here at once; ``is_saved`` tells whether it is recorded for the others. Beyond
-        ``MAX_SUSPENSIONS`` an endpoint is not suspended.
+        The command holds in this process at once; ``is_saved`` says whether it is recorded for the others. No
+        more than ``MAX_SUSPENSIONS`` endpoints are suspended.
         """
         endpoints = self.read()
         if suspended and endpoint not in endpoints and len(endpoints) >= MAX_SUSPENSIONS:
@@ -105,31 +105,31 @@
         return self._endpoints
 
     def save(self) -> None:
-        """Write what is not in the file yet; where that fails it stays to be written."""
-        if self.is_saved or self._folder is None:
+        """Write the commands that are not in the file yet; they stay pending if that fails."""
+        if self.is_saved or self._directory is None:
             return
         try:
-            with FileLock(self._folder / LOCK_FILE_NAME) as lock:
+            with FileLock(self._directory / LOCK_FILE_NAME) as lock:
                 if lock.acquired:
-                    self._write(self._folder)
+                    self._write(self._directory)
         except OSError as error:
             self._log_once("a suspension cannot be written yet", error)
 
-    def _write(self, folder: Path) -> None:
+    def _write(self, directory: Path) -> None:
         try:
-            self._load(folder / FILE_NAME)
+            self._load(directory / FILE_NAME)
         except SuspensionFormatError as error:
             self._log_once("the file of suspended endpoints is malformed and is replaced", error)
         endpoints = self._endpoints
         text = _encode(endpoints)
-        replace_file(folder / FILE_NAME, text, temporary=folder / self._temporary_name)
+        replace_file(directory / FILE_NAME, text, temporary=directory / self._temporary_name)
         self._recorded = endpoints
         self._content = text.encode()
         self._unsaved.clear()
         self._error_logged = False
 
     def _log_once(self, message: str, error: Exception) -> None:
-        """Log an error, until reading or writing has succeeded again."""
+        """Log the first error since the file was last read or written."""
         if not self._error_logged:
             log.error("%s: %s", message, error)
         self._error_logged = True
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -149,7 +149,7 @@
 def test_a_malformed_handover_file_is_deleted(tmp_path: Path, successor: ProcessGroup) -> None:
     folder = group_folder(tmp_path)
     for malformed in (b"", b"[]", b"{}", b"\xff", b'{"servers": [], "accounts": [3], "bases": {}}'):
-        (folder / f"notes-for-{successor._process_file}").write_bytes(malformed)
+        (folder / f"notes-for-{successor.process_file}").write_bytes(malformed)
         assert successor.read_handover() is None
         assert not list(folder.glob("notes-for-*"))
 
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -13,7 +13,7 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
-from quota_gateway.lifecycle import connection_limits
+from quota_gateway.lifecycle.connection_limits import connection_limits
 from quota_gateway.net.process_group.shared_files import FileLock
 from quota_gateway.state import Account
 from tests.admin_client import fetch_metrics, send_command
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway import lifecycle
+from quota_gateway.lifecycle import shutdown
 from tests.loopback import SETTINGS
 
 
@@ -14,5 +14,6 @@
 def test_shutdown_ends_before_sigkill_may_come(deadline: float, kill: float) -> None:
     """The longest deadline counts as at most 3 s, and 0.7 s are added; 0 is a deadline that is not given."""
     settings = replace(SETTINGS, classes=tuple(replace(c, deadline=deadline) for c in SETTINGS.classes))
-    end = lifecycle.ACCEPT_PERIOD + lifecycle.drain_timeout(settings) + lifecycle.FLUSH_TIMEOUT
+    drained_at = shutdown.ACCEPT_PERIOD_SECONDS + shutdown.drain_timeout(settings)
+    end = drained_at + shutdown.FLUSH_TIMEOUT_SECONDS
     assert kill - 0.3 < end < kill - 0.1
