--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -17,8 +17,8 @@
 
 
 def main() -> int:
-    """Run the gateway until a signal ends it; the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # its default ends a process that cannot reload yet
+    """Run the gateway until a signal ends it; return the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # by default it would end a process that is still starting
     configure_logging()
     environment = Environment.from_variables(os.environ)
     try:
--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -12,16 +12,16 @@
 from quota_gateway.net.discovery.watch_event import WatchEvent, parse_watch_event
 from quota_gateway.settings_parser import Timing, parse_settings, parse_timing
 
-DEFAULT_MAX_SOCKETS = 1024  # file descriptors, where the file names no limit: the usual limit of a process
-SEED_BASE = 16  # the file's seed is a hexadecimal text
+DEFAULT_MAX_DESCRIPTORS = 1024  # the usual limit of a process
+SEED_BASE = 16  # the seed is written in hexadecimal
 
 
 class ConfigError(Exception):
-    """The configuration cannot be read, or no gateway can run with it; the text names what is wrong."""
+    """The configuration cannot be read or used; the text names the fault."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """The system could not read the file, which says nothing of what stands in it."""
+    """The operating system could not read the file; its content is unknown."""
 
 
 class Address(NamedTuple):
@@ -33,17 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """The environment variables that a process reads, as they were when it started."""
+    """The environment variables of a process, as read at its start."""
 
     config_path: str = ""  # LB_CONFIG: the configuration file
-    admin_address: str = ""  # LB_MGMT: wins over the file's, which several processes may read
-    name: str = ""  # LB_NAME: the gateway's name, where the file has none
-    listen_fd: str = ""  # LB_LISTEN_FD: descriptor of a listening socket that the platform hands over
-    shared_directory: str | None = None  # TMPDIR: where the processes of one gateway meet
+    admin_address: str = ""  # LB_MGMT: takes precedence over the file, which several processes may share
+    name: str = ""  # LB_NAME: the gateway's name if the file has none
+    listen_fd: str = ""  # LB_LISTEN_FD: descriptor of an inherited listening socket
+    shared_directory: str | None = (
+        None  # TMPDIR: parent of the directory that the processes of one gateway share
+    )
 
     @classmethod
     def from_variables(cls, variables: Mapping[str, str]) -> Self:
-        """The record of ``os.environ`` or another mapping of its form."""
+        """Read the variables from ``os.environ`` or a mapping like it."""
         return cls(
             config_path=variables.get("LB_CONFIG", ""),
             admin_address=variables.get("LB_MGMT", ""),
@@ -60,18 +62,20 @@
     listen: Address  # for clients
     discovery: Address
     counter: Address | None  # the shared counter
-    admin: Address | None  # for operators; without it the gateway looks for no second process
+    admin: Address | None  # for operators; without it the gateway has no process group
     name: str
-    seed: int  # of all random draws
-    max_sockets: int  # file descriptors that the process may hold
+    seed: int  # of the random number generators
+    max_descriptors: int  # file descriptors that the process may hold
     initial_endpoints: WatchEvent | None  # the endpoint list to start with, until discovery responds
     settings: model.Settings
     timing: Timing
-    raw_settings: dict[str, Any] = field(repr=False, compare=False)  # as in the file, to check a reload
+    raw_settings: dict[str, Any] = field(
+        repr=False, compare=False
+    )  # as read from the file, to check a reload against
 
 
 def load_config(environment: Environment) -> Config:
-    """The configuration that the environment names; ``ConfigError`` where it cannot be read or used."""
+    """Load the file that the environment names; raise ``ConfigError`` if it cannot be read or used."""
     path = environment.config_path
     if not path:
         raise ConfigError("LB_CONFIG is not set")
@@ -86,7 +90,7 @@
 
 
 def parse_config(raw: Any, environment: Environment) -> Config:
-    """The typed form of a parsed configuration file; ``ConfigError`` names what is wrong."""
+    """Convert a parsed configuration file; raise ``ConfigError`` that names the fault."""
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise ConfigError("the configuration is not an object with settings")
     try:
@@ -104,7 +108,7 @@
         admin=_parse_optional_address(environment.admin_address or raw.get("mgmt")),
         name=str(raw.get("name") or environment.name),
         seed=int(str(raw.get("seed") or "0"), SEED_BASE),
-        max_sockets=int(limits.get("sockets") or DEFAULT_MAX_SOCKETS),
+        max_descriptors=int(limits.get("sockets") or DEFAULT_MAX_DESCRIPTORS),
         initial_endpoints=parse_watch_event(raw["known"]) if raw.get("known") else None,
         settings=parse_settings(raw["settings"]),
         timing=parse_timing(raw["settings"]),
--- a/quota_gateway/lifecycle/components.py
+++ b/quota_gateway/lifecycle/components.py
@@ -43,7 +43,7 @@
     shared_directory = environment.shared_directory if config.admin else None
     process_group = ProcessGroup(shared_directory, config.name, clock_offset)
     metrics = Metrics(each.name for each in settings.classes)
-    limits = connection_limits(config.max_sockets, process_count=1)
+    limits = connection_limits(config.max_descriptors, process_count=1)
     pool = ConnectionPool(clock, timing.connect_timeout, timing.idle_timeout, limits.endpoints, metrics)
     rng = Random(config.seed)
     counter = _build_counter_client(config, rng)
--- a/quota_gateway/lifecycle/reload.py
+++ b/quota_gateway/lifecycle/reload.py
@@ -45,10 +45,10 @@
             if isinstance(error, ConfigUnreadableError) and loop.time() < retry_until:
                 self._retry_timer = loop.call_later(RETRY_INTERVAL_SECONDS, self._reload, retry_until)
                 return
-            metrics.reload_errors += 1
+            metrics.record_reload(succeeded=False)
             log.error("configuration not reloaded: %s", error)
             return
-        metrics.reloads += 1
+        metrics.record_reload(succeeded=True)
         self._apply(updated)
         # The listening socket keeps its address, so that a changed one is logged at each reload until the
         # restart.
--- a/quota_gateway/lifecycle/startup.py
+++ b/quota_gateway/lifecycle/startup.py
@@ -22,7 +22,7 @@
 
 async def start(components: Components, config: Config, environment: Environment) -> None:
     """Accept clients and operators, then connect to discovery and the counter; may raise ConfigError."""
-    on_group_changed = partial(_on_group_changed, components, config.max_sockets)
+    on_group_changed = partial(_on_group_changed, components, config.max_descriptors)
     components.process_group.watch(on_group_changed, components.dispatcher.on_handover)
     initial_version = None
     if config.initial_endpoints is not None:
@@ -104,7 +104,7 @@
         "idle connection timeout %.1f s, Retry-After at most %.2f s",
         settings.gateway_index,
         settings.gateway_count,
-        config.max_sockets,
+        config.max_descriptors,
         settings.counter_timeout * 1000,
         config.timing.idle_timeout,
         settings.max_retry_after,
--- a/quota_gateway/net/admin/listener.py
+++ b/quota_gateway/net/admin/listener.py
@@ -1,7 +1,8 @@
-"""The admin address: operators send one command on a connection, and get one reply at once.
+"""The admin address: a connection carries one command of an operator and one reply.
 
-It has connections of its own, so that neither load nor clients on the first address reach it. A client that
-stalls holds one connection for some seconds and nothing else; beyond a bound the oldest one is closed.
+Admin connections are separate from those of clients, so that neither load nor clients delay a reply. An admin
+client that stalls occupies one connection until its timeout; at ``MAX_CONNECTIONS`` the oldest connection is
+closed.
 """
 
 from __future__ import annotations
@@ -16,10 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_COMMAND_LENGTH = 256  # bytes, without the line's end
+MAX_COMMAND_BYTES = 256  # without the newline
 MAX_CONNECTIONS = 16
-COMMAND_TIMEOUT = 5.0  # seconds that a client may take to send its command
-LINGER_TIME = 0.5  # seconds that further input is read after the reply, or a reset would discard the reply
+COMMAND_TIMEOUT_SECONDS = 5.0  # in which the command must arrive
+LINGER_SECONDS = (
+    0.5  # of reading further input after the reply: closing over unread input resets the connection
+)
 
 COMMANDS = {command.value.encode(): command for command in model.AdminCommand}
 COMMANDS_WITH_ENDPOINT = (model.AdminCommand.SUSPEND, model.AdminCommand.RESTORE)
@@ -27,12 +30,12 @@
 FAILURE_REPLY = "FAILURE\n"
 END_OF_METRICS = "EOT\n"
 
-# Called with whether the command succeeded, and with the metrics as text where the command asked for them.
+# Called with whether the command succeeded, and with the text of the metrics for METRICS.
 ReplyCallback = Callable[[bool, str], None]
 
 
 class AdminHandler(Protocol):
-    """What executes the commands: the dispatcher."""
+    """Executes the commands of operators."""
 
     def on_admin_command(self, command: model.AdminCommand, endpoint: str, reply: ReplyCallback) -> None:
         """Execute a command and call ``reply`` once; ``endpoint`` is empty where the command takes none."""
@@ -44,36 +47,36 @@
     def __init__(self, listener: AdminListener) -> None:
         self._listener = listener
         self._command_text = b""
-        self._is_input_complete = False  # the command has come, or what came has been rejected
+        self._is_input_complete = False  # a command has been received, or the input rejected
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the command's time-out."""
-        self._transport = cast(asyncio.Transport, transport)  # those of uvloop are no subclass of it
-        self._timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT, self._on_timeout)
+        """Start the command's timeout."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
+        self._timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT_SECONDS, self._on_timeout)
         self._listener.connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Cancel the timer and unregister the connection."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
         self._listener.disconnected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Collect the command up to the end of its line, within the bound on its length."""
+        """Collect input up to a newline, and execute the command; reject an overlong line."""
         if self._is_input_complete:
             return
         command_text, newline, _ = (self._command_text + data).partition(b"\n")
-        self._command_text = command_text[: MAX_COMMAND_LENGTH + 1]
-        if len(self._command_text) > MAX_COMMAND_LENGTH:
+        self._command_text = command_text[: MAX_COMMAND_BYTES + 1]
+        if len(self._command_text) > MAX_COMMAND_BYTES:
             self._reply(False)
         elif newline:
             self._execute()
 
     def eof_received(self) -> bool:
-        """Take the end of the input for the end of the line; the transport stays open for the reply."""
+        """Treat the end of the input as the end of the line; keep the transport open for the reply."""
         if not self._is_input_complete:
             self._execute()
         return True
@@ -108,25 +111,25 @@
         self._transport.write(text.encode())
         if self._transport.can_write_eof():
             self._transport.write_eof()
-        self._timer = asyncio.get_running_loop().call_later(LINGER_TIME, self.abort)
+        self._timer = asyncio.get_running_loop().call_later(LINGER_SECONDS, self.abort)
 
     def abort(self) -> None:
-        """Close the connection without sending what is left."""
+        """Close the connection without flushing its write buffer."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class AdminListener:
-    """Listens on the admin address and keeps its connections within a bound."""
+    """Listens on the admin address; holds at most ``MAX_CONNECTIONS`` connections."""
 
     def __init__(self, handler: AdminHandler) -> None:
         """``handler`` executes the commands of all connections."""
         self.handler = handler
-        self._connections = dict[_AdminConnection, None]()  # the oldest first
+        self._connections = dict[_AdminConnection, None]()  # in the order of their connecting
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Listen, and return the host and port bound; raises ``OSError`` where the address is taken."""
+        """Listen, and return the bound host and port; raise ``OSError`` if the address is in use."""
         listening = await create_listening_socket(host, port)
         self._acceptor = Acceptor(listening, lambda: _AdminConnection(self), self._on_accept_error)
         return self._acceptor.address
@@ -135,14 +138,14 @@
         log.warning("accept failed at the admin address: %s", error)
 
     def connected(self, connection: _AdminConnection) -> None:
-        """Add a connection; at the bound the oldest one gives way to it."""
+        """Register a connection; at the limit, close the oldest one."""
         if len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             oldest.abort()
         self._connections[connection] = None
 
     def disconnected(self, connection: _AdminConnection) -> None:
-        """Remove a connection that has ended."""
+        """Unregister a connection that has ended."""
         self._connections.pop(connection, None)
 
     async def close(self) -> None:
--- a/quota_gateway/net/common/invariants.py
+++ b/quota_gateway/net/common/invariants.py
@@ -1,7 +1,8 @@
-"""Invariants that hold at run time.
+"""Invariants that are checked at run time.
 
-Each has one guard in the code. A guard that meets a violation reports it here, where it is counted, shown
-with the metrics and logged once, and then does the safe thing: it does not send, repeat, answer or close.
+Each invariant has one guard in the code. A guard that detects a violation reports it here and then refuses
+the action: it does not send, retry, answer or close. Violations are counted, shown with the metrics and
+logged.
 """
 
 from __future__ import annotations
@@ -15,39 +16,41 @@
 
 
 class Invariant(StrEnum):
-    """What must hold; the values are the names in the metrics and in the log."""
+    """The invariants; the values are their names in metrics and log lines."""
 
-    ANSWERED_ONCE = "answered_once"  # a request gets one final answer
-    ANSWERED_BEFORE_CLOSE = "answered_before_close"  # a request that was read is answered before its close
-    SENT_WHILE_OPEN = "sent_while_open"  # an attempt is sent once, and only for a request without its answer
-    ONE_REQUEST_A_CONNECTION = "one_request_a_connection"  # at a time
-    ONE_ATTEMPT_AT_A_TIME = "one_attempt_at_a_time"  # of one request
-    REPEATED_SAFELY = "repeated_safely"  # only where a second execution does no harm
-    STARTED_COMPLETELY = "started_completely"  # what was begun to start is either running or reported
+    ANSWERED_ONCE = "answered_once"  # a request gets one final response
+    ANSWERED_BEFORE_CLOSE = "answered_before_close"  # a connection closes after its last response
+    SENT_WHILE_OPEN = "sent_while_open"  # an attempt is sent once, for a request without a response
+    ONE_REQUEST_A_CONNECTION = "one_request_a_connection"  # in flight
+    ONE_ATTEMPT_AT_A_TIME = "one_attempt_at_a_time"  # a request has one attempt in flight
+    REPEATED_SAFELY = "repeated_safely"  # a retry is sent only if a second execution is harmless
+    STARTED_COMPLETELY = (
+        "started_completely"  # an attempt that was started is in flight or reported as completed
+    )
 
 
 class Violation(NamedTuple):
-    """One broken invariant, and what led to it."""
+    """A violated invariant, with the trace of the request or connection that led to it."""
 
     invariant: Invariant
     story: str
 
 
-# Called with each violation, in all monitors; tests add one that fails them.
+# Called with each violation of every monitor; the tests register an observer that fails them.
 observers: list[Callable[[Violation], None]] = []
 
 
 class InvariantMonitor:
-    """The violations of one process."""
+    """Counts the violations of one process."""
 
     __slots__ = ("counts",)
 
     def __init__(self) -> None:
-        """Begin without violations."""
+        """Start with no violations."""
         self.counts = dict.fromkeys(Invariant, 0)
 
     def report(self, invariant: Invariant, story: str) -> None:
-        """Count a violation; the first of its kind is logged with its story."""
+        """Count a violation; log the first one of each invariant with its trace."""
         self.counts[invariant] += 1
         if self.counts[invariant] == 1:
             log.error("invariant violated: %s: %s", invariant, story)
--- a/quota_gateway/net/common/metrics.py
+++ b/quota_gateway/net/common/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of this process, from 0 at its start, and the text in which operators read them."""
+"""Counters of this process, which start at 0, and the text in which operators read them."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 @dataclass(slots=True)
 class _RequestCounts:
-    """Requests of one class by how they ended; the names are those of the text."""
+    """Requests of one class by outcome; the field names are those of the wire format."""
 
     passed: int = 0
     dropped: int = 0  # rejected
-    bad_gateway: int = 0  # failed, or the response broke off
+    bad_gateway: int = 0  # failed, or answered with a truncated response
 
 
 class Metrics:
-    """Requests by class and by how they ended, attempts, reloads, and violations of invariants."""
+    """Requests by class and outcome, attempts, reloads, and violations of invariants."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
-        """``classes`` are the names of the request classes that are shown from the start."""
+        """Show the request classes of these names from the start."""
         self._requests_by_class = dict[str, _RequestCounts]()
         self.upstream_attempts = 0
-        self.reloads = 0
-        self.reload_errors = 0
-        self.in_progress = 0  # requests that were accepted and have not ended
+        self._reloads = 0
+        self._reload_errors = 0
+        self.in_progress = 0  # accepted requests without a complete response
         self.invariants = InvariantMonitor()
-        self.streaming_responses = 0  # of them those whose response body is streamed
+        self.streaming_responses = 0  # of those in progress
         self.register_classes(classes)
 
     def register_classes(self, classes: Iterable[str]) -> None:
-        """Show these request classes from now on; classes that were removed keep their counts."""
+        """Show these request classes from now on; removed classes keep their counts."""
         for request_class in classes:
             if request_class not in self._requests_by_class:
                 self._requests_by_class[request_class] = _RequestCounts()
 
     def record_request(self, request_class: str, status: int) -> None:
-        """Count a request by the HTTP status of its response, or by any other number where that broke off.
+        """Count a request by the HTTP status of its response; any other number counts as failed.
 
-        Requests of classes that were never registered are not counted.
+        Requests of unregistered classes are not counted.
         """
         counts = self._requests_by_class.get(request_class)
         if counts is None:
@@ -55,8 +55,15 @@
         else:
             counts.bad_gateway += 1
 
+    def record_reload(self, *, succeeded: bool) -> None:
+        """Count a configuration reload that was applied, or rejected."""
+        if succeeded:
+            self._reloads += 1
+        else:
+            self._reload_errors += 1
+
     def render(self, known_endpoints: int, avoided_endpoints: int) -> str:
-        """The reply to the admin command METRICS without its last line; the names are the wire format's."""
+        """Return the reply to METRICS without its last line, with the names of the wire format."""
         lines = list[str]()
         for request_class, counts in self._requests_by_class.items():
             prefix = f"app.handled.{request_class}"
@@ -67,8 +74,8 @@
         lines.append(f"app.in_progress={self.in_progress}")
         lines.append(f"app.known_servers={known_endpoints}")
         lines.append(f"app.skipped_servers={avoided_endpoints}")
-        lines.append(f"app.loads={self.reloads}")
-        lines.append(f"app.load_errors={self.reload_errors}")
+        lines.append(f"app.loads={self._reloads}")
+        lines.append(f"app.load_errors={self._reload_errors}")
         for invariant, count in self.invariants.counts.items():
             lines.append(f"app.violations.{invariant}={count}")
         return "\n".join(lines) + "\n"
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -85,7 +85,7 @@
             writer.write(b"STAT")
             assert await reader.read() == b"FAILURE\n"
 
-    monkeypatch.setattr(admin, "COMMAND_TIMEOUT", 0.05)
+    monkeypatch.setattr(admin, "COMMAND_TIMEOUT_SECONDS", 0.05)
     run(main())
 
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -1,7 +1,7 @@
-"""The forms on disk and on the wire as literals, so that a renamed Python name cannot change a byte of them.
+"""The formats on disk and on the wire as literals, so that renaming in the code cannot change a byte of them.
 
-A limiter of one version and one of another exchange these files in one folder while both run; the calling
-programs are built for these texts. Forms that other tests hold as literals already are not repeated here.
+Limiters of different versions exchange these files in one directory while both run, and the platform's
+programs parse these texts. Formats that other tests hold as literals are not repeated here.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 from tests.loopback import watch_event as listing_of
 
 ROOT = Path(__file__).parent.parent
-OTHER = "process-31-0a1b2c3d"  # the file of a process of another version
-NOTES_TEXT = """{"clock": 0.0,
+OTHER_PROCESS_FILE = "process-31-0a1b2c3d"  # of a process of another version
+HANDOVER_TEXT = """{"clock": 0.0,
  "done_rate": 0.5, "mean": 0.125, "units": 2.5, "bases": {"read": 0.04, "write": 0.08},
  "servers": [
   {"name": "s0", "born": 1.5, "cold_at": null, "answers": 3, "pace": 1.25, "slow": 1.125, "rate": 0.2},
@@ -52,7 +52,7 @@
    "ceiling": 0.75, "others": 0.1, "synced": 7.5, "total": null},
   {"plan": "large", "account": "00000000c0ffee11", "gateways": 5, "level": 4.5, "floor": 2.25,
    "ceiling": 0.625, "others": 0.7, "synced": 8.5, "total": 6.5}]}"""
-NOTES = model.HandoverState(
+HANDOVER_STATE = model.HandoverState(
     0.5, 0.125, 2.5, {"read": 0.04, "write": 0.08},
     (
         model.EndpointHandover("s0", 1.5, None, 3, 1.25, 1.125, 0.2),
@@ -65,96 +65,103 @@
 )  # fmt: skip
 
 
-def lock(path: Path, flags: int = fcntl.LOCK_EX | fcntl.LOCK_NB) -> int:
-    """The descriptor of a file, made where it is missing and locked as a process of another version does."""
+def open_locked(path: Path, flags: int = fcntl.LOCK_EX | fcntl.LOCK_NB) -> int:
+    """Create a file if missing, lock it as a process of another version does, and return its descriptor."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT)
     fcntl.flock(descriptor, flags)
     return descriptor
 
 
-def names_in(folder: Path) -> list[str]:
-    return sorted(path.name for path in folder.iterdir())
+def names_in(directory: Path) -> list[str]:
+    return sorted(path.name for path in directory.iterdir())
 
 
 @pytest.mark.parametrize(
-    ("name", "folder"),
+    ("name", "directory"),
     [
         ("n1", "cypresspulley-6e31"), ("", "cypresspulley-"), ("ü/x", "cypresspulley-c3bc2f78"),
         ("a" * 40, "cypresspulley-" + "61" * 32),
     ],
 )  # fmt: skip
-def test_the_folder_and_the_file_of_a_process(name: str, folder: str, tmp_path: Path) -> None:
-    shared = ProcessGroup(str(tmp_path), name)
-    assert names_in(tmp_path) == [folder]
-    (own,) = (tmp_path / folder).iterdir()
+def test_the_shared_directory_and_the_process_file(name: str, directory: str, tmp_path: Path) -> None:
+    group = ProcessGroup(str(tmp_path), name)
+    assert names_in(tmp_path) == [directory]
+    (own,) = (tmp_path / directory).iterdir()
     assert re.fullmatch(f"process-{os.getpid()}-[0-9a-f]{{8}}", own.name)
-    assert (tmp_path / folder).stat().st_mode & 0o777 == 0o700
+    assert (tmp_path / directory).stat().st_mode & 0o777 == 0o700
     assert own.stat().st_mode & 0o777 == 0o600
     with pytest.raises(BlockingIOError):
-        lock(own, fcntl.LOCK_SH | fcntl.LOCK_NB)  # even a shared lock is refused: this one is exclusive
-    shared.close()
-    assert names_in(tmp_path / folder) == []
-
-
-def test_the_file_of_another_process_is_alive_while_it_is_locked(tmp_path: Path) -> None:
-    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
-    held = lock(folder / OTHER)
-    (folder / f"notes-for-{OTHER}").write_text(NOTES_TEXT)
-    (folder / "other-31-0a1b2c3d").touch()
-    assert shared.count_processes() == 2
-    os.close(held)
-    assert shared.count_processes() == 1
-    assert [name for name in names_in(folder) if name.endswith("0a1b2c3d")] == ["other-31-0a1b2c3d"]
-    shared.close()
-
-
-def test_the_notes_written_for_another_process(tmp_path: Path) -> None:
-    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
-    held = lock(folder / OTHER)
-    shared.write_handover(NOTES)
-    shared.close()
-    assert names_in(folder) == [f"notes-for-{OTHER}", OTHER]
-    assert json.loads((folder / f"notes-for-{OTHER}").read_bytes()) == json.loads(NOTES_TEXT)
-    os.close(held)
-
-
-def test_the_notes_that_another_process_has_written(tmp_path: Path) -> None:
-    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
-    (own,) = names_in(folder)
-    (folder / f"notes-for-{own}").write_text(NOTES_TEXT)
-    assert shared.read_handover() == NOTES
-    assert names_in(folder) == [own]
-    shared.close()
-
-
-def test_the_file_of_servers_out_by_hand_is_written_and_read(tmp_path: Path) -> None:
-    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
-    (own,) = names_in(folder)
-    shared.set_suspended("s2", True)
-    shared.set_suspended("s1", True)
-    assert (folder / "bans.json").read_bytes() == b'{"out": ["s1", "s2"]}'
-    assert names_in(folder) == ["bans.json", "bans.lock", own]
-    (folder / "fresh").write_text('{"out": ["s7", "s3"]}')
-    (folder / "fresh").rename(folder / "bans.json")
-    assert shared.read_suspensions() == {"s3", "s7"}
-    assert shared.set_suspended("s7", False) == {"s3"}
-    assert (folder / "bans.json").read_bytes() == b'{"out": ["s3"]}'
-    shared.close()
-
-
-def test_a_change_of_the_servers_out_by_hand_waits_for_the_lock_file(tmp_path: Path) -> None:
-    shared, folder = ProcessGroup(str(tmp_path), "n1"), tmp_path / "cypresspulley-6e31"
-    held = lock(folder / "bans.lock")
-    assert shared.set_suspended("s1", True) == {"s1"}  # at once: nothing here may block the event loop
-    assert not shared.suspensions_saved and not (folder / "bans.json").exists()
-    os.close(held)
-    assert shared.set_suspended("s2", True) == {"s1", "s2"}
-    assert shared.suspensions_saved
-    assert json.loads((folder / "bans.json").read_bytes()) == {"out": ["s1", "s2"]}
-    shared.close()
-
-
-FIGURES_TEXT = """app.handled.lookup.passed=1
+        open_locked(own, fcntl.LOCK_SH | fcntl.LOCK_NB)  # a shared lock fails: the lock is exclusive
+    group.close()
+    assert names_in(tmp_path / directory) == []
+
+
+def test_another_process_counts_as_running_while_its_file_is_locked(tmp_path: Path) -> None:
+    group = ProcessGroup(str(tmp_path), "n1")
+    directory = tmp_path / "cypresspulley-6e31"
+    locked_file = open_locked(directory / OTHER_PROCESS_FILE)
+    (directory / f"notes-for-{OTHER_PROCESS_FILE}").write_text(HANDOVER_TEXT)
+    (directory / "other-31-0a1b2c3d").touch()
+    assert group.count_processes() == 2
+    os.close(locked_file)
+    assert group.count_processes() == 1
+    assert [name for name in names_in(directory) if name.endswith("0a1b2c3d")] == ["other-31-0a1b2c3d"]
+    group.close()
+
+
+def test_the_handover_file_written_for_another_process(tmp_path: Path) -> None:
+    group = ProcessGroup(str(tmp_path), "n1")
+    directory = tmp_path / "cypresspulley-6e31"
+    locked_file = open_locked(directory / OTHER_PROCESS_FILE)
+    group.write_handover(HANDOVER_STATE)
+    group.close()
+    assert names_in(directory) == [f"notes-for-{OTHER_PROCESS_FILE}", OTHER_PROCESS_FILE]
+    assert json.loads((directory / f"notes-for-{OTHER_PROCESS_FILE}").read_bytes()) == json.loads(
+        HANDOVER_TEXT
+    )
+    os.close(locked_file)
+
+
+def test_the_handover_file_written_by_another_process(tmp_path: Path) -> None:
+    group = ProcessGroup(str(tmp_path), "n1")
+    directory = tmp_path / "cypresspulley-6e31"
+    (own,) = names_in(directory)
+    (directory / f"notes-for-{own}").write_text(HANDOVER_TEXT)
+    assert group.read_handover() == HANDOVER_STATE
+    assert names_in(directory) == [own]
+    group.close()
+
+
+def test_the_suspension_file_is_written_and_read(tmp_path: Path) -> None:
+    group = ProcessGroup(str(tmp_path), "n1")
+    directory = tmp_path / "cypresspulley-6e31"
+    (own,) = names_in(directory)
+    group.set_suspended("s2", True)
+    group.set_suspended("s1", True)
+    assert (directory / "bans.json").read_bytes() == b'{"out": ["s1", "s2"]}'
+    assert names_in(directory) == ["bans.json", "bans.lock", own]
+    (directory / "fresh").write_text('{"out": ["s7", "s3"]}')
+    (directory / "fresh").rename(directory / "bans.json")
+    assert group.read_suspensions() == {"s3", "s7"}
+    assert group.set_suspended("s7", False) == {"s3"}
+    assert (directory / "bans.json").read_bytes() == b'{"out": ["s3"]}'
+    group.close()
+
+
+def test_a_suspension_waits_for_the_lock_file(tmp_path: Path) -> None:
+    group = ProcessGroup(str(tmp_path), "n1")
+    directory = tmp_path / "cypresspulley-6e31"
+    locked_file = open_locked(directory / "bans.lock")
+    assert group.set_suspended("s1", True) == {"s1"}  # at once: nothing here may block the event loop
+    assert not group.suspensions_saved and not (directory / "bans.json").exists()
+    os.close(locked_file)
+    assert group.set_suspended("s2", True) == {"s1", "s2"}
+    assert group.suspensions_saved
+    assert json.loads((directory / "bans.json").read_bytes()) == {"out": ["s1", "s2"]}
+    group.close()
+
+
+METRICS_TEXT = """app.handled.lookup.passed=1
 app.handled.lookup.dropped=2
 app.handled.lookup.bad_gateway=3
 app.handled.post.passed=0
@@ -178,21 +185,20 @@
 
 
 @async_test
-async def test_the_replies_at_the_second_address() -> None:
-    figures, clock = Metrics(["lookup", "post"]), unix_clock()
+async def test_the_replies_at_the_admin_address() -> None:
+    metrics = Metrics(["lookup", "post"])
+    clock = unix_clock()
     for status in (200, 429, 503, 502, 504, 400):
-        figures.record_request("lookup", status)
-    figures.record_request("post", 429)
-    figures.upstream_attempts, figures.streaming_responses, figures.reloads, figures.reload_errors = (
-        11,
-        4,
-        6,
-        7,
-    )
+        metrics.record_request("lookup", status)
+    metrics.record_request("post", 429)
+    metrics.upstream_attempts = 11
+    metrics.streaming_responses = 4
+    for succeeded in (*[True] * 6, *[False] * 7):
+        metrics.record_reload(succeeded=succeeded)
     upstream = ConnectionPool(clock, 0.25, 30.0, 64)
-    node = Dispatcher(SETTINGS, Gateway(SETTINGS, 1, clock()), clock, upstream, None, figures)
-    mgmt = AdminListener(node)
-    address = await mgmt.listen("127.0.0.1", 0)
+    dispatcher = Dispatcher(SETTINGS, Gateway(SETTINGS, 1, clock()), clock, upstream, None, metrics)
+    listener = AdminListener(dispatcher)
+    address = await listener.listen("127.0.0.1", 0)
 
     async def call(line: bytes) -> str:
         reader, writer = await asyncio.open_connection(*address)
@@ -202,15 +208,15 @@
         return reply.decode()
 
     assert await call(b"STATUS\n") == "FAILURE\n"
-    node.on_watch_event(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
+    dispatcher.on_watch_event(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
     assert await call(b"STATUS\n") == "SUCCESS\n"
     assert await call(b"SUSPEND s1\n") == "SUCCESS\n"
-    assert await call(b"METRICS\n") == FIGURES_TEXT
+    assert await call(b"METRICS\n") == METRICS_TEXT
     assert await call(b"RESTORE s1\n") == "SUCCESS\n"
     assert await call(b"RESTORE s1\n") == "SUCCESS\n"
     assert await call(b"SUSPEND s9\n") == "FAILURE\n"
-    assert await call(b"METRICS\n") == FIGURES_TEXT.replace("skipped_servers=1", "skipped_servers=0")
-    await mgmt.close()
+    assert await call(b"METRICS\n") == METRICS_TEXT.replace("skipped_servers=1", "skipped_servers=0")
+    await listener.close()
     upstream.close()
 
 
@@ -232,7 +238,7 @@
  "specifics": {"has_counter": true, "count_wait_s": 0.0625, "max_units": 16.5},
  "contract": {"cold_from": 0.2, "warm_after_s": 5.125, "fall_multiple": 2.125, "fall_s": 2.375,
   "stop_sending_within_s": 2.0}}"""
-SETTINGS_READ = model.Settings(
+PARSED_SETTINGS = model.Settings(
     2,
     7,
     "b",
@@ -266,16 +272,16 @@
 
 def test_every_key_of_the_settings_object() -> None:
     raw = json.loads(SETTINGS_TEXT)
-    assert parse_settings(raw) == SETTINGS_READ
+    assert parse_settings(raw) == PARSED_SETTINGS
     assert parse_timing(raw) == Timing(0.375, 21.5, 7, 3.0, 4.5)
     assert parse_timing(raw | {"discovery": "push"}) == Timing(0.375, 21.5, 1, 0.6, 1.2)
     off = {"limits": raw["limits"] | {"retry_after": False}, "report": {"how": "on_answer"}}
     assert parse_settings(raw | off) == replace(
-        SETTINGS_READ, max_retry_after=0.0, load_in_health_check=False
+        PARSED_SETTINGS, max_retry_after=0.0, load_in_health_check=False
     )
 
 
-def test_the_one_key_of_a_class_that_may_be_missing_from_new_settings() -> None:
+def test_the_one_class_key_that_reloaded_settings_may_omit() -> None:
     raw = json.loads(SETTINGS_TEXT)
     check_reloaded_settings(raw, raw | {"classes": [row | {"aim_stretch": 2.0} for row in raw["classes"]]})
 
@@ -297,17 +303,17 @@
         monkeypatch.setenv("LB_NAME", "n5")
         monkeypatch.setenv("LB_MGMT", "127.0.0.1:7005")
     read = parse_config(raw, Environment.from_variables(os.environ))
-    assert (read.name, read.seed, read.max_sockets) == (name, 31, 333)
+    assert (read.name, read.seed, read.max_descriptors) == (name, 31, 333)
     addresses = read.listen, read.discovery, read.counter, read.admin
     assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
     entry = model.Endpoint("s1", model.EndpointHealth.HEALTHY, "")
     assert read.initial_endpoints == WatchEvent(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
-    assert read.settings == SETTINGS_READ and read.timing == parse_timing(raw["settings"])
+    assert read.settings == PARSED_SETTINGS and read.timing == parse_timing(raw["settings"])
 
 
 @pytest.mark.parametrize(("since", "query"), [(None, b""), (41, b"&since=41")])
 @async_test
-async def test_the_call_to_discovery_and_a_line_of_it(since: int | None, query: bytes) -> None:
+async def test_the_request_to_discovery_and_an_event_line(since: int | None, query: bytes) -> None:
     line = (
         b'{"seq": 58, "whole": false, "hosts": [{"host": "s1", "dial": "10.1.0.18:7070", "site": "a", '
         b'"class": "m2", "block": 3, "health": "ready", "share": 1.5, "born_ms": 1800000000250}, '
@@ -320,26 +326,28 @@
         model.Endpoint("s3", model.EndpointHealth.REMOVED, ""),
     )
     dials = {"s1": "10.1.0.18:7070", "s2": "10.1.0.19:7071", "s3": ""}
-    asked, told = asyncio.Queue[bytes](), asyncio.Queue[WatchEvent]()
+    requests = asyncio.Queue[bytes]()
+    events = asyncio.Queue[WatchEvent]()
 
     async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.put_nowait(await reader.readuntil(b"\r\n\r\n"))
+        requests.put_nowait(await reader.readuntil(b"\r\n\r\n"))
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(b"%x\r\n%b\r\n" % (len(line), line))
         await asyncio.Event().wait()
 
     async with running_server(agent) as address:
         host, port = address.split(":")
-        task = asyncio.create_task(EndpointWatcher(host, int(port), since, told.put_nowait).follow())
-        assert await told.get() == WatchEvent(58, model.EndpointUpdate(entries, False), dials)
+        task = asyncio.create_task(EndpointWatcher(host, int(port), since, events.put_nowait).follow())
+        assert await events.get() == WatchEvent(58, model.EndpointUpdate(entries, False), dials)
         request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
-        assert await asked.get() == request
+        assert await requests.get() == request
         task.cancel()
 
 
 @async_test
-async def test_the_request_to_a_server_the_probes_and_the_answers_to_a_client() -> None:
-    heads, served = list[bytes](), asyncio.Queue[None]()
+async def test_requests_to_an_endpoint_health_checks_and_responses_to_a_client() -> None:
+    heads = list[bytes]()
+    served = asyncio.Queue[None]()
 
     def decide(event: model.Event) -> list[model.Action]:
         return [model.CheckHealth("s1")] if isinstance(event, model.EndpointUpdate) else forward_to_s1(event)
@@ -351,7 +359,7 @@
             writer.write(b"HTTP/1.1 %b\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi" % status)
             served.put_nowait(None)
 
-    ask = (
+    client_request = (
         b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
         b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
         b"X-Timeout-Ms: 5000\r\nX-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\n%b\r\n"
@@ -365,15 +373,15 @@
         limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
         await served.get()
         reader, writer = await limiter.connect()
-        writer.write(ask % (1, b""))
-        good = await reader.readuntil(b"hi")
-        writer.write(ask % (2, b"Connection: close\r\n"))
-        refused = await reader.read()
+        writer.write(client_request % (1, b""))
+        accepted = await reader.readuntil(b"hi")
+        writer.write(client_request % (2, b"Connection: close\r\n"))
+        rejected = await reader.read()
         writer.close()
-    assert good == b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi"
-    refusal = b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nConnection: close\r\n"
-    assert refused == refusal + b"Content-Length: 0\r\n\r\n"
-    # The time that is left stands last, and is the one part that differs from run to run.
+    assert accepted == b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi"
+    rejection = b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nConnection: close\r\n"
+    assert rejected == rejection + b"Content-Length: 0\r\n\r\n"
+    # The propagated deadline is the last header, and the only part that differs from run to run.
     lookup = (
         b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
         b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
@@ -387,7 +395,7 @@
     ]
 
 
-def test_the_deploy_file_names_what_is_there() -> None:
+def test_the_deploy_file_names_existing_files() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert sorted(deploy) == ["build", "node", "packages", "policy", "run", "sim"]
     assert deploy["packages"] == []
