--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -23,6 +23,33 @@
 # Names of at least two words: one word alone may be an ordinary one or a value.
 CLASS_PATTERN = re.compile(r"`((?:[A-Z][a-z]+){2,})`")
 REASON_PATTERN = re.compile(r"^\| `([a-z ]+)` \|", re.MULTILINE)
+# Log texts that README or the on-call page quote; a changed text has to change its page as well.
+QUOTED_LOG_TEXTS = (
+    "not reloaded: %s",
+    "processes of this limiter: %d",
+    "another process handed over",
+    "suspended",
+    "restored",
+    "a suspension cannot be written yet",
+    "invariant violated: %s",
+    "rejected: ",
+    "leased ",
+    "warming up ",
+    "ejected ",
+    "; load ",
+    "admit rate ",
+    "completion rate ",
+    "counter unavailable",
+    "connections: %s; open %d",
+    "counter calls: %s",
+    "client connections: %s; open %d",
+    "attempts and health checks: %s",
+    "discovery watch: %s",
+    "endpoint list: %s",
+    ": slow start",
+    "body stream to or from %s stalled",
+    "a client took nothing of its",
+)
 START_TIMEOUT = 20.0  # seconds: generous, only a hang takes this long
 # What a module of each layer may import of the package.
 ALLOWED_IMPORTS = {
@@ -60,6 +87,21 @@
     assert named - defined == set()
 
 
+@pytest.fixture(scope="module")
+def package_texts() -> list[str]:
+    """All string constants of the package, parts of formatted strings included."""
+    sources = [path.read_text() for path in (ROOT / "quota_gateway").rglob("*.py")]
+    nodes = (node for source in sources for node in ast.walk(ast.parse(source)))
+    return [node.value for node in nodes if isinstance(node, ast.Constant) and isinstance(node.value, str)]
+
+
+@pytest.mark.parametrize("text", QUOTED_LOG_TEXTS)
+def test_a_quoted_log_text_is_in_the_code_and_on_a_page(text: str, package_texts: list[str]) -> None:
+    assert any(text in constant for constant in package_texts)
+    quoted = re.split(r"%[sd]", text)[0].strip(" :;")
+    assert any(quoted in page.read_text() for page in (README, ROOT / "docs" / "ON-CALL.md"))
+
+
 def test_the_readme_explains_every_rejection_reason_and_no_other() -> None:
     assert sorted(REASON_PATTERN.findall(README.read_text())) == sorted(model.RejectionReason)
 
