--- a/quota_gateway/decisions/admission.py
+++ b/quota_gateway/decisions/admission.py
@@ -2,22 +2,24 @@
 
 from bisect import bisect_left
 from collections import deque
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from quota_gateway.arithmetic import moving_average, refilled
 from quota_gateway.decisions.controller import LoadController
 from quota_gateway.state import OpenRequest
 
-GATE_TIME = 1.0  # seconds of the admit rate that the bucket holds
-MIN_GATE_TOKENS = 3.0  # requests that it holds at least
-MIN_ADMIT_FRACTION = 0.1  # of the arrivals, for load readings: a closed gate would stay closed
-FREE_TOKENS = 2  # tokens of the bucket's depth that no priority is reserved
-PRIORITY_RESERVE = 0.6  # share of the bucket that the work of lowest priority must leave
-RECENT_REQUESTS = 300  # that a priority is ranked among
-FIRST_GUESS = 0.1  # idle latency over the latency objective, until an answer tells
+GATE_DEPTH_SECONDS = 1.0  # of the admit rate
+MIN_GATE_DEPTH_REQUESTS = 3.0
+MIN_ADMIT_FRACTION = 0.1  # of the arrivals; with a closed gate there would be no more load readings
+UNRESERVED_TOKENS = 2  # of the bucket's depth; a request of any priority may take them
+PRIORITY_RESERVE_FRACTION = 0.6  # of the bucket's depth, reserved from requests of the lowest priority
+RECENT_REQUESTS = 300  # among which a priority is ranked
+INITIAL_LATENCY_FRACTION = 0.1  # idle latency of a class, in latency objectives, before its first response
 REQUEST_WEIGHT = 0.02  # of one request in the means over requests
-SLOWER_WEIGHT = 0.01  # of a latency above the idle latency: most of those have waited
-FASTER_WEIGHT = 0.02  # of one below it
+# Idle latency: most responses above it have waited in a queue, so they count less.
+SLOWER_RESPONSE_WEIGHT = 0.01
+FASTER_RESPONSE_WEIGHT = 0.02
 
 
 @dataclass(slots=True, eq=False)
@@ -26,36 +28,49 @@
 
     base_latencies: dict[str, float] = field(default_factory=dict)  # idle latency in seconds, by class
     mean_units: float = 0.0  # of a request
-    mean_work: float = 0.0  # of a request, seconds
+    mean_work: float = 0.0  # of a request, in seconds
     recent_values: deque[float] = field(default_factory=lambda: deque(maxlen=RECENT_REQUESTS))
-    sorted_values: list[float] = field(default_factory=list)
+    sorted_values: list[float] = field(default_factory=list)  # of the previous interval
 
     def estimate(self, request: OpenRequest) -> None:
-        """Set the size, work and priority of a request that has just come."""
+        """Set the size, work and priority of a request that arrives."""
         request_class = request.request_class
         self.mean_units = moving_average(self.mean_units, request.units, REQUEST_WEIGHT)
+        relative_size = request.relative_size
         if self.mean_units > 0 and request.units > 0:
-            request.relative_size = request.units / self.mean_units
-        first_guess = request_class.latency_objective * FIRST_GUESS
-        request.work = self.base_latencies.setdefault(request_class.name, first_guess) * request.relative_size
-        self.mean_work = moving_average(self.mean_work, request.work, REQUEST_WEIGHT)
-        value = request_class.priority_weight * request.account.plan.price * request.units / request.work
+            relative_size = request.units / self.mean_units
+        initial_latency = request_class.latency_objective * INITIAL_LATENCY_FRACTION
+        work = self.base_latencies.setdefault(request_class.name, initial_latency) * relative_size
+        self.mean_work = moving_average(self.mean_work, work, REQUEST_WEIGHT)
+        value = request_class.priority_weight * request.account.plan.price * request.units / work
         self.recent_values.append(value)
+        percentile = request.priority_percentile
         if self.sorted_values:
-            request.priority_percentile = bisect_left(self.sorted_values, value) / len(self.sorted_values)
+            percentile = bisect_left(self.sorted_values, value) / len(self.sorted_values)
+        request.set_estimate(relative_size=relative_size, work=work, priority_percentile=percentile)
 
     def learn(self, request: OpenRequest, latency: float) -> float:
-        """Take in a good answer; gives its slowdown, the latency over the idle latency."""
+        """Update the idle latency with a good response, and return its latency over the idle latency."""
         base = self.base_latencies[request.request_class.name]
         latency = latency / request.relative_size
-        weight = SLOWER_WEIGHT if latency > base else FASTER_WEIGHT
+        weight = SLOWER_RESPONSE_WEIGHT if latency > base else FASTER_RESPONSE_WEIGHT
         self.base_latencies[request.request_class.name] = base + (latency - base) * weight
         return latency / base
 
+    def close_interval(self) -> None:
+        """Rank the requests of the next interval among the recent ones."""
+        self.sorted_values = sorted(self.recent_values)
+
+    def take_over(self, mean_work: float, mean_units: float, base_latencies: Mapping[str, float]) -> None:
+        """Take over what another process of this limiter has learned; 0 stands for an unknown value."""
+        self.mean_work = mean_work or self.mean_work
+        self.mean_units = mean_units or self.mean_units
+        self.base_latencies |= {name: base for name, base in base_latencies.items() if base > 0}
+
 
 @dataclass(slots=True, eq=False)
 class AdmissionGate:
-    """A token bucket that refills at the admit rate; a request takes its work over the mean work."""
+    """A token bucket that refills at the admit rate; a request takes its work divided by the mean work."""
 
     controller: LoadController
     work: WorkEstimator
@@ -63,16 +78,16 @@
     tokens: float = 0.0
 
     def admits(self, now: float, request: OpenRequest) -> bool:
-        """Whether there are tokens; a full bucket lets any one request pass, into debt."""
+        """Whether there are enough tokens; a full bucket admits a request of any size and goes into debt."""
         rate = max(MIN_ADMIT_FRACTION * self.controller.arrival_rate, self.controller.admit_rate)
-        depth = max(MIN_GATE_TOKENS, rate * GATE_TIME)
+        depth = max(MIN_GATE_DEPTH_REQUESTS, rate * GATE_DEPTH_SECONDS)
         self.tokens = refilled(self.tokens, rate, now - self.refilled_at, depth)
         self.refilled_at = now
-        reserve = PRIORITY_RESERVE * (1 - request.priority_percentile)
-        needed = request.work / self.work.mean_work + reserve * max(0, depth - FREE_TOKENS)
+        reserve = PRIORITY_RESERVE_FRACTION * (1 - request.priority_percentile)
+        needed = request.work / self.work.mean_work + reserve * max(0, depth - UNRESERVED_TOKENS)
         return self.controller.integral is None or self.tokens >= min(depth, needed)
 
     def take(self, request: OpenRequest) -> None:
-        """A request was forwarded; while the gateway is fresh the bucket stays full."""
-        is_fresh = self.controller.integral is None
-        self.tokens = float("inf") if is_fresh else self.tokens - request.work / self.work.mean_work
+        """Take the tokens of a forwarded request; without a measured load the bucket stays full."""
+        is_unmeasured = self.controller.integral is None
+        self.tokens = float("inf") if is_unmeasured else self.tokens - request.work / self.work.mean_work
--- a/quota_gateway/decisions/controller.py
+++ b/quota_gateway/decisions/controller.py
@@ -1,6 +1,7 @@
 """The load controller: a PI loop with anti-windup sets the admit rate u = K e + integral once a second.
 
-After "Overload Control and Performance Modeling of Web Servers"; e is the reference minus the measured load.
+The error e is the reference load minus the measured load. See "Overload Control and Performance Modeling of
+Web Servers".
 """
 
 from dataclasses import dataclass, field
@@ -8,37 +9,51 @@
 from quota_gateway.arithmetic import moving_average
 from quota_gateway.decisions.context import LATENCY_FRACTION
 
-REFERENCE = 0.8  # load that the loop steers to
-GAIN = 20.0  # K, requests a second by unit of load
-RESET_TIME = 2.8  # Ti, seconds
-INTERVAL = 1.0  # seconds between two updates
-STALL = 2.5 * INTERVAL  # a longer gap means that this process stood still
-FULL_LOAD = 1.0  # reading of an endpoint that is overloaded or does not answer in time
-LOW_LOAD = 0.5 * REFERENCE  # below it the endpoints surely bear more
-ARRIVALS_WEIGHT = 0.3  # of the newest interval in the mean of the arrivals
-ENOUGH_READINGS = 3
-MAX_READING_AGE = (
-    4  # intervals after which fewer do: where one request comes a second they wait for each other
-)
+REFERENCE_LOAD = 0.8
+GAIN = 20.0  # K, requests per second for each unit of load
+RESET_TIME_SECONDS = 2.8  # Ti
+INTERVAL_SECONDS = 1.0  # between two updates
+STALL_SECONDS = 2.5 * INTERVAL_SECONDS  # a longer interval means that this process was stalled
+FULL_LOAD = 1.0  # reading for an endpoint that is overloaded or does not respond in time
+LOW_LOAD = 0.5 * REFERENCE_LOAD  # the endpoints surely bear more
+ARRIVALS_WEIGHT = 0.3  # of the newest interval in the moving average
+MIN_READINGS = 3  # for an update of the admit rate
+# Older readings are used even if they are fewer: at one request per second they would be too few forever.
+MAX_READING_AGE_INTERVALS = 4
 
 
 @dataclass(slots=True, eq=False)
 class LoadController:
-    """PI control of the admit rate, in requests a second."""
+    """PI control of the admit rate, in requests per second. Only its own methods change its fields.
+
+    While ``integral`` is None, at the start and after a stall, all requests are admitted.
+    """
 
     updated_at: float
-    integral: float | None = None  # None: fresh, or after a stall; all is admitted until the next reading
+    integral: float | None = None
     admit_rate: float = 0.0
-    load: float = 0.0  # the last reading: 0 idle, 0.8 the reference, 1 overloaded
-    readings: list[float] = field(default_factory=list)  # since the last update that used them
+    load: float = 0.0  # the last measurement: 0 idle, 0.8 the reference, 1 overloaded
+    readings: list[float] = field(default_factory=list)  # not yet used by an update
     readings_age: int = 0  # intervals
     arrival_rate: float = 0.0  # moving average of clients' first attempts
-    arrivals: int = 0  # in this interval
+    arrivals: int = 0  # clients' first attempts in this interval
     admitted: int = 0  # in this interval
 
-    def add_latency(self, latency: float, objective: float) -> None:
-        """Take the latency of a good answer as a reading of the load."""
-        self.readings.append(min(FULL_LOAD, latency / objective * REFERENCE / LATENCY_FRACTION))
+    def record_arrival(self) -> None:
+        """Count a client's first attempt."""
+        self.arrivals += 1
+
+    def record_admission(self) -> None:
+        """Count a request that was admitted and forwarded."""
+        self.admitted += 1
+
+    def record_latency(self, latency: float, objective: float) -> None:
+        """Record the latency of a good response as a load reading."""
+        self.readings.append(min(FULL_LOAD, latency / objective * REFERENCE_LOAD / LATENCY_FRACTION))
+
+    def record_overload(self) -> None:
+        """Record an overloaded endpoint, or an overdue response, as a load reading."""
+        self.readings.append(FULL_LOAD)
 
     def update(self, now: float, elapsed: float) -> None:
         """Set the admit rate from the readings of an interval."""
@@ -48,25 +63,26 @@
         self.arrivals = self.admitted = 0
         self.arrival_rate = moving_average(self.arrival_rate, arrivals, ARRIVALS_WEIGHT)
         self.readings_age += 1
-        is_stale = self.readings_age >= MAX_READING_AGE and bool(self.readings)
-        is_measured = len(self.readings) >= ENOUGH_READINGS or is_stale
-        if elapsed > STALL:
-            self.integral = None  # it belongs to a load that is gone
-        elif is_measured:
+        is_old = self.readings_age >= MAX_READING_AGE_INTERVALS and bool(self.readings)
+        has_measurement = len(self.readings) >= MIN_READINGS or is_old
+        was_stalled = elapsed > STALL_SECONDS
+        if was_stalled:
+            self.integral = None  # the load has changed in the meantime
+        elif has_measurement:
             self._control(max(arrivals, self.arrival_rate), admitted)
-        if is_measured or elapsed > STALL:
+        if has_measurement or was_stalled:
             self.readings = []
             self.readings_age = 0
 
     def _control(self, arrivals: float, admitted: float) -> None:
-        # K is made for a stream of its size: at hundreds of sparse gateways whole ones add up to on and off.
+        # The gain is made for a stream of its size; at hundreds of sparse gateways the sum would oscillate.
         gain = min(GAIN, self.arrival_rate)
         self.load = sum(self.readings) / len(self.readings)
-        error = REFERENCE - self.load
+        error = REFERENCE_LOAD - self.load
         self.admit_rate = gain * error + (admitted if self.integral is None else self.integral)
         self.integral = self.admit_rate - gain * error
         if self.load < LOW_LOAD and self.admit_rate < arrivals:
             self.integral = arrivals - gain * error
             self.admit_rate = arrivals
         if error < 0 or self.admit_rate <= arrivals:  # anti-windup
-            self.integral = max(0.0, self.integral + gain / RESET_TIME * error)
+            self.integral = max(0.0, self.integral + gain / RESET_TIME_SECONDS * error)
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -5,22 +5,22 @@
 from quota_gateway import model
 from quota_gateway.decisions.admission import AdmissionGate
 from quota_gateway.decisions.context import LATENCY_FRACTION, Context
-from quota_gateway.decisions.controller import FULL_LOAD, REFERENCE
+from quota_gateway.decisions.controller import REFERENCE_LOAD
 from quota_gateway.decisions.endpoint_set import EndpointSet
 from quota_gateway.decisions.leases import LeaseManager
 from quota_gateway.decisions.load_balancer import LoadBalancer
 from quota_gateway.decisions.outlier_detection import OutlierDetector
 from quota_gateway.decisions.retries import RetryBudget, may_reject, repeat_deadline, retry_after
 from quota_gateway.model import NO_SIGN_OF_LIFE, PROVES_NOT_EXECUTED, AttemptCompleted, CallStatus
-from quota_gateway.state import NO_WORK, Attempt, EndpointState, OpenRequest
+from quota_gateway.state import EndpointState, OpenRequest
 
-OVER_QUOTA_LOAD = 0.6 * REFERENCE  # under which requests over their quota are admitted where they pay
-SLOWDOWN_WEIGHT = 0.1  # of one answer in an endpoint's slowdown
+MAX_OVER_QUOTA_LOAD = 0.6 * REFERENCE_LOAD  # at which requests beyond their quota are admitted if they pay
+SLOWDOWN_WEIGHT = 0.1  # of one response in the slowdown of its endpoint
 
 
 @dataclass(slots=True, eq=False)
 class Forwarder:
-    """Owns the open requests; each ends with one final answer, or with its client."""
+    """Owns the open requests: each ends with exactly one final answer, or when its client disconnects."""
 
     context: Context
     endpoints: EndpointSet
@@ -32,11 +32,15 @@
     rejections: dict[str, int] = field(default_factory=dict)  # by reason, since the last log line
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
-    def forward(self, now: float, request: OpenRequest, within_quota: bool, prepaid: bool = False) -> bool:
+    def add(self, request: OpenRequest) -> None:
+        """Add a request that has arrived."""
+        self.requests[request.id] = request
+
+    def forward(self, now: float, request: OpenRequest, *, within_quota: bool, prepaid: bool = False) -> bool:
         """Make the first attempt or reject the request; ``prepaid`` units are leased or reported apart."""
         account = request.account
         plan = account.plan
-        is_idle = 0 < self.gate.controller.load < OVER_QUOTA_LOAD
+        is_idle = 0 < self.gate.controller.load < MAX_OVER_QUOTA_LOAD
         pays = is_idle and plan.over_quota_value > plan.over_quota_cost
         if not within_quota and not pays:
             self.finish(request, model.RejectionReason.QUOTA)
@@ -45,9 +49,9 @@
             self.finish(request, self.balancer.rejection_reason)
             return False
         self.gate.take(request)
-        self.gate.controller.admitted += 1
+        self.gate.controller.record_admission()
         self.retry_budget.credit()
-        request.within_quota = within_quota
+        request.accept(within_quota=within_quota)
         account.ceiling_tokens -= request.units if plan.ceiling_rate > 0 else 0.0
         if within_quota:
             account.guaranteed_tokens = max(-request.units, account.guaranteed_tokens - request.units)
@@ -60,73 +64,60 @@
         return True
 
     def _attempt(self, now: float, request: OpenRequest) -> bool:
-        # No earlier time-out than the client's use for the answer: endpoints finish what they have begun, so
-        # an attempt given up for another one is work twice, most of it where there is least capacity.
+        # The timeout is all of the useful time: endpoints complete the work that they have begun, so that a
+        # retry after a shorter timeout would add work where there is least capacity.
         timeout = request.useful_until - now
         state = self.balancer.pick(now, request) if timeout > 0 else None
         if state is None:
             return False
-        request.in_flight[len(request.attempts)] = state
-        request.attempts.append(Attempt(state, now))
+        request.start_attempt(now, state)
         request.account.open_attempts += 1
-        state.work_in_flight += request.work
         if request.uploading:
-            timeout = request.useful_time  # from the last byte on
-        elif state.unresponsive_since is None:
-            state.unresponsive_since = now
-        state.allowance -= request.work if state.warming_since is not None else 0.0
+            timeout = request.useful_time  # from the last byte of the body
         not_after = repeat_deadline(request)
         self.context.actions.append(model.Forward(request.id, state.endpoint.name, timeout, not_after))
         return True
 
     def on_upload_completed(self, now: float, event: model.UploadCompleted) -> None:
-        """The last byte of a body has come: the clocks begin."""
+        """Start the timeouts of a request whose body is complete."""
         request = self.requests.get(event.request_id)
         if request is not None and request.uploading:
-            request.uploading = False
-            request.start_clock(now)
-            for state in request.in_flight.values():
-                state.unresponsive_since = (
-                    now if state.unresponsive_since is None else state.unresponsive_since
-                )
+            request.complete_upload(now)
 
     def on_attempt_completed(self, now: float, event: AttemptCompleted) -> None:
-        """An attempt has ended: learn from it, and retry or answer."""
+        """Learn from an attempt that ended, and retry or finish its request."""
         request = self.requests.get(event.request_id)
         state = self.endpoints.by_name.get(event.endpoint)
         if state is None or request is None:
             return
-        if request.in_flight.pop(event.attempt, None) is not None:
-            self._end(now, request, state, event)
-        may_have_executed = event.status not in PROVES_NOT_EXECUTED
-        if may_have_executed and request.first_executed is None and event.attempt < len(request.attempts):
-            request.first_executed = request.attempts[event.attempt]
+        if request.finish_attempt(event.attempt):
+            self._learn(now, request, state, event)
+        if event.status not in PROVES_NOT_EXECUTED:
+            request.record_possible_execution(event.attempt)
         if event.status is CallStatus.REJECTED and not event.request_finished:
-            self.context.actions.append(model.Fail(request.id))  # no other endpoint would take it either
+            self.context.actions.append(model.Fail(request.id))  # other endpoints would respond alike
             self.forget(request.id)
         elif event.request_finished:
             self.forget(event.request_id)
         elif not request.in_flight:
             self._retry(now, request, event)
 
-    def _end(self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted) -> None:
-        """An attempt is over: take its work off the endpoint and learn from it."""
-        state.end_work(request.work)
+    def _learn(self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted) -> None:
+        """Update endpoint, load and account with an attempt that was in flight."""
         request.account.open_attempts -= 1
         if event.status not in NO_SIGN_OF_LIFE:
-            state.unresponsive_since = now if state.work_in_flight > NO_WORK else None
+            state.record_sign_of_life(now)
         if event.status is CallStatus.OK:
             slowdown = self.gate.work.learn(request, event.elapsed)
             state.record_response(request.work, slowdown, SLOWDOWN_WEIGHT)
-            self.gate.controller.add_latency(event.elapsed, request.request_class.latency_objective)
+            self.gate.controller.record_latency(event.elapsed, request.request_class.latency_objective)
         elif event.status in (CallStatus.OVERLOADED, CallStatus.TIMEOUT):
-            self.gate.controller.readings.append(FULL_LOAD)
+            self.gate.controller.record_overload()
         self.outliers.record(now, state, event)
         if event.charged_units is not None and request.within_quota:
             charged = min(event.charged_units, self.context.settings.max_units)
             request.account.adjust(charged - request.units)
-        if state.work_in_flight <= NO_WORK:
-            state.unresponsive_since = None  # with nothing in flight it owes no answer
+        state.stop_waiting_if_idle()
 
     def _retry(self, now: float, request: OpenRequest, event: AttemptCompleted) -> None:
         is_allowed = self.retry_budget.allows(now, request, self.context.settings.max_attempts)
@@ -136,16 +127,16 @@
             self.finish(request, model.RejectionReason.ATTEMPTS)
 
     def expire(self, now: float) -> None:
-        """Answer requests whose time is up, and take answers that are overdue as load readings."""
+        """Finish requests whose deadline has passed, and record overdue responses as load readings."""
         for request in list(self.requests.values()):
             if now >= request.deadline and not request.in_flight:
                 self.finish(request, model.RejectionReason.ATTEMPTS)
-            overdue = request.request_class.latency_objective * LATENCY_FRACTION / REFERENCE
+            overdue = request.request_class.latency_objective * LATENCY_FRACTION / REFERENCE_LOAD
             if request.in_flight and not request.uploading and now - request.started_at > overdue:
-                self.gate.controller.readings.append(FULL_LOAD)
+                self.gate.controller.record_overload()
 
     def finish(self, request: OpenRequest, reason: model.RejectionReason) -> None:
-        """Give the final answer to a request that is given up."""
+        """Give the final answer to a request that is not served."""
         self.rejections[reason] = self.rejections.get(reason, 0) + 1
         if may_reject(request):
             wait = retry_after(request, self.context.settings.max_retry_after)
@@ -155,12 +146,17 @@
         self.forget(request.id)
 
     def forget(self, request_id: int) -> None:
-        """A request has its answer, or its client has gone: what is in flight is of no more use."""
+        """Close a request that has its final answer, or whose client disconnected, with its attempts."""
         request = self.requests.pop(request_id, None)
         if request is None:
             return
         for state in request.in_flight.values():
-            state.end_work(request.work)
+            state.finish_attempt(request.work)
             request.account.open_attempts -= 1
-            if state.work_in_flight <= NO_WORK:
-                state.unresponsive_since = None  # nobody waits: it owes nothing any more
+            state.stop_waiting_if_idle()
+
+    def take_rejections(self) -> dict[str, int]:
+        """Return the number of rejections by reason since the last call."""
+        rejections = dict(self.rejections)
+        self.rejections.clear()
+        return rejections
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -7,21 +7,21 @@
 from quota_gateway import model
 from quota_gateway.decisions.admission import AdmissionGate, WorkEstimator
 from quota_gateway.decisions.context import Context
-from quota_gateway.decisions.controller import INTERVAL, LoadController
+from quota_gateway.decisions.controller import INTERVAL_SECONDS, LoadController
 from quota_gateway.decisions.counter_budget import CounterBudget
 from quota_gateway.decisions.endpoint_set import EndpointSet
 from quota_gateway.decisions.forwarding import Forwarder
 from quota_gateway.decisions.handover import Handover
 from quota_gateway.decisions.leases import LeaseManager
-from quota_gateway.decisions.load_balancer import LoadBalancer, SlowStart
+from quota_gateway.decisions.load_balancer import LoadBalancer
 from quota_gateway.decisions.outlier_detection import OutlierDetector
 from quota_gateway.decisions.quota import AccountTable
 from quota_gateway.decisions.quota_admission import QuotaAdmission
+from quota_gateway.decisions.slow_start import SlowStart
 from quota_gateway.state import OpenRequest, describe_rejections
 
-LOG_INTERVAL = 10  # ticks between two log lines on rejections
-MIN_INTERVAL = 1e-3  # seconds that an interval is taken to last at least
-UPLOAD_TIMEOUT = 3600.0  # seconds: how long a body takes is its sender's and the sockets' matter
+LOG_INTERVAL_TICKS = 10  # between two log lines on rejections
+MIN_INTERVAL_SECONDS = 1e-3  # assumed, also if the clock was stepped back
 
 
 class Gateway:
@@ -77,7 +77,7 @@
 
     def _set_timer(self) -> None:
         self.timer_token += 1
-        self.context.actions.append(model.SetTimer(INTERVAL, self.timer_token))
+        self.context.actions.append(model.SetTimer(INTERVAL_SECONDS, self.timer_token))
 
     def _on_timer(self, now: float, event: model.TimerFired) -> None:
         if event.token == self.timer_token:
@@ -86,17 +86,17 @@
 
     def _tick(self, now: float) -> None:
         """Once a second: control the admit rate, and look after endpoints, leases and accounts."""
-        elapsed = max(MIN_INTERVAL, now - self.controller.updated_at)
+        elapsed = max(MIN_INTERVAL_SECONDS, now - self.controller.updated_at)
         self.forwarder.expire(now)
         self.controller.update(now, elapsed)
-        if self.timer_token % LOG_INTERVAL == 0 and self.forwarder.rejections:
+        if self.timer_token % LOG_INTERVAL_TICKS == 0 and self.forwarder.rejections:
             self._log_rejections(now)
-        self.slow_start.update(self.endpoints.subset, elapsed)
-        self.endpoints.end_interval(now, elapsed)
+        self.slow_start.close_interval(self.endpoints.subset, elapsed)
+        self.endpoints.close_interval(now, elapsed)
         requests = self.forwarder.requests.values()
         self.endpoints.forget_removed(state for request in requests for state in request.in_flight.values())
         self.endpoints.choose_subset(now)
-        self.work.sorted_values = sorted(self.work.recent_values)
+        self.work.close_interval()
         self.leases.return_unused(now, self.work.mean_units)
         self.accounts.forget_idle(now)
         for account in self.accounts.accounts.values():
@@ -104,26 +104,28 @@
 
     def _log_rejections(self, now: float) -> None:
         """Write the rejections since the last such line, and the state that explains them."""
-        counts = self.forwarder.rejections, self.outliers.ejections
-        text = describe_rejections(now, *counts, self.endpoints.hash_ring, self.leases.lease_holders.values())
+        text = describe_rejections(
+            now,
+            self.forwarder.take_rejections(),
+            self.outliers.take_ejections(),
+            self.endpoints.hash_ring,
+            self.leases.lease_holders.values(),
+        )
         text += f"; load {self.controller.load:.2f}, admit rate {self.controller.admit_rate:.0f}/s"
         text += f", completion rate {self.slow_start.completion_rate:.2f}"
         text += ", counter unavailable" * (now < self.leases.budget.unavailable_until)
         self.context.actions.append(model.Log(text))
-        for count in counts:
-            count.clear()
 
     def _on_request(self, now: float, event: model.Request) -> None:
         account = self.accounts.find_or_create(now, event.plan, event.account, event.serving_gateways)
         account.refill(now)
-        self.controller.arrivals += not event.is_retry
+        if not event.is_retry:
+            self.controller.record_arrival()
         request_class = self.context.classes.get(event.request_class)
         request_class = request_class or model.RequestClass.unknown(event.request_class, event.timeout)
         max_attempts = self.context.settings.max_attempts
         request = OpenRequest.begin(now, event, request_class, account, max_attempts)
-        if event.uploading:
-            request.deadline = request.useful_until = now + UPLOAD_TIMEOUT
-        self.forwarder.requests[event.id] = request
+        self.forwarder.add(request)
         self.work.estimate(request)
         if account.plan.ceiling_rate > 0 and account.ceiling_tokens < request.units:
             self.forwarder.finish(request, model.RejectionReason.CEILING)
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -5,8 +5,8 @@
 from quota_gateway.decisions.admission import AdmissionGate
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.endpoint_set import EndpointSet
-from quota_gateway.decisions.load_balancer import SlowStart
 from quota_gateway.decisions.quota import AccountTable
+from quota_gateway.decisions.slow_start import SlowStart
 from quota_gateway.model import HandOver, HandoverState, ProcessCountChanged
 
 TAKE_OVER_TIME = 5.0  # seconds after its start in which a process takes another's state
--- a/quota_gateway/decisions/outlier_detection.py
+++ b/quota_gateway/decisions/outlier_detection.py
@@ -7,82 +7,119 @@
 from quota_gateway.model import CONNECTION_LOST, NO_EVIDENCE, RESPONSES, CallStatus, EjectionCause
 from quota_gateway.state import EndpointState
 
-CHANCE_LIMIT = 0.005  # failures in a row that chance would bring less often are none of chance
-MIN_TIMEOUT_RATE = 0.07  # taken as usual at least
-MIN_FAILURE_RATE = 0.05  # taken as usual at least
-TIMEOUT_WEIGHT = 0.02  # of one attempt in the usual rate of time-outs
-FAILURE_WEIGHT = 0.2  # of one attempt in an endpoint's failure rate
-DOWN_WEIGHT = 0.4  # of one that shows that it is down
-EJECTION_MARGIN = 0.25  # above the usual failure rate
-MIN_EJECTION = 1.5  # seconds; doubles with each ejection that was not enough
-MAX_EJECTION = 10.0  # seconds
-HALF_OPEN_FAILURE_RATE = 0.2  # that it returns with
-CLOCK_MARGIN = 1e-6  # seconds
+MIN_CHANCE = 0.005  # consecutive failures that are less probable than this do not happen by chance
+MIN_TIMEOUT_RATE = 0.07  # assumed of all endpoints
+MIN_FAILURE_RATE = 0.05  # assumed of all endpoints
+TIMEOUT_RATE_WEIGHT = 0.02  # of one attempt
+FAILURE_RATE_WEIGHT = 0.2  # of one attempt
+DOWN_WEIGHT = 0.4  # of an attempt that shows that the endpoint is down
+EJECTION_MARGIN = 0.25  # of failure rate, above the usual one
+MIN_EJECTION_SECONDS = 1.5  # doubles with each ejection that follows
+MAX_EJECTION_SECONDS = 10.0
+MAX_EJECTED_FRACTION = 0.5  # of the subset; endpoints that are down are ejected beyond it
+HALF_OPEN_FAILURE_RATE = 0.2  # of an endpoint that returns from an ejection
+CLOCK_TOLERANCE_SECONDS = 1e-6
 
 
 @dataclass(slots=True, eq=False)
 class OutlierDetector:
-    """Judges endpoints by how the attempts at them end, against what is usual in the subset."""
+    """Compares how attempts end at an endpoint with what is usual in the subset."""
 
     endpoints: EndpointSet
     ejections: dict[str, int] = field(default_factory=dict)  # by cause, since the last log line
-    timeout_rate: float = 0.0  # of all attempts
+    timeout_rate: float = 0.0  # moving average over all attempts
 
     def record(self, now: float, state: EndpointState, event: model.AttemptCompleted) -> None:
-        """Take in the end of an attempt, and eject the endpoint if it shows that it is an outlier."""
+        """Record how an attempt ended, and eject the endpoint if it is an outlier."""
         peers = self.endpoints.subset or [state]
-        usual = sorted(peer.failure_rate for peer in peers)[len(peers) // 2]
-        is_hung = self._is_hung(now, state, event)
-        is_connection_lost = event.status in CONNECTION_LOST
-        is_unreachable = event.status is CallStatus.UNREACHABLE  # each such failure is a sign of its own
-        if is_connection_lost:
-            state.count_connection_failure(now, event.elapsed, always=is_unreachable)
-        elif event.status in RESPONSES:
-            state.consecutive_failures = 0
-        is_chance = max(MIN_FAILURE_RATE, usual) ** state.consecutive_failures >= CHANCE_LIMIT
-        is_repeated = state.consecutive_failures > 1 and (is_unreachable or not is_chance)
-        is_down = is_hung or (is_connection_lost and is_repeated)
-        is_failure = is_down or is_connection_lost or event.status is CallStatus.ERROR
+        usual_rate = sorted(peer.failure_rate for peer in peers)[len(peers) // 2]
+        down_cause = self._down_cause(now, state, event, usual_rate)
+        is_down = down_cause is not None
+        is_failure = is_down or event.status in CONNECTION_LOST or event.status is CallStatus.ERROR
         if event.status not in NO_EVIDENCE:
-            weight = DOWN_WEIGHT if is_down else FAILURE_WEIGHT
-            state.failure_rate += weight * (is_failure - state.failure_rate)
+            weight = DOWN_WEIGHT if is_down else FAILURE_RATE_WEIGHT
+            state.record_outcome(is_failure=is_failure, weight=weight)
         if event.status is CallStatus.OK:
-            if state.half_open:
-                self._log(state, "half-open -> in service")
-            state.recover(now)
-            if state.failure_rate < max(MIN_FAILURE_RATE, usual):
-                state.ejection_time = 0.0
-        # Only failed connections may hide a restart: who takes a connection and breaks it is there, and one
-        # that keeps its connections and is silent hangs or is slow.
-        state.unreachable = state.unreachable or (is_down and is_unreachable)
-        is_outlier = is_failure and state.failure_rate > usual * (2 - is_down) + EJECTION_MARGIN
-        ejected = sum(peer.ejected_until > now for peer in peers)
-        if is_outlier and state.ejected_until <= now and (is_down or ejected < len(peers) / 2):
-            self._eject(now, state, EjectionCause.of(is_hung, is_down, is_unreachable))
+            self._record_success(now, state, usual_rate)
+        # Only failed connections may hide a restart: an endpoint that resets connections is running, and one
+        # that keeps its connections but does not respond hangs or is slow.
+        if down_cause is EjectionCause.UNREACHABLE:
+            state.mark_unreachable()
+        max_rate = usual_rate * (1 if is_down else 2) + EJECTION_MARGIN
+        is_outlier = is_failure and state.failure_rate > max_rate
+        if is_outlier and state.ejected_until <= now and (is_down or _may_eject_more(now, peers)):
+            self._eject(now, state, down_cause or EjectionCause.FAILING)
+
+    def take_ejections(self) -> dict[str, int]:
+        """Return the number of ejections by cause since the last call."""
+        ejections = self.ejections
+        self.ejections = {}
+        return ejections
+
+    def _down_cause(
+        self, now: float, state: EndpointState, event: model.AttemptCompleted, usual_rate: float
+    ) -> EjectionCause | None:
+        """Return why the endpoint counts as down; None for a response or for failures that may be chance."""
+        if event.status in CONNECTION_LOST:
+            return self._connection_cause(now, state, event, usual_rate)
+        if event.status in RESPONSES:
+            state.consecutive_failures.record_response()
+            self._update_timeout_rate(is_timeout=False)
+        elif event.status is CallStatus.TIMEOUT:
+            return EjectionCause.HUNG if self._is_hung(now, state, event) else None
+        return None
+
+    def _connection_cause(
+        self, now: float, state: EndpointState, event: model.AttemptCompleted, usual_rate: float
+    ) -> EjectionCause | None:
+        """Record a lost connection, and return the cause if consecutive ones show that the endpoint is down.
+
+        Two failures to connect are enough; resets have to be more than chance explains.
+        """
+        is_unreachable = event.status is CallStatus.UNREACHABLE
+        failures = state.consecutive_failures
+        failures.record_connection_failure(now, event.elapsed, is_independent=is_unreachable)
+        chance = max(MIN_FAILURE_RATE, usual_rate) ** failures.connection_failures
+        if failures.connection_failures <= 1 or not (is_unreachable or chance < MIN_CHANCE):
+            return None
+        return EjectionCause.UNREACHABLE if is_unreachable else EjectionCause.CONNECTION_RESETS
 
     def _is_hung(self, now: float, state: EndpointState, event: model.AttemptCompleted) -> bool:
-        """Time-outs in a row with no answer at all, more than chance brings; half-open, one is enough."""
-        is_timeout = event.status is CallStatus.TIMEOUT
-        is_answer = event.status in RESPONSES
+        """Record a timeout, and return whether consecutive ones show that the endpoint hangs.
+
+        A timeout counts if the endpoint sent no response at all during the attempt. Timeouts have to be more
+        than chance explains; at a half-open endpoint one is enough.
+        """
         since = state.unresponsive_since
-        was_silent = is_timeout and since is not None and now - since >= event.elapsed - CLOCK_MARGIN
+        was_silent = since is not None and now - since >= event.elapsed - CLOCK_TOLERANCE_SECONDS
         if was_silent:
-            state.consecutive_timeouts += 1
-        elif is_answer:
-            state.consecutive_timeouts = 0
-        if is_answer or is_timeout:
-            self.timeout_rate += TIMEOUT_WEIGHT * (is_timeout - self.timeout_rate)
-        chance = max(MIN_TIMEOUT_RATE, self.timeout_rate) ** state.consecutive_timeouts
-        return was_silent and (state.half_open or chance < CHANCE_LIMIT)
-
-    def _eject(self, now: float, state: EndpointState, cause: str) -> None:
+            state.consecutive_failures.record_timeout()
+        self._update_timeout_rate(is_timeout=True)
+        chance = max(MIN_TIMEOUT_RATE, self.timeout_rate) ** state.consecutive_failures.timeouts
+        return was_silent and (state.half_open or chance < MIN_CHANCE)
+
+    def _update_timeout_rate(self, *, is_timeout: bool) -> None:
+        self.timeout_rate += TIMEOUT_RATE_WEIGHT * (is_timeout - self.timeout_rate)
+
+    def _record_success(self, now: float, state: EndpointState, usual_rate: float) -> None:
+        if state.half_open:
+            self._log(state, "half-open -> in service")
+        state.recover(now)
+        if state.failure_rate < max(MIN_FAILURE_RATE, usual_rate):
+            state.forget_ejections()
+
+    def _eject(self, now: float, state: EndpointState, cause: EjectionCause) -> None:
         self.ejections[cause] = self.ejections.get(cause, 0) + 1
-        state.ejection_time = min(MAX_EJECTION, max(MIN_EJECTION, state.ejection_time * 2))
-        state.ejected_until = now + state.ejection_time
-        state.half_open = True
-        state.failure_rate = HALF_OPEN_FAILURE_RATE
-        self._log(state, f"in service -> ejected for {state.ejection_time:.1f} s, {cause}")
+        duration = min(MAX_EJECTION_SECONDS, max(MIN_EJECTION_SECONDS, state.ejection_time * 2))
+        state.eject(now, duration, HALF_OPEN_FAILURE_RATE)
+        self._log(state, f"in service -> ejected for {duration:.1f} s, {cause}")
         self.endpoints.choose_subset(now)
 
     def _log(self, state: EndpointState, transition: str) -> None:
         self.endpoints.context.actions.append(model.Log(f"{state.label}: {transition}"))
+
+
+def _may_eject_more(now: float, peers: list[EndpointState]) -> bool:
+    """Whether so few endpoints are ejected that another one may be."""
+    ejected = sum(peer.ejected_until > now for peer in peers)
+    return ejected < len(peers) * MAX_EJECTED_FRACTION
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,16 +1,16 @@
 """State that the decisions keep: records of endpoint, customer and request with their transitions.
 
-Some transitions decide: the size of the guaranteed share, the split of a ceiling, what a process takes over,
-what counts as a restart. They belong to the decisions, though not to the deploy file's policy files.
+Each record changes its own fields only, by methods that are named after the transition. Some transitions
+decide: the size of the guaranteed share, the split of a ceiling, what a process takes over, what counts as a
+restart.
 """
 
 from quota_gateway.state.account import Account, PendingCall
-from quota_gateway.state.endpoint import NO_WORK, EndpointState
+from quota_gateway.state.endpoint import EndpointState
 from quota_gateway.state.rejections import describe_rejections
 from quota_gateway.state.request import Attempt, OpenRequest
 
 __all__ = [
-    "NO_WORK",
     "Account",
     "Attempt",
     "EndpointState",
--- a/quota_gateway/state/endpoint.py
+++ b/quota_gateway/state/endpoint.py
@@ -7,119 +7,198 @@
 
 from quota_gateway.arithmetic import moving_average
 from quota_gateway.model import Endpoint, EndpointHandover, EndpointHealth
+from quota_gateway.state.consecutive_failures import ConsecutiveFailures
+from quota_gateway.state.slow_start_allowance import SlowStartAllowance
 
-# Work below this is what is left of sums of floating numbers: a half-open endpoint must not seem to have any.
-NO_WORK = 1e-9  # seconds
-CLOCK_MARGIN = 1e-6  # seconds by which starts must differ to be those of two incarnations
+# Less work in flight than this is a rounding error: a half-open endpoint would never get its next request.
+NEGLIGIBLE_WORK_SECONDS = 1e-9
+MIN_START_DIFFERENCE_SECONDS = 1e-6  # between the start times of two incarnations
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One endpoint. Work is counted in seconds of latency on an idle endpoint; times are Unix times."""
+    """One endpoint as this gateway knows it. Only its own methods change its fields.
+
+    Work is counted in seconds of latency on an idle endpoint; times are Unix times.
+
+    Invariants between two events:
+
+    - ``work_in_flight`` is the sum of the work of the attempts in flight at this endpoint; never negative.
+    - ``unresponsive_since`` is None while no response is expected, as always without an attempt in flight.
+      Otherwise it is the time of the last sign of life, or of the first attempt that waits for a response.
+    - ``half_open`` begins with an ejection and ends with a good response or a restore.
+    - ``responses``, ``mean_slowdown`` and ``slowdown`` hold for the current incarnation only.
+    """
 
     endpoint: Endpoint
     hash_position: bytes = field(init=False)
+    # Endpoint list.
     available: bool = True  # listed and healthy
     removed: bool = False  # from the endpoint list
+    # Load.
     work_in_flight: float = 0.0
-    work_completed: float = 0.0  # since the last tick
-    work_rate: float = 0.0  # completed work a second
-    responses: int = 0  # good ones in this incarnation
-    mean_slowdown: float = 0.0  # mean latency of these over the idle latency
-    slowdown: float = 0.0  # recent latency over the idle latency; 0: not known
-    failure_rate: float = 0.0  # moving average of attempts that failed
+    work_completed: float = 0.0  # in the current interval
+    work_rate: float = 0.0  # completed work per second
+    unresponsive_since: float | None = None
+    # Latency.
+    responses: int = 0  # good ones
+    mean_slowdown: float = 0.0  # mean latency divided by the idle latency
+    slowdown: float = 0.0  # recent latency divided by the idle latency; 0: unknown
+    # Outlier detection.
+    failure_rate: float = 0.0  # moving average of failed attempts
+    consecutive_failures: ConsecutiveFailures = field(default_factory=ConsecutiveFailures)
     ejected_until: float = 0.0
-    ejection_time: float = 0.0  # seconds of the last ejection
-    half_open: bool = False  # was ejected and has not answered since
-    unreachable: bool = False  # connections failed: it may come back restarted
-    consecutive_timeouts: int = 0  # of attempts during which it answered nothing at all
-    consecutive_failures: int = 0  # connection failures with no answer in between
-    last_failure: float = 0.0
-    unresponsive_since: float | None = None  # owes answers since then and has given none
+    ejection_time: float = 0.0  # duration of the last ejection in seconds
+    half_open: bool = False  # ejected, and no good response since
+    unreachable: bool = False  # connections failed: the endpoint may have been restarted
+    # Slow start.
     warming_since: float | None = None  # None: warmed up
-    allowance: float = 0.0  # work that it may be given during slow start
-    allowance_updated: float = 0.0
+    allowance: SlowStartAllowance = field(default_factory=SlowStartAllowance)
 
     def __post_init__(self) -> None:
         self.hash_position = blake2b(self.endpoint.name.encode(), digest_size=8).digest()
 
     @property
     def label(self) -> str:
-        """Its name and incarnation, for log lines."""
+        """The name and incarnation, for log lines."""
         return f"endpoint {self.endpoint.name} (started {self.endpoint.started_at:.3f})"
 
+    # Endpoint list
+
     def update(self, endpoint: Endpoint) -> bool:
-        """Take an entry of the endpoint list; gives whether it is another incarnation than the known one.
+        """Apply an entry of the endpoint list, and return whether it announces another incarnation.
 
-        Its start may be earlier: the clock of its machine may have been stepped back.
+        The new start time may be the earlier one: the clock of the endpoint's machine may have been stepped
+        back. The entry that this state was created with announces a new incarnation.
         """
         is_known = self.endpoint is not endpoint
         known_start = self.endpoint.started_at if is_known else 0.0
-        is_other = endpoint.started_at > 0 and abs(endpoint.started_at - known_start) > CLOCK_MARGIN
+        difference = abs(endpoint.started_at - known_start)
+        is_new_incarnation = endpoint.started_at > 0 and difference > MIN_START_DIFFERENCE_SECONDS
         self.endpoint = endpoint
         self.available = endpoint.health is EndpointHealth.HEALTHY
         self.removed = endpoint.health is EndpointHealth.REMOVED
-        return is_other
+        return is_new_incarnation
+
+    def remove(self) -> None:
+        """Record that the endpoint is no longer listed."""
+        self.available = False
+        self.removed = True
+
+    # Load
+
+    def start_attempt(self, work: float) -> None:
+        """Add the work of an attempt; an endpoint that is warming up pays for it with its allowance."""
+        self.work_in_flight += work
+        if self.warming_since is not None:
+            self.allowance.spend(work)
+
+    def wait_for_response(self, now: float) -> None:
+        """Start the time in which a response is expected, unless an earlier attempt has started it."""
+        if self.unresponsive_since is None:
+            self.unresponsive_since = now
+
+    def record_sign_of_life(self, now: float) -> None:
+        """Restart the time in which the next response is expected."""
+        self.unresponsive_since = now if self.work_in_flight > NEGLIGIBLE_WORK_SECONDS else None
+
+    def finish_attempt(self, work: float) -> None:
+        """Subtract the work of an attempt that ended in whatever way.
 
-    def end_work(self, work: float) -> None:
-        """Work in flight has ended, however it did."""
+        ``stop_waiting_if_idle`` has to follow, once outlier detection has seen how the attempt ended.
+        """
         remaining = self.work_in_flight - work
-        self.work_in_flight = remaining if remaining > NO_WORK else 0.0
+        self.work_in_flight = remaining if remaining > NEGLIGIBLE_WORK_SECONDS else 0.0
+
+    def stop_waiting_if_idle(self) -> None:
+        """Expect no response while nothing is in flight."""
+        if self.work_in_flight <= NEGLIGIBLE_WORK_SECONDS:
+            self.unresponsive_since = None
 
     def record_response(self, work: float, slowdown: float, weight: float) -> None:
-        """A good answer has come, so many times later than from an idle endpoint."""
+        """Record a good response, with its latency divided by the idle latency."""
         self.work_completed += work
         self.responses += 1
         self.slowdown = moving_average(self.slowdown, slowdown, weight)
         self.mean_slowdown += max(weight, 1 / self.responses) * (slowdown - self.mean_slowdown)
 
-    def start_warming_up(self, since: float) -> None:
-        """A new incarnation: what the old one's answers told does not hold for it."""
-        self.warming_since = since
-        self.slowdown = 0.0
-        self.responses = 0
+    def close_interval(self, elapsed: float, weight: float) -> None:
+        """Update the work rate with the work completed in an interval, and start the next one."""
+        self.work_rate = moving_average(self.work_rate, self.work_completed / elapsed, weight)
+        self.work_completed = 0.0
 
-    def start_allowance(self, now: float) -> None:
-        """The allowance of a slow start begins with nothing."""
-        self.allowance = 0.0
-        self.allowance_updated = now
+    # Outlier detection
 
-    def pass_health_check(self, now: float) -> None:
-        """An unreachable endpoint is there again, most likely as a new incarnation."""
-        self.ejected_until = now
-        self.unresponsive_since = None
-        self.unreachable = False
-        self.start_warming_up(now)
-        self.allowance_updated = now
+    def record_outcome(self, *, is_failure: bool, weight: float) -> None:
+        """Update the failure rate with one attempt."""
+        self.failure_rate += weight * (is_failure - self.failure_rate)
+
+    def eject(self, now: float, duration: float, failure_rate: float) -> None:
+        """Eject the endpoint for ``duration`` seconds; it returns half-open, with this failure rate."""
+        self.ejection_time = duration
+        self.ejected_until = now + duration
+        self.half_open = True
+        self.failure_rate = failure_rate
+
+    def extend_ejection(self, until: float) -> None:
+        """Keep the endpoint ejected at least until the given time."""
+        self.ejected_until = max(self.ejected_until, until)
+
+    def end_ejection(self, now: float) -> None:
+        """End an ejection that lasts longer than ``now``."""
+        self.ejected_until = min(self.ejected_until, now)
+
+    def forget_ejections(self) -> None:
+        """Give the next ejection the minimum duration again."""
+        self.ejection_time = 0.0
 
-    def count_connection_failure(self, now: float, elapsed: float, always: bool) -> None:
-        """A connection failed; those in flight together break together and count once, unless ``always``."""
-        self.consecutive_failures += always or elapsed <= now - self.last_failure
-        self.last_failure = now
+    def mark_unreachable(self) -> None:
+        """Record that connections fail: the next good response may be of a new incarnation."""
+        self.unreachable = True
 
     def recover(self, now: float) -> None:
-        """A good answer has come; after failed connections the endpoint may have restarted unseen."""
+        """Return to service after a good response; an unreachable endpoint may have been restarted."""
         if self.unreachable and self.warming_since is None:
             self.start_warming_up(now)
         self.unreachable = False
         self.half_open = False
 
+    def pass_health_check(self, now: float) -> None:
+        """End the ejection of an unreachable endpoint, which has most likely been restarted."""
+        self.ejected_until = now
+        self.unresponsive_since = None
+        self.unreachable = False
+        self.start_warming_up(now)
+        self.allowance.restart_clock(now)
+
     def restore(self, now: float) -> None:
-        """An operator restores it, most likely after a restart: forget all that was known of its health."""
+        """End a suspension, most likely after a restart: forget the endpoint's health."""
         self.start_warming_up(now)
-        self.start_allowance(now)
+        self.allowance.reset(now)
         self.ejected_until = now
         self.ejection_time = 0.0
         self.failure_rate = 0.0
-        self.last_failure = 0.0
+        self.consecutive_failures.reset()
         self.half_open = False
         self.unreachable = False
-        self.consecutive_timeouts = 0
-        self.consecutive_failures = 0
         self.unresponsive_since = None
 
+    # Slow start
+
+    def start_warming_up(self, since: float) -> None:
+        """Start the slow start of a new incarnation; the latency of the old one does not hold for it."""
+        self.warming_since = since
+        self.slowdown = 0.0
+        self.responses = 0
+
+    def finish_warming_up(self) -> None:
+        """End the slow start."""
+        self.warming_since = None
+
+    # Handover
+
     def export(self) -> EndpointHandover:
-        """The part that another process of this limiter can use."""
+        """Return the state that another process of this limiter can use."""
         return EndpointHandover(
             name=self.endpoint.name,
             started_at=self.endpoint.started_at,
@@ -131,12 +210,12 @@
         )
 
     def take_over(self, now: float, handover: EndpointHandover) -> None:
-        """Take what another process knows of the same incarnation."""
-        # A warm-up that began here later, as by a restore, is news that the other process did not have.
+        """Take over what another process knows of the same incarnation."""
+        # A slow start that began later here, as by a restore, was not yet known to the other process.
         if self.warming_since is None or (handover.warming_since or 0.0) > self.warming_since:
             self.warming_since = handover.warming_since
         self.responses = handover.responses
         self.mean_slowdown = handover.mean_slowdown
         self.slowdown = handover.slowdown
         self.work_rate = handover.work_rate
-        self.allowance_updated = now
+        self.allowance.restart_clock(now)
--- a/quota_gateway/state/request.py
+++ b/quota_gateway/state/request.py
@@ -9,6 +9,9 @@
 from quota_gateway.state.account import Account
 from quota_gateway.state.endpoint import EndpointState
 
+# The timeout during an upload: how long it may take is up to the client and the sockets.
+UPLOAD_TIMEOUT_SECONDS = 3600.0
+
 
 class Attempt(NamedTuple):
     """One attempt at an endpoint and the time at which it began."""
@@ -19,7 +22,13 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request without its final answer; times are Unix times, work is seconds on an idle endpoint."""
+    """A request without its final answer. Only its own methods change its fields.
+
+    Times are Unix times; work is counted in seconds of latency on an idle endpoint.
+
+    Invariants: ``attempts`` only grows, and an attempt's number is its place in it. ``in_flight`` holds those
+    that have not ended. ``first_executed`` never changes once it is set.
+    """
 
     id: int
     request_class: RequestClass
@@ -27,24 +36,24 @@
     units: float  # of the customer's quota
     timeout: float  # seconds that the client waits
     is_retry: bool  # by the client
-    uploading: bool  # its body is still coming
-    max_attempts: int  # allowed when it came
+    uploading: bool  # the body is not yet complete
+    max_attempts: int  # allowed when the request arrived
     started_at: float = 0.0
     deadline: float = 0.0
-    useful_until: float = 0.0
+    useful_until: float = 0.0  # a response after this time has no value
     within_quota: bool = False
-    relative_size: float = 1.0  # its units over the mean
+    relative_size: float = 1.0  # its units divided by the mean of all requests
     work: float = 0.0  # expected
     priority_percentile: float = 1.0  # rank among recent requests by value per work, 0 to 1
     attempts: list[Attempt] = field(default_factory=list)
-    in_flight: dict[int, EndpointState] = field(default_factory=dict)  # by number of the attempt
+    in_flight: dict[int, EndpointState] = field(default_factory=dict)  # by attempt number
     first_executed: Attempt | None = None  # the first attempt that may have been executed
 
     @classmethod
     def begin(
         cls, now: float, event: Request, request_class: RequestClass, account: Account, max_attempts: int
     ) -> OpenRequest:
-        """A request has come; the client's time begins."""
+        """Return the state of a request that arrives; during an upload the client's timeout does not run."""
         request = cls(
             id=event.id,
             request_class=request_class,
@@ -55,18 +64,58 @@
             uploading=event.uploading,
             max_attempts=max_attempts,
         )
-        request.start_clock(now)
+        request.start_timeout(now)
+        if event.uploading:
+            request.deadline = request.useful_until = now + UPLOAD_TIMEOUT_SECONDS
         return request
 
     @property
     def useful_time(self) -> float:
-        """Seconds in which an answer is of use: past the objective one that earns nothing is only work."""
+        """Seconds in which a response has a value: without a late weight none after the latency objective."""
         if self.request_class.late_weight:
             return self.timeout
         return min(self.timeout, self.request_class.latency_objective)
 
-    def start_clock(self, now: float) -> None:
-        """The client's time begins: as the request comes or, of a long body, with its last byte."""
+    def start_timeout(self, now: float) -> None:
+        """Start the client's timeout: at the arrival or, after an upload, at the last byte of the body."""
         self.started_at = now
         self.deadline = now + self.timeout
         self.useful_until = now + self.useful_time
+
+    def complete_upload(self, now: float) -> None:
+        """Record the last byte of the body: the client's timeout and the endpoint's response time begin."""
+        self.uploading = False
+        self.start_timeout(now)
+        for state in self.in_flight.values():
+            state.wait_for_response(now)
+
+    def set_estimate(self, *, relative_size: float, work: float, priority_percentile: float) -> None:
+        """Set the expected cost and the priority, when the request arrives."""
+        self.relative_size = relative_size
+        self.work = work
+        self.priority_percentile = priority_percentile
+
+    def accept(self, *, within_quota: bool) -> None:
+        """Record that the request was forwarded, and whether the customer's quota covers it."""
+        self.within_quota = within_quota
+
+    def start_attempt(self, now: float, state: EndpointState) -> None:
+        """Record the next attempt, here and at its endpoint."""
+        self.in_flight[len(self.attempts)] = state
+        self.attempts.append(Attempt(state, now))
+        state.start_attempt(self.work)
+        if not self.uploading:
+            state.wait_for_response(now)
+
+    def finish_attempt(self, number: int) -> bool:
+        """End an attempt, here and at its endpoint, and return whether it was in flight."""
+        state = self.in_flight.pop(number, None)
+        if state is None:
+            return False
+        state.finish_attempt(self.work)
+        return True
+
+    def record_possible_execution(self, number: int) -> None:
+        """Record that an attempt may have been executed; the first one limits when and where to repeat."""
+        if self.first_executed is None and number < len(self.attempts):
+            self.first_executed = self.attempts[number]
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -55,9 +55,8 @@
 def test_a_restored_endpoint_warms_up_and_its_failures_are_forgotten(simulation: GatewaySimulation) -> None:
     simulation.feed(model.SuspensionsChanged(frozenset({"s0"})))
     endpoint = simulation.gateway.endpoints.by_name["s0"]
-    endpoint.ejected_until = simulation.now + 60
-    endpoint.half_open = True
-    endpoint.unreachable = True
+    endpoint.eject(simulation.now, duration=60.0, failure_rate=0.2)
+    endpoint.mark_unreachable()
     simulation.feed(model.SuspensionsChanged(frozenset()))
     assert endpoint.warming_since == simulation.now
     assert endpoint.ejected_until <= simulation.now
@@ -68,8 +67,8 @@
 def test_the_health_of_a_suspended_endpoint_is_not_checked(simulation: GatewaySimulation) -> None:
     endpoint = simulation.gateway.endpoints.by_name["s0"]
     for suspended, health_checks in ((set[str](), 1), ({"s0"}, 0)):
-        endpoint.unreachable = True
-        endpoint.half_open = True
+        endpoint.eject(simulation.now, duration=60.0, failure_rate=0.2)
+        endpoint.mark_unreachable()
         simulation.feed(model.SuspensionsChanged(frozenset(suspended)))
         actions = simulation.feed(model.TimerFired(simulation.gateway.timer_token))
         assert sum(isinstance(action, model.CheckHealth) for action in actions) == health_checks
