--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from quota_gateway.config import ConfigError, Environment, load_config
-from quota_gateway.lifecycle import serve
+from quota_gateway.lifecycle.process import serve
 from quota_gateway.logs import configure_logging
 
 EXIT_SUCCESS = 0
@@ -17,8 +17,8 @@
 
 
 def main() -> int:
-    """Run the gateway until a signal ends it; the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # its default ends a process that cannot reload yet
+    """Run the gateway until a signal ends it; return the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # by default it would end a process that is still starting
     configure_logging()
     environment = Environment.from_variables(os.environ)
     try:
