--- a/quota_gateway/decisions/quota_admission.py
+++ b/quota_gateway/decisions/quota_admission.py
@@ -1,100 +1,132 @@
-"""Admission by quota: whether a request is within its customer's quota, and how its units are told."""
+"""Admission by quota: whether a request is within its customer's quota, and how its units are reported."""
 
 from dataclasses import dataclass
 
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.forwarding import Forwarder
-from quota_gateway.state import OpenRequest
-
-IDLE_LOAD = 0.25  # load under which the endpoints bear a wrong guess of what the other gateways use
-IDLE_MARGIN = 0.25  # of a full bucket that must be left then
-AMPLE_MARGIN = 0.1  # of a full bucket that must be left for a grant that no call stands behind
-WORST_FRACTION = 0.9  # of the others' share of a full bucket that they may use at worst
-TOTAL_FRESH_TIME = 0.2  # seconds for which a total tells what the bucket holds: the others use little in it
-UNSPENT_FRACTION = (
-    0.95  # of its guaranteed share that a customer must have left: a part of a unit may be gone
-)
-RETRY_CHANCE = 0.3  # a retry is most likely beyond its quota: first attempts have the calls before it
-MIN_SAMPLE = 0.2  # of requests: one that asks counts for those that could not, five in all at most
-MIN_CHANCE = 0.05  # under which no request asks
-CALL_TIME = 3  # time-outs of the counter that must be left to a request that asks
+from quota_gateway.state import Account, OpenRequest
+
+LOW_LOAD = 0.25  # load below which the endpoints can serve requests beyond the quota
+LOW_LOAD_RESERVE_FRACTION = 0.25  # of the burst that must remain in the bucket after a request at low load
+AMPLE_RESERVE_FRACTION = 0.1  # of the burst that must remain in the bucket after a request without a lease
+MAX_REMOTE_FRACTION = 0.9  # of the even shares of the other gateways, which they use at most
+FRESH_TOTAL_SECONDS = 0.2  # age of a total up to which the remote usage since then is negligible
+# A request of a sparse account requires this part of the guaranteed share: nearly all of it, since a fraction
+# of a unit may have been charged.
+MIN_GUARANTEE_FRACTION = 0.95
+FULL_SAMPLING_CALLS = 2  # calls in the budget at which every request of a sparse account calls the counter
+RETRY_CALL_FACTOR = 0.3  # on the call probability of a client's retry, which is most likely over the quota
+MIN_CALL_PROBABILITY = 0.05  # below this probability no request calls the counter
+MIN_SAMPLED_FRACTION = 0.2  # a call reports the units of at most the inverse of this number of requests
+MIN_CALL_TIMEOUTS = 3  # counter timeouts that a request must have left before its deadline to make a call
 
 
 @dataclass(slots=True, eq=False)
 class QuotaAdmission:
-    """Decides on quota and has the request forwarded, or rejected, at once."""
+    """Decides whether a request is within its quota, and has it forwarded or rejected at once."""
 
     context: Context
     forwarder: Forwarder
 
     def admit(self, now: float, request: OpenRequest) -> None:
-        """Forward a request that the load admits, or reject it for its quota."""
+        """Forward a request that passed the admission gate, or reject it for its quota."""
         account = request.account
-        plan = account.plan
-        forward = self.forwarder.forward
         leases = self.forwarder.leases
         account.record_demand(now, request.units)
-        expected = min(plan.burst, account.tokens - account.expected_remote_usage(now))
-        leases.budget.available(now)  # refills it at the rate so far
-        even_limit = -(-plan.concurrency_limit // account.serving_gateways)
-        if plan.concurrency_limit > 0 and account.open_attempts >= even_limit:
-            forward(now, request, within_quota=False)
-        elif plan.rate <= 0:
-            forward(now, request, within_quota=True)
+        leases.budget.refill(now)
+        if self._is_over_concurrency_limit(account):
+            self.forwarder.forward(now, request, within_quota=False)
+        elif account.plan.rate <= 0:
+            self.forwarder.forward(now, request, within_quota=True)
         elif account.leased >= request.units:
-            forward(now, request, within_quota=True, prepaid=True)
+            self.forwarder.forward(now, request, within_quota=True, prepaid=True)
             leases.extend_lease(now, account)
         elif not self.context.settings.has_counter or now < leases.budget.unavailable_until:
-            forward(now, request, within_quota=self._is_within_guarantee(request, expected))
-        elif account.tokens < request.units:
-            forward(now, request, within_quota=False)
-        elif account.is_sparse:
-            self._sample(now, request, expected)
-        elif self._is_ample(now, request, expected):
-            forward(now, request, within_quota=True)
+            self._admit_without_counter(now, request)
         else:
-            self._admit_near_quota(now, request, expected)
+            self._admit_from_bucket(now, request)
 
-    def _admit_near_quota(self, now: float, request: OpenRequest, expected: float) -> None:
-        """By what the bucket is taken to hold, or by the guarantee where no total has come lately."""
+    def _is_over_concurrency_limit(self, account: Account) -> bool:
+        """Whether this gateway's even share of the plan's concurrency limit, rounded up, is in use."""
+        limit = account.plan.concurrency_limit
+        return limit > 0 and account.open_attempts >= -(-limit // account.serving_gateways)
+
+    def _expected_tokens(self, now: float, account: Account) -> float:
+        """Return the content of the bucket after the expected usage of the other gateways."""
+        return min(account.plan.burst, account.tokens - account.expected_remote_usage(now))
+
+    def _admit_without_counter(self, now: float, request: OpenRequest) -> None:
+        """Decide by the guaranteed share, with headroom while the endpoints have low load."""
         account = request.account
-        is_fresh = account.counter_total is not None and now - account.last_synchronised < TOTAL_FRESH_TIME
-        is_guaranteed = account.guaranteed_tokens >= request.units and not is_fresh
-        self.forwarder.forward(now, request, within_quota=expected >= request.units or is_guaranteed)
-        self.forwarder.leases.extend_lease(now, account)
+        expected = self._expected_tokens(now, account)
+        if account.is_sparse:
+            is_within_guarantee = expected >= request.units
+        else:
+            # The random part admits a request that exceeds the share in proportion to what the share holds.
+            is_within_guarantee = account.guaranteed_tokens >= request.units * self.context.rng.random()
+        has_headroom = expected - LOW_LOAD_RESERVE_FRACTION * account.plan.burst >= request.units
+        is_low_load = self.forwarder.gate.controller.load < LOW_LOAD
+        within_quota = is_within_guarantee or (is_low_load and has_headroom)
+        self.forwarder.forward(now, request, within_quota=within_quota)
 
-    def _is_within_guarantee(self, request: OpenRequest, expected: float) -> bool:
-        """Without a counter the even share is the guarantee, with headroom while the endpoints are idle."""
+    def _admit_from_bucket(self, now: float, request: OpenRequest) -> None:
+        """Decide by the estimated content of the global bucket."""
         account = request.account
+        if account.tokens < request.units:
+            self.forwarder.forward(now, request, within_quota=False)
+            return
+        expected = self._expected_tokens(now, account)
         if account.is_sparse:
-            is_within = expected >= request.units
+            self._admit_sampled(now, request, expected)
+        elif self._is_ample(now, request, expected):
+            self.forwarder.forward(now, request, within_quota=True)
         else:
-            is_within = account.guaranteed_tokens >= request.units * self.context.rng.random()
-        has_headroom = expected - IDLE_MARGIN * account.plan.burst >= request.units
-        return is_within or (self.forwarder.gate.controller.load < IDLE_LOAD and has_headroom)
+            self._admit_near_quota(now, request, expected)
 
     def _is_ample(self, now: float, request: OpenRequest, expected: float) -> bool:
-        """Whether the bucket holds enough even if the other gateways used what they could at worst."""
+        """Whether the bucket covers the request even with the highest usage of the other gateways."""
         account = request.account
-        max_remote = WORST_FRACTION * account.plan.burst * (1 - 1 / account.serving_gateways)
-        rate = max(account.remote_usage_rate, account.plan.rate)
-        surely = expected - min(max_remote, rate * (now - account.last_synchronised))
-        return surely - AMPLE_MARGIN * account.plan.burst >= request.units or account.serving_gateways <= 1
+        burst = account.plan.burst
+        max_remote_usage = MAX_REMOTE_FRACTION * burst * (1 - 1 / account.serving_gateways)
+        max_remote_rate = max(account.remote_usage_rate, account.plan.rate)
+        usage_since_total = max_remote_rate * (now - account.last_synchronised)
+        min_tokens = expected - min(max_remote_usage, usage_since_total)
+        return min_tokens - AMPLE_RESERVE_FRACTION * burst >= request.units or account.serving_gateways <= 1
 
-    def _sample(self, now: float, request: OpenRequest, expected: float) -> None:
-        """Too many gateways for leases: each meets this customer too seldom. Who may call counts for all."""
+    def _admit_near_quota(self, now: float, request: OpenRequest, expected: float) -> None:
+        """Decide by the expected content of the bucket, or by the guarantee if the last total is old."""
         account = request.account
-        retry_chance = RETRY_CHANCE if request.is_retry else 1.0
-        chance = min(1.0, self.forwarder.leases.budget.available(now) / 2) * retry_chance
-        call_time = CALL_TIME * self.context.settings.counter_timeout
-        asks = request.deadline - now >= call_time and chance >= max(MIN_CHANCE, self.context.rng.random())
-        # Without a call one request is granted until the guaranteed share that it took has refilled.
-        minimum = max(request.units, UNSPENT_FRACTION * account.guaranteed_capacity)
-        is_within = (
-            expected >= request.units and not request.is_retry and account.guaranteed_tokens >= minimum
-        )
-        is_counted = self.forwarder.forward(now, request, within_quota=is_within, prepaid=asks) and is_within
-        if asks:
-            units = request.units / max(MIN_SAMPLE, chance) * is_counted
-            account.reserve(units)
+        total_age = now - account.last_synchronised
+        is_fresh = account.counter_total is not None and total_age < FRESH_TOTAL_SECONDS
+        is_guaranteed = account.guaranteed_tokens >= request.units and not is_fresh
+        self.forwarder.forward(now, request, within_quota=expected >= request.units or is_guaranteed)
+        self.forwarder.leases.extend_lease(now, account)
+
+    def _admit_sampled(self, now: float, request: OpenRequest, expected: float) -> None:
+        """Decide on a request of a sparse account, and report it with the requests that make no call.
+
+        So many gateways serve the account that each of them receives too few requests for a lease.
+        """
+        account = request.account
+        probability = self._call_probability(now, request)
+        makes_call = self._makes_call(now, request, probability)
+        # The guarantee limits the requests without a call: one until its units have refilled.
+        min_guaranteed = max(request.units, MIN_GUARANTEE_FRACTION * account.guaranteed_capacity)
+        is_guaranteed = account.guaranteed_tokens >= min_guaranteed
+        is_within = expected >= request.units and not request.is_retry and is_guaranteed
+        is_forwarded = self.forwarder.forward(now, request, within_quota=is_within, prepaid=makes_call)
+        if makes_call:
+            is_counted = is_forwarded and is_within
+            account.reserve(request.units / max(MIN_SAMPLED_FRACTION, probability) * is_counted)
             self.forwarder.leases.call_counter(now, account)
+
+    def _call_probability(self, now: float, request: OpenRequest) -> float:
+        """Return the probability with which a request of a sparse account calls the counter."""
+        probability = min(1.0, self.forwarder.leases.budget.available(now) / FULL_SAMPLING_CALLS)
+        return probability * (RETRY_CALL_FACTOR if request.is_retry else 1.0)
+
+    def _makes_call(self, now: float, request: OpenRequest, probability: float) -> bool:
+        min_time = MIN_CALL_TIMEOUTS * self.context.settings.counter_timeout
+        if request.deadline - now < min_time:
+            return False
+        return probability >= max(MIN_CALL_PROBABILITY, self.context.rng.random())
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -90,7 +90,7 @@
 def test_lease_covers_as_many_requests_as_the_rate_of_counter_calls_requires(
     call_rate: float, calls_per_request: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_budget, "MAX_RATE", call_rate)
+    monkeypatch.setattr(counter_budget, "MAX_CALLS_PER_SECOND", call_rate)
     fleet = QuotaFleet()
     fleet.send_poisson_traffic(30.0, [18.0, 0.0, 0.0])  # near the quota, and within it
     assert fleet.counter_calls < calls_per_request * fleet.requests
