--- a/quota_gateway/decisions/endpoint_set.py
+++ b/quota_gateway/decisions/endpoint_set.py
@@ -117,7 +117,25 @@
             if state.unresponsive_since is not None and now - state.unresponsive_since > timeout
         ]
 
-    def set_suspended(self, now: float, names: frozenset[str]) -> None:
+    def is_known(self, name: str) -> bool:
+        """Whether an endpoint is listed or suspended: a suspension outlives the entry in the list."""
+        state = self.by_name.get(name)
+        return name in self.suspended or (state is not None and not state.removed)
+
+    def count_avoided(self, now: float, states: Iterable[EndpointState]) -> int:
+        """Return how many of these endpoints are suspended or ejected."""
+        return sum(state.endpoint.name in self.suspended or state.ejected_until > now for state in states)
+
+    def set_suspended(self, now: float, name: str, *, suspended: bool) -> None:
+        """Suspend or restore one endpoint."""
+        names = self.suspended | {name} if suspended else self.suspended - {name}
+        self._replace_suspended(now, names)
+
+    def on_suspensions_changed(self, now: float, event: model.SuspensionsChanged) -> None:
+        """Suspend exactly the endpoints that the processes of this limiter have recorded."""
+        self._replace_suspended(now, event.endpoints)
+
+    def _replace_suspended(self, now: float, names: frozenset[str]) -> None:
         """Suspend exactly these endpoints; those that are restored begin a slow start."""
         for name in self.suspended - names:
             if name in self.by_name:
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -1,5 +1,6 @@
 """The open requests: attempts, retries and the one final answer of each."""
 
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from quota_gateway import model
@@ -78,6 +79,15 @@
         self.context.actions.append(model.Forward(request.id, state.endpoint.name, timeout, not_after))
         return True
 
+    def endpoints_in_flight(self) -> Iterator[EndpointState]:
+        """Yield the endpoint of each attempt in flight."""
+        for request in self.requests.values():
+            yield from request.in_flight.values()
+
+    def on_client_disconnected(self, _now: float, event: model.ClientDisconnected) -> None:
+        """Close the request of a client that has disconnected."""
+        self.forget(event.request_id)
+
     def on_upload_completed(self, now: float, event: model.UploadCompleted) -> None:
         """Start the timeouts of a request whose body is complete."""
         request = self.requests.get(event.request_id)
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway: one event in, actions out. This module wires the parts together."""
+"""The decisions of one gateway: an event and a time in, actions out. This module connects the parts."""
 
 from collections.abc import Callable
 from random import Random
@@ -25,10 +25,10 @@
 
 
 class Gateway:
-    """All parts of the decisions; they are public for tests and tools, which only read them."""
+    """All parts of the decisions of one gateway. Tests and tools may read the parts, but not change them."""
 
     def __init__(self, settings: model.Settings, seed: int, now: float) -> None:
-        """Raise ``InvalidSettingsError`` for settings that no gateway can run with."""
+        """Create the parts; ``InvalidSettingsError`` for settings that no gateway can run with."""
         settings.validate()
         self.context = context = Context(settings, Random(seed), now)
         self.controller = LoadController(now)
@@ -54,13 +54,13 @@
             model.Request: self._on_request,
             model.AttemptCompleted: self.forwarder.on_attempt_completed,
             model.UploadCompleted: self.forwarder.on_upload_completed,
-            model.ClientDisconnected: lambda _now, event: self.forwarder.forget(event.request_id),
+            model.ClientDisconnected: self.forwarder.on_client_disconnected,
             model.CounterReplied: self.leases.on_reply,
             model.EndpointUpdate: self.endpoints.apply,
             model.HealthChecked: self.endpoints.on_health_check,
             model.TimerFired: self._on_timer,
             model.AdminRequest: self._on_admin_request,
-            model.SuspensionsChanged: lambda now, event: self.endpoints.set_suspended(now, event.endpoints),
+            model.SuspensionsChanged: self.endpoints.on_suspensions_changed,
             model.ProcessCountChanged: self.handover.on_process_count_changed,
             model.HandoverState: self.handover.take_over,
             model.ShutdownStarted: self._on_shutdown,
@@ -68,7 +68,7 @@
         }
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Decide on one event at Unix time ``now``; the actions are to be carried out in their order."""
+        """Return the actions that answer one event at Unix time ``now``, in the order of their execution."""
         self.context.actions.clear()
         self._handlers[type(event)](now, event)
         if not self.timer_token:
@@ -85,25 +85,27 @@
             self._set_timer()
 
     def _tick(self, now: float) -> None:
-        """Once a second: control the admit rate, and look after endpoints, leases and accounts."""
+        """Do the periodic work of all parts."""
         elapsed = max(MIN_INTERVAL_SECONDS, now - self.controller.updated_at)
         self.forwarder.expire(now)
         self.controller.update(now, elapsed)
         if self.timer_token % LOG_INTERVAL_TICKS == 0 and self.forwarder.rejections:
             self._log_rejections(now)
-        self.slow_start.close_interval(self.endpoints.subset, elapsed)
-        self.endpoints.close_interval(now, elapsed)
-        requests = self.forwarder.requests.values()
-        self.endpoints.forget_removed(state for request in requests for state in request.in_flight.values())
-        self.endpoints.choose_subset(now)
+        self._update_endpoints(now, elapsed)
         self.work.close_interval()
         self.leases.return_unused(now, self.work.mean_units)
         self.accounts.forget_idle(now)
         for account in self.accounts.accounts.values():
             self.leases.report_overdue_usage(now, account)
 
+    def _update_endpoints(self, now: float, elapsed: float) -> None:
+        self.slow_start.close_interval(self.endpoints.subset, elapsed)
+        self.endpoints.close_interval(now, elapsed)
+        self.endpoints.forget_removed(self.forwarder.endpoints_in_flight())
+        self.endpoints.choose_subset(now)
+
     def _log_rejections(self, now: float) -> None:
-        """Write the rejections since the last such line, and the state that explains them."""
+        """Log the rejections since the last such line, and the state that explains them."""
         text = describe_rejections(
             now,
             self.forwarder.take_rejections(),
@@ -113,7 +115,8 @@
         )
         text += f"; load {self.controller.load:.2f}, admit rate {self.controller.admit_rate:.0f}/s"
         text += f", completion rate {self.slow_start.completion_rate:.2f}"
-        text += ", counter unavailable" * (now < self.leases.budget.unavailable_until)
+        if now < self.leases.budget.unavailable_until:
+            text += ", counter unavailable"
         self.context.actions.append(model.Log(text))
 
     def _on_request(self, now: float, event: model.Request) -> None:
@@ -122,7 +125,8 @@
         if not event.is_retry:
             self.controller.record_arrival()
         request_class = self.context.classes.get(event.request_class)
-        request_class = request_class or model.RequestClass.unknown(event.request_class, event.timeout)
+        if request_class is None:
+            request_class = model.RequestClass.unknown(event.request_class, event.timeout)
         max_attempts = self.context.settings.max_attempts
         request = OpenRequest.begin(now, event, request_class, account, max_attempts)
         self.forwarder.add(request)
@@ -135,25 +139,29 @@
             self.forwarder.finish(request, model.RejectionReason.ADMISSION_GATE)
 
     def _on_admin_request(self, now: float, event: model.AdminRequest) -> None:
-        listed_endpoints = self.endpoints.listed()
-        if event.command is model.AdminCommand.STATUS:
-            ok = self.endpoints.has_list and not self.is_shutting_down
-        else:
-            ok = event.command is model.AdminCommand.METRICS or self._suspend(now, event)
-        suspended = self.endpoints.suspended
-        avoided = [s for s in listed_endpoints if s.endpoint.name in suspended or s.ejected_until > now]
-        self.context.actions.append(model.AdminReply(event.id, ok, len(listed_endpoints), len(avoided)))
-
-    def _suspend(self, now: float, event: model.AdminRequest) -> bool:
-        """Suspend or restore; gives whether the endpoint is known. A suspension outlives the list's entry."""
-        suspended = self.endpoints.suspended
-        state = self.endpoints.by_name.get(event.endpoint)
-        if event.endpoint not in suspended and (state is None or state.removed):
+        listed = self.endpoints.listed()
+        ok = self._execute(now, event)
+        reply = model.AdminReply(event.id, ok, len(listed), self.endpoints.count_avoided(now, listed))
+        self.context.actions.append(reply)
+
+    def _execute(self, now: float, event: model.AdminRequest) -> bool:
+        """Execute an operator's command, and return whether it succeeded."""
+        match event.command:
+            case model.AdminCommand.STATUS:
+                return self.endpoints.has_list and not self.is_shutting_down
+            case model.AdminCommand.METRICS:
+                return True
+            case model.AdminCommand.SUSPEND:
+                return self._set_suspended(now, event.endpoint, suspended=True)
+            case model.AdminCommand.RESTORE:
+                return self._set_suspended(now, event.endpoint, suspended=False)
+
+    def _set_suspended(self, now: float, name: str, *, suspended: bool) -> bool:
+        """Suspend or restore an endpoint, and return whether it is known."""
+        if not self.endpoints.is_known(name):
             return False
-        is_suspended = event.command is model.AdminCommand.SUSPEND
-        names = suspended | {event.endpoint} if is_suspended else suspended - {event.endpoint}
-        self.endpoints.set_suspended(now, names)
-        self.context.actions.append(model.RecordSuspension(event.endpoint, is_suspended))
+        self.endpoints.set_suspended(now, name, suspended=suspended)
+        self.context.actions.append(model.RecordSuspension(name, suspended))
         return True
 
     def _on_shutdown(self, now: float, _event: model.ShutdownStarted) -> None:
@@ -161,7 +169,7 @@
         self.leases.shut_down(now)
 
     def _on_settings(self, now: float, event: model.Settings) -> None:
-        """New settings hold for what comes from now on; what is under way keeps its class."""
+        """Apply new settings; open requests keep their class and plan."""
         event.validate()
         self.context.reconfigure(event)
         self.accounts.reconfigure(now)
--- a/quota_gateway/decisions/retries.py
+++ b/quota_gateway/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the retry budget, what a repeat could do, and which final answer a request is owed."""
+"""Retries: the retry budget, when a repeat is harmless, and which final answer a request may get."""
 
 import math
 from dataclasses import dataclass
@@ -7,65 +7,76 @@
 from quota_gateway.model import NEVER_STARTED, AttemptCompleted, CallStatus, DeduplicationScope, Idempotency
 from quota_gateway.state import OpenRequest
 
-MAX_BUDGET = 10.0  # retries that may be saved up
-RETRY_FRACTION = 0.1  # retries that each forwarded request adds to the budget
-WINDOW_MARGIN = 0.95  # of the window in which an idempotency key is known
-HOLD_UP = 0.15  # seconds that this process may be held up between its clock and a write
-MIN_RETRY_AFTER = 0.1  # seconds
+MAX_SAVED_RETRIES = 10.0
+RETRIES_PER_REQUEST = 0.1  # that a forwarded request adds to the budget
+# Part of the deduplication window in which a repeat may be written: the smaller of the two limits holds.
+REPEAT_WINDOW_FRACTION = 0.95
+MAX_WRITE_DELAY_SECONDS = 0.15  # from the reading of the clock to the write, if this process is held up
+MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """Retries are limited to a share of the requests, so that a failing fleet is not asked twice for all."""
+    """Limits retries to a fraction of the requests: they must not double the load of a failing fleet."""
 
-    tokens: float = MAX_BUDGET
+    tokens: float = MAX_SAVED_RETRIES
 
     def credit(self) -> None:
-        """A request was forwarded."""
-        self.tokens = refilled(self.tokens, RETRY_FRACTION, 1, MAX_BUDGET)
+        """Add the fraction of a retry that a forwarded request allows."""
+        self.tokens = refilled(self.tokens, RETRIES_PER_REQUEST, 1, MAX_SAVED_RETRIES)
 
     def allows(self, now: float, request: OpenRequest, max_attempts: int) -> bool:
-        """Whether a request may be sent once more, by attempts, time, budget and idempotency."""
+        """Whether a request may be forwarded again, by attempts, time, budget and idempotency."""
         has_attempts = len(request.attempts) < min(request.max_attempts, max_attempts)
         has_time = request.useful_until - now > request.work
         return has_attempts and has_time and self.tokens >= 1 and may_repeat(now, request)
 
     def spend(self, request: OpenRequest, event: AttemptCompleted) -> None:
-        """A retry was made after this ending; one that broke early has taken as little of the budget."""
-        if event.status not in NEVER_STARTED:
-            is_reset = event.status is CallStatus.RESET_AFTER_REQUEST
-            self.tokens -= min(1.0, event.elapsed / request.work) if is_reset else 1.0
+        """Charge a retry after the given attempt, by the work that the attempt may have caused."""
+        if event.status in NEVER_STARTED:
+            return
+        if event.status is CallStatus.RESET_AFTER_REQUEST:
+            self.tokens -= min(1.0, event.elapsed / request.work)
+        else:
+            self.tokens -= 1.0
 
 
 def may_repeat(now: float, request: OpenRequest) -> bool:
-    """Whether a second execution would do no harm."""
-    request_class = request.request_class
-    if request.first_executed is None or request_class.idempotency is Idempotency.INHERENT:
+    """Whether another attempt cannot cause a harmful second execution."""
+    if _is_harmless_anywhere(request):
         return True
-    is_keyed = request_class.idempotency is Idempotency.KEYED
+    is_keyed = request.request_class.idempotency is Idempotency.KEYED
     return is_keyed and now < repeat_deadline(request)
 
 
+def _is_harmless_anywhere(request: OpenRequest) -> bool:
+    """Whether the request was surely not executed yet, or may be executed any number of times."""
+    return request.first_executed is None or request.request_class.idempotency is Idempotency.INHERENT
+
+
 def repeat_deadline(request: OpenRequest) -> float:
-    """Unix time up to which a repeat may be decided and begin to be written; infinite for a harmless one."""
+    """Return the Unix time until which a repeat may begin to be written.
+
+    It is infinite if no deduplication window limits the repeat.
+    """
     executed = request.first_executed
     window = request.request_class.deduplication_window
     if executed is None or request.request_class.idempotency is not Idempotency.KEYED:
         return math.inf
-    return executed.started_at + min(WINDOW_MARGIN * window, window - HOLD_UP)
+    return executed.started_at + min(REPEAT_WINDOW_FRACTION * window, window - MAX_WRITE_DELAY_SECONDS)
 
 
 def may_reject(request: OpenRequest) -> bool:
-    """Whether the client may be told to come again: not where that could be a second execution."""
-    request_class = request.request_class
-    if request.first_executed is None or request_class.idempotency is Idempotency.INHERENT:
+    """Whether the client may be asked to retry: not if that could be a harmful second execution."""
+    if _is_harmless_anywhere(request):
         return True
+    request_class = request.request_class
     is_keyed = request_class.idempotency is Idempotency.KEYED
     return is_keyed and request_class.deduplication_scope is DeduplicationScope.ALL
 
 
 def retry_after(request: OpenRequest, max_retry_after: float) -> float:
-    """Seconds until the customer's bucket holds enough for the request."""
+    """Return the seconds until the customer's bucket holds enough units for the request."""
     rate = request.account.plan.rate
     wait = (request.units - request.account.tokens) / rate if rate else 0.0
-    return min(max_retry_after, max(MIN_RETRY_AFTER, wait))
+    return min(max_retry_after, max(MIN_RETRY_AFTER_SECONDS, wait))
--- a/quota_gateway/state/rejections.py
+++ b/quota_gateway/state/rejections.py
@@ -1,4 +1,4 @@
-"""The log text on rejections."""
+"""The log text about rejections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     hash_ring: list[EndpointState],
     lease_holders: Iterable[Account],
 ) -> str:
-    """Rejections by reason and ejections by cause, with the leases and endpoints as they stand now."""
+    """Return the rejections by reason and the ejections by cause, with the current leases and endpoints."""
     reasons = ", ".join(f"{reason} {count}" for reason, count in sorted(rejections.items()))
     causes = "".join(f", {count} as {cause}" for cause, count in sorted(ejections.items()))
     leases = [account.leased for account in lease_holders]
