--- a/quota_gateway/decisions/controller.py
+++ b/quota_gateway/decisions/controller.py
@@ -22,6 +22,11 @@
 MAX_READING_AGE_INTERVALS = 4
 
 
+def overdue_latency(objective: float) -> float:
+    """Return the latency that reads as full load, in seconds."""
+    return objective * LATENCY_FRACTION / REFERENCE_LOAD
+
+
 @dataclass(slots=True, eq=False)
 class LoadController:
     """PI control of the admit rate, in requests per second. Only its own methods change its fields.
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -5,8 +5,8 @@
 
 from quota_gateway import model
 from quota_gateway.decisions.admission import AdmissionGate
-from quota_gateway.decisions.context import LATENCY_FRACTION, Context
-from quota_gateway.decisions.controller import REFERENCE_LOAD
+from quota_gateway.decisions.context import Context
+from quota_gateway.decisions.controller import REFERENCE_LOAD, overdue_latency
 from quota_gateway.decisions.endpoint_set import EndpointSet
 from quota_gateway.decisions.leases import LeaseManager
 from quota_gateway.decisions.load_balancer import LoadBalancer
@@ -141,8 +141,9 @@
         for request in list(self.requests.values()):
             if now >= request.deadline and not request.in_flight:
                 self.finish(request, model.RejectionReason.ATTEMPTS)
-            overdue = request.request_class.latency_objective * LATENCY_FRACTION / REFERENCE_LOAD
-            if request.in_flight and not request.uploading and now - request.started_at > overdue:
+            age = now - request.started_at
+            is_overdue = age > overdue_latency(request.request_class.latency_objective)
+            if is_overdue and request.in_flight and not request.uploading:
                 self.gate.controller.record_overload()
 
     def finish(self, request: OpenRequest, reason: model.RejectionReason) -> None:
--- a/quota_gateway/model/__init__.py
+++ b/quota_gateway/model/__init__.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the decisions: plain typed records, no logic.
+"""Settings, events and actions of the decisions: typed records without logic.
 
-Times are seconds and rates are per second unless a field says otherwise. ``decisions.gateway.Gateway`` takes
-``Settings`` and one event at a time, and answers with a list of actions.
+Times are in seconds and rates are per second unless a field says otherwise. ``decisions.gateway.Gateway`` is
+created with ``Settings``; it receives one event at a time and returns a list of actions.
 """
 
 from quota_gateway.model.actions import (
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decisions want done."""
+"""Actions: what the decisions request of the network modules, or of the simulator."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
     request_id: int
     endpoint: str
-    timeout: float  # seconds until the attempt is given up
-    not_after: float = math.inf  # Unix time after which it must not be written any more, as a repeat
+    timeout: float  # seconds until the attempt is abandoned
+    not_after: float = math.inf  # Unix time after which the request must not be written, since it is a repeat
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: the request was not executed, and the client may come again."""
+    """Final answer: the request was rejected, and the client may retry it without harm."""
 
     request_id: int
-    retry_after: float  # seconds
+    retry_after: float  # seconds that the client should wait
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Stop waiting for the response of an attempt."""
 
     request_id: int
     attempt: int  # number of the attempt, from 0
@@ -43,23 +43,23 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add ``amount`` to a shared number, and learn its total by ``CounterReplied``."""
+    """Add ``amount`` to a number of the shared counter; ``CounterReplied`` returns the total."""
 
     counter_id: int
-    lifetime: float  # seconds without an increment after which the counter forgets the number
+    lifetime: float  # seconds without an increment after which the number expires
     amount: float  # units
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check an endpoint's health; ``HealthChecked`` tells the result."""
+    """Check an endpoint's health; ``HealthChecked`` returns the result."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send ``TimerFired`` with this token after a delay."""
+    """Deliver ``TimerFired`` with this token after a delay."""
 
     delay: float  # seconds
     token: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminReply:
-    """The answer to an operator's command."""
+    """The reply to an operator's command."""
 
     request_id: int
     ok: bool
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordSuspension:
-    """Record for all processes of this limiter that an endpoint is suspended, or no longer."""
+    """Record for all processes of this limiter whether an endpoint is suspended."""
 
     endpoint: str
     suspended: bool
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Give the process that has just started what this one knows."""
+    """Hand over the state of this process to one that has just started."""
 
     state: HandoverState
 
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -1,4 +1,4 @@
-"""Events: what the decisions are told, one at a time."""
+"""Events: the input of the decisions, one at a time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AdminCommand(Enum):
-    """What an operator asks of one limiter; the values are the words of the admin protocol."""
+    """An operator's command to one limiter; the values are the words of the admin protocol."""
 
     STATUS = "STATUS"
     METRICS = "METRICS"
@@ -38,23 +38,23 @@
     zone: str
     cell: int = 0
     weight: float = 1.0
-    started_at: float = 0.0  # Unix time of its start; 0: not known
+    started_at: float = 0.0  # Unix time of its start; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The endpoint list or a part of it; a ``complete`` one removes what it leaves out."""
+    """The endpoint list or changes of it; a ``complete`` list removes the endpoints that it does not name."""
 
     endpoints: tuple[Endpoint, ...]
     complete: bool
-    # Seconds since discovery was last heard of: what is new in it has not changed much longer ago. Infinite
-    # where that is not known, as for the first list.
+    # Seconds since the last contact with discovery, which bounds the age of the changes. Infinite if unknown,
+    # as for the first list.
     seconds_since_contact: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request has come."""
+    """A client's request has arrived."""
 
     id: int
     request_class: str
@@ -63,8 +63,8 @@
     account: str
     units: float = 1.0  # of the customer's quota
     serving_gateways: int = 1  # gateways that serve this customer
-    is_retry: bool = False  # the client asks again after a rejection or failure
-    uploading: bool = False  # its body is still coming: the time-out begins with ``UploadCompleted``
+    is_retry: bool = False  # the client retries after a rejection or failure
+    uploading: bool = False  # the body is not complete: the timeout starts with ``UploadCompleted``
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,33 +76,33 @@
     endpoint: str
     status: CallStatus
     elapsed: float  # seconds
-    request_finished: bool  # the client has its final answer
+    request_finished: bool  # the client has got its final answer
     load_report: Mapping[str, float]
-    charged_units: float | None = None  # the true units, where they are known only afterwards
-    may_retry: bool = True  # not once a part of the request's body was passed on
+    charged_units: float | None = None  # the units that the endpoint charges, if its response states them
+    may_retry: bool = True  # False once a part of the request's body was forwarded
 
 
 @dataclass(frozen=True, slots=True)
 class UploadCompleted:
-    """The last byte of a long body has come: the client's time runs from now on."""
+    """The last byte of a long body has arrived: the client's timeout starts."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone: no answer is owed any more."""
+    """The client has disconnected: its request needs no answer."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """A call to the shared counter has ended; replies for one counter come in the order of the calls."""
+    """A call to the shared counter has ended; the replies of one counter arrive in the order of the calls."""
 
     counter_id: int
     status: CallStatus
-    total: float = 0.0  # units counted in all, where the status is ``OK``
+    total: float = 0.0  # units counted so far by all gateways, if the status is ``OK``
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,14 +117,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The timer that ``SetTimer`` asked for with this token is due."""
+    """The timer that ``SetTimer`` set with this token is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """An operator's command; exactly one ``AdminReply`` answers it."""
+    """An operator's command; it gets exactly one ``AdminReply``."""
 
     id: int
     command: AdminCommand
@@ -133,22 +133,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspensionsChanged:
-    """All endpoints that operators have suspended, as the processes of this limiter keep them together."""
+    """The endpoints that operators have suspended, as recorded by the processes of this limiter."""
 
     endpoints: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessCountChanged:
-    """So many processes are this limiter now: more than one while a new version takes over."""
+    """The number of processes of this limiter; above one while a new version takes over."""
 
     count: int
-    seconds_unknown: float = 0.0  # for which it may have been so already: this process did not look meanwhile
+    seconds_unknown: float = 0.0  # since the previous poll: the count may have changed at any time since
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """This process is about to end: it is not ready for anything new."""
+    """The graceful shutdown of this process has started: it accepts no new requests."""
 
 
 Event = (
--- a/quota_gateway/model/rejection.py
+++ b/quota_gateway/model/rejection.py
@@ -1,4 +1,4 @@
-"""Why a request was rejected, and why an endpoint was ejected."""
+"""The reasons for rejecting a request and the causes of ejecting an endpoint."""
 
 from __future__ import annotations
 
@@ -6,31 +6,22 @@
 
 
 class RejectionReason(StrEnum):
-    """The reasons, as the log names them."""
+    """Why a request is rejected; the values are the names in the log."""
 
-    ADMISSION_GATE = "gate"  # no tokens: the load controller admits fewer
+    ADMISSION_GATE = "gate"  # the admission gate has no tokens left
     QUOTA = "quota"  # the customer's quota is used up
     CEILING = "ceiling"  # the plan's hard ceiling is reached
-    CONCURRENCY = "concurrency"  # the endpoints hold all the work that they are to hold
-    SLOW_START = "slow start"  # only warming endpoints had capacity, and their allowance is used up
+    CONCURRENCY = "concurrency"  # the endpoints have as much work in flight as the concurrency limit allows
+    SLOW_START = "slow start"  # only endpoints warming up had capacity, and their allowance is used up
     NO_CAPACITY = "no capacity"  # no usable endpoint had capacity
-    NO_ENDPOINT = "no endpoint"  # none was usable
-    ATTEMPTS = "attempts"  # it failed too often, or its time was up
+    NO_ENDPOINT = "no endpoint"  # no endpoint was usable
+    ATTEMPTS = "attempts"  # no further attempt is allowed, or the deadline has passed
 
 
 class EjectionCause(StrEnum):
-    """The causes, as the log names them."""
+    """Why an endpoint is ejected; the values are the names in the log."""
 
-    HUNG = "hung"  # attempts timed out one after the other, and it answered nothing in the meantime
-    UNREACHABLE = "unreachable"  # connections are refused or never come up
+    HUNG = "hung"  # consecutive attempts timed out, without any response in between
+    UNREACHABLE = "unreachable"  # connections are refused or time out
     CONNECTION_RESETS = "resetting connections"
-    FAILING = "failing"  # more errors than is usual
-
-    @classmethod
-    def of(cls, is_hung: bool, is_down: bool, is_unreachable: bool) -> EjectionCause:
-        """The cause by what the attempts showed; ``is_down``: more than single failures."""
-        if is_hung:
-            return cls.HUNG
-        if not is_down:
-            return cls.FAILING
-        return cls.UNREACHABLE if is_unreachable else cls.CONNECTION_RESETS
+    FAILING = "failing"  # a failure rate above the usual one
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -1,28 +1,28 @@
-"""Settings of the decisions: request classes, customers' plans and what the platform allows."""
+"""Settings of the decisions: request classes, customers' plans and the limits of the platform."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_OBJECTIVE = 0.01  # seconds: latency objective of an unknown class, at least
-MIN_POSITIVE = 1e-9  # below this a share or a time counts as none
+MIN_OBJECTIVE_SECONDS = 0.01  # latency objective of an unknown class
+MIN_POSITIVE = 1e-9  # a smaller fraction or time counts as zero
 
 
 class InvalidSettingsError(ValueError):
-    """Settings that no gateway can run with; the text names the field and the least value allowed."""
+    """Settings that no gateway can run with; the text names the field and its minimum."""
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Where a request may be repeated once it may have been executed."""
 
-    INHERENT = "inherent"  # nothing: the request may be repeated anywhere
-    KEYED = "keyed"  # nothing within the scope and window in which its idempotency key is known
-    NONE = "none"  # harm: never repeated once it may have run
+    INHERENT = "inherent"  # anywhere: a second execution has no effect
+    KEYED = "keyed"  # within the scope and window in which its idempotency key is known
+    NONE = "none"  # nowhere
 
 
 class DeduplicationScope(Enum):
-    """The group of endpoints that drops repeats of a request with an idempotency key."""
+    """The group of endpoints that recognise an idempotency key, and drop the repeat."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,39 +35,39 @@
 
     name: str
     latency_objective: float  # seconds
-    priority_weight: float  # value of one answer in time
+    priority_weight: float  # value of one response within the objective
     idempotency: Idempotency
-    late_weight: float = 0.0  # value of an answer after the objective and before the deadline
+    late_weight: float = 0.0  # value of a response after the objective and before the deadline
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: float = 0.0  # seconds for which an idempotency key is remembered
-    deadline: float = 0.0  # seconds that the client waits over all its attempts; 0: not known
+    deduplication_window: float = 0.0  # seconds for which an idempotency key is known
+    deadline: float = 0.0  # seconds that the client waits over all its attempts; 0: unknown
 
     @classmethod
     def unknown(cls, name: str, timeout: float) -> RequestClass:
-        """Terms of a class that the settings do not name: never repeated, the client's time its objective."""
-        return cls(name, max(timeout, MIN_OBJECTIVE), 1.0, Idempotency.NONE)
+        """Return a class that the settings do not name: not idempotent, the timeout as its objective."""
+        return cls(name, max(timeout, MIN_OBJECTIVE_SECONDS), 1.0, Idempotency.NONE)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A customer's contract. Quotas are counted in units over all gateways together."""
+    """A customer's contract; its limits hold for all gateways together."""
 
     name: str
     price: float = 1.0  # factor on the priority weight
-    rate: float = 0.0  # units a second; 0: no quota
+    rate: float = 0.0  # units per second; 0: no quota
     burst: float = 0.0  # units that the quota's bucket holds
     concurrency_limit: int = 0  # requests in flight; 0: no limit
     over_quota_value: float = 0.0
     over_quota_cost: float = 0.0
-    ceiling_rate: float = 0.0  # units a second that are never exceeded; 0: no ceiling
+    ceiling_rate: float = 0.0  # units per second that are never exceeded; 0: no ceiling
     ceiling_burst: float = 0.0  # units
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that the decisions are configured with."""
+    """The configuration of the decisions."""
 
-    gateway_index: int  # place of this gateway among all, from 0
+    gateway_index: int  # from 0
     gateway_count: int
     zone: str
     classes: tuple[RequestClass, ...]
@@ -76,18 +76,18 @@
     may_hedge: bool = False
     may_cancel: bool = False
     may_check_health: bool = False
-    load_in_health_check: bool = False  # health checks ask for a load report
+    load_in_health_check: bool = False  # health checks request a load report
     has_counter: bool = False
     counter_timeout: float = 0.0  # seconds
     max_units: float = 1.0  # of one request
     max_retry_after: float = 0.0  # seconds
-    initial_capacity: float = 1.0  # share of its capacity that a fresh endpoint has
-    warm_up_time: float = 0.0  # seconds until it has all of it
-    overload_multiple: float = 1.0  # load, over what it bears then, that brings a fresh endpoint down
-    overload_window: float = 1.0  # seconds over which that load is counted
+    initial_capacity: float = 1.0  # fraction of its full capacity that an endpoint has when it starts
+    warm_up_time: float = 0.0  # seconds until an endpoint has its full capacity
+    overload_multiple: float = 1.0  # load, in current capacities, that makes a warming endpoint fail
+    overload_window: float = 1.0  # seconds over which that load is measured
 
     def validate(self) -> None:
-        """Raise ``InvalidSettingsError`` where a value is out of the range that the decisions rely on."""
+        """Raise ``InvalidSettingsError`` if a value is below the minimum that the decisions rely on."""
         min_values = {
             "gateway_count": (self.gateway_count, 1),
             "max_attempts": (self.max_attempts, 1),
