--- a/quota_gateway/decisions/admission.py
+++ b/quota_gateway/decisions/admission.py
@@ -62,7 +62,7 @@
         self.sorted_values = sorted(self.recent_values)
 
     def take_over(self, mean_work: float, mean_units: float, base_latencies: Mapping[str, float]) -> None:
-        """Take over what another process of this limiter has learned; 0 stands for an unknown value."""
+        """Take over the values of another process of this limiter; those that are 0 are unknown to it."""
         self.mean_work = mean_work or self.mean_work
         self.mean_units = mean_units or self.mean_units
         self.base_latencies |= {name: base for name, base in base_latencies.items() if base > 0}
@@ -78,7 +78,7 @@
     tokens: float = 0.0
 
     def admits(self, now: float, request: OpenRequest) -> bool:
-        """Whether there are enough tokens; a full bucket admits a request of any size and goes into debt."""
+        """Whether there are enough tokens; a full bucket admits any request, and may become negative."""
         rate = max(MIN_ADMIT_FRACTION * self.controller.arrival_rate, self.controller.admit_rate)
         depth = max(MIN_GATE_DEPTH_REQUESTS, rate * GATE_DEPTH_SECONDS)
         self.tokens = refilled(self.tokens, rate, now - self.refilled_at, depth)
--- a/quota_gateway/decisions/outlier_detection.py
+++ b/quota_gateway/decisions/outlier_detection.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class OutlierDetector:
-    """Compares how attempts end at an endpoint with what is usual in the subset."""
+    """Compares the failure rate of an endpoint with the usual one in the subset, and ejects outliers."""
 
     endpoints: EndpointSet
     ejections: dict[str, int] = field(default_factory=dict)  # by cause, since the last log line
--- a/quota_gateway/decisions/retries.py
+++ b/quota_gateway/decisions/retries.py
@@ -11,7 +11,7 @@
 RETRIES_PER_REQUEST = 0.1  # that a forwarded request adds to the budget
 # Part of the deduplication window in which a repeat may be written: the smaller of the two limits holds.
 REPEAT_WINDOW_FRACTION = 0.95
-MAX_WRITE_DELAY_SECONDS = 0.15  # from the reading of the clock to the write, if this process is held up
+MAX_WRITE_DELAY_SECONDS = 0.15  # from the decision to the write, if this process is stalled in between
 MIN_RETRY_AFTER_SECONDS = 0.1
 
 
@@ -67,7 +67,7 @@
 
 
 def may_reject(request: OpenRequest) -> bool:
-    """Whether the client may be asked to retry: not if that could be a harmful second execution."""
+    """Whether the client may retry: not if that could be a harmful second execution."""
     if _is_harmless_anywhere(request):
         return True
     request_class = request.request_class
--- a/quota_gateway/settings_parser.py
+++ b/quota_gateway/settings_parser.py
@@ -1,4 +1,7 @@
-"""Parser of the settings object, which the configuration file and the simulator's wire have in common."""
+"""The parser of the settings object, which the configuration file and the simulator's protocol share.
+
+The keys are those of the protocol pages; here they are mapped to the names of the code.
+"""
 
 from __future__ import annotations
 
@@ -14,36 +17,34 @@
     "at_most_once": model.Idempotency.NONE,
 }
 SCOPE_BY_GROUP = {scope.value: scope for scope in model.DeduplicationScope}
-POLLED_DISCOVERY = "ask"  # the value of ``discovery`` where gateways poll; with any other value it pushes
-DEFAULT_DIAL_TIMEOUT = 0.25  # seconds
-DEFAULT_IDLE_TIMEOUT = 30.0  # seconds
-DEFAULT_DRAIN_NOTICE = 1.0  # seconds until a draining endpoint gets nothing new, where the contract is silent
-AGENT_TIMEOUT_FRACTION = 0.3  # of that notice: two calls to the agent of discovery fit into it
-# A key of a class that some platforms leave out of new settings; nothing here reads it.
-OPTIONAL_CLASS_KEY = "aim_stretch"
-POSITIVE_KEYS = ("aim_s", "hard_limit_s", "max_attempts")
+POLLED_DISCOVERY = "ask"  # value of ``discovery`` if gateways poll it; with any other value it pushes
+DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.25
+DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0
+DEFAULT_DRAIN_NOTICE_SECONDS = 1.0  # until a draining endpoint must get no new requests
+AGENT_TIMEOUT_FRACTION = 0.3  # of the drain notice: two calls to discovery's local agent fit into it
+OPTIONAL_CLASS_KEY = "aim_stretch"  # not read; some platforms omit it from new settings
+POSITIVE_KEYS = ("aim_s", "hard_limit_s", "max_attempts")  # must be above 0 in reloaded settings
 T = TypeVar("T")
 
 
 class SettingsError(ValueError):
-    """A settings object that cannot be read."""
+    """A settings object that is malformed; the text names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """The settings that only the network modules need; times are seconds."""
+    """The settings that only the network modules need; times are in seconds."""
 
     connect_timeout: float  # to connect to an endpoint
     idle_timeout: float  # until an endpoint closes an idle connection
-    client_count: int = 1  # limiters whose polls discovery serves in turn; 1 where it pushes
-    # The limits of a poll: ``net.backoff`` and ``net.endpoint_watch`` have the reasons. Where discovery
-    # pushes, a local agent responds at once, and both are parts of the notice of a draining endpoint.
-    answer_timeout: float = 3.0  # until a call to discovery is given up
-    max_poll_interval: float = 4.5  # at most, from the start of one call to the start of the next
+    client_count: int = 1  # limiters whose polls discovery serves in turn; 1 if it pushes
+    # If discovery pushes, its local agent replies at once, and both limits are fractions of the drain notice.
+    answer_timeout: float = 3.0  # of a call to discovery
+    max_poll_interval: float = 4.5  # from the start of one call to the start of the next
 
 
 def parse_settings(raw: dict[str, Any]) -> model.Settings:
-    """The decisions' settings of a settings object; ``SettingsError`` names a key that cannot be read."""
+    """Return the settings of the decisions; ``SettingsError`` names a malformed key."""
     limits = _section(raw, "limits")
     contract = _section(raw, "contract")
     specifics = _section(raw, "specifics")
@@ -100,14 +101,14 @@
 
 
 def parse_timing(raw: dict[str, Any]) -> Timing:
-    """The network timing of a settings object; ``SettingsError`` for what is unreadable or not above 0."""
+    """Return the network timing; ``SettingsError`` names a key that is malformed or not above 0."""
     limits = _section(raw, "limits")
     is_polled = raw.get("discovery") == POLLED_DISCOVERY
-    callers = max(1, int(_number(raw, "n_instances", 1))) if is_polled else 1
+    client_count = max(1, int(_number(raw, "n_instances", 1))) if is_polled else 1
     timing = Timing(
-        connect_timeout=_number(limits, "dial_timeout_s", DEFAULT_DIAL_TIMEOUT),
-        idle_timeout=_number(limits, "conn_idle_s", DEFAULT_IDLE_TIMEOUT),
-        client_count=callers,
+        connect_timeout=_number(limits, "dial_timeout_s", DEFAULT_CONNECT_TIMEOUT_SECONDS),
+        idle_timeout=_number(limits, "conn_idle_s", DEFAULT_IDLE_TIMEOUT_SECONDS),
+        client_count=client_count,
     )
     if not is_polled:
         agent_timeout = _agent_timeout(raw)
@@ -118,16 +119,16 @@
 
 
 def _agent_timeout(raw: dict[str, Any]) -> float:
-    """Seconds for a call to the local agent of a discovery that pushes."""
+    """Return the timeout of a call to the local agent of a discovery that pushes, in seconds."""
     drain_notice = _number(_section(raw, "contract"), "stop_sending_within_s")
-    return AGENT_TIMEOUT_FRACTION * (drain_notice or DEFAULT_DRAIN_NOTICE)
+    return AGENT_TIMEOUT_FRACTION * (drain_notice or DEFAULT_DRAIN_NOTICE_SECONDS)
 
 
 def check_reloaded_settings(raw: dict[str, Any], running: dict[str, Any]) -> None:
-    """``SettingsError`` unless new settings are complete: they hold every key of the running ones.
+    """Raise ``SettingsError`` unless new settings are complete: they have every key of the running ones.
 
-    A gateway starts with fewer keys; but new settings have the form that it started with, and a key that
-    is missing then means a truncated or corrupt file, of which nothing can be trusted.
+    Keys are optional when a gateway starts. In new settings a missing key means that the file is truncated or
+    corrupt, so that none of it can be trusted.
     """
     for key, value in running.items():
         if key not in raw:
@@ -144,7 +145,7 @@
 
 
 def _check_objects(key: str, value: Any, running: list[dict[str, Any]]) -> None:
-    """``SettingsError`` unless each object of a list holds the keys that all running ones have."""
+    """Raise ``SettingsError`` unless each object of a list has the keys that all running objects have."""
     required_keys = {
         name: None
         for name in running[0]
@@ -159,7 +160,7 @@
 
 
 def _section(owner: dict[str, Any], key: str) -> dict[str, Any]:
-    """The object under a key; an empty one where it is missing."""
+    """Return the object under a key; an empty one if the key is missing."""
     value = owner.get(key)
     if value is None:
         return {}
@@ -169,7 +170,7 @@
 
 
 def _named_objects(owner: dict[str, Any], key: str) -> list[dict[str, Any]]:
-    """The list of objects under a key, each with a ``name``; an empty one where it is missing."""
+    """Return the list of objects under a key, each with a ``name``; an empty list if the key is missing."""
     items = owner.get(key) or []
     if not isinstance(items, list) or not all(
         isinstance(item, dict) and isinstance(item.get("name"), str) for item in items
@@ -179,7 +180,7 @@
 
 
 def _number(owner: dict[str, Any], key: str, default: float = 0.0) -> float:
-    """The finite number under a key, or the default where it is missing."""
+    """Return the finite number under a key, or the default if the key is missing."""
     value = owner.get(key)
     if value is None:
         return default
@@ -193,7 +194,7 @@
 
 
 def _choice(choices: dict[str, T], key: str, value: object) -> T:
-    """The meaning of one of the words that a key allows."""
+    """Return the meaning of a value; the key allows only the values of ``choices``."""
     if not isinstance(value, str) or value not in choices:
         raise SettingsError(f"settings: {key}: unknown word {value!r:.60}")
     return choices[value]
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The decisions on the simulator's wire: a batch of messages a line in, a line of commands out."""
+"""The decisions behind the simulator's protocol: each line of messages gets a line of commands."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
     unpack_message,
 )
 
-ERROR_PREFIX = "simulator_adapter: "  # of the line on standard error
-EXIT_BAD_INPUT = 2
+ERROR_PREFIX = "simulator_adapter: "
+EXIT_CODE_BAD_INPUT = 2
 
 
 @dataclass(slots=True)
 class Batch:
-    """One line of the simulator: what happened to its gateways at one moment."""
+    """One line of the simulator: the messages to its gateways at one time."""
 
-    number: Any  # comes back with the reply
-    now: float  # seconds
-    parts: list[Any]  # one for each gateway concerned; not checked yet
+    number: Any  # repeated in the reply
+    now: float  # simulated time in seconds
+    gateway_parts: list[Any]  # the messages to each gateway concerned; not checked yet
 
 
 def parse_batch(line: str) -> Batch:
-    """The batch of one line of JSON; ``WireError`` where it is none."""
+    """Return the batch of one line of JSON; ``WireError`` if it is malformed."""
     try:
         batch = json.loads(line)
     except ValueError as error:
@@ -47,22 +47,25 @@
     parts = batch.get("parts")
     if not isinstance(parts, list):
         raise WireError("batch: parts is missing or has the wrong type")
-    return Batch(number=batch.get("n"), now=now, parts=parts)
+    return Batch(number=batch.get("n"), now=now, gateway_parts=parts)
 
 
 class SimulatorAdapter:
-    """The simulated gateways of this process: each batch of messages gets a reply of commands."""
+    """The simulated gateways of this process; each batch of messages gets a reply with commands."""
 
     def __init__(self) -> None:
-        """Begin without gateways and endpoint lists."""
+        """Create an adapter without gateways and endpoint lists."""
         self._gateways: dict[str, Gateway] = {}  # by limiter_id
-        self._endpoint_lists: EndpointLists = {}  # by the number they were registered under
+        self._endpoint_lists: EndpointLists = {}  # by the number of the registration
 
     def handle_batch(self, line: str) -> str:
-        """The reply to one line; ``WireError``, or ``ValueError`` for settings that cannot work."""
+        """Return the reply to one line.
+
+        ``WireError`` for malformed input, ``InvalidSettingsError`` for settings that no gateway can run with.
+        """
         batch = parse_batch(line)
         replies = []
-        for part in batch.parts:
+        for part in batch.gateway_parts:
             actions = self._handle_part(batch.now, part)
             if actions:
                 commands = [encode_command(action) for action in actions]
@@ -70,7 +73,7 @@
         return json.dumps({"n": batch.number, "parts": replies}, separators=(",", ":"))
 
     def _handle_part(self, now: float, part: Any) -> list[model.Action]:
-        """The actions of one gateway for its messages of a batch."""
+        """Return the actions of one gateway for its messages in a batch."""
         if not isinstance(part, dict) or not isinstance(part.get("limiter_id"), str):
             raise WireError("batch: a part lacks its limiter_id")
         messages = part.get("news")
@@ -82,21 +85,25 @@
             name, values = unpack_message(message)
             if name == "shutdown":
                 self._gateways.pop(limiter_id, None)
-                actions.clear()
+                actions.clear()  # those of a gateway that has exited are discarded
             elif name == "begin":
                 self._begin(now, limiter_id, *values)
             elif name == "register":
                 self._register(*values)
             else:
-                event = decode_event(name, values, self._endpoint_lists)
-                if event is None:
-                    continue
-                gateway = self._gateways.get(limiter_id)
-                if gateway is None:
-                    raise WireError(f"{name}: {limiter_id} has not begun")
-                actions.extend(gateway.handle(now, event))
+                actions.extend(self._handle_event(now, limiter_id, name, values))
         return actions
 
+    def _handle_event(self, now: float, limiter_id: str, name: str, values: list[Any]) -> list[model.Action]:
+        """Return the actions of one gateway for a message that may be an event."""
+        event = decode_event(name, values, self._endpoint_lists)
+        if event is None:
+            return []
+        gateway = self._gateways.get(limiter_id)
+        if gateway is None:
+            raise WireError(f"{name}: {limiter_id} has not begun")
+        return gateway.handle(now, event)
+
     def _begin(self, now: float, limiter_id: str, /, salt: int, raw_settings: dict[str, Any]) -> None:
         try:
             settings = parse_settings(raw_settings)
@@ -110,11 +117,11 @@
 
 def _exit_with_error(text: str) -> NoReturn:
     print(f"{ERROR_PREFIX}{text}", file=sys.stderr)
-    raise SystemExit(EXIT_BAD_INPUT)
+    raise SystemExit(EXIT_CODE_BAD_INPUT)
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> None:
-    """Answer each line of the source by one of the sink; bad input ends the process with a plain line."""
+    """Reply to each line of the source; malformed input ends the process with one line on standard error."""
     adapter = SimulatorAdapter()
     gc.freeze()
     for line in source:
--- a/quota_gateway/simulator_protocol.py
+++ b/quota_gateway/simulator_protocol.py
@@ -1,6 +1,7 @@
-"""The simulator's messages and commands: their fields, what they mean to the decisions, and their checks.
+"""The simulator's messages and commands: the checks of their fields, and the events and actions they mean.
 
-Message names, their fields and the order of these are the simulator's protocol.
+The names of messages, commands and fields, and the order of the fields, are those of the simulator's
+protocol. Here they are mapped to the names of the code.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 
 from quota_gateway import model
 
-RETRY_FLAG = 2  # bit of ``opts``: the request repeats an earlier one of its client
-DEFAULT_UNITS = 1.0  # quota units of a request that names no price
-DEFAULT_WEIGHT = 1.0  # of an endpoint that names no size
+RETRY_FLAG = 2  # bit of ``opts``: the client retries an earlier request
+DEFAULT_UNITS = 1.0  # quota units of a request without a price
+DEFAULT_WEIGHT = 1.0  # of an endpoint without a size
 
 STATUSES = {
     "OK": model.CallStatus.OK,
@@ -29,7 +30,7 @@
     "cordoned": model.EndpointHealth.DRAINING,
     "deregistered": model.EndpointHealth.REMOVED,
 }
-# Whether an endpoint list of that kind is complete. A FAILED one carries no list.
+# Whether an endpoint list of that kind is complete. A message of the kind FAILED has no list.
 MEMBERSHIP_KINDS = {"INCREMENTAL": False, "FULL": True, "SAVED": True}
 FAILED_MEMBERSHIP = "FAILED"
 T = TypeVar("T")
@@ -37,15 +38,15 @@
 
 
 class WireError(Exception):
-    """A message that the protocol does not allow; the text names the message and the field."""
+    """A malformed message; the text names the message and the field."""
 
 
 class Field(NamedTuple):
-    """One value of a message."""
+    """The description of one value of a message."""
 
     name: str
     types: tuple[type, ...]
-    optional: bool  # may be null, or left out at the end of the message
+    optional: bool  # may be null, or omitted at the end of the message
 
 
 INTEGER = (int,)
@@ -126,7 +127,7 @@
 
 
 def _unpack(message: str, fields: tuple[Field, ...], values: list[Any]) -> list[Any]:
-    """One message's values, checked against its fields; optional ones that are left out become None."""
+    """Return a message's values, checked against its fields; an omitted optional value becomes None."""
     if len(values) > len(fields):
         raise WireError(f"{message}: {len(values)} values, {len(fields)} expected")
     padded = values + [None] * (len(fields) - len(values))
@@ -140,7 +141,7 @@
 
 
 def unpack_message(message: Any) -> tuple[str, list[Any]]:
-    """A message's name, and one value for each of its fields; ``WireError`` where they do not fit."""
+    """Return a message's name and one value for each of its fields; ``WireError`` if it is malformed."""
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
         raise WireError("a message is not an array that starts with its name")
     name, *values = message
@@ -151,7 +152,7 @@
 
 
 def _choice(choices: dict[str, T], message: str, word: str) -> T:
-    """The meaning of one of the words that a field allows."""
+    """Return the meaning of a word; the field allows only the words of ``choices``."""
     try:
         return choices[word]
     except KeyError:
@@ -159,7 +160,7 @@
 
 
 def decode_endpoint(entry: Any) -> model.Endpoint:
-    """One entry of the message ``register``; ``WireError`` where it cannot be read."""
+    """Return an endpoint that a message ``register`` lists; ``WireError`` if the entry is malformed."""
     if not isinstance(entry, list):
         raise WireError("register: an entry is not an array")
     born_s, size, group, _machine, server, health, zone = _unpack("register", ENDPOINT_FIELDS, entry)
@@ -264,7 +265,7 @@
     return model.EndpointUpdate(endpoint_lists[list_id], complete)
 
 
-# Messages without a decoder here mean nothing to the decisions (``begun``, ``peer``), or act on the adapter.
+# Other messages are not events: ``begun`` and ``peer`` are ignored, and the rest is for the adapter itself.
 EVENT_DECODERS: dict[str, Callable[..., model.Event]] = {
     "incoming": _decode_incoming,
     "resolved": _decode_resolved,
@@ -276,9 +277,9 @@
 
 
 def decode_event(message: str, values: list[Any], endpoint_lists: EndpointLists) -> model.Event | None:
-    """The event that a message's unpacked values mean; None where it means nothing to the decisions.
+    """Return the event that a message and its unpacked values mean; None if it is not an event.
 
-    ``WireError`` names a value that the protocol does not know.
+    ``WireError`` names an unknown value.
     """
     decode = EVENT_DECODERS.get(message)
     if decode is not None:
@@ -333,5 +334,5 @@
 
 
 def encode_command(action: model.Action) -> list[Any]:
-    """The command that carries out an action."""
+    """Return the command that executes an action."""
     return COMMAND_ENCODERS[type(action)](action)
--- a/quota_gateway/state/consecutive_failures.py
+++ b/quota_gateway/state/consecutive_failures.py
@@ -9,7 +9,7 @@
 class ConsecutiveFailures:
     """Connection failures and timeouts of one endpoint since its last response.
 
-    Any response, good or bad, ends both series.
+    Any response ends both series, an error too.
     """
 
     connection_failures: int = 0
