--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -152,7 +152,7 @@
 def _cost(state: EndpointState, work: float) -> float:
     """Return the expected latency, weighted by the probability of a failure."""
     success_rate = max(MIN_SUCCESS_RATE, 1 - state.failure_rate)
-    return max(1.0, state.slowdown) * (state.work_in_flight + work) / success_rate**2
+    return max(1.0, state.slowdown.recent) * (state.work_in_flight + work) / success_rate**2
 
 
 def _rejection_reason(*, is_full: bool, has_fitting: bool, has_healthy: bool) -> RejectionReason:
--- a/quota_gateway/decisions/slow_start.py
+++ b/quota_gateway/decisions/slow_start.py
@@ -45,8 +45,8 @@
         if warm_fraction >= 1:
             state.finish_warming_up()
             return True
-        if state.responses >= MIN_RESPONSES:
-            warm_fraction = _observed_warm_fraction(warm_fraction, state.mean_slowdown)
+        if state.slowdown.responses >= MIN_RESPONSES:
+            warm_fraction = _observed_warm_fraction(warm_fraction, state.slowdown.mean)
         safe_load = SAFE_LOAD_FRACTION * settings.overload_multiple * min(1.0, warm_fraction)
         rate = safe_load * self.completion_rate / self.context.process_count
         capacity = rate * settings.overload_window * ALLOWANCE_FRACTION
--- a/quota_gateway/state/endpoint.py
+++ b/quota_gateway/state/endpoint.py
@@ -9,6 +9,7 @@
 from quota_gateway.model import Endpoint, EndpointHandover, EndpointHealth
 from quota_gateway.state.consecutive_failures import ConsecutiveFailures
 from quota_gateway.state.slow_start_allowance import SlowStartAllowance
+from quota_gateway.state.slowdown import Slowdown
 
 # Less work in flight than this is a rounding error: a half-open endpoint would never get its next request.
 NEGLIGIBLE_WORK_SECONDS = 1e-9
@@ -27,7 +28,7 @@
     - ``unresponsive_since`` is None while no response is expected, as always without an attempt in flight.
       Otherwise it is the time of the last sign of life, or of the first attempt that waits for a response.
     - ``half_open`` begins with an ejection and ends with a good response or a restore.
-    - ``responses``, ``mean_slowdown`` and ``slowdown`` hold for the current incarnation only.
+    - ``slowdown`` holds for the current incarnation only.
     """
 
     endpoint: Endpoint
@@ -40,10 +41,7 @@
     work_completed: float = 0.0  # in the current interval
     work_rate: float = 0.0  # completed work per second
     unresponsive_since: float | None = None
-    # Latency.
-    responses: int = 0  # good ones
-    mean_slowdown: float = 0.0  # mean latency divided by the idle latency
-    slowdown: float = 0.0  # recent latency divided by the idle latency; 0: unknown
+    slowdown: Slowdown = field(default_factory=Slowdown)
     # Outlier detection.
     failure_rate: float = 0.0  # moving average of failed attempts
     consecutive_failures: ConsecutiveFailures = field(default_factory=ConsecutiveFailures)
@@ -118,9 +116,7 @@
     def record_response(self, work: float, slowdown: float, weight: float) -> None:
         """Record a good response, with its latency divided by the idle latency."""
         self.work_completed += work
-        self.responses += 1
-        self.slowdown = moving_average(self.slowdown, slowdown, weight)
-        self.mean_slowdown += max(weight, 1 / self.responses) * (slowdown - self.mean_slowdown)
+        self.slowdown.record(slowdown, weight)
 
     def close_interval(self, elapsed: float, weight: float) -> None:
         """Update the work rate with the work completed in an interval, and start the next one."""
@@ -188,8 +184,7 @@
     def start_warming_up(self, since: float) -> None:
         """Start the slow start of a new incarnation; the latency of the old one does not hold for it."""
         self.warming_since = since
-        self.slowdown = 0.0
-        self.responses = 0
+        self.slowdown.reset()
 
     def finish_warming_up(self) -> None:
         """End the slow start."""
@@ -203,9 +198,9 @@
             name=self.endpoint.name,
             started_at=self.endpoint.started_at,
             warming_since=self.warming_since,
-            responses=self.responses,
-            mean_slowdown=self.mean_slowdown,
-            slowdown=self.slowdown,
+            responses=self.slowdown.responses,
+            mean_slowdown=self.slowdown.mean,
+            slowdown=self.slowdown.recent,
             work_rate=self.work_rate,
         )
 
@@ -214,8 +209,6 @@
         # A slow start that began later here, as by a restore, was not yet known to the other process.
         if self.warming_since is None or (handover.warming_since or 0.0) > self.warming_since:
             self.warming_since = handover.warming_since
-        self.responses = handover.responses
-        self.mean_slowdown = handover.mean_slowdown
-        self.slowdown = handover.slowdown
+        self.slowdown = Slowdown(handover.responses, handover.mean_slowdown, handover.slowdown)
         self.work_rate = handover.work_rate
         self.allowance.restart_clock(now)
