--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -1,7 +1,7 @@
-"""A simulation of many gateways and endpoints in one process: no sockets, one simulated clock.
+"""A simulation of many gateways and endpoints in one process, without sockets and on one simulated clock.
 
-No gateway knows of another one, and none knows what an endpoint can do. A restarted endpoint warms up as late
-as the settings allow.
+No gateway knows the other gateways or the capacity of an endpoint. A restarted endpoint warms up as slowly as
+the settings allow.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 READ_FRACTION = 0.7  # of the requests; the others are posts
 CORE_SECONDS = {"read": 0.1, "post": 0.05}  # on one core of a warm endpoint
 MEAN_CORE_SECONDS = READ_FRACTION * CORE_SECONDS["read"] + 0.3 * CORE_SECONDS["post"]
-CLIENT_TIMEOUT = 2.0  # seconds
+CLIENT_TIMEOUT_SECONDS = 2.0
 CUSTOMERS = 500
-ROUND_TRIP = 0.004  # seconds on the network
-MAX_QUEUE = 40  # requests that wait at an endpoint before it rejects more
-TRAFFIC_SPREAD = 1.2  # sigma of the lognormal distribution of the load over the gateways
-START = 100.0  # when the first gateway starts
+ROUND_TRIP_SECONDS = 0.004
+MAX_QUEUED_REQUESTS = 40  # at an endpoint, which rejects more
+TRAFFIC_SIGMA = 1.2  # of the lognormal distribution of the load over the gateways
+START_TIME = 100.0  # of the first gateway
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that an endpoint got, overloaded or not."""
+    """A request that an endpoint received, whether it then rejected it or not."""
 
     received_at: float
-    is_notified: bool  # the gateway knew from the endpoint list of this incarnation
-    size: float  # its work in requests of mean work
+    is_notified: bool  # the gateway had this incarnation in its endpoint list
+    size: float  # its work divided by the mean work
 
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint with some cores and one queue for each; it counts as warm until it restarts."""
+    """An endpoint with one queue per core; it counts as warm until it restarts."""
 
     entry: model.Endpoint
     cores: int
@@ -53,14 +53,14 @@
 
 @dataclass
 class ClientRequest:
-    """A request and the number of attempts that were made so far."""
+    """A request and the number of its attempts so far."""
 
     request_class: str
     attempts: int = 0
 
 
 def fleet_settings(gateways: int) -> model.Settings:
-    """The settings of all gateways, but for their places."""
+    """Return the settings of all gateways; only their indices differ."""
     return make_settings(
         gateway_count=gateways,
         classes=(READ, POST),
@@ -83,52 +83,52 @@
         load: float,
         seed: int,
         cores: int = 1,
-        is_always_quick: bool = False,
+        is_always_fast: bool = False,
     ) -> None:
-        """Start at a load given as a share of what all endpoints bear when they are warm.
+        """Schedule the start; ``load`` is a fraction of the capacity of all endpoints when they are warm.
 
-        Where ``is_always_quick`` all answers come as from a warm endpoint.
+        With ``is_always_fast`` all endpoints respond like warm ones.
         """
         self.rng = Random(seed)
-        self.now = START
+        self.now = START_TIME
         self.seed = seed
         self.cores = cores
-        self.is_always_quick = is_always_quick
+        self.is_always_fast = is_always_fast
         self.settings = fleet_settings(gateways)
         self.scheduled: list[tuple[float, int, Callable[[], None]]] = []  # a heap by time and order
         self.scheduled_count = 0
         self.endpoints: dict[str, SimulatedEndpoint] = {}
         for number in range(endpoints):
             self.add_endpoint(f"s{number}")
-        weights = [self.rng.lognormvariate(0, TRAFFIC_SPREAD) for _ in range(gateways)]
+        weights = [self.rng.lognormvariate(0, TRAFFIC_SIGMA) for _ in range(gateways)]
         self.cumulative_weights = list(accumulate(weights))
         self.gateways: list[Gateway | None] = [None] * gateways
-        self.incarnations = [0] * gateways  # a restarted gateway learns nothing of what came before
+        self.incarnations = [0] * gateways  # events for an earlier incarnation of a gateway are dropped
         self.notified: list[dict[str, float]] = [{} for _ in range(gateways)]  # start times by endpoint
         self.requests: dict[int, ClientRequest] = {}
         self.rate = load * endpoints * cores / MEAN_CORE_SECONDS  # requests a second
         self._schedule_start()
 
     def _schedule_start(self) -> None:
-        """Gateways start within the first second, and the traffic with its end."""
+        """Schedule the gateways within the first second, and the traffic after it."""
         for gateway in range(len(self.gateways)):
-            self.schedule(START + self.rng.random(), partial(self.start_gateway, gateway))
-        self.schedule(START + 1.0, self._receive_request)
+            self.schedule(START_TIME + self.rng.random(), partial(self.start_gateway, gateway))
+        self.schedule(START_TIME + 1.0, self._receive_request)
 
     def schedule(self, time: float, step: Callable[[], None]) -> None:
-        """Do this at the given time, after all that was scheduled for the same time before."""
+        """Schedule a step; steps at the same time are executed in the order of scheduling."""
         self.scheduled_count += 1
         heapq.heappush(self.scheduled, (time, self.scheduled_count, step))
 
     def run(self, until: float) -> None:
-        """Let the time pass."""
+        """Execute the scheduled steps until the given time."""
         while self.scheduled and self.scheduled[0][0] <= until:
             self.now, _, step = heapq.heappop(self.scheduled)
             step()
         self.now = until
 
     def add_endpoint(self, name: str, started_at: float = 0.0) -> None:
-        """An endpoint starts; no gateway knows of it yet."""
+        """Start an endpoint without notifying the gateways."""
         number = len(self.endpoints)
         entry = model.Endpoint(
             name=name,
@@ -146,14 +146,14 @@
         )
 
     def warm_fraction(self, endpoint: SimulatedEndpoint, time: float) -> float:
-        """Share of its full capacity that an endpoint has."""
+        """Return the fraction of its full capacity that an endpoint has."""
         initial = self.settings.initial_capacity
         age = time - endpoint.warming_since
         fraction = initial + (1 - initial) * age / self.settings.warm_up_time
         return max(initial, min(1.0, fraction))
 
     def start_gateway(self, gateway: int) -> None:
-        """Start a gateway, or another one in its place, and give it the endpoint list."""
+        """Start or restart a gateway, and deliver the endpoint list to it."""
         settings = replace(self.settings, gateway_index=gateway)
         self.gateways[gateway] = Gateway(settings, self.seed * 1000 + gateway, self.now)
         self.incarnations[gateway] += 1
@@ -162,7 +162,7 @@
         self._feed(gateway, model.EndpointUpdate(entries, True))
 
     def notify(self, gateway: int, names: Iterable[str]) -> None:
-        """Tell a gateway how these endpoints stand in the endpoint list now."""
+        """Deliver the current entries of these endpoints to a gateway."""
         entries = tuple(self.endpoints[name].entry for name in names)
         self._feed(gateway, model.EndpointUpdate(entries, False))
 
@@ -196,22 +196,22 @@
         request_class = "read" if self.rng.random() < READ_FRACTION else "post"
         self.requests[request_id] = ClientRequest(request_class)
         account = f"{self.rng.randrange(CUSTOMERS):016x}"
-        self._feed(gateway, model.Request(request_id, request_class, "free", CLIENT_TIMEOUT, account))
+        self._feed(gateway, model.Request(request_id, request_class, "free", CLIENT_TIMEOUT_SECONDS, account))
 
     def _check_health(self, gateway: int, action: model.CheckHealth) -> None:
         is_down = self.endpoints[action.endpoint].down_until > self.now
         status = model.CallStatus.UNREACHABLE if is_down else model.CallStatus.OK
-        event = model.HealthChecked(action.endpoint, status, ROUND_TRIP, {})
-        self._feed_later(self.now + ROUND_TRIP, gateway, event)
+        event = model.HealthChecked(action.endpoint, status, ROUND_TRIP_SECONDS, {})
+        self._feed_later(self.now + ROUND_TRIP_SECONDS, gateway, event)
 
     def _forward(self, gateway: int, action: model.Forward) -> None:
         request = self.requests[action.request_id]
         attempt = request.attempts
         request.attempts += 1
-        given_up_at = self.now + action.timeout
+        times_out_at = self.now + action.timeout
         ends_at, status = self._execute(gateway, action.endpoint, request.request_class)
-        if ends_at > given_up_at:
-            ends_at = given_up_at
+        if ends_at > times_out_at:
+            ends_at = times_out_at
             status = model.CallStatus.TIMEOUT
         event = model.AttemptCompleted(
             request_id=action.request_id,
@@ -225,18 +225,18 @@
         self._feed_later(ends_at, gateway, event)
 
     def _execute(self, gateway: int, name: str, request_class: str) -> tuple[float, model.CallStatus]:
-        """When and how an attempt ends that an endpoint gets now."""
+        """Return when and how an attempt ends that an endpoint receives now."""
         endpoint = self.endpoints[name]
         if endpoint.down_until > self.now:
-            return self.now + ROUND_TRIP, model.CallStatus.UNREACHABLE
+            return self.now + ROUND_TRIP_SECONDS, model.CallStatus.UNREACHABLE
         is_notified = self.notified[gateway].get(name) == endpoint.entry.started_at
         size = CORE_SECONDS[request_class] / MEAN_CORE_SECONDS
         endpoint.received.append(ReceivedRequest(self.now, is_notified, size))
         core = min(range(endpoint.cores), key=lambda core: endpoint.core_free_at[core])
         starts_at = max(self.now, endpoint.core_free_at[core])
-        speed = 1.0 if self.is_always_quick else self.warm_fraction(endpoint, starts_at)
+        speed = 1.0 if self.is_always_fast else self.warm_fraction(endpoint, starts_at)
         work = CORE_SECONDS[request_class] * self.rng.uniform(0.7, 1.3) / speed
-        if (starts_at - self.now) * endpoint.cores > MAX_QUEUE * work:
-            return self.now + ROUND_TRIP, model.CallStatus.OVERLOADED
+        if (starts_at - self.now) * endpoint.cores > MAX_QUEUED_REQUESTS * work:
+            return self.now + ROUND_TRIP_SECONDS, model.CallStatus.OVERLOADED
         endpoint.core_free_at[core] = starts_at + work
-        return starts_at + work + ROUND_TRIP, model.CallStatus.OK
+        return starts_at + work + ROUND_TRIP_SECONDS, model.CallStatus.OK
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -1,4 +1,4 @@
-"""Long arbitrary but legal runs of one simulated gateway."""
+"""Long runs of one simulated gateway with random legal events."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.simulation import AttemptKey, GatewaySimulation, endpoint_list, make_request, make_settings
 
 ENDPOINTS = [f"s{number}" for number in range(6)]
-TIME_STEPS = (0.0, 0.01, 0.1, 0.7)  # seconds between two events
+TIME_STEPS_SECONDS = (0.0, 0.01, 0.1, 0.7)  # between two events
 FAILURES = [status for status in model.CallStatus if status is not model.CallStatus.OK]
 COUNTER_STATUSES = (
     model.CallStatus.OK,
@@ -22,12 +22,12 @@
 def run_random_events(
     seed: int, steps: int, settings: model.Settings | None = None
 ) -> list[list[model.Action]]:
-    """Feed a gateway random legal events; gives its actions on each, once every request has its answer."""
+    """Feed a gateway random legal events until all requests are answered, and return the actions of each."""
     rng = Random(seed)
     simulation = GatewaySimulation(settings or make_settings(), seed)
     log = [simulation.feed(endpoint_list(*ENDPOINTS))]
     for step in range(steps):
-        simulation.advance_to(simulation.now + rng.choice(TIME_STEPS))
+        simulation.advance_to(simulation.now + rng.choice(TIME_STEPS_SECONDS))
         event = _random_event(simulation, rng, step)
         if event is not None:
             log.append(simulation.feed(event))
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,4 +1,4 @@
-"""A simulation of one gateway: fed with legal events, and every action is checked against the invariants."""
+"""A simulation of one gateway, which checks every action of it against the invariants."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     model.CallStatus.NOT_SENT,
 }
 ZONES = "ab"
-TIME_TOLERANCE = 1e-9  # seconds, for sums of floating numbers
-DEADLINE_TOLERANCE = 1e-6  # seconds
+TIME_TOLERANCE_SECONDS = 1e-9  # rounding errors
+DEADLINE_TOLERANCE_SECONDS = 1e-6
 
 IDEMPOTENT_CLASS = model.RequestClass("read", 1.0, 1.0, model.Idempotency.INHERENT)
 KEYED_CLASS = model.RequestClass(
@@ -41,7 +41,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Names an attempt."""
+    """The identity of an attempt."""
 
     request_id: int
     attempt: int
@@ -55,14 +55,14 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request and the time at which its client gives up."""
+    """A request and the time of its client's timeout."""
 
     request: model.Request
     deadline: float
 
 
 class ForwardedRequest(NamedTuple):
-    """One attempt that the gateway has made, with the request."""
+    """One attempt of the gateway, with its request."""
 
     sent_at: float
     endpoint: str
@@ -77,7 +77,7 @@
 
 
 class DueStep(NamedTuple):
-    """A timer or a time-out that is due; at the same time timers come first."""
+    """A timer or a timeout that is due; of steps at the same time, timers are first."""
 
     at: float
     is_timeout: bool
@@ -86,7 +86,7 @@
 
 
 def make_settings(**changes: object) -> model.Settings:
-    """Settings of the first of three gateways, with these changes."""
+    """Return the settings of the first of three gateways, with these changes."""
     settings = model.Settings(
         gateway_index=0,
         gateway_count=3,
@@ -113,7 +113,7 @@
     started_at: float = 0.0,
     health: model.EndpointHealth = model.EndpointHealth.HEALTHY,
 ) -> model.EndpointUpdate:
-    """A complete endpoint list; the endpoints alternate between two zones, two to a cell."""
+    """Return a complete endpoint list; endpoints alternate between two zones, and each cell has two."""
     endpoints = tuple(
         model.Endpoint(name, health, ZONES[position % 2], position // 2, 1.0, started_at)
         for position, name in enumerate(names)
@@ -129,7 +129,7 @@
     timeout: float = 3.0,
     units: float = 1.0,
 ) -> model.Request:
-    """A request of a customer that three gateways serve."""
+    """Return a request of a customer that three gateways serve."""
     return model.Request(
         id=request_id,
         request_class=request_class,
@@ -148,7 +148,7 @@
     status: model.CallStatus,
     elapsed: float = 0.1,
 ) -> model.AttemptCompleted:
-    """The end of an attempt; a good answer is the request's final one."""
+    """Return the completion of an attempt; a good response is the final answer of the request."""
     return model.AttemptCompleted(
         request_id=request_id,
         attempt=attempt,
@@ -161,15 +161,15 @@
 
 
 class GatewaySimulation:
-    """Feeds one gateway legal events on a simulated clock; an action that breaks an invariant fails at once.
+    """Feeds one gateway legal events on a simulated clock, and fails at an action that violates an invariant.
 
-    The invariants: one final answer for each request, before its deadline; attempts only at healthy endpoints
-    and within their limit; a request that may have been executed is repeated or rejected only where its
+    The invariants: each request gets one final answer, before its deadline; attempts are made only at healthy
+    endpoints and within the limit; a request that may have been executed is repeated or rejected only if its
     idempotency allows it.
     """
 
     def __init__(self, settings: model.Settings, seed: int = 1, now: float = 100.0) -> None:
-        """Start a gateway that knows no endpoint yet."""
+        """Start a gateway without an endpoint list."""
         self.settings = settings
         self.now = now
         self.gateway = Gateway(settings, seed, now)
@@ -181,19 +181,19 @@
         self.first_executed: dict[int, SentAttempt] = {}  # the first attempt that may have been executed
         self.outcomes: dict[int, Outcome] = {}
         self.timers: list[Timer] = []
-        self.counter_calls: list[model.IncrementCounter] = []  # without a reply yet
+        self.counter_calls: list[model.IncrementCounter] = []  # pending
         self.counter_totals: dict[int, float] = {}  # units, by counter
         self.forwarded: list[ForwardedRequest] = []
 
     def feed(self, event: model.Event) -> list[model.Action]:
-        """Have the gateway decide on an event; gives its actions, once they are checked."""
+        """Let the gateway decide on an event, check its actions and return them."""
         if isinstance(event, model.EndpointUpdate):
             self._apply_endpoint_update(event)
         elif isinstance(event, model.Request):
             self.requests[event.id] = ReceivedRequest(event, self.now + event.timeout)
             self.attempts[event.id] = []
         elif isinstance(event, model.AttemptCompleted):
-            self._end_attempt(event)
+            self._record_completion(event)
         elif isinstance(event, model.ClientDisconnected):
             self.outcomes.setdefault(event.request_id, Outcome.DISCONNECTED)
         actions = self.gateway.handle(self.now, event)
@@ -208,7 +208,7 @@
         self.listed_endpoints.update(listed)
         self.known_endpoints |= set(listed)
 
-    def _end_attempt(self, event: model.AttemptCompleted) -> None:
+    def _record_completion(self, event: model.AttemptCompleted) -> None:
         sent = self.in_flight.pop(AttemptKey(event.request_id, event.attempt))
         if event.status not in NEVER_EXECUTED:
             self.first_executed.setdefault(event.request_id, sent)
@@ -232,10 +232,10 @@
 
     def _check_forward(self, action: model.Forward) -> None:
         request, deadline = self.requests[action.request_id]
-        assert action.request_id not in self.outcomes, "sent after the final answer"
-        assert 0 < action.timeout <= deadline - self.now + TIME_TOLERANCE
+        assert action.request_id not in self.outcomes, "forwarded after the final answer"
+        assert 0 < action.timeout <= deadline - self.now + TIME_TOLERANCE_SECONDS
         endpoint = self.listed_endpoints[action.endpoint]
-        assert endpoint.health is model.EndpointHealth.HEALTHY, "sent to a draining or removed endpoint"
+        assert endpoint.health is model.EndpointHealth.HEALTHY, "forwarded to a draining or removed endpoint"
         attempts = self.attempts[action.request_id]
         assert len(attempts) < self.settings.max_attempts
         requests_in_flight = (key.request_id for key in self.in_flight)
@@ -271,11 +271,11 @@
             )
             is_inherent = request_class.idempotency is model.Idempotency.INHERENT
             assert is_inherent or is_deduplicated_everywhere, "rejected though it may have been executed"
-        assert self.now <= deadline + DEADLINE_TOLERANCE, "answered late"
+        assert self.now <= deadline + DEADLINE_TOLERANCE_SECONDS, "answered late"
         self.outcomes[action.request_id] = Outcome.REJECTED if is_rejected else Outcome.FAILED
 
     def advance_to(self, time: float) -> None:
-        """Move the clock, firing timers and timing attempts out at their clients' deadlines."""
+        """Advance the clock; timers fire, and attempts time out at the deadlines of their clients."""
         while due_steps := self._due_steps(time):
             step = min(due_steps)
             self.now = max(self.now, step.at)
@@ -295,7 +295,7 @@
         return [step for step in (*timers, *timeouts) if step.at <= time]
 
     def reply_to_counter_calls(self, status: model.CallStatus = model.CallStatus.OK) -> None:
-        """End all counter calls, also those that the replies bring about."""
+        """Reply to all pending counter calls, including those that the replies cause."""
         while self.counter_calls:
             call = self.counter_calls.pop(0)
             total = self.counter_totals.get(call.counter_id, 0.0)
@@ -307,24 +307,28 @@
     def complete_attempt(
         self, key: AttemptKey, status: model.CallStatus = model.CallStatus.OK, elapsed: float = 0.1
     ) -> list[model.Action]:
-        """End one attempt in flight."""
+        """Complete one attempt in flight, and return the actions."""
         endpoint = self.in_flight[key].endpoint
         return self.feed(attempt_completed(key.request_id, key.attempt, endpoint, status, elapsed))
 
     def complete_attempts(self, status: model.CallStatus = model.CallStatus.OK, elapsed: float = 0.1) -> None:
-        """End all attempts that are in flight now."""
+        """Complete all attempts that are in flight now; not those that these completions cause."""
         for key in list(self.in_flight):
             self.complete_attempt(key, status, elapsed)
 
+    def attempts_at(self, endpoint: str) -> list[AttemptKey]:
+        """Return the attempts in flight at an endpoint."""
+        return [key for key, sent in self.in_flight.items() if sent.endpoint == endpoint]
+
     def endpoints_since(self, time: float) -> list[str]:
-        """The endpoints of all attempts made after this time."""
+        """Return the endpoints of all attempts after the given time."""
         return [forward.endpoint for forward in self.forwarded if forward.sent_at > time]
 
 
 def start_simulation(
     *endpoints: str, seed: int = 1, settings: model.Settings | None = None
 ) -> GatewaySimulation:
-    """A simulated gateway that knows these endpoints; by default three, and the settings without changes."""
+    """Return a simulated gateway that knows these endpoints, by default three, with default settings."""
     simulation = GatewaySimulation(settings or make_settings(), seed)
     simulation.feed(endpoint_list(*(endpoints or ("s0", "s1", "s2"))))
     return simulation
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 
 
 def test_expected_work_of_a_request_grows_with_its_units(simulation: GatewaySimulation) -> None:
-    for request_id in range(2000):  # half of them take one unit and 0.02 s, half take four and 0.08 s
+    for request_id in range(2000):  # half of them one unit and 0.02 s, half four units and 0.08 s
         simulation.advance_to(simulation.now + 0.02)
         units = 1.0 + 3.0 * (request_id % 2)
         simulation.feed(make_request(request_id, units=units))
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The load controller: what it admits when fresh, under overload and after a stall."""
+"""The load controller: admission by a fresh gateway, under overload and after a stall."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 from tests.traffic import send_steadily
 
 
-def test_fresh_gateway_admits_all_until_overload_closes_the_gate(simulation: GatewaySimulation) -> None:
+def test_fresh_gateway_admits_all_requests_until_overload_closes_the_gate(
+    simulation: GatewaySimulation,
+) -> None:
     next_id = send_steadily(simulation, 0.9, 50, 0)
     assert Outcome.REJECTED not in simulation.outcomes.values()
-    # What was admitted freely is no debt at the gate after the first reading.
+    # Requests that were admitted before the first load reading must not count against the gate's tokens.
     next_id = send_steadily(simulation, 1.0, 50, next_id)
     assert Outcome.REJECTED not in simulation.outcomes.values()
     send_steadily(simulation, 60, 50, next_id, elapsed=0.99)
@@ -18,8 +20,8 @@
     assert late_outcomes.count(Outcome.REJECTED) > 20
 
 
-def test_gate_closed_under_one_request_a_second_opens_again_once_answers_are_quick() -> None:
-    """A closed gate gets no readings: with its last reading kept it would stay closed for good."""
+def test_gate_closed_at_one_request_per_second_opens_again_once_responses_are_fast() -> None:
+    """A closed gate gets no load readings: if it kept the last one, it would stay closed forever."""
     simulation = start_simulation(settings=make_settings(gateway_count=300))
     next_id = send_steadily(simulation, 60, 1, 0, elapsed=0.99)
     assert simulation.gateway.controller.admit_rate < 0.5
@@ -28,7 +30,7 @@
     assert late_outcomes.count(Outcome.SERVED) > 15
 
 
-def test_stall_starts_the_control_loop_afresh(simulation: GatewaySimulation) -> None:
+def test_control_loop_restarts_after_a_stall(simulation: GatewaySimulation) -> None:
     send_steadily(simulation, 4, 40, 0)
     assert simulation.gateway.controller.integral is not None
     simulation.now += 30
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoint list, and the subset of the endpoints that a gateway keeps to."""
+"""The endpoint list, and the subset of the endpoints that a gateway uses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.traffic import send_steadily
 
 
-def test_nothing_new_goes_to_a_draining_or_removed_endpoint() -> None:
+def test_draining_and_removed_endpoints_get_no_new_requests() -> None:
     simulation = start_simulation("s0", "s1")
     draining = model.Endpoint("s0", model.EndpointHealth.DRAINING, "a")
     simulation.feed(model.EndpointUpdate((draining,), False))
@@ -26,7 +26,7 @@
     assert any(isinstance(action, model.Reject) for action in actions)
 
 
-def test_removed_endpoints_are_forgotten_once_nothing_is_in_flight_there() -> None:
+def test_removed_endpoints_are_forgotten_once_they_have_no_attempt_in_flight() -> None:
     simulation = start_simulation("s0")
     simulation.feed(make_request(0))  # in flight at s0
     for number in range(1, 50):
@@ -37,12 +37,12 @@
     simulation.complete_attempts()
     simulation.advance_to(simulation.now + 1.1)
     assert set(simulation.gateway.endpoints.by_name) == {"s49"}
-    simulation.feed(endpoint_list("s0", "s49"))  # it may come back, as a new one
+    simulation.feed(endpoint_list("s0", "s49"))  # an endpoint that is listed again counts as new
     send_steadily(simulation, 3, 20, 100)
     assert {forward.endpoint for forward in simulation.forwarded[-30:]} == {"s0", "s49"}
 
 
-def test_sparse_gateway_keeps_to_few_endpoints_and_takes_others_when_they_are_unreachable() -> None:
+def test_sparse_gateway_uses_few_endpoints_and_replaces_those_that_are_unreachable() -> None:
     settings = make_settings(gateway_count=300, gateway_index=7)
     simulation = start_simulation(*(f"s{number}" for number in range(80)), settings=settings)
     next_id = send_steadily(simulation, 40, 2, 0)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Open requests: the time-out of an attempt, and what an endpoint owes once a request has ended."""
+"""Open requests: the timeout of an attempt, and when an endpoint is expected to respond."""
 
 from __future__ import annotations
 
@@ -19,29 +19,28 @@
 
 
 def forwards(actions: list[model.Action]) -> list[model.Forward]:
-    """The attempts among some actions."""
+    """Return the ``Forward`` actions."""
     return [action for action in actions if isinstance(action, model.Forward)]
 
 
-def test_attempt_times_out_at_the_latency_objective_where_a_late_answer_has_no_value() -> None:
+def test_attempt_times_out_at_the_latency_objective_if_a_late_response_has_no_value() -> None:
     simulation = start_simulation("s0")
     attempts = forwards(simulation.feed(make_request(1, "post", timeout=9.0)))
     assert attempts[0].timeout == pytest.approx(2.0)
 
 
-def test_attempt_is_not_given_up_early_for_a_retry() -> None:
+def test_attempt_has_all_of_the_useful_time_even_if_retries_are_allowed() -> None:
     simulation = start_simulation(settings=make_settings(max_attempts=4))
     attempts = forwards(simulation.feed(make_request(0, "read", timeout=3.0)))
-    # All of the time in which the answer is of use.
     useful_time = pytest.approx(IDEMPOTENT_CLASS.latency_objective)
     assert [attempt.timeout for attempt in attempts] == [useful_time]
 
 
-def test_endpoint_is_used_again_after_the_client_of_its_only_request_disconnected() -> None:
+def test_endpoint_is_used_again_after_the_client_of_its_only_request_has_disconnected() -> None:
     simulation = start_simulation("a", "b", "c", "d", "e", "f")
     attempts = forwards(simulation.feed(make_request(1)))
     simulation.feed(model.ClientDisconnected(1))
-    simulation.in_flight.clear()  # it is cancelled; how an attempt of an ended request ends is ignored
+    simulation.in_flight.clear()  # the attempt is cancelled, and its completion is ignored
     used_again: set[str] = set()
     for request_id in range(2, 200):
         simulation.now += 0.2
@@ -52,7 +51,7 @@
 
 
 @pytest.mark.parametrize("status", [model.CallStatus.UNREACHABLE, model.CallStatus.TIMEOUT])
-def test_endpoint_with_nothing_in_flight_owes_no_answer(
+def test_no_response_is_expected_of_an_endpoint_without_attempts_in_flight(
     simulation: GatewaySimulation, status: model.CallStatus
 ) -> None:
     simulation.feed(make_request(0))
@@ -65,7 +64,7 @@
     assert all(endpoint.unresponsive_since is None for endpoint in endpoints)
 
 
-def test_endpoint_is_not_taken_as_unresponsive_during_an_upload() -> None:
+def test_endpoint_does_not_count_as_unresponsive_during_an_upload() -> None:
     simulation = start_simulation("s0")
     request = model.Request(
         id=1, request_class="read", plan="free", timeout=3.0, account="x", serving_gateways=3, uploading=True
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway as a whole: unusual but legal input, and settings that it cannot run with."""
+"""The gateway as a whole: unusual but legal events, and invalid settings."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from tests.simulation import GatewaySimulation, Outcome, make_request, make_settings
 
 
-def test_unusual_but_legal_input_is_rejected_or_ignored() -> None:
+def test_unusual_but_legal_events_are_rejected_or_ignored() -> None:
     simulation = GatewaySimulation(make_settings())
     now = simulation.now
     gateway = simulation.gateway
-    actions = simulation.feed(make_request(1))  # no endpoint is known yet
+    actions = simulation.feed(make_request(1))  # before the first endpoint list
     assert any(isinstance(action, model.Reject) for action in actions)
     simulation.feed(model.EndpointUpdate((), True))
     simulation.feed(make_request(2, "unknown class", "unknown plan", timeout=0.0))
@@ -21,8 +21,8 @@
     assert gateway.handle(now, model.CounterReplied(123, model.CallStatus.OK, 5.0)) == []
     assert gateway.handle(now, model.ClientDisconnected(77)) == []
     assert gateway.handle(now, model.TimerFired(10**9)) == []
-    assert gateway.handle(now, model.HealthChecked("nobody", model.CallStatus.OK, 0.1, {})) == []
-    completed = model.AttemptCompleted(5, 3, "nobody", model.CallStatus.OK, 0.1, True, {})
+    assert gateway.handle(now, model.HealthChecked("unknown", model.CallStatus.OK, 0.1, {})) == []
+    completed = model.AttemptCompleted(5, 3, "unknown", model.CallStatus.OK, 0.1, True, {})
     assert gateway.handle(now, completed) == []
 
 
@@ -36,6 +36,6 @@
         ("warm_up_time", -1.0),
     ],
 )
-def test_error_on_invalid_settings_names_the_field(field: str, value: float) -> None:
+def test_error_for_invalid_settings_names_the_field(field: str, value: float) -> None:
     with pytest.raises(ValueError, match=field):
         Gateway(make_settings(**{field: value}), 1, 0.0)
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint: unresponsive ones, and the limit on the work in flight."""
+"""The choice of an endpoint: unresponsive endpoints, and the limit on the work in flight."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from tests.simulation import GatewaySimulation, make_request, make_settings, start_simulation
 from tests.traffic import send_steadily
 
-FLEET = 40  # gateways
+FLEET_GATEWAYS = 40
 ENDPOINTS = ("s0", "s1", "s2", "s3")
 
 
-def test_endpoint_silent_for_half_the_latency_objective_gets_nothing_new(
+def test_endpoint_unresponsive_for_half_the_latency_objective_gets_no_new_requests(
     simulation: GatewaySimulation,
 ) -> None:
     next_id = send_steadily(simulation, 5, 40, 0)
@@ -24,7 +24,7 @@
 
 
 def complete_oldest_at_each_endpoint(simulation: GatewaySimulation) -> None:
-    """Each endpoint answers the attempt that it has had for longest."""
+    """Let each endpoint respond to its oldest attempt."""
     for endpoint in ENDPOINTS:
         attempts = simulation.in_flight.items()
         in_flight = sorted((sent.sent_at, key) for key, sent in attempts if sent.endpoint == endpoint)
@@ -37,7 +37,7 @@
     relaxed = model.RequestClass("relaxed", 1.0, 1.0, model.Idempotency.INHERENT)
     settings = make_settings(classes=(strict, relaxed), max_attempts=1)
     simulation = start_simulation(*ENDPOINTS, settings=settings)
-    for request_id in range(6000):  # 300 a second, of which the endpoints can do 80
+    for request_id in range(6000):  # 300 per second, of which the endpoints complete 80
         simulation.advance_to(simulation.now + 1 / 300)
         if request_id % 15 == 0:
             complete_oldest_at_each_endpoint(simulation)
@@ -48,11 +48,13 @@
     assert late_classes.count("strict") > 0.4 * len(late_classes)
 
 
-def test_fresh_gateway_is_not_limited_by_completed_work_that_it_cannot_have_yet() -> None:
+def test_fresh_gateway_is_not_limited_by_work_rates_that_it_cannot_know_yet() -> None:
     simulation = start_simulation(*(f"s{number}" for number in range(9)))
     for request_id in range(27):
         simulation.feed(make_request(request_id))
-    assert len(simulation.forwarded) == 27  # 12 is four for each endpoint, over three gateways
+    assert (
+        len(simulation.forwarded) == 27
+    )  # the minimum limit, four requests per endpoint over three gateways, is 12
 
 
 def test_first_second_of_completed_work_counts_in_full(simulation: GatewaySimulation) -> None:
@@ -60,30 +62,30 @@
     forwarded_before = len(simulation.forwarded)
     for request_id in range(next_id, next_id + 60):
         simulation.feed(make_request(request_id))
-    # Half of 90 a second times the stay of 0.8 s; 0.3 of it before.
+    # Half of 90 per second times the residence time of 0.8 s; by a moving average from zero, 0.3 of it.
     assert len(simulation.forwarded) - forwarded_before > 30
 
 
-def test_burst_passes_where_answers_are_quick() -> None:
+def test_burst_is_forwarded_while_responses_are_fast() -> None:
     simulation = start_simulation(*(f"s{number}" for number in range(9)))
     next_id = send_steadily(simulation, 10, 20, 0, 0.02)
     forwarded_before = len(simulation.forwarded)
     for request_id in range(next_id, next_id + 200):
         simulation.feed(make_request(request_id))
-    # 14 is what the rate of the last seconds alone would grant.
+    # The work rate of the last seconds alone would allow 14.
     assert len(simulation.forwarded) - forwarded_before > 20
 
 
-def test_sparse_gateway_admits_a_chance_burst_under_low_load_and_is_limited_all_the_same() -> None:
-    """Forty limits do not even out what one would: usual work in flight for one is chance at another."""
-    settings = make_settings(gateway_count=FLEET, plans=(model.Plan("free"),))
+def test_sparse_gateway_forwards_a_small_burst_at_low_load_and_is_still_limited() -> None:
+    """Forty gateways see random bursts at different times; a common limit would average them out."""
+    settings = make_settings(gateway_count=FLEET_GATEWAYS, plans=(model.Plan("free"),))
     simulation = start_simulation(*(f"s{number}" for number in range(60)), settings=settings)
     for request_id in range(80):
         simulation.advance_to(simulation.now + 0.125)
         simulation.feed(make_request(request_id))
         simulation.complete_attempts(elapsed=0.15)
     forwarded_before = len(simulation.forwarded)
-    for request_id in range(1000, 1012):  # in less than a second, and nothing is answered meanwhile
+    for request_id in range(1000, 1012):  # within a second, without a response
         simulation.advance_to(simulation.now + 0.08)
         simulation.feed(make_request(request_id))
     assert len(simulation.forwarded) - forwarded_before >= 11
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which endpoints are ejected, and how they come back."""
+"""Outlier detection: which endpoints are ejected, and how they return to service."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from tests.traffic import send_steadily
 
-FLEET = 40  # gateways
+FLEET_GATEWAYS = 40
 
 
 def test_endpoint_that_fails_fast_does_not_attract_requests() -> None:
@@ -29,7 +29,7 @@
     assert [forward.endpoint for forward in simulation.forwarded].count("s0") < 20
 
 
-def test_endpoints_that_all_fail_alike_stay_in_use() -> None:
+def test_endpoints_that_all_fail_at_the_same_rate_stay_in_service() -> None:
     simulation = start_simulation("s0", "s1", "s2", "s3")
     for request_id in range(300):
         simulation.advance_to(simulation.now + 0.02)
@@ -40,22 +40,22 @@
 
 
 def time_out_once(simulation: GatewaySimulation, endpoint: EndpointState, first_id: int) -> bool:
-    """Send requests until one at this endpoint times out; gives whether the endpoint is ejected then."""
+    """Send requests until one times out at this endpoint, and return whether the endpoint is ejected."""
     name = endpoint.endpoint.name
     for request_id in range(first_id, first_id + 40):
         simulation.feed(make_request(request_id))
-        here = [key for key, sent in simulation.in_flight.items() if sent.endpoint == name]
-        if here:
+        attempts = simulation.attempts_at(name)
+        if attempts:
             simulation.advance_to(simulation.now + 0.7)
-            simulation.complete_attempt(here[0], model.CallStatus.TIMEOUT, 0.7)
+            simulation.complete_attempt(attempts[0], model.CallStatus.TIMEOUT, 0.7)
             simulation.complete_attempts()
             return endpoint.ejected_until > simulation.now
         simulation.complete_attempts()
         simulation.advance_to(simulation.now + 0.1)
-    raise AssertionError(f"nothing went to {name}")
+    raise AssertionError(f"no request was forwarded to {name}")
 
 
-def test_one_slow_request_does_not_eject_an_endpoint_but_consecutive_timeouts_do(
+def test_endpoint_is_ejected_after_consecutive_timeouts_and_not_after_one(
     simulation: GatewaySimulation,
 ) -> None:
     next_id = send_steadily(simulation, 3, 20, 0)
@@ -66,17 +66,19 @@
 
 
 def make_unreachable(simulation: GatewaySimulation, name: str) -> None:
-    """Two failed connections in a row are needed: the others stay busy, so that it is picked again."""
+    """Let connections to an endpoint fail; the others stay busy, so that it is picked a second time."""
     for request_id in range(5000, 5012):
         simulation.feed(make_request(request_id))
-        for key, sent in list(simulation.in_flight.items()):
-            if sent.endpoint == name:
-                simulation.complete_attempt(key, model.CallStatus.UNREACHABLE)
+        for key in simulation.attempts_at(name):
+            simulation.complete_attempt(key, model.CallStatus.UNREACHABLE)
     simulation.complete_attempts()
 
 
-def test_unreachable_endpoint_is_health_checked_and_returns_by_that(simulation: GatewaySimulation) -> None:
-    send_steadily(simulation, 20, 40, 0)  # work completed while warm is no debt when it returns
+def test_unreachable_endpoint_returns_to_service_when_it_passes_its_health_check(
+    simulation: GatewaySimulation,
+) -> None:
+    # Work that the endpoint completed while warm must not count against its slow start.
+    send_steadily(simulation, 20, 40, 0)
     make_unreachable(simulation, "s0")
     assert simulation.gateway.endpoints.by_name["s0"].ejected_until > simulation.now
     health_checks: list[model.Action] = []
@@ -90,7 +92,7 @@
     assert health_checks
     simulation.feed(model.HealthChecked("s0", model.CallStatus.OK, 0.001, {}))
     forwarded_before = len(simulation.forwarded)
-    for request_id in range(1000, 1060):  # one is always in flight, so that the others are not idle
+    for request_id in range(1000, 1060):  # one attempt stays in flight, so that the others are not idle
         simulation.advance_to(simulation.now + 0.05)
         for key in list(simulation.in_flight)[:-1]:
             simulation.complete_attempt(key)
@@ -98,7 +100,7 @@
     assert "s0" in {forward.endpoint for forward in simulation.forwarded[forwarded_before:]}
 
 
-def test_reset_connections_do_not_make_an_endpoint_warm_up_again(simulation: GatewaySimulation) -> None:
+def test_connection_resets_do_not_start_a_slow_start(simulation: GatewaySimulation) -> None:
     for request_id in range(400):
         simulation.advance_to(simulation.now + 0.05)
         simulation.feed(make_request(request_id))
@@ -111,15 +113,15 @@
 
 
 def start_sparse_gateway(index: int) -> GatewaySimulation:
-    """One gateway of the fleet, with sixty endpoints."""
-    settings = make_settings(gateway_index=index, gateway_count=FLEET, plans=(model.Plan("free"),))
+    """Return one gateway of the fleet, with sixty endpoints."""
+    settings = make_settings(gateway_index=index, gateway_count=FLEET_GATEWAYS, plans=(model.Plan("free"),))
     return start_simulation(*(f"s{number}" for number in range(60)), seed=index, settings=settings)
 
 
 def send_with_failing_endpoints(
     simulation: GatewaySimulation, request_id: int, failing: set[str]
 ) -> list[ForwardedRequest]:
-    """Send a request and its retries, some endpoints failing it; gives its attempts."""
+    """Send a request, let some endpoints fail it and its retries, and return its attempts."""
     forwarded_before = len(simulation.forwarded)
     simulation.feed(make_request(request_id))
     for _ in range(3):  # an error is retried at once
@@ -129,10 +131,12 @@
     return simulation.forwarded[forwarded_before:]
 
 
-def test_failing_endpoints_are_avoided_and_no_healthy_one_ejected_at_eight_requests_a_second() -> None:
+def test_failing_endpoints_get_few_requests_and_no_healthy_one_is_ejected_at_eight_requests_per_second() -> (
+    None
+):
     late_requests = 0
     late_attempts_at_failing = 0
-    for index in range(0, FLEET, 4):
+    for index in range(0, FLEET_GATEWAYS, 4):
         simulation = start_sparse_gateway(index)
         endpoints = simulation.gateway.endpoints
         failing = {state.endpoint.name for state in endpoints.subset[:2]}
@@ -144,4 +148,4 @@
                 late_attempts_at_failing += sum(attempt.endpoint in failing for attempt in attempts)
         ejected = {name for name, state in endpoints.by_name.items() if state.ejection_time > 0}
         assert ejected <= failing, "a healthy endpoint was ejected"
-    assert late_attempts_at_failing < 0.08 * late_requests  # two of ten would get a fifth of the requests
+    assert late_attempts_at_failing < 0.08 * late_requests  # two of ten endpoints: a fifth of the requests
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""Tests of new settings for a running limiter: the decisions, the check of the settings, SIGHUP."""
+"""New settings for a running limiter: the decisions, the check of the settings, SIGHUP."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 Change = Callable[[dict[str, Any]], None]
 
 
-def test_requests_in_flight_keep_their_class_and_fewer_attempts_apply_at_once() -> None:
+def test_open_requests_keep_their_class_while_a_lower_attempt_limit_applies_at_once() -> None:
     simulation = GatewaySimulation(make_settings(max_attempts=3))
     simulation.feed(endpoint_list("s0", "s1", "s2"))
     simulation.feed(make_request(1))
@@ -46,11 +46,11 @@
     forwarded = len(simulation.forwarded)
     endpoints = {request_id: endpoint for (request_id, _), (endpoint, _) in simulation.in_flight.items()}
     simulation.feed(attempt_completed(2, 0, endpoints[2], model.CallStatus.RESET_AFTER_REQUEST))
-    assert simulation.outcomes[2] is Outcome.FAILED  # unsafe now: it may have run
+    assert simulation.outcomes[2] is Outcome.FAILED  # no longer idempotent, and possibly executed
     assert len(simulation.forwarded) == forwarded
     simulation.settings = replace(simulation.settings, classes=(IDEMPOTENT_CLASS, fresh))
     simulation.feed(attempt_completed(1, 0, endpoints[1], model.CallStatus.ERROR))
-    assert len(simulation.forwarded) == forwarded + 1  # it came as an idempotent one
+    assert len(simulation.forwarded) == forwarded + 1  # idempotent when it arrived
     simulation.feed(make_settings(max_attempts=1, classes=(unsafe, fresh)))
     simulation.feed(attempt_completed(3, 0, endpoints[3], model.CallStatus.ERROR))
     assert simulation.outcomes[3] is Outcome.REJECTED
@@ -58,7 +58,7 @@
 
 
 def without(path: str) -> Change:
-    """Removes a key, given with its parents and separated by dots; a number is an index of a list."""
+    """Return the change that removes a key, given as a path with dots; a number in it is a list index."""
 
     def change(raw: dict[str, Any]) -> None:
         *parents, key = path.split(".")
@@ -140,7 +140,7 @@
         return await fetch_metrics(self._admin_port)
 
     async def request(self, request_class: str) -> str:
-        """The first line of the response to a request of a class."""
+        """Send a request of a class, and return the first line of the response."""
         reader, writer = await self._program.connect()
         writer.write(http_request(f"/{request_class}?account=00000000b4d65521"))
         status_line, _, _ = await read_message(reader)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: which endings allow one, and where."""
+"""Retries: after which statuses a request is retried, and at which endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         (model.CallStatus.ERROR, False),
     ],
 )
-def test_request_that_is_not_idempotent_is_retried_only_if_it_surely_was_not_executed(
+def test_non_idempotent_request_is_retried_only_if_it_was_surely_not_executed(
     status: model.CallStatus, is_retried: bool
 ) -> None:
     simulation = start_simulation("s0", "s1")
@@ -28,7 +28,7 @@
     assert any(isinstance(action, model.Fail) for action in actions) is not is_retried
 
 
-def test_request_with_an_idempotency_key_is_retried_only_within_its_cell() -> None:
+def test_request_with_an_idempotency_key_is_retried_only_within_its_deduplication_scope() -> None:
     simulation = start_simulation("s0", "s1", "s2", "s3", "s4")  # s4 is alone in its cell
     cells: set[tuple[int, int]] = set()  # of a first attempt and its retry
     for request_id in range(60):
@@ -43,12 +43,12 @@
     assert cells and all(first_cell == retry_cell for first_cell, retry_cell in cells)
 
 
-def test_connections_that_are_reset_at_once_take_little_of_the_retry_budget() -> None:
+def test_early_connection_resets_use_little_of_the_retry_budget() -> None:
     simulation = start_simulation(settings=make_settings(max_attempts=4))
     for request_id in range(200):
         simulation.advance_to(simulation.now + 0.05)
         simulation.feed(make_request(request_id))
-        if request_id % 4 == 0:  # a network that resets every fourth connection as soon as it is written to
+        if request_id % 4 == 0:  # every fourth connection is reset at its first write
             simulation.complete_attempts(model.CallStatus.RESET_AFTER_REQUEST, 0.001)
         simulation.complete_attempts()
     assert set(simulation.outcomes.values()) == {Outcome.SERVED}
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: requests through it, unusual batches and malformed input."""
+"""The simulator's adapter: requests, unusual batches and malformed input."""
 
 from __future__ import annotations
 
@@ -30,28 +30,32 @@
 
 
 def commands_for(adapter: SimulatorAdapter, now: float, *messages: list[Any]) -> list[Any]:
-    """The commands of the reply to one batch."""
+    """Send one batch to a gateway, and return the commands of the reply."""
     part = {"limiter_id": "limiter_0", "news": messages}
     reply = json.loads(adapter.handle_batch(json.dumps({"moment_s": now, "n": 3, "parts": [part]})))
     assert reply["n"] == 3
     return [command for part in reply["parts"] for command in part["cmds"]]
 
 
-def test_a_request_is_forwarded_and_its_outcome_accepted(adapter: SimulatorAdapter) -> None:
+def test_a_request_is_forwarded_and_its_completion_needs_no_command(adapter: SimulatorAdapter) -> None:
     commands = commands_for(adapter, 1.0, *BEGIN, INCOMING)
     assert ["pass_on", 11, 1.0, "s1"] in commands
     resolved = ["resolved", 11, 0, "s1", "OK", 0.1, True, None, None, {"qps": 3}]
     assert commands_for(adapter, 1.1, resolved) == []
 
 
-def test_an_empty_batch_and_a_restart_in_one(adapter: SimulatorAdapter) -> None:
+def test_an_empty_batch_gets_an_empty_reply_and_a_gateway_may_restart_within_a_batch(
+    adapter: SimulatorAdapter,
+) -> None:
     assert json.loads(adapter.handle_batch('{"moment_s":1.5,"n":9,"parts":[]}')) == {"n": 9, "parts": []}
     commands_for(adapter, 2.0, *BEGIN, INCOMING)
     commands = commands_for(adapter, 3.0, ["shutdown"], *BEGIN)
     assert [command[0] for command in commands] == ["sleep"]
 
 
-def test_a_list_number_reused_in_one_batch_resolves_in_order(adapter: SimulatorAdapter) -> None:
+def test_a_list_number_registered_again_in_a_batch_holds_for_the_messages_that_follow(
+    adapter: SimulatorAdapter,
+) -> None:
     other = ["register", 0, [[None, 1, 0, "k", "s2", "healthy", "a"]]]
     commands = commands_for(adapter, 1.0, *BEGIN, other, ["membership", "FULL", 0, 2], INCOMING)
     assert [command[3] for command in commands if command[0] == "pass_on"] == ["s2"]
@@ -69,14 +73,16 @@
         (["begin", 1, {"limits": 3}], "limits"),
     ],
 )
-def test_malformed_messages_are_named(adapter: SimulatorAdapter, message: list[Any], named: str) -> None:
+def test_error_for_a_malformed_message_names_its_fault(
+    adapter: SimulatorAdapter, message: list[Any], named: str
+) -> None:
     commands_for(adapter, 1.0, *BEGIN)
     with pytest.raises(WireError, match=named):
         commands_for(adapter, 2.0, message)
 
 
 @pytest.mark.parametrize("line", ["not json", "[]", '{"n":1}', '{"moment_s":1,"parts":[{"news":[]}]}'])
-def test_a_malformed_line_gives_one_plain_line_and_an_error_exit(line: str) -> None:
+def test_a_malformed_line_ends_the_process_with_one_line_on_standard_error(line: str) -> None:
     completed = subprocess.run(
         [sys.executable, "-m", "quota_gateway.simulator_adapter"],
         input=line + "\n",
@@ -89,7 +95,7 @@
     assert completed.stderr.startswith("simulator_adapter: ")
 
 
-def test_impossible_settings_stop_the_adapter_with_the_key(adapter: SimulatorAdapter) -> None:
+def test_error_for_impossible_settings_names_the_field(adapter: SimulatorAdapter) -> None:
     impossible = dict(SETTINGS, n_instances=0)
     with pytest.raises(ValueError, match="gateway_count"):
         commands_for(adapter, 1.0, ["begin", 1, impossible])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start at single gateways: the allowance of an endpoint that warms up, and the use of it."""
+"""Slow start at single gateways: the allowance of an endpoint that is warming up."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from tests.traffic import send_steadily
 
 ENDPOINT_START = 108.0  # Unix time, eight seconds after the start of the gateways
-WARM_UP_TRAFFIC_TIME = 12  # seconds from then to the end of the traffic, about
+WARM_UP_TRAFFIC_SECONDS = 12  # from the endpoint's start to the end of the traffic, about
 
 
 def started_endpoint(name: str, started_at: float, cell: int = 0) -> model.EndpointUpdate:
-    """An endpoint that is added to the list, having started at the given time."""
+    """Return the update that adds an endpoint with the given start time."""
     endpoint = model.Endpoint(name, model.EndpointHealth.HEALTHY, "a", cell, 1.0, started_at)
     return model.EndpointUpdate((endpoint,), False)
 
@@ -51,7 +51,7 @@
 
 
 def run_sparse_gateway(gateway: int, settings: model.Settings, endpoints: list[str]) -> GatewaySimulation:
-    """One of many gateways, which gets a request a second; meanwhile an endpoint starts."""
+    """Run one of many gateways at one request per second while an endpoint starts."""
     rng = Random(gateway)
     settings = replace(settings, gateway_index=gateway)
     simulation = start_simulation(*endpoints, seed=gateway, settings=settings)
@@ -64,8 +64,8 @@
     return simulation
 
 
-def test_hundreds_of_gateways_together_keep_to_the_allowance_of_a_warming_endpoint() -> None:
-    """200 gateways get a request a second: one let in by each at once is a hundred times the allowance."""
+def test_hundreds_of_gateways_together_do_not_exceed_the_allowance_of_a_warming_endpoint() -> None:
+    """One request from each of 200 gateways at once would be a hundred times the allowance."""
     gateways = 200
     endpoints = [f"s{number}" for number in range(20)]
     settings = make_settings(gateway_count=gateways, has_counter=False)
@@ -78,7 +78,7 @@
             elif forward.sent_at >= ENDPOINT_START:
                 warm_requests += 1
     window = settings.overload_window
-    warm_rate = warm_requests / WARM_UP_TRAFFIC_TIME / len(endpoints)
+    warm_rate = warm_requests / WARM_UP_TRAFFIC_SECONDS / len(endpoints)
     for sent_at in sent_to_warming:
         age = sent_at + window - ENDPOINT_START
         gained = (1 - settings.initial_capacity) * age / settings.warm_up_time
@@ -88,20 +88,20 @@
     assert len(sent_to_warming) > 5
 
 
-def test_fleet_of_which_all_endpoints_warm_up_does_not_stand_still() -> None:
+def test_requests_are_still_forwarded_while_all_endpoints_warm_up() -> None:
     endpoints = [f"s{number}" for number in range(6)]
     simulation = start_simulation(*endpoints, settings=make_settings(warm_up_time=60.0))
     next_id = send_steadily(simulation, 10, 40, 0)
-    simulation.feed(endpoint_list(*endpoints, started_at=simulation.now))  # all of them restart
+    simulation.feed(endpoint_list(*endpoints, started_at=simulation.now))  # all restart
     next_id = send_steadily(simulation, 20, 40, next_id)
     forwarded_before = len(simulation.forwarded)
     send_steadily(simulation, 10, 40, next_id)
-    # With an allowance by what the warming ones do it was next to none.
+    # An allowance by the completion rate of warming endpoints would fall to almost zero.
     assert len(simulation.forwarded) - forwarded_before > 150
 
 
 def start_with_six_warming_endpoints() -> GatewaySimulation:
-    """A fresh gateway, as in an upgrade, with one warm endpoint while the others have just restarted."""
+    """Return a fresh gateway, as in an upgrade, with one warm endpoint and six that have just restarted."""
     simulation = start_simulation("s0", settings=make_settings(warm_up_time=60.0))
     warming = tuple(
         model.Endpoint(f"c{number}", model.EndpointHealth.HEALTHY, "a", number, 1.0, simulation.now)
@@ -111,7 +111,7 @@
     return simulation
 
 
-def test_warming_endpoints_neither_lower_the_completion_rate_nor_fill_the_concurrency_limit() -> None:
+def test_warming_endpoints_do_not_count_for_the_completion_rate_and_the_concurrency_limit() -> None:
     simulation = start_with_six_warming_endpoints()
     for request_id in range(600):
         simulation.feed(make_request(request_id))
@@ -121,7 +121,7 @@
     elapsed = 600 * 0.02
     warm_rate = sum(forward.endpoint == "s0" for forward in simulation.forwarded) / elapsed
     mean_work = gateway.work.mean_work
-    # Of what the warm one does, with six of seven warming up.
+    # A mean over all seven endpoints would be below half of the rate of the warm one.
     assert gateway.slow_start.completion_rate > 0.5 * warm_rate * mean_work
     for name in ("c0", "c1", "c2", "c3", "c4", "c5"):
         gateway.endpoints.by_name[name].work_in_flight = 1000 * mean_work
@@ -130,9 +130,9 @@
 
 
 def run_with_warming_endpoint(slowdown: float) -> tuple[int, Gateway]:
-    """Requests that an endpoint got while it warmed up and answered so many times later than a warm one."""
+    """Return the number of requests that a warming endpoint with this slowdown gets, and the gateway."""
     simulation = start_simulation("s0", settings=make_settings(warm_up_time=1000.0))
-    for request_id in range(100):  # a warm one shows the idle latency, and how much an endpoint bears
+    for request_id in range(100):  # shows the idle latency and the completion rate of a warm endpoint
         simulation.feed(make_request(request_id))
         simulation.advance_to(simulation.now + 0.1)
         simulation.complete_attempts()
@@ -148,32 +148,34 @@
     return requests, simulation.gateway
 
 
-def test_warming_endpoint_that_answers_like_a_warm_one_gets_its_work_and_a_slow_one_does_not() -> None:
+def test_warming_endpoint_gets_full_work_if_its_responses_are_fast_and_little_if_they_are_slow() -> None:
     requests: dict[float, int] = {}  # by slowdown
     for slowdown in (1.0, 5.0):
         requests[slowdown], gateway = run_with_warming_endpoint(slowdown)
         assert gateway.endpoints.by_name["warming"].warming_since is not None
-    assert 0 < requests[5.0] < 20 and requests[1.0] > 70, requests  # by age alone it would be 49
+    assert 0 < requests[5.0] < 20 and requests[1.0] > 70, (
+        requests
+    )  # by its age alone, the fast one would get 49
 
 
-def handed_over(warming_since: float | None) -> model.EndpointHandover:
-    """What another process knows of the endpoint."""
+def endpoint_handover(warming_since: float | None) -> model.EndpointHandover:
+    """Return the state of the endpoint at another process."""
     return model.EndpointHandover("new", 1.0, warming_since, 0, 0.0, 0.0, 0.0)
 
 
-def test_a_warm_up_that_began_here_later_outlives_a_handover() -> None:
-    """A restore reached this process before the state that the other one wrote without knowing of it."""
+def test_a_later_slow_start_is_kept_in_a_handover() -> None:
+    """An operator restored the endpoint here after the other process had written its state."""
     state = EndpointState(model.Endpoint("new", model.EndpointHealth.HEALTHY, "a", started_at=1.0))
     state.restore(100.0)
     for older in (None, 90.0):
-        state.take_over(100.1, handed_over(older))
+        state.take_over(100.1, endpoint_handover(older))
         assert state.warming_since == 100.0
-    state.take_over(100.2, handed_over(100.1))
+    state.take_over(100.2, endpoint_handover(100.1))
     assert state.warming_since == 100.1
 
 
-def test_a_limiter_whose_clock_is_behind_does_not_take_all_endpoints_for_cold() -> None:
-    """The first list is the only clock that it has to compare with; nothing starts in the future."""
+def test_a_gateway_whose_clock_is_behind_does_not_treat_all_endpoints_as_warming_up() -> None:
+    """Start times in the future, in the first list, show that the local clock is behind."""
     simulation = GatewaySimulation(make_settings(), now=100.0)
     starts = {"old": 3000.0, "young": 3695.0}
     endpoints = tuple(
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,8 +1,8 @@
-"""Slow start over a fleet: warming endpoints under the sum of all gateways, each of which decides alone.
+"""Slow start in a fleet: the load on warming endpoints from all gateways, each of which decides alone.
 
-The settings bound what an endpoint that has just started may be sent: ``overload_multiple`` times what it can
-do at that moment, within any ``overload_window`` seconds, by all gateways together. Beyond those N requests
-of mean work only 2 x root of N + 2 are put down to chance.
+The settings limit the load on an endpoint that is warming up: within any ``overload_window`` seconds, it may
+receive ``overload_multiple`` times its capacity at that time, from all gateways together. With a limit of N
+requests of mean work, an excess of 2 x root of N + 2 is accepted as random.
 """
 
 from __future__ import annotations
@@ -17,20 +17,29 @@
 from quota_gateway import model
 from tests.fleet_simulation import MEAN_CORE_SECONDS, FleetSimulation, SimulatedEndpoint
 
-SETTLED_AT = 106.0  # when the gateways have seen their load for a while
-NOTIFIED_FRACTION = 2 / 3  # of a peak that must come from gateways that knew of the restart
-FLEET_SHAPES = {3: (6, 2), 30: (8, 2), 200: (20, 1)}  # endpoints and cores of each, by gateways
+SETTLED_TIME = 106.0  # the gateways have learned the completion rate
+MIN_NOTIFIED_FRACTION = 2 / 3  # of the load in a peak, from gateways that were notified of the restart
+
+
+class FleetShape(NamedTuple):
+    """The endpoints of a fleet."""
+
+    endpoints: int
+    cores: int  # of each endpoint
+
+
+FLEET_SHAPES = {3: FleetShape(6, 2), 30: FleetShape(8, 2), 200: FleetShape(20, 1)}  # by number of gateways
 
 
 class Peak(NamedTuple):
-    """The highest load on one endpoint over what it bears, and its age then."""
+    """The highest load on one endpoint during its slow start."""
 
-    ratio: float
-    age: float
+    ratio: float  # load divided by the limit
+    age: float  # of the endpoint, in seconds
     endpoint: str
 
 
-# What happens to the fleet. Discovery notifies each gateway on its own, some time later.
+# Steps of the scenarios. Each gateway is notified of a change at a time of its own.
 
 
 def notify_all(fleet: FleetSimulation, names: list[str], delay: float = 0.0, spread: float = 1.0) -> None:
@@ -41,7 +50,7 @@
 
 
 def start_endpoints(fleet: FleetSimulation, names: list[str]) -> list[str]:
-    """New endpoints start."""
+    """Start new endpoints, and return their names."""
     for name in names:
         fleet.add_endpoint(name, fleet.now)
     notify_all(fleet, names)
@@ -49,7 +58,7 @@
 
 
 def replace_half(fleet: FleetSimulation) -> list[str]:
-    """As many new endpoints start as old ones drain: half of them."""
+    """Drain half of the endpoints, start as many new ones, and return the names of these."""
     old = list(fleet.endpoints)[: len(fleet.endpoints) // 2]
     new = start_endpoints(fleet, [f"new{number}" for number in range(len(old))])
     for name in old:
@@ -66,7 +75,7 @@
     spread: float = 1.0,
     is_listed: bool = True,
 ) -> list[str]:
-    """They are unreachable, come back after ``down`` seconds, and the list may tell of it."""
+    """Restart endpoints, which are unreachable for ``down`` seconds; the endpoint list may announce it."""
     for name in names:
         endpoint = fleet.endpoints[name]
         started_at = fleet.now + down
@@ -82,25 +91,25 @@
 
 
 def restart_gateways(fleet: FleetSimulation, every: int, within: float) -> None:
-    """Gateways die, and others that know nothing start in their places."""
+    """Stop some gateways, and start them again without their state."""
     for gateway in range(0, len(fleet.gateways), every):
         fleet.gateways[gateway] = None
         time = fleet.now + fleet.rng.uniform(0.5, within)
         fleet.schedule(time, partial(fleet.start_gateway, gateway))
 
 
-# The scenarios; each gives the endpoints that warm up.
+# The scenarios; each returns the names of the endpoints that warm up.
 
 Scenario = Callable[[FleetSimulation], list[str]]
 
 
 def endpoint_added(fleet: FleetSimulation) -> list[str]:
-    """One more endpoint."""
+    """One endpoint is added."""
     return start_endpoints(fleet, ["new"])
 
 
 def half_replaced(fleet: FleetSimulation) -> list[str]:
-    """A release of the endpoints."""
+    """Half of the endpoints are replaced, as in a release."""
     return replace_half(fleet)
 
 
@@ -116,35 +125,35 @@
 
 
 def notified_late(fleet: FleetSimulation) -> list[str]:
-    """The list tells some gateways seconds after the restart."""
+    """Some gateways are notified seconds after the restart."""
     return restart_endpoints(fleet, ["s0", "s1"], spread=4.0)
 
 
 def restarted_unlisted(fleet: FleetSimulation) -> list[str]:
-    """No list tells of it: what each gateway learns, and its health checks, are all that it goes by."""
+    """The endpoint list does not announce the restart: gateways detect it by failures and health checks."""
     return restart_endpoints(fleet, ["s0", "s1"], 3.0, is_listed=False)
 
 
 def half_of_gateways_restarted(fleet: FleetSimulation) -> list[str]:
-    """Half of the gateways know nothing while endpoints restart."""
+    """Half of the gateways restart while endpoints restart."""
     restart_gateways(fleet, 2, 3.0)
     return restart_endpoints(fleet, ["s0", "s1"])
 
 
 def all_gateways_restarted(fleet: FleetSimulation) -> list[str]:
-    """Nobody knows what a warm endpoint does, and all learn it at once."""
+    """All gateways restart, and learn the completion rate of a warm endpoint at the same time."""
     restart_gateways(fleet, 1, 1.0)
     return restart_endpoints(fleet, ["s0", "s1"], 1.0)
 
 
 def gateways_restarted_in_a_release(fleet: FleetSimulation) -> list[str]:
-    """Half of the gateways know nothing while half of the endpoints are replaced."""
+    """Half of the gateways restart while half of the endpoints are replaced."""
     restart_gateways(fleet, 2, 3.0)
     return replace_half(fleet)
 
 
 def burst_on_new_endpoints(fleet: FleetSimulation) -> list[str]:
-    """What was saved up under little load goes out at once."""
+    """The load rises after a time of low load, in which allowances are saved up."""
     names = start_endpoints(fleet, ["new0", "new1"])
     fleet.rate *= 0.3
     fleet.run(fleet.now + 1.5)
@@ -167,7 +176,7 @@
 
 
 def endpoint_peak(fleet: FleetSimulation, endpoint: SimulatedEndpoint, only_notified: bool) -> Peak:
-    """The peak of one endpoint during its warm-up."""
+    """Return the peak of one endpoint during its slow start."""
     peak = Peak(0.0, 0.0, "")
     window = fleet.settings.overload_window
     since = endpoint.warming_since
@@ -183,29 +192,29 @@
             total -= received[first].size
             notified -= received[first].size * received[first].is_notified
             first += 1
-        # By what it can do as the window begins: the least in it.
+        # The capacity at the beginning of the window is the lowest in it.
         warm_fraction = fleet.warm_fraction(endpoint, max(since, time - window))
-        bearable = fleet.settings.overload_multiple * (warm_fraction * endpoint.cores / MEAN_CORE_SECONDS)
-        limit = bearable * window
-        # Gateways that were not notified are not to blame for the overload that they bring about.
-        if not only_notified or notified > total * NOTIFIED_FRACTION:
+        capacity = warm_fraction * endpoint.cores / MEAN_CORE_SECONDS
+        limit = fleet.settings.overload_multiple * capacity * window
+        # Overload from gateways that were not notified does not count.
+        if not only_notified or notified > total * MIN_NOTIFIED_FRACTION:
             ratio = total / (limit + 2 * limit**0.5 + 2)
             peak = max(peak, Peak(ratio, time - since, endpoint.entry.name))
     return peak
 
 
 def highest_peak(fleet: FleetSimulation, names: list[str], only_notified: bool) -> Peak:
-    """The highest of the peaks of these endpoints."""
+    """Return the highest peak of these endpoints."""
     return max(endpoint_peak(fleet, fleet.endpoints[name], only_notified) for name in names)
 
 
 def run_scenario(
-    scenario: Scenario, gateways: int, load: float, seed: int, is_always_quick: bool = False
+    scenario: Scenario, gateways: int, load: float, seed: int, *, is_always_fast: bool = False
 ) -> tuple[FleetSimulation, list[str]]:
-    """Run a fleet through a scenario; gives it with the names of the endpoints that warmed up."""
-    endpoints, cores = FLEET_SHAPES[gateways]
-    fleet = FleetSimulation(gateways, endpoints, load, seed, cores, is_always_quick=is_always_quick)
-    fleet.run(SETTLED_AT)
+    """Run a fleet through a scenario, and return it with the names of the endpoints that warmed up."""
+    shape = FLEET_SHAPES[gateways]
+    fleet = FleetSimulation(gateways, shape.endpoints, load, seed, shape.cores, is_always_fast=is_always_fast)
+    fleet.run(SETTLED_TIME)
     names = scenario(fleet)
     last_start = max(fleet.endpoints[name].warming_since for name in names)
     fleet.run(last_start + fleet.settings.warm_up_time)
@@ -215,7 +224,7 @@
 @pytest.mark.parametrize(("load", "seed"), [(0.5, 1), (1.3, 2)])
 @pytest.mark.parametrize("gateways", FLEET_SHAPES)
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_no_warming_endpoint_is_overloaded_by_all_gateways_together(
+def test_the_gateways_together_overload_no_warming_endpoint(
     scenario: Scenario, gateways: int, load: float, seed: int
 ) -> None:
     fleet, names = run_scenario(scenario, gateways, load, seed)
@@ -225,10 +234,10 @@
 
 @pytest.mark.parametrize("gateways", (3, 30))
 @pytest.mark.parametrize("scenario", (endpoint_added, half_replaced, zone_restarted, burst_on_new_endpoints))
-def test_quick_answers_do_not_raise_the_allowance_past_what_the_settings_allow(
+def test_fast_responses_do_not_raise_the_allowance_above_the_limit_of_the_settings(
     scenario: Scenario, gateways: int
 ) -> None:
-    """Slow answers keep requests away besides; here the allowance alone has to, and takes it for warmer."""
-    fleet, names = run_scenario(scenario, gateways, 1.3, 2, is_always_quick=True)
+    """Without slow responses, only the allowance limits the load, and it assumes a warmer endpoint."""
+    fleet, names = run_scenario(scenario, gateways, 1.3, 2, is_always_fast=True)
     peak = highest_peak(fleet, names, only_notified=True)
     assert 0 < peak.ratio < 1, str(peak)
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic for one simulated gateway."""
+"""Traffic of one simulated gateway."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     elapsed: float = 0.1,
     request_class: str = "read",
 ) -> int:
-    """Send requests at a steady rate, each answered in the same step; gives the next request id."""
+    """Send requests at a steady rate, complete each at once, and return the next request id."""
     next_id = first_id + int(seconds * rate)
     for request_id in range(first_id, next_id):
         simulation.advance_to(simulation.now + 1 / rate)
@@ -30,7 +30,7 @@
     interval: float,
     counter_status: model.CallStatus = model.CallStatus.OK,
 ) -> int:
-    """Send requests of one customer on the small plan; gives how many were forwarded."""
+    """Send requests of one customer on the small plan, and return the number of forwarded ones."""
     forwarded_before = len(simulation.forwarded)
     for request_id in range(first_id, first_id + count):
         simulation.advance_to(simulation.now + interval)
