--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,7 @@
-"""Soak test: real limiters under overlapping troubles, and a judge of what everybody else saw.
+"""Soak test: real limiters under overlapping faults, checked against the invariants from outside.
 
-``python -m soak`` plays one seed or many. A run's plan follows from its seed alone (``soak.plan``). The
-limiters are processes with a fault library loaded (``soak/fault_library.c``); endpoints, discovery, the
-counter and the clients live in the runner and write what they see into a ledger, for ``soak.judge``.
+``python -m soak`` runs the scenario of one seed or of several; a scenario follows from its seed alone
+(``soak.scenario``). The limiters are processes with a fault library loaded (``soak/fault_library.c``).
+Endpoints, discovery, the counter and the clients are part of the runner; they record what they observe in a
+history (``soak.history``), which ``soak.checker`` checks.
 """
--- /dev/null
+++ b/soak/checker.py
@@ -0,0 +1,48 @@
+"""The checker: verifies the protocol's invariants on the history of a run.
+
+Each check is one function from the history to the violations that it finds. Times have the tolerance of the
+check, 50 ms more for sockets, and the runner's own delay around the moment. The limiters' own metrics are
+compared with what the clients observed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+from soak.endpoint_checks import find_attempts_at_draining, find_attempts_at_suspended, find_overloads
+from soak.history import History
+from soak.process_checks import find_crashes, find_late_replies, find_wrong_metrics
+from soak.request_checks import (
+    find_attempts_after_disconnect,
+    find_exceeded_ceilings,
+    find_excessive_deadlines,
+    find_foreign_responses,
+    find_lost_requests,
+    find_repeated_executions,
+    find_unended_incomplete_requests,
+)
+from soak.violations import Violation
+
+Check = Callable[[History], Iterator[Violation]]
+
+CHECKS: tuple[Check, ...] = (
+    find_lost_requests,
+    find_foreign_responses,
+    find_repeated_executions,
+    find_attempts_at_draining,
+    find_attempts_at_suspended,
+    find_overloads,
+    find_attempts_after_disconnect,
+    find_excessive_deadlines,
+    find_exceeded_ceilings,
+    find_unended_incomplete_requests,
+    find_late_replies,
+    find_crashes,
+    find_wrong_metrics,
+)
+
+
+def check_history(history: History) -> list[Violation]:
+    """Return all violations in the order of their times."""
+    violations = [violation for check in CHECKS for violation in check(history)]
+    return sorted(violations, key=lambda violation: violation.at)
--- a/soak/cli.py
+++ b/soak/cli.py
@@ -1,7 +1,7 @@
-"""The command line: which seeds are played, at what size; exit codes.
+"""The command line: seeds and size of the runs, printed verdicts, exit codes.
 
-It ends with 0 where no rule broke, 1 where one did, and 2 where nothing could be played (bad arguments, a
-limiter that does not start, a port in use, no compiler): then there is no verdict.
+The exit code is 0 if no invariant was violated, 1 if one was, and 2 if there is no verdict: the arguments are
+wrong, a limiter does not start, a port is in use, or there is no compiler.
 """
 
 from __future__ import annotations
@@ -14,27 +14,34 @@
 import tempfile
 import time
 from collections import Counter
+from enum import IntEnum
 from pathlib import Path
 from typing import NoReturn
 
 import uvloop
 
+from soak.checker import check_history
 from soak.errors import SoakError
 from soak.fault_control import build_library
-from soak.judge import judge
-from soak.ledger import Ledger
-from soak.plan import MIN_SECONDS, Plan, make_plan
-from soak.run import Run
-from soak.story import tell
-from soak.troubles import TROUBLES
-
-EXIT_CLEAN = 0
-EXIT_BROKEN = 1
-EXIT_NO_VERDICT = 2
+from soak.fault_kinds import FAULT_SPECS
+from soak.history import History
+from soak.request_trace import format_trace
+from soak.scenario import MIN_RUN_SECONDS, Scenario, make_scenario
+from soak.scenario_runner import ScenarioRunner
+from soak.violations import Violation
+
 MAX_LIMITERS = 60
-MAX_SECONDS = 3600.0
-MAX_STORIES = 6  # told in full, for one seed
-SEEDS = re.compile(r"(\d{1,9})\.\.(\d{1,9})")
+MAX_RUN_SECONDS = 3600.0
+MAX_PRINTED_TRACES = 6  # of one seed
+SEED_RANGE = re.compile(r"(\d{1,9})\.\.(\d{1,9})")
+
+
+class ExitCode(IntEnum):
+    """The exit codes of the command."""
+
+    NO_VIOLATION = 0
+    VIOLATION = 1
+    NO_VERDICT = 2
 
 
 class _Parser(argparse.ArgumentParser):
@@ -43,7 +50,7 @@
 
 
 def _parse_seeds(text: str) -> range:
-    match = SEEDS.fullmatch(text)
+    match = SEED_RANGE.fullmatch(text)
     if match is None or int(match[1]) > int(match[2]):
         raise argparse.ArgumentTypeError(f"not a range of seeds like 1..50: {text!r}")
     return range(int(match[1]), int(match[2]) + 1)
@@ -51,96 +58,98 @@
 
 def _parse_arguments(arguments: list[str]) -> argparse.Namespace:
     parser = _Parser(prog="python -m soak", description=__doc__)
-    parser.add_argument("--seed", type=int, help="play this seed")
-    parser.add_argument("--seeds", type=_parse_seeds, help="play these, one behind the other, such as 1..50")
-    parser.add_argument("--seconds", type=float, default=20.0, help="of traffic in a run (20)")
-    parser.add_argument("--limiters", type=int, default=24, help="how many limiters (24)")
-    parser.add_argument("--list", action="store_true", help="list the troubles and end")
-    parser.add_argument("--plan", action="store_true", help="print the plan of the seed and end")
-    parser.add_argument("--keep", type=Path, help="keep logs and files in this folder")
+    parser.add_argument("--seed", type=int, help="run the scenario of this seed")
+    parser.add_argument("--seeds", type=_parse_seeds, help="run these, one after the other, such as 1..50")
+    parser.add_argument("--seconds", type=float, default=20.0, help="seconds of traffic in a run (20)")
+    parser.add_argument("--limiters", type=int, default=24, help="number of limiters (24)")
+    parser.add_argument("--list", action="store_true", help="list the kinds of faults and exit")
+    parser.add_argument("--scenario", action="store_true", help="print the scenario of the seed and exit")
+    parser.add_argument("--keep", type=Path, help="keep logs and files in this directory")
     options = parser.parse_args(arguments)
     if options.list:
         return options
     if (options.seed is None) == (options.seeds is None):
         raise SoakError("either --seed or --seeds is needed")
-    if not MIN_SECONDS <= options.seconds <= MAX_SECONDS:
-        raise SoakError(f"--seconds must be from {MIN_SECONDS:.0f} to {MAX_SECONDS:.0f}")
+    if not MIN_RUN_SECONDS <= options.seconds <= MAX_RUN_SECONDS:
+        raise SoakError(f"--seconds must be from {MIN_RUN_SECONDS:.0f} to {MAX_RUN_SECONDS:.0f}")
     if not 1 <= options.limiters <= MAX_LIMITERS:
         raise SoakError(f"--limiters must be from 1 to {MAX_LIMITERS}")
     return options
 
 
-def _list_troubles() -> None:
-    for name, spec in sorted(TROUBLES.items(), key=lambda item: (item[1].family.value, item[0])):
-        print(f"{spec.family.value:9} {name:18} {spec.text}")
+def _list_faults() -> None:
+    for kind, spec in sorted(FAULT_SPECS.items(), key=lambda item: (item[1].family.value, item[0])):
+        print(f"{spec.family.value:9} {kind:31} {spec.description}")
 
 
-async def _play(plan: Plan, folder: Path, library: Path) -> Ledger:
-    """Play a plan; SIGTERM and SIGINT end it with everything that it started."""
+async def _run(scenario: Scenario, directory: Path, library: Path) -> History:
+    """Run a scenario; SIGTERM and SIGINT end it together with the processes that it started."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, task.cancel)
-    return await Run(plan, folder, library).play()
-
-
-def _report(plan: Plan, ledger: Ledger, seconds: float) -> bool:
-    """Print the verdict of one seed; whether a rule broke."""
-    broken = judge(ledger)
-    endings = Counter(str(request.ending) for request in ledger.requests.values())
-    statuses = Counter(request.status for request in ledger.requests.values() if request.status)
-    for each in broken[:MAX_STORIES]:
-        print(tell(ledger, each))
-    rules = Counter(each.rule for each in broken)
-    worst_lag = max((lag for _, lag in ledger.lags), default=0.0)
-    verdict = ", ".join(f"{rule} {count}" for rule, count in sorted(rules.items())) or "no rule broken"
+    return await ScenarioRunner(scenario, directory, library).run()
+
+
+def _print_verdict(scenario: Scenario, history: History, violations: list[Violation], seconds: float) -> None:
+    for violation in violations[:MAX_PRINTED_TRACES]:
+        print(format_trace(history, violation))
+    counts = Counter(violation.invariant.value for violation in violations)
+    verdict = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+    outcomes = Counter(request.outcome.value for request in history.requests.values())
+    statuses = Counter(request.status for request in history.requests.values() if request.status)
+    max_delay = max((delay.seconds for delay in history.runner_delays), default=0.0)
     print(
-        f"seed {plan.seed}: {verdict}; {len(ledger.requests)} requests {dict(endings)}, "
-        f"statuses {dict(statuses)}, {len(ledger.exits)} processes, "
-        f"runner late by {worst_lag:.3f} s at most, {seconds:.0f} s"
+        f"seed {scenario.seed}: {verdict or 'no invariant violated'}; "
+        f"{len(history.requests)} requests {dict(outcomes)}, "
+        f"statuses {dict(statuses)}, {len(history.exits)} processes, "
+        f"runner late by {max_delay:.3f} s at most, {seconds:.0f} s"
     )
-    if broken:
-        command = f"python -m soak --seed {plan.seed} --seconds {plan.seconds:g} --limiters {plan.limiters}"
-        print(f"play it again: {command}")
-    return bool(broken)
+    if violations:
+        print(
+            f"run it again: python -m soak --seed {scenario.seed} --seconds {scenario.seconds:g} "
+            f"--limiters {scenario.limiter_count}"
+        )
 
 
-def _play_seeds(options: argparse.Namespace) -> int:
+def _run_seeds(options: argparse.Namespace) -> ExitCode:
     seeds = options.seeds or [options.seed]
-    broken = list[int]()
+    violating_seeds = list[int]()
     with tempfile.TemporaryDirectory(prefix="soak-") as scratch:
         library = build_library(Path(scratch))
         for seed in seeds:
-            plan = make_plan(seed, options.seconds, options.limiters)
-            print(plan.describe(), flush=True)
-            folder = (options.keep or Path(scratch)) / f"seed-{seed}"
-            folder.mkdir(parents=True)
-            begun = time.monotonic()
-            ledger = uvloop.run(_play(plan, folder, library))
-            if _report(plan, ledger, time.monotonic() - begun):
-                broken.append(seed)
+            scenario = make_scenario(seed, options.seconds, options.limiters)
+            print(scenario.describe(), flush=True)
+            directory = (options.keep or Path(scratch)) / f"seed-{seed}"
+            directory.mkdir(parents=True)
+            started_at = time.monotonic()
+            history = uvloop.run(_run(scenario, directory, library))
+            violations = check_history(history)
+            _print_verdict(scenario, history, violations, time.monotonic() - started_at)
+            if violations:
+                violating_seeds.append(seed)
             sys.stdout.flush()
     if len(seeds) > 1:
-        print(f"{len(seeds)} seeds played, {len(broken)} with broken rules: {broken}")
-    return EXIT_BROKEN if broken else EXIT_CLEAN
+        print(f"{len(seeds)} seeds, {len(violating_seeds)} with violations: {violating_seeds}")
+    return ExitCode.VIOLATION if violating_seeds else ExitCode.NO_VIOLATION
 
 
-def main(arguments: list[str]) -> int:
-    """Run the command; the exit code."""
+def main(arguments: list[str]) -> ExitCode:
+    """Run the command and return its exit code."""
     try:
         options = _parse_arguments(arguments)
         if options.list:
-            _list_troubles()
-            return EXIT_CLEAN
-        if options.plan:
+            _list_faults()
+            return ExitCode.NO_VIOLATION
+        if options.scenario:
             for seed in options.seeds or [options.seed]:
-                print(make_plan(seed, options.seconds, options.limiters).describe())
-            return EXIT_CLEAN
-        return _play_seeds(options)
+                print(make_scenario(seed, options.seconds, options.limiters).describe())
+            return ExitCode.NO_VIOLATION
+        return _run_seeds(options)
     except (SoakError, OSError) as error:
         print(f"soak: {error}", file=sys.stderr)
-        return EXIT_NO_VERDICT
+        return ExitCode.NO_VERDICT
     except (KeyboardInterrupt, asyncio.CancelledError):
         print("soak: interrupted", file=sys.stderr)
-        return EXIT_NO_VERDICT
+        return ExitCode.NO_VERDICT
--- /dev/null
+++ b/soak/client_connection.py
@@ -0,0 +1,129 @@
+"""The HTTP connections of the clients: reading of responses, and reuse of idle connections."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from soak.proxy import LOOPBACK
+
+HTTP_STATUS_SLICE = slice(9, 12)  # in a status line
+MIN_FINAL_STATUS = 200
+
+
+@dataclass(slots=True)
+class Connection:
+    """A client's connection to a limiter."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+    is_new: bool = True
+
+    def is_reusable(self) -> bool:
+        """Whether neither side has closed the connection."""
+        return not self.writer.is_closing() and not self.reader.at_eof()
+
+    def mark_reused(self) -> None:
+        """Record that the connection has had a request before."""
+        self.is_new = False
+
+    def close(self) -> None:
+        """Close the connection after the buffered bytes."""
+        self.writer.close()
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        self.writer.transport.abort()
+
+
+class Response(NamedTuple):
+    """A final response."""
+
+    status: int
+    body: bytes
+    keeps_connection: bool
+
+
+class IncompleteResponseError(Exception):
+    """The connection ended before its response was complete."""
+
+    def __init__(self, *, has_head: bool) -> None:
+        """``has_head``: whether the head of the response was received."""
+        super().__init__()
+        self.has_head = has_head
+
+
+async def read_response(reader: asyncio.StreamReader) -> Response:
+    """Read the final response, or raise ``IncompleteResponseError``."""
+    has_head = False
+    try:
+        while True:
+            head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
+            status = int(head[HTTP_STATUS_SLICE])
+            if status >= MIN_FINAL_STATUS:
+                break
+        has_head = True
+        lines = (line.partition(":") for line in head.split("\r\n")[1:])
+        headers = {name: value.strip() for name, _, value in lines}
+        body = await _read_body(reader, headers)
+    except (asyncio.IncompleteReadError, OSError, ValueError):
+        raise IncompleteResponseError(has_head=has_head) from None
+    has_length = "content-length" in headers or "transfer-encoding" in headers
+    return Response(status, body, keeps_connection=has_length and headers.get("connection") != "close")
+
+
+async def _read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
+    if "content-length" in headers:
+        return await reader.readexactly(int(headers["content-length"]))
+    if headers.get("transfer-encoding") != "chunked":
+        return await reader.read()
+    chunks = []
+    while size := int((await reader.readline()).partition(b";")[0], 16):
+        chunks.append(await reader.readexactly(size))
+        await reader.readline()
+    await reader.readline()
+    return b"".join(chunks)
+
+
+class ConnectionPool:
+    """The idle connections of the clients of one limiter."""
+
+    def __init__(self, port: int) -> None:
+        """Connect to a port of loopback."""
+        self._port = port
+        self._idle = deque[Connection]()
+
+    @property
+    def has_idle(self) -> bool:
+        """Whether there is an idle connection."""
+        return bool(self._idle)
+
+    async def connect(self) -> Connection:
+        """Open a new connection."""
+        return Connection(*await asyncio.open_connection(LOOPBACK, self._port))
+
+    async def acquire(self) -> Connection:
+        """Return the connection that is idle for the longest time, or a new one."""
+        while self._idle:
+            connection = self._idle.popleft()
+            if connection.is_reusable():
+                connection.mark_reused()
+                return connection
+        return await self.connect()
+
+    def release(self, connection: Connection) -> None:
+        """Make a connection available for another request."""
+        self._idle.append(connection)
+
+    def discard(self, connection: Connection) -> None:
+        """Close a connection at once, and remove it if it is idle."""
+        if connection in self._idle:
+            self._idle.remove(connection)
+        connection.abort()
+
+    def close(self) -> None:
+        """Close the idle connections."""
+        for connection in self._idle:
+            connection.abort()
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,286 +1,254 @@
-"""The clients of a soak run: plain ones, and such that leave, stall, pipeline, half-close, upload, repeat."""
+"""The clients of a run: they send the traffic of one limiter, plain or with a faulty behaviour."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import time
-from collections import deque
 from dataclasses import dataclass
-from itertools import count
 from random import Random
 
-from soak.ledger import BadClient, ClientRequest, Ending, Ledger
-from soak.settings import CLASSES, PLANS, SERVING_LIMITERS
+from soak.client_connection import Connection, ConnectionPool, IncompleteResponseError, read_response
+from soak.history import (
+    TRUNCATED_RESPONSE_STATUS,
+    ClientBehaviour,
+    ClientRequest,
+    History,
+    IncompleteRequest,
+    RequestOutcome,
+)
+from soak.request_factory import RequestFactory
+
+REQUESTS_PER_SECOND = 12.0
+RESPONSE_PATIENCE_SECONDS = 2.0  # after the request's timeout
+DISCONNECT_WITHIN_SECONDS = 0.2
+CLOSE_ON_DISCONNECT_FRACTION = 0.5  # the other clients reset the connection
+INCOMPLETE_REQUEST_PATIENCE_SECONDS = 8.0
+MAX_RETRIES = 2
+RETRYABLE_STATUSES = (429, 503)
+MIN_RETRY_DELAY_SECONDS = 0.01
+MAX_RETRY_DELAY_SECONDS = 0.1
+PIPELINED_REQUESTS = 3
+HEAD_FRAGMENT_BYTES = 40
+HEAD_FRAGMENT_GAP_SECONDS = 0.002
+BODY_CHUNK_BYTES = 30_000
+UPLOAD_GAP_SECONDS = 0.02
+INCOMPLETE_HEAD_BYTES = 60
+
+
+@dataclass(frozen=True, slots=True)
+class _IncompletePart:
+    """The part of a request within which a client stops; without body bytes it stops within the head."""
+
+    name: str
+    body_size: int
+    sent_body_bytes: int
+
+
+INCOMPLETE_PARTS = (
+    _IncompletePart("head", 200, 0),
+    _IncompletePart("body", 200, 50),
+    _IncompletePart("body after a fast start", 65_000, 60_000),
+    _IncompletePart("upload", 2_000_000, 1_000_000),
+)
 
-GIVE_UP_AFTER = 2.0  # seconds behind its time until a client stops waiting for an answer
-BAD_CLIENT_PATIENCE = 8.0  # seconds
-UPLOAD_SIZE = 300_000  # bytes
-UPLOAD_PIECE = 30_000
-UPLOAD_GAP = 0.02  # seconds
-MAX_REPEATS = 2
-ACCOUNTS = 4  # that a set of limiters serves, times its size
-LOOPBACK = "127.0.0.1"
 
+class LimiterClients:
+    """All clients of one limiter.
 
-@dataclass(slots=True)
-class Connection:
-    """A client's connection to a limiter."""
-
-    reader: asyncio.StreamReader
-    writer: asyncio.StreamWriter
-    is_new: bool = True
-
-
-class BrokenAnswerError(Exception):
-    """A connection ended before its answer was complete; ``started`` if some of it had come."""
-
-    def __init__(self, started: bool) -> None:
-        """Tell whether the answer had begun."""
-        super().__init__()
-        self.started = started
-
+    Behaviours are drawn by their fractions for each request; the other requests are plain. While new
+    connections are blocked, requests use idle connections only.
+    """
 
-async def read_answer(reader: asyncio.StreamReader) -> tuple[int, bytes, bool]:
-    """The final answer: status, body, and whether the connection goes on."""
-    started = False
-    try:
-        while True:
-            head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
-            status = int(head[9:12])
-            if status >= 200:
-                break
-        started = True
-        lines = (line.partition(":") for line in head.split("\r\n")[1:])
-        headers = {name: value.strip() for name, _, value in lines}
-        body = await _read_body(reader, headers)
-    except (asyncio.IncompleteReadError, OSError, ValueError):
-        raise BrokenAnswerError(started) from None
-    goes_on = headers.get("connection") != "close" and (
-        "content-length" in headers or "transfer-encoding" in headers
-    )
-    return status, body, goes_on
+    def __init__(
+        self,
+        limiter: int,
+        connections: ConnectionPool,
+        factory: RequestFactory,
+        history: History,
+        random: Random,
+    ) -> None:
+        """Send the requests of ``factory`` over ``connections``."""
+        self._limiter = limiter
+        self._connections = connections
+        self._factory = factory
+        self._history = history
+        self._random = random
+        self._rate = REQUESTS_PER_SECOND
+        self._fractions = dict[ClientBehaviour, float]()
+        self._may_connect = True
+        self._tasks = set[asyncio.Task[None]]()
 
+    def scale_rate(self, factor: float) -> None:
+        """Multiply the request rate."""
+        self._rate *= factor
 
-async def _read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
-    if "content-length" in headers:
-        return await reader.readexactly(int(headers["content-length"]))
-    if headers.get("transfer-encoding") != "chunked":
-        return await reader.read()
-    chunks = []
-    while size := int((await reader.readline()).partition(b";")[0], 16):
-        chunks.append(await reader.readexactly(size))
-        await reader.readline()
-    await reader.readline()
-    return b"".join(chunks)
+    def start_behaviour(self, behaviour: ClientBehaviour, fraction: float) -> None:
+        """Let a fraction of the requests show a behaviour."""
+        self._fractions[behaviour] = fraction
 
+    def end_behaviour(self, behaviour: ClientBehaviour) -> None:
+        """Let no further request show a behaviour."""
+        self._fractions.pop(behaviour, None)
 
-class LimiterClients:
-    """All clients of one limiter."""
+    def block_connects(self) -> None:
+        """Open no new connections."""
+        self._may_connect = False
 
-    def __init__(
-        self, limiter: int, limiters: int, port: int, ledger: Ledger, rng: Random, ids: count[int]
-    ) -> None:
-        """They connect to ``port``; ``ids`` numbers all requests of the run, of ``limiters`` in all."""
-        self.limiter = limiter
-        self._first_serving = limiter // SERVING_LIMITERS * SERVING_LIMITERS
-        self._serving = min(SERVING_LIMITERS, limiters - self._first_serving)
-        self.port = port
-        self.rate = 12.0  # requests a second
-        self.behaviours = dict[str, float]()  # share of the requests by name, beside the plain ones
-        self.may_connect = True
-        self._ledger = ledger
-        self._rng = rng
-        self._ids = ids
-        self._idle = deque[Connection]()
-        self._tasks = set[asyncio.Task[None]]()
+    def allow_connects(self) -> None:
+        """Open new connections again."""
+        self._may_connect = True
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send requests until cancelled."""
         while True:
-            await asyncio.sleep(self._rng.expovariate(self.rate))
-            if self.may_connect or self._idle:
-                self.start(self._draw_behaviour())
-
-    def _draw_behaviour(self) -> str:
-        draw = self._rng.random()
-        for behaviour, share in self.behaviours.items():
-            draw -= share
-            if draw < 0:
-                return behaviour
-        return "plain"
-
-    def start(self, behaviour: str) -> None:
-        """Send one request, or be one bad client."""
-        work = {"stall": self._stall, "pipeline": self._pipeline}.get(behaviour)
-        task = asyncio.create_task(work() if work else self._request(behaviour, MAX_REPEATS))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+            await asyncio.sleep(self._random.expovariate(self._rate))
+            if self._may_connect or self._connections.has_idle:
+                self._start_request(self._draw_behaviour())
 
     async def finish(self) -> None:
-        """Wait for what is under way."""
+        """Wait for the open requests, then close the connections."""
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=2 * BAD_CLIENT_PATIENCE)
+            await asyncio.wait(self._tasks, timeout=2 * INCOMPLETE_REQUEST_PATIENCE_SECONDS)
         for task in self._tasks:
             task.cancel()
-        for connection in self._idle:
-            connection.writer.transport.abort()
-
-    def _new_request(self, behaviour: str) -> ClientRequest:
-        names = [each["name"] for each in CLASSES]
-        request_class = "post" if behaviour == "upload" else self._rng.choices(names, (5, 3, 2))[0]
-        plan = self._rng.choices([plan["name"] for plan in PLANS], (3, 1))[0]
-        account = self._first_serving * ACCOUNTS + self._rng.randrange(ACCOUNTS)  # of its set of limiters
-        timeout = self._rng.choice((0.4, 0.8, 1.5, 2.0))
-        request_id = f"{next(self._ids):016x}"
-        size = 0 if request_class == "lookup" else UPLOAD_SIZE if behaviour == "upload" else 200
-        request = ClientRequest(
-            request_id, self.limiter, request_class, plan, account, timeout, behaviour, body_size=size
-        )
-        self._ledger.requests[request_id] = request
-        return request
-
-    def _head(self, request: ClientRequest) -> bytes:
-        method = "GET" if request.request_class == "lookup" else "POST"
-        lines = [
-            f"{method} /{request.request_class}?account={request.account:016x} HTTP/1.1",
-            "Host: origin.svc",
-            f"X-Request-ID: {request.id}",
-            f"X-Priority-Class: {request.request_class}",
-            f"X-Plan: {request.plan}",
-            f"X-Timeout-Ms: {int(request.timeout * 1000)}",
-            f"X-Quota: units=1,spread={self._serving},first={self._first_serving}",
-        ]
-        if method == "POST":
-            lines += [f"Content-Length: {request.body_size}", f"Idempotency-Key: {request.id * 2}"]
-        return "\r\n".join([*lines, "", ""]).encode()
+        self._connections.close()
 
-    async def _connect(self) -> Connection:
-        return Connection(*await asyncio.open_connection(LOOPBACK, self.port))
+    def _draw_behaviour(self) -> ClientBehaviour:
+        draw = self._random.random()
+        for behaviour, fraction in self._fractions.items():
+            draw -= fraction
+            if draw < 0:
+                return behaviour
+        return ClientBehaviour.PLAIN
 
-    async def _take_connection(self) -> Connection:
-        while self._idle:
-            connection = self._idle.popleft()
-            if not connection.writer.is_closing() and not connection.reader.at_eof():
-                connection.is_new = False
-                return connection
-        return await self._connect()
+    def _start_request(self, behaviour: ClientBehaviour) -> None:
+        if behaviour is ClientBehaviour.INCOMPLETE_REQUEST:
+            sending = self._send_incomplete_request()
+        elif behaviour is ClientBehaviour.PIPELINING:
+            sending = self._send_pipelined_requests()
+        else:
+            sending = self._send_request(behaviour, MAX_RETRIES)
+        task = asyncio.create_task(sending)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _request(self, behaviour: str, repeats: int) -> None:
-        request = self._new_request(behaviour)
+    async def _send_request(self, behaviour: ClientBehaviour, retries: int) -> None:
+        request = self._factory.make(behaviour)
         try:
-            await self._exchange(request, await self._take_connection())
-            if request.ending is Ending.CLOSED and not request.on_new_connection:
-                request.resent = True  # the close has crossed it
-                await self._exchange(request, await self._connect())
+            await self._exchange(request, await self._connections.acquire())
+            if request.outcome is RequestOutcome.CONNECTION_CLOSED and not request.on_new_connection:
+                request.mark_resent()  # the limiter may have closed the idle connection before the request
+                await self._exchange(request, await self._connections.connect())
         except OSError:
-            if request.ending is Ending.OPEN or request.resent:
-                request.ending = Ending.REFUSED
-                request.ended_at = time.monotonic()
-        if behaviour == "repeat" and repeats and request.status in (429, 503):
-            await asyncio.sleep(self._rng.uniform(0.01, 0.1))
-            await self._request(behaviour, repeats - 1)
+            if request.outcome is RequestOutcome.OPEN or request.resent:
+                request.end(RequestOutcome.CONNECTION_REFUSED)
+        is_rejected = request.status in RETRYABLE_STATUSES
+        if behaviour is ClientBehaviour.IMMEDIATE_RETRIES and retries and is_rejected:
+            await asyncio.sleep(self._random.uniform(MIN_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS))
+            await self._send_request(behaviour, retries - 1)
 
     async def _exchange(self, request: ClientRequest, connection: Connection) -> None:
-        request.on_new_connection = connection.is_new
-        request.ending = Ending.OPEN
-        writer = connection.writer
+        request.begin_exchange(on_new_connection=connection.is_new)
         try:
-            await self._write(request, writer)
-            request.sent_at = time.monotonic()
-            if request.behaviour == "half_close":
-                writer.write_eof()
-            await self._await_answer(request, connection)
-        except BrokenAnswerError as error:
-            request.ending = Ending.ANSWERED if error.started else Ending.CLOSED
-            request.status = -1 if error.started else 0
+            await self._write(request, connection.writer)
+            request.mark_sent()
+            if request.behaviour is ClientBehaviour.HALF_CLOSE:
+                connection.writer.write_eof()
+            await self._receive(request, connection)
+        except IncompleteResponseError as error:
+            if error.has_head:
+                request.receive_response(TRUNCATED_RESPONSE_STATUS)
+            else:
+                request.end(RequestOutcome.CONNECTION_CLOSED)
         except OSError:
-            request.ending = Ending.CLOSED
-        request.ended_at = time.monotonic()
-        if request.ending is not Ending.ANSWERED or request.status < 0:
-            writer.transport.abort()
+            request.end(RequestOutcome.CONNECTION_CLOSED)
+        if not request.has_complete_response:
+            connection.abort()
 
     async def _write(self, request: ClientRequest, writer: asyncio.StreamWriter) -> None:
-        head = self._head(request)
-        if request.behaviour == "split":
-            for start in range(0, len(head), 40):
-                writer.write(head[start : start + 40])
-                await asyncio.sleep(0.002)
+        head = self._factory.format_head(request)
+        if request.behaviour is ClientBehaviour.FRAGMENTED_REQUEST:
+            for start in range(0, len(head), HEAD_FRAGMENT_BYTES):
+                writer.write(head[start : start + HEAD_FRAGMENT_BYTES])
+                await asyncio.sleep(HEAD_FRAGMENT_GAP_SECONDS)
         else:
             writer.write(head)
-        for start in range(0, request.body_size, UPLOAD_PIECE):
-            writer.write(b"x" * min(UPLOAD_PIECE, request.body_size - start))
+        for start in range(0, request.body_size, BODY_CHUNK_BYTES):
+            writer.write(b"x" * min(BODY_CHUNK_BYTES, request.body_size - start))
             await writer.drain()
-            if request.body_size > UPLOAD_PIECE:
-                await asyncio.sleep(UPLOAD_GAP)
-
-    async def _await_answer(self, request: ClientRequest, connection: Connection) -> None:
-        patience = request.timeout + GIVE_UP_AFTER
-        leaves = request.behaviour == "leave"
-        if leaves:
-            patience = self._rng.uniform(0.0, 0.2)
+            if request.body_size > BODY_CHUNK_BYTES:
+                await asyncio.sleep(UPLOAD_GAP_SECONDS)
+
+    async def _receive(self, request: ClientRequest, connection: Connection) -> None:
+        """Wait for the response as long as the client's behaviour says."""
+        disconnects = request.behaviour is ClientBehaviour.DISCONNECT
+        patience = request.timeout + RESPONSE_PATIENCE_SECONDS
+        if disconnects:
+            patience = self._random.uniform(0.0, DISCONNECT_WITHIN_SECONDS)
         try:
             async with asyncio.timeout(patience):
-                request.status, request.body, goes_on = await read_answer(connection.reader)
+                response = await read_response(connection.reader)
         except TimeoutError:
-            request.ending = Ending.LEFT if leaves else Ending.NO_ANSWER
-            if leaves and self._rng.random() < 0.5:
-                connection.writer.close()
+            request.end(RequestOutcome.DISCONNECTED if disconnects else RequestOutcome.TIMED_OUT)
+            if disconnects and self._random.random() < CLOSE_ON_DISCONNECT_FRACTION:
+                connection.close()
             return
-        request.ending = Ending.ANSWERED
-        if goes_on and request.behaviour != "half_close":
-            self._idle.append(connection)
+        request.receive_response(response.status, response.body)
+        if response.keeps_connection and request.behaviour is not ClientBehaviour.HALF_CLOSE:
+            self._connections.release(connection)
         else:
-            connection.writer.close()
+            connection.close()
 
-    async def _pipeline(self) -> None:
-        """Several requests at once on one connection; their answers come in their order."""
-        requests = [self._new_request("pipeline") for _ in range(3)]
+    async def _send_pipelined_requests(self) -> None:
+        """Send several requests at once on one connection; the responses arrive in the same order."""
+        requests = [self._factory.make(ClientBehaviour.PIPELINING) for _ in range(PIPELINED_REQUESTS)]
         try:
-            connection = await self._connect()
+            connection = await self._connections.connect()
         except OSError:
             for request in requests:
-                request.ending = Ending.REFUSED
+                request.end(RequestOutcome.CONNECTION_REFUSED)
             return
         for request in requests:
-            request.on_new_connection = True
+            request.begin_exchange(on_new_connection=True)
             await self._write(request, connection.writer)
-            request.sent_at = time.monotonic()
+            request.mark_sent()
         for request in requests:
-            with contextlib.suppress(BrokenAnswerError):
-                await self._await_answer(request, connection)
-            request.ended_at = time.monotonic()
-            if request.ending is Ending.OPEN:
-                request.ending = Ending.CLOSED
-            if request.ending is not Ending.ANSWERED:
+            with contextlib.suppress(IncompleteResponseError):
+                await self._receive(request, connection)
+            if request.outcome is RequestOutcome.OPEN:
+                request.end(RequestOutcome.CONNECTION_CLOSED)
+            if request.outcome is not RequestOutcome.RESPONSE_RECEIVED:
                 break
-        if connection in self._idle:
-            self._idle.remove(connection)
-        connection.writer.transport.abort()
-
-    async def _stall(self) -> None:
-        """Stop in the middle of a request and stay: in a head, a body, a body that began fast, an upload."""
-        kind = self._rng.choice(("head", "body", "fast body", "upload"))
-        request = self._new_request("stall")
-        request.request_class = "post"
-        request.body_size = {"head": 200, "body": 200, "fast body": 65_000, "upload": 2_000_000}[kind]
-        head = self._head(request)
-        sent_size = {"head": 0, "body": 50, "fast body": 60_000, "upload": 1_000_000}[kind]
+        self._connections.discard(connection)
+
+    async def _send_incomplete_request(self) -> None:
+        """Stop within a request, stay connected, and record when the limiter ends the exchange."""
+        part = self._random.choice(INCOMPLETE_PARTS)
+        request = self._factory.make_incomplete(part.body_size)
+        head = self._factory.format_head(request)
+        sent = head + b"x" * part.sent_body_bytes if part.sent_body_bytes else head[:INCOMPLETE_HEAD_BYTES]
         try:
-            connection = await self._connect()
-            connection.writer.write(head[:60] if kind == "head" else head + b"x" * sent_size)
+            connection = await self._connections.connect()
+            connection.writer.write(sent)
             await connection.writer.drain()
         except OSError:
             return
         stopped_at = time.monotonic()
-        ended_at = 0.0
-        try:
-            async with asyncio.timeout(BAD_CLIENT_PATIENCE):
-                await connection.reader.read(1)
-                ended_at = time.monotonic()
-        except TimeoutError:
-            pass
-        except OSError:
-            ended_at = time.monotonic()
-        self._ledger.bad_clients.append(BadClient(self.limiter, kind, stopped_at, ended_at))
-        connection.writer.transport.abort()
+        ended_at = await _wait_for_end(connection)
+        self._history.incomplete_requests.append(
+            IncompleteRequest(self._limiter, part.name, stopped_at, ended_at)
+        )
+        connection.abort()
+
+
+async def _wait_for_end(connection: Connection) -> float:
+    """Return when the first byte of a response or the close arrives; 0 if neither does in time."""
+    try:
+        async with asyncio.timeout(INCOMPLETE_REQUEST_PATIENCE_SECONDS):
+            await connection.reader.read(1)
+    except TimeoutError:
+        return 0.0
+    except OSError:
+        pass
+    return time.monotonic()
--- /dev/null
+++ b/soak/endpoint_checks.py
@@ -0,0 +1,183 @@
+"""Checks of what draining, suspended and warming up endpoints receive."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterator
+from math import sqrt
+from typing import NamedTuple
+
+from soak.history import Attempt, ClientRequest, EndpointChange, EndpointHealth, History, Suspension
+from soak.settings import (
+    DRAIN_GRACE_SECONDS,
+    INITIAL_CAPACITY_FRACTION,
+    OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_SECONDS,
+    WARM_UP_SECONDS,
+)
+from soak.tolerances import (
+    WRITE_DELAY_SECONDS,
+    may_be_delayed_by_network,
+    notification_deadline,
+    timing_tolerance,
+)
+from soak.violations import Invariant, Violation
+
+SUSPENSION_TIMEOUT_SECONDS = 1.0
+NOTIFIED_FRACTION = 2 / 3  # of an overload, sent by limiters that knew of the restart
+SMALL_BUDGET_REQUESTS = 30  # a smaller budget has a wider statistical tolerance
+
+
+class _Draining(NamedTuple):
+    """A time during which an endpoint was listed as draining."""
+
+    change: EndpointChange
+    end: float
+
+
+def find_attempts_at_draining(history: History) -> Iterator[Violation]:
+    """Find attempts at a draining endpoint after the grace that follows the notification."""
+    drains = _find_drains(history)
+    for attempts in history.attempts.values():
+        for attempt in attempts:
+            request = history.requests.get(attempt.request_id)
+            if request is None:
+                continue
+            for draining in drains.get(attempt.endpoint, []):
+                if draining.change.at < attempt.first_byte_at < draining.end:
+                    yield from _check_draining(history, draining, request, attempt)
+
+
+def _find_drains(history: History) -> dict[str, list[_Draining]]:
+    drains = defaultdict[str, list[_Draining]](list)
+    for number, change in enumerate(history.endpoint_changes):
+        if change.health is EndpointHealth.READY:
+            continue
+        later = (
+            other.at for other in history.endpoint_changes[number + 1 :] if other.endpoint == change.endpoint
+        )
+        drains[change.endpoint].append(_Draining(change, next(later, float("inf"))))
+    return drains
+
+
+def _check_draining(
+    history: History, draining: _Draining, request: ClientRequest, attempt: Attempt
+) -> Iterator[Violation]:
+    at = attempt.first_byte_at
+    notified_at = notification_deadline(history, request.limiter, draining.change.at)
+    latest = notified_at + DRAIN_GRACE_SECONDS + WRITE_DELAY_SECONDS + timing_tolerance(history, at)
+    if at > latest and not may_be_delayed_by_network(history, attempt, at):
+        text = f"attempt at draining {attempt.endpoint} {at - notified_at:.3f} s after the notification"
+        yield Violation(Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS, at, text, request.id, request.limiter)
+
+
+def find_attempts_at_suspended(history: History) -> Iterator[Violation]:
+    """Find attempts at an endpoint whose suspension the limiter had accepted."""
+    accepted = [suspension for suspension in history.suspensions if suspension.accepted_at]
+    for attempts in history.attempts.values():
+        for attempt in attempts:
+            request = history.requests.get(attempt.request_id)
+            if request is None:
+                continue
+            for suspension in accepted:
+                if _violates_suspension(history, suspension, request, attempt):
+                    age = attempt.first_byte_at - suspension.accepted_at
+                    text = f"attempt at suspended {attempt.endpoint} {age:.3f} s after the success of SUSPEND"
+                    yield Violation(
+                        Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS,
+                        attempt.first_byte_at,
+                        text,
+                        request.id,
+                        request.limiter,
+                    )
+
+
+def _violates_suspension(
+    history: History, suspension: Suspension, request: ClientRequest, attempt: Attempt
+) -> bool:
+    if (suspension.limiter, suspension.endpoint) != (request.limiter, attempt.endpoint):
+        return False
+    in_force_at = min(suspension.accepted_at, suspension.requested_at + SUSPENSION_TIMEOUT_SECONDS)
+    end = suspension.restored_at or float("inf")
+    at = attempt.first_byte_at
+    latest = in_force_at + DRAIN_GRACE_SECONDS + WRITE_DELAY_SECONDS + timing_tolerance(history, at)
+    return latest < at < end and not may_be_delayed_by_network(history, attempt)
+
+
+def find_overloads(history: History) -> Iterator[Violation]:
+    """Find endpoints that received more than their budget from all limiters while they warmed up."""
+    attempts_by_endpoint = defaultdict[str, list[Attempt]](list)
+    for attempts in history.attempts.values():
+        for attempt in attempts:
+            attempts_by_endpoint[attempt.endpoint].append(attempt)
+    capacity = _estimate_capacity(history, attempts_by_endpoint)
+    for change in history.endpoint_changes:
+        if _is_restart(history, change):
+            received = [
+                attempt
+                for attempt in attempts_by_endpoint[change.endpoint]
+                if attempt.incarnation == change.incarnation
+            ]
+            yield from _find_overload(history, change, received, capacity)
+
+
+def _is_restart(history: History, change: EndpointChange) -> bool:
+    """Whether a change is the first one that lists a new incarnation."""
+    if change.incarnation == 0 or change.health is not EndpointHealth.READY:
+        return False
+    first_at = min(
+        other.at
+        for other in history.endpoint_changes
+        if (other.endpoint, other.incarnation) == (change.endpoint, change.incarnation)
+    )
+    return change.at == first_at
+
+
+def _estimate_capacity(history: History, attempts_by_endpoint: dict[str, list[Attempt]]) -> float:
+    """Return the mean requests a second of an endpoint, which a warm endpoint is able to serve."""
+    times = [attempt.complete_at for attempts in attempts_by_endpoint.values() for attempt in attempts]
+    seconds = max(1.0, max(times, default=1.0) - history.started_at)
+    return len(times) / seconds / max(1, len(attempts_by_endpoint))
+
+
+def allowed_requests(capacity: float, age: float) -> float:
+    """Return the requests that an endpoint may receive within the overload window.
+
+    ``capacity`` is in requests a second when warm, ``age`` in seconds since the endpoint's start.
+    """
+    warm_fraction = INITIAL_CAPACITY_FRACTION + (1 - INITIAL_CAPACITY_FRACTION) * age / WARM_UP_SECONDS
+    requests = OVERLOAD_FACTOR * capacity * min(1.0, warm_fraction) * OVERLOAD_WINDOW_SECONDS
+    if requests < SMALL_BUDGET_REQUESTS:
+        return requests + 3 * sqrt(requests) + 3
+    return requests + 2 * sqrt(requests) + 2
+
+
+def _find_overload(
+    history: History, change: EndpointChange, received: list[Attempt], capacity: float
+) -> Iterator[Violation]:
+    """Report the first overload, if limiters that had to know of the restart sent most of it."""
+    received = sorted(received, key=lambda attempt: attempt.complete_at)
+    begin = 0
+    for end, last in enumerate(received):
+        while last.complete_at - received[begin].complete_at > OVERLOAD_WINDOW_SECONDS:
+            begin += 1
+        age = last.complete_at - change.at
+        allowed = allowed_requests(capacity, max(0.0, age))
+        window = received[begin : end + 1]
+        if age < WARM_UP_SECONDS and len(window) > allowed:
+            notified = sum(_had_to_know(history, change, attempt) for attempt in window)
+            if notified > NOTIFIED_FRACTION * len(window):
+                text = (
+                    f"{change.endpoint} received {len(window)} requests within "
+                    f"{OVERLOAD_WINDOW_SECONDS:.0f} s, {notified} from notified limiters, "
+                    f"{age:.2f} s after its restart; {allowed:.1f} are allowed"
+                )
+                yield Violation(Invariant.SLOW_START, last.complete_at, text)
+            return
+
+
+def _had_to_know(history: History, change: EndpointChange, attempt: Attempt) -> bool:
+    request = history.requests.get(attempt.request_id)
+    if request is None:
+        return False
+    return attempt.complete_at >= notification_deadline(history, request.limiter, change.at)
--- a/soak/endpoints.py
+++ b/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a soak run: they take down each attempt, and go wrong on demand."""
+"""The endpoints of a run: they record each attempt, and show faulty behaviour on command."""
 
 from __future__ import annotations
 
@@ -9,66 +9,90 @@
 from itertools import count
 from random import Random
 
-from soak.ledger import Ledger, Receipt
-from soak.proxy import LOOPBACK, Proxy
+from soak.history import Attempt, EndpointHealth, History
+from soak.proxy import LOOPBACK, Address, Proxy
 
-MIN_SERVICE_TIME = 0.004  # seconds
-MAX_SERVICE_TIME = 0.03
-PIECE_GAP = 0.01  # seconds between two pieces of an answer
-LONG_ANSWER = 200_000  # bytes
-NEVER = 3600.0  # seconds, longer than any run
-NOT_PROCESSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+MIN_SERVICE_SECONDS = 0.004
+MAX_SERVICE_SECONDS = 0.03
+DRAINING_REJECTION_FRACTION = 0.5
+FRAGMENTS = 8  # of a response
+MIN_FRAGMENT_BYTES = 20
+FRAGMENT_GAP_SECONDS = 0.01
+LONG_RESPONSE_BYTES = 200_000
+MISSING_BYTES = 1000  # of an incomplete response
+LONGER_THAN_ANY_RUN_SECONDS = 3600.0
+HEALTH_CHECK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Behaviour:
-    """How an endpoint goes wrong; each is the share of the requests that it concerns."""
+    """The faulty behaviour of an endpoint; fractions are of its requests."""
 
-    hangs: bool = False  # takes requests and answers none
-    errors: float = 0.0
-    turned_away: float = 0.0
-    in_pieces: float = 0.0
-    resets_after: float = 0.0  # breaks the connection with the request begun
-    long_answers: float = 0.0
-    endless: float = 0.0  # announces more than it sends
-    without_length: float = 0.0  # the end of the connection is the end of the answer
-    slow_factor: float = 1.0  # on the service time
+    hangs: bool = False  # accepts requests and sends no response
+    error_fraction: float = 0.0
+    rejection_fraction: float = 0.0
+    fragmented_fraction: float = 0.0
+    reset_fraction: float = 0.0  # the connection ends while the request is executed
+    long_response_fraction: float = 0.0
+    incomplete_fraction: float = 0.0  # the response is shorter than its Content-Length
+    without_length_fraction: float = 0.0  # the response ends with the connection
+    service_time_factor: float = 1.0
 
 
 class SoakEndpoint:
     """One endpoint behind a proxy of its own."""
 
-    def __init__(self, name: str, zone: str, ledger: Ledger, rng: Random) -> None:
-        """``rng`` draws service times and which requests go wrong."""
+    def __init__(self, name: str, zone: str, history: History, random: Random) -> None:
+        """``random`` draws service times and the requests that meet a fault."""
         self.name = name
         self.zone = zone
-        self.behaviour = Behaviour()
         self.incarnation = 0
-        self.started_at_ms = 0  # Unix time; 0: long ago
-        self.health = "ready"
-        self._ledger = ledger
-        self._rng = rng
-        self._connections = count(1)
+        self.started_at_ms = 0  # Unix time; 0: unknown, long ago
+        self.health = EndpointHealth.READY
+        self.proxy: Proxy
+        self._behaviour = Behaviour()
+        self._history = history
+        self._random = random
+        self._connection_numbers = count(1)
         self._server: asyncio.Server | None = None
         self._tasks = set[asyncio.Task[None]]()
-        self.proxy: Proxy
 
-    async def open(self) -> str:
-        """Listen; gives the address of the proxy."""
+    async def open(self) -> None:
+        """Listen behind the proxy."""
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0, backlog=1024)
-        self.proxy = Proxy((LOOPBACK, self._server.sockets[0].getsockname()[1]))
-        return await self.proxy.open()
+        self.proxy = Proxy(Address(LOOPBACK, self._server.sockets[0].getsockname()[1]))
+        await self.proxy.open()
 
-    def restart(self) -> None:
-        """Come back cold, as a new incarnation: its connections are reset."""
+    def restart(self, start_time_offset: float = 0.0) -> None:
+        """Reset all connections and warm up as a new incarnation.
+
+        The offset (seconds) is added to the start time that the endpoint reports.
+        """
         self.proxy.reset_all()
         self.incarnation += 1
-        self.started_at_ms = int(time.time() * 1000)
-        self.behaviour = Behaviour()
+        self.started_at_ms = int(time.time() * 1000) + int(start_time_offset * 1000)
+        self.end_fault()
+
+    def start_draining(self) -> None:
+        """Reject half of the requests, and report the draining."""
+        self.health = EndpointHealth.DRAINING
+
+    def end_draining(self) -> None:
+        """Accept all requests again."""
+        self.health = EndpointHealth.READY
+
+    def start_fault(self, behaviour: Behaviour) -> None:
+        """Show a faulty behaviour in place of the one before."""
+        self._behaviour = behaviour
+
+    def end_fault(self) -> None:
+        """Show normal behaviour."""
+        self._behaviour = Behaviour()
 
     def close(self) -> None:
-        """End for good."""
+        """Close the listening socket and all connections."""
         self.proxy.close()
         if self._server is not None:
             self._server.close()
@@ -79,7 +103,7 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        number = next(self._connections)
+        number = next(self._connection_numbers)
         try:
             while await self._serve(reader, writer, number):
                 pass
@@ -92,81 +116,99 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: int
     ) -> bool:
-        """Take one request and answer it; whether the connection goes on."""
-        first = await reader.readexactly(1)
+        """Read one request and respond; return whether the connection stays open."""
+        first_byte = await reader.readexactly(1)
         first_byte_at = time.monotonic()
-        head = first + await reader.readuntil(b"\r\n\r\n")
-        _, *lines = head.decode("latin-1").split("\r\n")
-        headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
+        head = first_byte + await reader.readuntil(b"\r\n\r\n")
+        headers = _parse_headers(head)
         body_size = await _skip_body(reader, headers)
-        if "x-request-id" not in headers:  # a health check
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        if "x-request-id" not in headers:
+            writer.write(HEALTH_CHECK_RESPONSE)
             return True
-        receipt = Receipt(
-            id=headers["x-request-id"].lower(),
+        attempt = Attempt(
+            request_id=headers["x-request-id"].lower(),
             endpoint=self.name,
             incarnation=self.incarnation,
             connection=connection,
             first_byte_at=first_byte_at,
             complete_at=time.monotonic(),
-            told_timeout=int(headers.get("x-timeout-ms", "0")) / 1000,
+            propagated_deadline=int(headers.get("x-timeout-ms", "0")) / 1000,
             body_size=body_size,
         )
-        self._ledger.receipts[receipt.id].append(receipt)
+        self._history.attempts[attempt.request_id].append(attempt)
         try:
-            return await self._answer(reader, writer, receipt)
+            return await self._respond(reader, writer, attempt)
         finally:
-            receipt.ended_at = receipt.ended_at or time.monotonic()
+            attempt.end()
 
-    async def _answer(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, receipt: Receipt
+    async def _respond(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, attempt: Attempt
     ) -> bool:
-        behaviour = self.behaviour
-        draw = self._rng.random
-        if (self.health != "ready" and draw() < 0.5) or draw() < behaviour.turned_away:
-            receipt.executed = False
-            writer.write(NOT_PROCESSED)
+        behaviour = self._behaviour
+        if self._rejects(behaviour):
+            attempt.reject()
+            writer.write(REJECTION)
             return True
-        service_time = self._rng.uniform(MIN_SERVICE_TIME, MAX_SERVICE_TIME) * behaviour.slow_factor
-        if await _closes_within(reader, NEVER if behaviour.hangs else service_time):
+        service_time = self._random.uniform(MIN_SERVICE_SECONDS, MAX_SERVICE_SECONDS)
+        if behaviour.hangs:
+            service_time = LONGER_THAN_ANY_RUN_SECONDS
+        if await _closes_within(reader, service_time * behaviour.service_time_factor):
             return False
-        if draw() < behaviour.errors:
-            writer.write(ERROR)
+        if self._draw(behaviour.error_fraction):
+            writer.write(ERROR_RESPONSE)
             return True
-        if draw() < behaviour.resets_after:
+        if self._draw(behaviour.reset_fraction):
             return False
-        receipt.answer = f"{receipt.id}:{self.name}:{receipt.connection}".encode()
-        if draw() < behaviour.long_answers:
-            receipt.answer += b"." * LONG_ANSWER
-        return await self._write_answer(reader, writer, receipt)
+        body = f"{attempt.request_id}:{self.name}:{attempt.connection}".encode()
+        if self._draw(behaviour.long_response_fraction):
+            body += b"." * LONG_RESPONSE_BYTES
+        attempt.respond(body)
+        return await self._write_response(reader, writer, body)
 
-    async def _write_answer(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, receipt: Receipt
+    def _draw(self, fraction: float) -> bool:
+        return self._random.random() < fraction
+
+    def _rejects(self, behaviour: Behaviour) -> bool:
+        if self.health is not EndpointHealth.READY and self._draw(DRAINING_REJECTION_FRACTION):
+            return True
+        return self._draw(behaviour.rejection_fraction)
+
+    async def _write_response(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: bytes
     ) -> bool:
-        behaviour = self.behaviour
-        draw = self._rng.random
-        if draw() < behaviour.without_length:
-            writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + receipt.answer)
+        behaviour = self._behaviour
+        if self._draw(behaviour.without_length_fraction):
+            writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body)
             await writer.drain()
             writer.write_eof()
             return False
-        missing = 1000 if draw() < behaviour.endless else 0
-        size = len(receipt.answer) + missing
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (size, receipt.answer)
-        if draw() < behaviour.in_pieces:
-            for start in range(0, len(answer), max(20, len(answer) // 8)):
-                writer.write(answer[start : start + max(20, len(answer) // 8)])
-                await asyncio.sleep(PIECE_GAP)
+        missing = MISSING_BYTES if self._draw(behaviour.incomplete_fraction) else 0
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body) + missing, body)
+        if self._draw(behaviour.fragmented_fraction):
+            await _write_fragments(writer, response)
         else:
-            writer.write(answer)
+            writer.write(response)
         if missing:
-            return not await _closes_within(reader, NEVER)
+            return not await _closes_within(reader, LONGER_THAN_ANY_RUN_SECONDS)
         await writer.drain()
         return True
 
 
+async def _write_fragments(writer: asyncio.StreamWriter, response: bytes) -> None:
+    size = max(MIN_FRAGMENT_BYTES, len(response) // FRAGMENTS)
+    for start in range(0, len(response), size):
+        writer.write(response[start : start + size])
+        await asyncio.sleep(FRAGMENT_GAP_SECONDS)
+
+
+def _parse_headers(head: bytes) -> dict[str, str]:
+    _, *lines = head.decode("latin-1").split("\r\n")
+    fields = (line.partition(":") for line in lines)
+    return {name.lower(): value.strip() for name, _, value in fields}
+
+
 async def _skip_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> int:
-    """Read a request's body in its framing; its size."""
+    """Read a request's body in its framing; return its size in bytes."""
     if headers.get("transfer-encoding") != "chunked":
         size = int(headers.get("content-length", "0"))
         await reader.readexactly(size)
@@ -180,7 +222,7 @@
 
 
 async def _closes_within(reader: asyncio.StreamReader, seconds: float) -> bool:
-    """Wait; whether the limiter gave the attempt up meanwhile."""
+    """Return whether the limiter closes the connection within a time, as it does to abandon an attempt."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             return await reader.read(1) == b""
--- a/soak/fault_control.py
+++ b/soak/fault_control.py
@@ -1,4 +1,4 @@
-"""The fault library that is loaded into limiters, and the control block that tells it what to do."""
+"""The fault library that is loaded into limiters, and the control block through which faults are switched."""
 
 from __future__ import annotations
 
@@ -7,18 +7,41 @@
 import shutil
 import struct
 import subprocess
-from enum import IntFlag
+from enum import IntEnum, IntFlag
 from pathlib import Path
 
 from soak.errors import SoakError
 
 SOURCE = Path(__file__).with_name("fault_library.c")
-COMPILE_TIMEOUT = 60.0  # seconds
-NANOSECONDS = 1_000_000_000
+COMPILE_TIMEOUT_SECONDS = 60.0
+MAX_COMPILER_OUTPUT_CHARACTERS = 400
+NANOSECONDS_PER_SECOND = 1_000_000_000
 
+# Layout of the control block, ``struct control`` in the library.
+BLOCK_BYTES = 56
+CLOCK_OFFSET_POSITION = 0
+INTERRUPTED_WAITS_POSITION = 40
+MAX_TRANSFER_POSITION = 44
+DIRECTORY_ERRNO_POSITION = 48
+DIRECTORY_CALLS_POSITION = 52
+INT64 = struct.Struct("=q")
+INT32 = struct.Struct("=i")
 
-class FolderCalls(IntFlag):
-    """The calls on files of the shared folder that fail."""
+
+class SystemCall(IntEnum):
+    """The system calls that can fail a number of times; the value is the position of their error number.
+
+    The number of failures that remain follows the error number.
+    """
+
+    ACCEPT = 8
+    SOCKET = 16
+    CONNECT = 24
+    READ = 32
+
+
+class DirectoryCalls(IntFlag):
+    """The calls on files of the shared directory that fail."""
 
     NONE = 0
     WRITING = 1
@@ -26,49 +49,19 @@
     LOCKING = 4
 
 
-class Field:
-    """One number of the control block (``struct control`` in the library)."""
-
-    def __init__(self, offset: int, layout: str) -> None:
-        """``layout`` is a format of ``struct``, ``offset`` in bytes."""
-        self.offset = offset
-        self.layout = layout
-
-
-CLOCK_OFFSET = Field(0, "=q")
-ACCEPT_ERRNO = Field(8, "=i")
-ACCEPT_FAILURES = Field(12, "=i")
-SOCKET_ERRNO = Field(16, "=i")
-SOCKET_FAILURES = Field(20, "=i")
-CONNECT_ERRNO = Field(24, "=i")
-CONNECT_FAILURES = Field(28, "=i")
-READ_ERRNO = Field(32, "=i")
-READ_FAILURES = Field(36, "=i")
-INTERRUPTED_WAITS = Field(40, "=i")
-MAX_TRANSFER = Field(44, "=i")
-FOLDER_ERRNO = Field(48, "=i")
-FOLDER_CALLS = Field(52, "=i")
-SIZE = 56
-RESET_AT_THE_END = (
-    ACCEPT_FAILURES,
-    SOCKET_FAILURES,
-    CONNECT_FAILURES,
-    READ_FAILURES,
-    INTERRUPTED_WAITS,
-    MAX_TRANSFER,
-)  # of a trouble: failures that were not used up must not outlast it
-
-
-def build_library(folder: Path) -> Path:
-    """Compile the library into a folder; ``SoakError`` where there is no compiler or it fails."""
+def build_library(directory: Path) -> Path:
+    """Compile the library into a directory. Raise ``SoakError`` without a compiler or if it fails."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
         raise SoakError("no C compiler (cc or gcc) to build the fault library")
-    library = folder / "fault_library.so"
+    library = directory / "fault_library.so"
     command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
-    built = subprocess.run(command, capture_output=True, text=True, timeout=COMPILE_TIMEOUT, check=False)
+    built = subprocess.run(
+        command, capture_output=True, text=True, timeout=COMPILE_TIMEOUT_SECONDS, check=False
+    )
     if built.returncode != 0:
-        raise SoakError(f"the fault library could not be built: {built.stderr.strip()[-400:]}")
+        output = built.stderr.strip()[-MAX_COMPILER_OUTPUT_CHARACTERS:]
+        raise SoakError(f"the fault library could not be built: {output}")
     return library
 
 
@@ -78,23 +71,43 @@
     def __init__(self, path: Path) -> None:
         """Create the block in a file, without faults."""
         self.path = path
-        path.write_bytes(bytes(SIZE))
+        path.write_bytes(bytes(BLOCK_BYTES))
         with path.open("r+b") as file:
-            self._block = mmap.mmap(file.fileno(), SIZE)
+            self._block = mmap.mmap(file.fileno(), BLOCK_BYTES)
 
-    def set(self, field: Field, value: int) -> None:
-        """Set one number."""
-        struct.pack_into(field.layout, self._block, field.offset, value)
+    def fail_calls(self, call: SystemCall, error: int, count: int) -> None:
+        """Let the next ``count`` calls fail with an error number."""
+        self._set(call, error)
+        self._set(call + INT32.size, count)
 
-    def step_clock(self, seconds: float) -> None:
-        """Have the wall clock so many seconds off the true one."""
-        self.set(CLOCK_OFFSET, int(seconds * NANOSECONDS))
+    def interrupt_waits(self, count: int) -> None:
+        """Let the next ``count`` waits for events return EINTR."""
+        self._set(INTERRUPTED_WAITS_POSITION, count)
+
+    def limit_transfers(self, max_bytes: int) -> None:
+        """Let reads and writes of sockets transfer at most ``max_bytes``; 0 means no limit."""
+        self._set(MAX_TRANSFER_POSITION, max_bytes)
 
-    def fail_folder(self, error: int, calls: FolderCalls) -> None:
-        """Have calls on the shared folder fail."""
-        self.set(FOLDER_ERRNO, error or errno.EIO)
-        self.set(FOLDER_CALLS, int(calls))
+    def step_clock(self, seconds: float) -> None:
+        """Set the error of the wall clock."""
+        INT64.pack_into(self._block, CLOCK_OFFSET_POSITION, int(seconds * NANOSECONDS_PER_SECOND))
+
+    def fail_directory_calls(self, error: int, calls: DirectoryCalls) -> None:
+        """Let these calls on the shared directory fail, and no others."""
+        self._set(DIRECTORY_ERRNO_POSITION, error or errno.EIO)
+        self._set(DIRECTORY_CALLS_POSITION, calls)
+
+    def clear_call_faults(self) -> None:
+        """End all faults of system calls; the clock keeps its error."""
+        for call in SystemCall:
+            self._set(call + INT32.size, 0)
+        self.interrupt_waits(0)
+        self.limit_transfers(0)
+        self.fail_directory_calls(0, DirectoryCalls.NONE)
 
     def close(self) -> None:
         """Release the block."""
         self._block.close()
+
+    def _set(self, position: int, value: int) -> None:
+        INT32.pack_into(self._block, position, value)
--- /dev/null
+++ b/soak/fault_kinds.py
@@ -0,0 +1,206 @@
+"""The kinds of faults that a scenario can contain, each with its family, its target and its effect."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum, StrEnum
+
+
+class FaultFamily(Enum):
+    """The part of the system that fails. Faults that overlap are drawn from different families.
+
+    The order of the families is part of how a scenario is drawn: a changed order changes every scenario.
+    """
+
+    PROCESS = "process"
+    ENDPOINT = "endpoint"
+    NETWORK = "network"
+    SYSTEM = "system"
+    CLIENT = "client"
+
+
+class FaultTarget(Enum):
+    """The objects that a fault affects."""
+
+    LIMITERS = "limiters"
+    ENDPOINTS = "endpoints"
+
+
+class FaultKind(StrEnum):
+    """One kind of fault, by what the process, endpoint, network, system or client does."""
+
+    KILL = "kill"
+    RELOAD = "reload"
+    RELOAD_TWICE = "reload_twice"
+    RESTART = "restart"
+    STOP = "stop"
+    RESTART_WHILE_STOPPED = "restart_while_stopped"
+    SUSPEND_ENDPOINT = "suspend_endpoint"
+    SUSPEND_ENDPOINT_AND_UPGRADE = "suspend_endpoint_and_upgrade"
+    UPGRADE = "upgrade"
+    UPGRADE_ROLLED_BACK = "upgrade_rolled_back"
+    UPGRADE_BOTH_TERMINATED = "upgrade_both_terminated"
+    UPGRADE_WHILE_STOPPED = "upgrade_while_stopped"
+
+    RESTART_WARMING_UP = "restart_warming_up"
+    RESTART_WITH_EARLIER_START_TIME = "restart_with_earlier_start_time"
+    DRAIN = "drain"
+    INCOMPLETE_RESPONSES = "incomplete_responses"
+    ERROR_RESPONSES = "error_responses"
+    HANG = "hang"
+    RESPONSES_WITHOUT_LENGTH = "responses_without_length"
+    FRAGMENTED_RESPONSES = "fragmented_responses"
+    CONNECTION_RESETS = "connection_resets"
+    SLOW_RESPONSES = "slow_responses"
+    REJECTIONS = "rejections"
+
+    COUNTER_DELAY = "counter_delay"
+    COUNTER_DOWN = "counter_down"
+    COUNTER_UNRESPONSIVE = "counter_unresponsive"
+    DISCOVERY_DOWN = "discovery_down"
+    DISCOVERY_FRAGMENTED = "discovery_fragmented"
+    DISCOVERY_UNRESPONSIVE = "discovery_unresponsive"
+    NETWORK_BLACKHOLE = "network_blackhole"
+    NETWORK_DELAY = "network_delay"
+    NETWORK_RESETS = "network_resets"
+    NETWORK_FRAGMENTATION = "network_fragmentation"
+    NETWORK_TRUNCATION = "network_truncation"
+
+    ACCEPT_ERRORS = "accept_errors"
+    CLOCK_STEP_BACK = "clock_step_back"
+    CLOCK_STEP_FORWARD = "clock_step_forward"
+    CONNECT_ERRORS = "connect_errors"
+    SHARED_DIRECTORY_IO_ERRORS = "shared_directory_io_errors"
+    SHARED_DIRECTORY_FULL = "shared_directory_full"
+    INTERRUPTED_WAITS = "interrupted_waits"
+    SHARED_DIRECTORY_LOCK_ERRORS = "shared_directory_lock_errors"
+    READ_ERRORS = "read_errors"
+    SHORT_TRANSFERS = "short_transfers"
+    SOCKET_ERRORS = "socket_errors"
+
+    TRAFFIC_BURST = "traffic_burst"
+    HALF_CLOSE = "half_close"
+    DISCONNECT = "disconnect"
+    PIPELINING = "pipelining"
+    IMMEDIATE_RETRIES = "immediate_retries"
+    FRAGMENTED_REQUESTS = "fragmented_requests"
+    INCOMPLETE_REQUESTS = "incomplete_requests"
+    LONG_UPLOADS = "long_uploads"
+
+
+@dataclass(frozen=True, slots=True)
+class FaultSpec:
+    """Family, target and effect of a kind of fault."""
+
+    family: FaultFamily
+    target: FaultTarget
+    description: str
+
+
+def _specs(
+    family: FaultFamily, target: FaultTarget, descriptions: dict[FaultKind, str]
+) -> dict[FaultKind, FaultSpec]:
+    return {kind: FaultSpec(family, target, text) for kind, text in descriptions.items()}
+
+
+# Scenarios draw a kind by its position within its family: a changed order changes every scenario.
+FAULT_SPECS: dict[FaultKind, FaultSpec] = {
+    **_specs(
+        FaultFamily.PROCESS,
+        FaultTarget.LIMITERS,
+        {
+            FaultKind.KILL: "SIGKILL; a new process starts after half of the duration",
+            FaultKind.RELOAD: "SIGHUP with a new address of discovery; the old address closes 1.5 s later",
+            FaultKind.RELOAD_TWICE: "two such reloads, the second one before the first has ended",
+            FaultKind.RESTART: "SIGTERM, then SIGKILL if needed, and a new process at the same address",
+            FaultKind.STOP: "SIGSTOP, then SIGCONT within the duration",
+            FaultKind.RESTART_WHILE_STOPPED: "SIGSTOP, SIGTERM, SIGCONT, and a new process",
+            FaultKind.SUSPEND_ENDPOINT: "SUSPEND of an endpoint, and RESTORE after the duration",
+            FaultKind.SUSPEND_ENDPOINT_AND_UPGRADE: (
+                "SUSPEND, in half of the cases with a full shared directory, an upgrade, RESTORE"
+            ),
+            FaultKind.UPGRADE: "a second process starts, then the first one gets SIGTERM",
+            FaultKind.UPGRADE_ROLLED_BACK: "a second process starts, then the second one gets SIGTERM",
+            FaultKind.UPGRADE_BOTH_TERMINATED: "a second process starts, both get SIGTERM, a third starts",
+            FaultKind.UPGRADE_WHILE_STOPPED: (
+                "a second process starts while the first one is stopped; the first one continues and exits"
+            ),
+        },
+    ),
+    **_specs(
+        FaultFamily.ENDPOINT,
+        FaultTarget.ENDPOINTS,
+        {
+            FaultKind.RESTART_WARMING_UP: "the endpoint restarts and warms up, as a new incarnation",
+            FaultKind.RESTART_WITH_EARLIER_START_TIME: "the same, with a start time one hour in the past",
+            FaultKind.DRAIN: "the endpoint drains, and is ready again 6 s after the duration",
+            FaultKind.INCOMPLETE_RESPONSES: "responses are shorter than their Content-Length",
+            FaultKind.ERROR_RESPONSES: "half of the requests get status 500",
+            FaultKind.HANG: "requests are accepted and get no response",
+            FaultKind.RESPONSES_WITHOUT_LENGTH: "responses have no length and end with the connection",
+            FaultKind.FRAGMENTED_RESPONSES: "responses are sent in fragments, some of them are long",
+            FaultKind.CONNECTION_RESETS: "connections are reset while a request is executed",
+            FaultKind.SLOW_RESPONSES: "responses take five times as long",
+            FaultKind.REJECTIONS: "half of the requests are rejected without execution",
+        },
+    ),
+    **_specs(
+        FaultFamily.NETWORK,
+        FaultTarget.LIMITERS,
+        {
+            FaultKind.COUNTER_DELAY: "the counter's replies are delayed by 60 ms",
+            FaultKind.COUNTER_DOWN: "the counter refuses connections and resets the open ones",
+            FaultKind.COUNTER_UNRESPONSIVE: "the counter's connections stay open and get no reply",
+            FaultKind.DISCOVERY_DOWN: "discovery refuses connections and resets the open ones",
+            FaultKind.DISCOVERY_FRAGMENTED: "discovery's lines arrive in fragments",
+            FaultKind.DISCOVERY_UNRESPONSIVE: "discovery's connections stay open and send nothing",
+        },
+    ),
+    **_specs(
+        FaultFamily.NETWORK,
+        FaultTarget.ENDPOINTS,
+        {
+            FaultKind.NETWORK_BLACKHOLE: "the connections to an endpoint stay open and transfer nothing",
+            FaultKind.NETWORK_DELAY: "data to and from an endpoint is delayed by 50 to 150 ms each way",
+            FaultKind.NETWORK_RESETS: "all connections to an endpoint are reset, several times",
+            FaultKind.NETWORK_FRAGMENTATION: "data to and from an endpoint arrives in fragments of 50 bytes",
+            FaultKind.NETWORK_TRUNCATION: "the connections to an endpoint are reset within a response",
+        },
+    ),
+    **_specs(
+        FaultFamily.SYSTEM,
+        FaultTarget.LIMITERS,
+        {
+            FaultKind.ACCEPT_ERRORS: "some calls of accept fail: ECONNABORTED, ENFILE, ENOBUFS, ENOMEM",
+            FaultKind.CLOCK_STEP_BACK: "the wall clock is stepped one hour back",
+            FaultKind.CLOCK_STEP_FORWARD: "the wall clock is stepped one hour forward",
+            FaultKind.CONNECT_ERRORS: "some calls of connect fail: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS",
+            FaultKind.SHARED_DIRECTORY_IO_ERRORS: "reads and writes in the shared directory fail: EIO",
+            FaultKind.SHARED_DIRECTORY_FULL: "writes in the shared directory fail: ENOSPC",
+            FaultKind.INTERRUPTED_WAITS: "some calls of epoll_wait fail: EINTR",
+            FaultKind.SHARED_DIRECTORY_LOCK_ERRORS: "locks in the shared directory fail: ENOLCK",
+            FaultKind.READ_ERRORS: "some reads of sockets fail: ETIMEDOUT, EHOSTUNREACH, ECONNRESET",
+            FaultKind.SHORT_TRANSFERS: "reads and writes of sockets transfer 7 bytes at most",
+            FaultKind.SOCKET_ERRORS: "some calls of socket fail: ENFILE, ENOBUFS",
+        },
+    ),
+    **_specs(
+        FaultFamily.CLIENT,
+        FaultTarget.LIMITERS,
+        {
+            FaultKind.TRAFFIC_BURST: "the request rate is multiplied by four",
+            FaultKind.HALF_CLOSE: "half of the clients close their sending side after the request",
+            FaultKind.DISCONNECT: "half of the clients disconnect before the response",
+            FaultKind.PIPELINING: "one client in four sends three requests at once",
+            FaultKind.IMMEDIATE_RETRIES: "clients retry rejected requests at once",
+            FaultKind.FRAGMENTED_REQUESTS: "half of the clients send the request's head in fragments",
+            FaultKind.INCOMPLETE_REQUESTS: "one client in ten stops within a request and stays connected",
+            FaultKind.LONG_UPLOADS: "one request in five is a long upload",
+        },
+    ),
+}
+
+
+def kinds_of(family: FaultFamily) -> list[FaultKind]:
+    """Return the kinds of a family in the order in which scenarios draw them."""
+    return [kind for kind, spec in FAULT_SPECS.items() if spec.family is family]
--- a/soak/fault_library.c
+++ b/soak/fault_library.c
@@ -1,7 +1,8 @@
-/* Loaded into a limiter with LD_PRELOAD: makes system calls fail, move little data or tell another time.
+/* Loaded into a limiter with LD_PRELOAD: lets system calls fail, transfer few bytes or return another time.
  *
- * What to do stands in a control block, a file that the soak runner and the limiter both map
- * (SOAK_FAULT_CONTROL; `soak/fault_control.py` has the same layout). Files count below SOAK_FAULT_FOLDER.
+ * The faults are switched in a control block, a file that the soak runner and the limiter both map
+ * (SOAK_FAULT_CONTROL; `soak/fault_control.py` has the same layout). Calls on files fail below
+ * SOAK_FAULT_DIRECTORY only.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -31,13 +32,13 @@
     int32_t connect_errno, connect_failures;
     int32_t read_errno, read_failures;
     int32_t interrupted_waits;
-    int32_t max_transfer; /* bytes that a read or write of a socket moves; 0: as many as asked for */
-    int32_t folder_errno, folder_calls; /* a mask of FAIL_... */
+    int32_t max_transfer; /* bytes that a read or write of a socket transfers; 0: no limit */
+    int32_t directory_errno, directory_calls; /* a mask of FAIL_... */
 };
 
 static struct control none, *control = &none;
-static const char *folder;
-static char in_folder[MAX_FDS];
+static const char *directory;
+static char in_directory[MAX_FDS];
 
 #define REAL(name) \
     static __typeof__(&name) real; \
@@ -45,7 +46,7 @@
 
 __attribute__((constructor)) static void load(void) {
     const char *path = getenv("SOAK_FAULT_CONTROL");
-    folder = getenv("SOAK_FAULT_FOLDER");
+    directory = getenv("SOAK_FAULT_DIRECTORY");
     if (!path) return;
     int fd = open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return;
@@ -54,16 +55,16 @@
     if (block != MAP_FAILED) control = block;
 }
 
-/* Whether one of the failures that are left is used up by this call. */
-static int fails(int32_t *left, int32_t error) {
-    if (*left <= 0 || __sync_fetch_and_sub(left, 1) <= 0) return 0;
+/* Return whether this call is one of the calls that are to fail. */
+static int fails(int32_t *remaining, int32_t error) {
+    if (*remaining <= 0 || __sync_fetch_and_sub(remaining, 1) <= 0) return 0;
     errno = error;
     return 1;
 }
 
-static int folder_fails(const char *path, int call) {
-    if (!(control->folder_calls & call) || !folder || strncmp(path, folder, strlen(folder)) != 0) return 0;
-    errno = control->folder_errno;
+static int directory_fails(const char *path, int call) {
+    if (!(control->directory_calls & call) || !directory || strncmp(path, directory, strlen(directory)) != 0) return 0;
+    errno = control->directory_errno;
     return 1;
 }
 
@@ -112,10 +113,10 @@
 }
 
 static int file_write_fails(int fd) {
-    if (!(control->folder_calls & FAIL_WRITING) || fd < 0 || fd >= MAX_FDS || !in_folder[fd]) return 0;
+    if (!(control->directory_calls & FAIL_WRITING) || fd < 0 || fd >= MAX_FDS || !in_directory[fd]) return 0;
     struct stat status;
     if (fstat(fd, &status) != 0 || !S_ISREG(status.st_mode)) return 0;
-    errno = control->folder_errno;
+    errno = control->directory_errno;
     return 1;
 }
 
@@ -175,14 +176,14 @@
 
 static int open_fails(const char *path, int flags) {
     int writes = (flags & O_ACCMODE) != O_RDONLY;
-    if (folder_fails(path, FAIL_READING)) return 1;
-    /* No space: an existing file can still be opened, and what is written to it fails. */
-    if (writes && control->folder_errno == ENOSPC && access(path, F_OK) == 0) return 0;
-    return writes && folder_fails(path, FAIL_WRITING);
+    if (directory_fails(path, FAIL_READING)) return 1;
+    /* Without space an existing file can still be opened; only the writes to it fail. */
+    if (writes && control->directory_errno == ENOSPC && access(path, F_OK) == 0) return 0;
+    return writes && directory_fails(path, FAIL_WRITING);
 }
 
-static int noted(int fd, const char *path) {
-    if (fd >= 0 && fd < MAX_FDS) in_folder[fd] = folder && strncmp(path, folder, strlen(folder)) == 0;
+static int remember(int fd, const char *path) {
+    if (fd >= 0 && fd < MAX_FDS) in_directory[fd] = directory && strncmp(path, directory, strlen(directory)) == 0;
     return fd;
 }
 
@@ -193,7 +194,7 @@
         va_start(arguments, flags); \
         mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, mode_t) : 0; \
         va_end(arguments); \
-        return open_fails(path, flags) ? -1 : noted(real(path, flags, mode), path); \
+        return open_fails(path, flags) ? -1 : remember(real(path, flags, mode), path); \
     }
 
 OPEN(open)
@@ -201,22 +202,22 @@
 
 int rename(const char *from, const char *to) {
     REAL(rename);
-    return folder_fails(to, FAIL_WRITING) ? -1 : real(from, to);
+    return directory_fails(to, FAIL_WRITING) ? -1 : real(from, to);
 }
 
 int mkdir(const char *path, mode_t mode) {
     REAL(mkdir);
-    return folder_fails(path, FAIL_WRITING) ? -1 : real(path, mode);
+    return directory_fails(path, FAIL_WRITING) ? -1 : real(path, mode);
 }
 
 int unlink(const char *path) {
     REAL(unlink);
-    return folder_fails(path, FAIL_WRITING) && control->folder_errno != ENOSPC ? -1 : real(path);
+    return directory_fails(path, FAIL_WRITING) && control->directory_errno != ENOSPC ? -1 : real(path);
 }
 
 int flock(int fd, int operation) {
     REAL(flock);
-    if ((control->folder_calls & FAIL_LOCKING) && operation != LOCK_UN) {
+    if ((control->directory_calls & FAIL_LOCKING) && operation != LOCK_UN) {
         errno = ENOLCK;
         return -1;
     }
--- /dev/null
+++ b/soak/limiter.py
@@ -0,0 +1,217 @@
+"""A limiter of a run as real processes: start, exit, a second process beside the first, admin commands."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import socket
+import sys
+import time
+from pathlib import Path
+from typing import Any
+
+from scale.worker import ROOT
+from soak.errors import SoakError
+from soak.fault_control import FaultControl
+from soak.fault_kinds import FaultKind
+from soak.history import CommandReply, History, LimiterState, ProcessExit
+from soak.limiter_process import LimiterProcess
+from soak.ports import free_port
+from soak.proxy import LOOPBACK, Address, Proxy
+from soak.settings import MAX_DEADLINE_SECONDS, make_settings
+
+READY_TIMEOUT_SECONDS = 20.0
+READY_POLL_SECONDS = 0.02
+KILL_GRACE_SECONDS = 0.7  # after the longest deadline, until SIGKILL follows SIGTERM
+MAX_SOCKETS = 512
+LISTEN_BACKLOG = 1024
+LOG_TAIL_CHARACTERS = 4000
+SUCCESS = "SUCCESS"
+
+
+class Limiter:
+    """One limiter: its address, directory, configuration, network and processes.
+
+    The current process is the one that was started last. ``process_lock`` is held while processes are started
+    or ended, and while the address of discovery or the counter is closed.
+    """
+
+    def __init__(
+        self,
+        index: int,
+        directory: Path,
+        library: Path,
+        history: History,
+        *,
+        discovery: Proxy,
+        counter: Proxy,
+        accept_queue_held: bool,
+    ) -> None:
+        """With ``accept_queue_held`` the listening socket stays open across the processes."""
+        self.index = index
+        self.process_lock = asyncio.Lock()
+        self.control = FaultControl(directory / "control")
+        self.discovery = discovery
+        self.counter = counter
+        self._processes = list[LimiterProcess]()
+        self._directory = directory
+        self._history = history
+        self._shared_directory = directory / "tmp"
+        self._shared_directory.mkdir()
+        self._library = library
+        self._started_processes = 0
+        self._exit_watches = set[asyncio.Task[None]]()
+        self._listening_socket: socket.socket | None = None
+        if accept_queue_held:
+            self._listening_socket = socket.create_server((LOOPBACK, 0), backlog=LISTEN_BACKLOG)
+            self._listening_socket.set_inheritable(True)
+            self.port = self._listening_socket.getsockname()[1]
+        else:
+            self.port = free_port()
+
+    @property
+    def current_process(self) -> LimiterProcess | None:
+        """The process that was started last, unless it has exited."""
+        return self._processes[-1] if self._processes else None
+
+    @property
+    def was_restarted(self) -> bool:
+        """Whether more than one process has been started."""
+        return self._started_processes > 1
+
+    async def move_discovery(self, target: Address) -> Proxy:
+        """Reach discovery through a new proxy; return the old one, which is still open."""
+        new = Proxy(target)
+        await new.open()
+        old, self.discovery = self.discovery, new
+        return old
+
+    def write_config(self, limiter_count: int, known_endpoints: dict[str, Any]) -> None:
+        """Replace the configuration file in one step."""
+        config = {
+            "name": f"n{self.index}",
+            "listen": f"{LOOPBACK}:{self.port}",
+            "mgmt": f"{LOOPBACK}:1",  # each process has its own in LB_MGMT
+            "discovery": self.discovery.address,
+            "counter": self.counter.address,
+            "seed": f"{self.index + 1:016x}",
+            "limits": {"sockets": MAX_SOCKETS},
+            "known": known_endpoints,
+            "settings": make_settings(self.index, limiter_count),
+        }
+        temporary = self._directory / "config.new"
+        temporary.write_text(json.dumps(config))
+        temporary.rename(self._directory / "config.json")
+
+    async def start(self) -> LimiterProcess:
+        """Start a process and return when it is ready. Raise ``SoakError`` if it does not become ready."""
+        self._started_processes += 1
+        admin_port = free_port()
+        log_path = self._directory / f"process-{self._started_processes}.log"
+        environment = self._environment(admin_port)
+        descriptors: tuple[int, ...] = ()
+        if self._listening_socket is not None:
+            descriptors = (self._listening_socket.fileno(),)
+        with log_path.open("wb") as log:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "quota_gateway",
+                cwd=ROOT,
+                env=environment,
+                stderr=log,
+                pass_fds=descriptors,
+            )
+        started = LimiterProcess(process, admin_port, log_path)
+        self._processes.append(started)
+        watch = asyncio.create_task(self._record_exit(started))
+        self._exit_watches.add(watch)
+        watch.add_done_callback(self._exit_watches.discard)
+        await self._wait_until_ready(started)
+        return started
+
+    def _environment(self, admin_port: int) -> dict[str, str]:
+        environment = {
+            **os.environ,
+            "LB_CONFIG": str(self._directory / "config.json"),
+            "LB_MGMT": f"{LOOPBACK}:{admin_port}",
+            "TMPDIR": str(self._shared_directory),
+            "LD_PRELOAD": str(self._library),
+            "SOAK_FAULT_CONTROL": str(self.control.path),
+            "SOAK_FAULT_DIRECTORY": str(self._shared_directory),
+        }
+        if self._listening_socket is not None:
+            environment["LB_LISTEN_FD"] = str(self._listening_socket.fileno())
+        return environment
+
+    async def _wait_until_ready(self, started: LimiterProcess) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
+            if not started.is_running:
+                log = started.log_text[-LOG_TAIL_CHARACTERS:]
+                raise SoakError(f"limiter {self.index} exited during its start: {log}")
+            if await started.send_command("STATUS") == SUCCESS:
+                return
+            await asyncio.sleep(READY_POLL_SECONDS)
+        raise SoakError(f"limiter {self.index} was not ready within {READY_TIMEOUT_SECONDS:.0f} s")
+
+    async def _record_exit(self, started: LimiterProcess) -> None:
+        code = await started.wait()
+        if started in self._processes:
+            self._processes.remove(started)
+        self._history.exits.append(
+            ProcessExit(self.index, time.monotonic(), code, started.exit_expected, started.log_text)
+        )
+
+    async def terminate(self, process: LimiterProcess) -> None:
+        """Send SIGTERM, and SIGKILL after the longest deadline and a grace; return after the exit."""
+        with self._history.span(LimiterState.TERMINATING, self.index):
+            process.end_with(signal.SIGTERM)
+            try:
+                async with asyncio.timeout(MAX_DEADLINE_SECONDS + KILL_GRACE_SECONDS):
+                    await process.wait()
+            except TimeoutError:
+                process.send_signal(signal.SIGKILL)
+                await process.wait()
+                self._history.record_event(f"limiter {self.index}: SIGKILL after SIGTERM")
+
+    async def terminate_all(self) -> None:
+        """Terminate all processes, one after the other."""
+        for process in list(self._processes):
+            await self.terminate(process)
+
+    async def kill(self, process: LimiterProcess) -> None:
+        """Send SIGKILL; return after the exit."""
+        with self._history.span(FaultKind.KILL, self.index):
+            process.end_with(signal.SIGKILL)
+            await process.wait()
+
+    async def command(self, command: str) -> str:
+        """Send an operator's command to the current process and record the reply; return it."""
+        process = self.current_process
+        if process is None:
+            return ""
+        sent_at = time.monotonic()
+        reply = await process.send_command(command)
+        if process.is_running and not process.exit_expected:
+            self._history.replies.append(CommandReply(self.index, command, sent_at, time.monotonic(), reply))
+        return reply
+
+    async def metrics(self) -> dict[str, int]:
+        """Return the metrics of the current process by name."""
+        text = await self.command("METRICS")
+        pairs = (line.partition("=") for line in text.splitlines() if "=" in line)
+        return {name: int(value) for name, _, value in pairs}
+
+    async def close(self) -> None:
+        """Kill all processes and release all resources."""
+        for process in list(self._processes):
+            process.end_with(signal.SIGKILL)
+        await asyncio.gather(*self._exit_watches)
+        self.control.close()
+        if self._listening_socket is not None:
+            self._listening_socket.close()
+        self.discovery.close()
+        self.counter.close()
--- /dev/null
+++ b/soak/limiter_process.py
@@ -0,0 +1,60 @@
+"""One process of a limiter: signals, log and admin commands."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import signal
+from dataclasses import dataclass
+from pathlib import Path
+
+from soak.proxy import LOOPBACK
+
+COMMAND_TIMEOUT_SECONDS = 3.0
+
+
+@dataclass(slots=True, eq=False)
+class LimiterProcess:
+    """One process of a limiter. ``exit_expected`` is set before the signal that ends the process is sent."""
+
+    process: asyncio.subprocess.Process
+    admin_port: int
+    log_path: Path
+    exit_expected: bool = False
+
+    @property
+    def is_running(self) -> bool:
+        """Whether the process has not exited."""
+        return self.process.returncode is None
+
+    @property
+    def log_text(self) -> str:
+        """The standard error of the process."""
+        return self.log_path.read_text(errors="replace")
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal, if the process still runs."""
+        if self.is_running:
+            with contextlib.suppress(ProcessLookupError):
+                self.process.send_signal(number)
+
+    def end_with(self, number: signal.Signals) -> None:
+        """Send a signal that is to end the process."""
+        self.exit_expected = True
+        self.send_signal(number)
+
+    async def wait(self) -> int:
+        """Wait for the exit; return the exit code."""
+        return await self.process.wait()
+
+    async def send_command(self, command: str) -> str:
+        """Send a command to the admin address; return the reply, empty if there is none."""
+        try:
+            async with asyncio.timeout(COMMAND_TIMEOUT_SECONDS):
+                reader, writer = await asyncio.open_connection(LOOPBACK, self.admin_port)
+                writer.write(command.encode() + b"\n")
+                reply = await reader.read()
+                writer.close()
+        except (OSError, TimeoutError):
+            return ""
+        return reply.decode().strip()
--- /dev/null
+++ b/soak/process_checks.py
@@ -0,0 +1,77 @@
+"""Checks of processes: replies to operators' commands, exits, logs and metrics."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Iterator
+
+from soak.fault_kinds import FaultKind
+from soak.history import History, LimiterState
+from soak.tolerances import timing_tolerance
+from soak.violations import Invariant, Violation
+
+REPLY_TIMEOUT_SECONDS = 1.0
+METRICS_TOLERANCE_FRACTION = 0.01
+METRICS_TOLERANCE_REQUESTS = 3
+EXPECTED_EXIT_CODES = (0, -signal.SIGKILL)
+ERROR_MARKS = ("Traceback", "invariant violated")  # in the log of a process
+LOG_TAIL_CHARACTERS = 600
+CHARACTERS_BEFORE_MARK = 200
+CHARACTERS_AFTER_MARK = 1500
+# While one of these affects a limiter, its admin address may be unreachable.
+REPLY_DELAYING_KINDS = (
+    FaultKind.KILL,
+    LimiterState.UNAVAILABLE,
+    LimiterState.TERMINATING,
+    FaultKind.ACCEPT_ERRORS,
+)
+
+
+def find_late_replies(history: History) -> Iterator[Violation]:
+    """Find operators' commands with a late reply or none."""
+    for reply in history.replies:
+        start, end = reply.sent_at, reply.received_at
+        waited = end - start - history.span_seconds(LimiterState.STOPPED, reply.limiter, start, end)
+        is_late = waited > REPLY_TIMEOUT_SECONDS + timing_tolerance(history, end)
+        if (is_late or not reply.text) and not history.is_affected(
+            reply.limiter, start, end, *REPLY_DELAYING_KINDS
+        ):
+            text = f"{reply.command}: {reply.text or 'no reply'} after {waited:.3f} s"
+            yield Violation(Invariant.ADMIN_REPLY, end, text, limiter=reply.limiter)
+
+
+def find_crashes(history: History) -> Iterator[Violation]:
+    """Find processes that exited unexpectedly or with an error code, or logged an internal error."""
+    for ended in history.exits:
+        if not ended.expected or ended.code not in EXPECTED_EXIT_CODES:
+            text = f"exit code {ended.code}: {ended.log[-LOG_TAIL_CHARACTERS:]}"
+            yield Violation(Invariant.CLEAN_EXIT, ended.at, text, limiter=ended.limiter)
+        for mark in ERROR_MARKS:
+            if mark in ended.log:
+                yield Violation(
+                    Invariant.NO_INTERNAL_ERROR,
+                    ended.at,
+                    f"log: {_excerpt(ended.log, mark)}",
+                    limiter=ended.limiter,
+                )
+
+
+def _excerpt(log: str, mark: str) -> str:
+    start = log.index(mark)
+    return log[max(0, start - CHARACTERS_BEFORE_MARK) : start + CHARACTERS_AFTER_MARK]
+
+
+def find_wrong_metrics(history: History) -> Iterator[Violation]:
+    """Find metrics that count invariant violations or other responses than the clients received."""
+    for limiter, metrics in history.metrics.items():
+        for name, value in metrics.items():
+            if name.startswith("app.violations.") and value:
+                yield Violation(Invariant.NO_INTERNAL_ERROR, 0.0, f"{name}={value}", limiter=limiter)
+        requests = [request for request in history.requests.values() if request.limiter == limiter]
+        served = sum(request.status == 200 for request in requests)
+        unclear = sum(not request.has_complete_response for request in requests)
+        counted = sum(value for name, value in metrics.items() if name.endswith(".passed"))
+        tolerance = max(METRICS_TOLERANCE_REQUESTS, METRICS_TOLERANCE_FRACTION * served)
+        if not served - tolerance <= counted <= served + unclear + tolerance:
+            text = f"{counted} counted as served, clients received {served}, {unclear} without a response"
+            yield Violation(Invariant.METRICS, 0.0, text, limiter=limiter)
--- /dev/null
+++ b/soak/process_faults.py
@@ -0,0 +1,215 @@
+"""Faults of a limiter's processes: signals, restarts, upgrades, operators' commands, reloads."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import signal
+import time
+from collections.abc import Callable, Coroutine, Iterator, Mapping
+from contextlib import contextmanager
+from typing import Any, ClassVar
+
+from soak.environment import Environment
+from soak.fault_control import DirectoryCalls
+from soak.fault_kinds import FaultKind
+from soak.history import LimiterState, Span, Suspension
+from soak.limiter import SUCCESS, Limiter
+from soak.limiter_process import LimiterProcess
+from soak.scenario import Fault
+
+OLD_DISCOVERY_SECONDS = 1.5  # after SIGHUP, during which the old address stays open
+RELOAD_SECONDS = 4.0  # after SIGHUP, within which the new configuration has to be in force
+CONNECT_BLOCK_DELAY_SECONDS = 0.3  # after the signal that ends a process
+KILLED_FRACTION = 0.5  # of the fault's duration, during which no process runs
+MAX_STOP_BEFORE_RESTART_SECONDS = 0.15
+MIN_RELOAD_GAP_SECONDS = 0.2
+MAX_UPGRADE_OVERLAP_SECONDS = 0.5
+MAX_TERMINATION_GAP_SECONDS = 0.4
+CONTINUED_SECONDS = 0.2  # from SIGCONT to SIGTERM
+FULL_DIRECTORY_FRACTION = 0.5  # of the suspensions that an upgrade follows
+SUSPENSION_EXTRA_SECONDS = 1.0
+UPGRADE_AFTER_SUSPENSION_SECONDS = 0.3
+SUSPENSION_ACROSS_UPGRADE_EXTRA_SECONDS = 2.0
+
+
+class ProcessFaults:
+    """Faults of the processes of one limiter. The caller holds the limiter's process lock.
+
+    While a limiter has no process, its clients open no new connections.
+    """
+
+    def __init__(self, environment: Environment) -> None:
+        """Inject faults into the limiters of ``environment``."""
+        self._environment = environment
+        self._history = environment.history
+
+    async def inject(self, limiter: Limiter, fault: Fault) -> None:
+        """Inject a fault into a limiter, and undo it after its duration."""
+        await self.INJECTIONS[fault.kind](self, limiter, fault)
+
+    async def _start_process(self, limiter: Limiter) -> LimiterProcess:
+        self._environment.write_config(limiter)
+        with self._history.span(LimiterState.STARTING, limiter.index):
+            return await limiter.start()
+
+    @contextmanager
+    def _unavailable(self, limiter: Limiter) -> Iterator[None]:
+        """Record the time without a ready process; the body starts the next one."""
+        with self._history.span(LimiterState.UNAVAILABLE, limiter.index):
+            yield
+        self._environment.clients[limiter.index].allow_connects()
+
+    @contextmanager
+    def _blocked_connects(self, limiter: Limiter) -> Iterator[None]:
+        """Block new connections of clients soon after the body begins to end the last process."""
+        clients = self._environment.clients[limiter.index]
+        loop = asyncio.get_running_loop()
+        timer = loop.call_later(CONNECT_BLOCK_DELAY_SECONDS, clients.block_connects)
+        yield
+        timer.cancel()
+        clients.block_connects()
+
+    async def _restart(self, limiter: Limiter, _fault: Fault) -> None:
+        process = limiter.current_process
+        with self._unavailable(limiter):
+            if process is not None:
+                with self._blocked_connects(limiter):
+                    await limiter.terminate(process)
+            await self._start_process(limiter)
+
+    async def _kill(self, limiter: Limiter, fault: Fault) -> None:
+        process = limiter.current_process
+        with self._unavailable(limiter):
+            if process is not None:
+                with self._blocked_connects(limiter):
+                    await limiter.kill(process)
+            await asyncio.sleep(fault.duration * KILLED_FRACTION)
+            await self._start_process(limiter)
+
+    async def _stop(self, limiter: Limiter, fault: Fault) -> None:
+        process = limiter.current_process
+        if process is None:
+            return
+        with self._history.span(LimiterState.STOPPED, limiter.index):
+            process.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(fault.duration * fault.draw)
+            process.send_signal(signal.SIGCONT)
+
+    async def _restart_while_stopped(self, limiter: Limiter, fault: Fault) -> None:
+        process = limiter.current_process
+        if process is None:
+            return
+        with self._unavailable(limiter):
+            with self._blocked_connects(limiter):
+                with self._history.span(LimiterState.STOPPED, limiter.index):
+                    process.send_signal(signal.SIGSTOP)
+                    termination = asyncio.create_task(limiter.terminate(process))
+                    await asyncio.sleep(min(MAX_STOP_BEFORE_RESTART_SECONDS, fault.duration * fault.draw))
+                    process.send_signal(signal.SIGCONT)
+                await termination
+            await self._start_process(limiter)
+
+    async def _reload(self, limiter: Limiter, _fault: Fault) -> None:
+        process = limiter.current_process
+        if process is None:
+            return
+        old = await limiter.move_discovery(self._environment.discovery_address)
+        self._environment.write_config(limiter)
+        reloaded_at = time.monotonic()
+        process.send_signal(signal.SIGHUP)
+        old.refuse()
+        await asyncio.sleep(OLD_DISCOVERY_SECONDS)
+        old.close()
+        self._history.spans.append(
+            Span(LimiterState.CHANGING_DISCOVERY, limiter.index, reloaded_at, reloaded_at + RELOAD_SECONDS)
+        )
+
+    async def _reload_twice(self, limiter: Limiter, fault: Fault) -> None:
+        first = asyncio.create_task(self._reload(limiter, fault))
+        await asyncio.sleep(MIN_RELOAD_GAP_SECONDS + fault.draw)
+        await self._reload(limiter, fault)
+        await first
+
+    async def _upgrade(self, limiter: Limiter, fault: Fault) -> None:
+        old = limiter.current_process
+        await self._start_process(limiter)
+        await asyncio.sleep(MAX_UPGRADE_OVERLAP_SECONDS * fault.draw)
+        if old is not None:
+            await limiter.terminate(old)
+
+    async def _roll_back_upgrade(self, limiter: Limiter, fault: Fault) -> None:
+        new = await self._start_process(limiter)
+        await asyncio.sleep(MAX_UPGRADE_OVERLAP_SECONDS * fault.draw)
+        await limiter.terminate(new)
+
+    async def _terminate_both_in_upgrade(self, limiter: Limiter, fault: Fault) -> None:
+        old = limiter.current_process
+        new = await self._start_process(limiter)
+        if old is None:
+            return
+        with self._unavailable(limiter):
+            with self._blocked_connects(limiter):
+                termination = asyncio.create_task(limiter.terminate(old))
+                await asyncio.sleep(MAX_TERMINATION_GAP_SECONDS * fault.draw)
+                await limiter.terminate(new)
+                await termination
+            await self._start_process(limiter)
+
+    async def _upgrade_while_stopped(self, limiter: Limiter, fault: Fault) -> None:
+        old = limiter.current_process
+        if old is None:
+            return
+        with self._history.span(LimiterState.STOPPED, limiter.index):
+            old.send_signal(signal.SIGSTOP)
+            await self._start_process(limiter)
+            await asyncio.sleep(fault.duration * fault.draw)
+            old.send_signal(signal.SIGCONT)
+        await asyncio.sleep(CONTINUED_SECONDS)
+        await limiter.terminate(old)
+
+    async def _suspend_endpoint(self, limiter: Limiter, fault: Fault) -> None:
+        suspension = await self._suspend(limiter, fault)
+        await asyncio.sleep(fault.duration + SUSPENSION_EXTRA_SECONDS)
+        await self._restore(limiter, suspension)
+
+    async def _suspend_endpoint_and_upgrade(self, limiter: Limiter, fault: Fault) -> None:
+        if fault.draw < FULL_DIRECTORY_FRACTION:
+            limiter.control.fail_directory_calls(errno.ENOSPC, DirectoryCalls.WRITING)
+        suspension = await self._suspend(limiter, fault)
+        limiter.control.fail_directory_calls(0, DirectoryCalls.NONE)
+        await asyncio.sleep(UPGRADE_AFTER_SUSPENSION_SECONDS)
+        await self._upgrade(limiter, fault)
+        await asyncio.sleep(fault.duration + SUSPENSION_ACROSS_UPGRADE_EXTRA_SECONDS)
+        await self._restore(limiter, suspension)
+
+    async def _suspend(self, limiter: Limiter, fault: Fault) -> Suspension:
+        endpoints = self._environment.endpoints
+        endpoint = endpoints[int(fault.draw * len(endpoints))]
+        suspension = Suspension(limiter.index, endpoint.name, time.monotonic())
+        self._history.suspensions.append(suspension)
+        if await limiter.command(f"SUSPEND {suspension.endpoint}") == SUCCESS:
+            suspension.accept()
+        return suspension
+
+    async def _restore(self, limiter: Limiter, suspension: Suspension) -> None:
+        suspension.restore()
+        await limiter.command(f"RESTORE {suspension.endpoint}")
+
+    INJECTIONS: ClassVar[
+        Mapping[FaultKind, Callable[[ProcessFaults, Limiter, Fault], Coroutine[Any, Any, None]]]
+    ] = {
+        FaultKind.KILL: _kill,
+        FaultKind.RELOAD: _reload,
+        FaultKind.RELOAD_TWICE: _reload_twice,
+        FaultKind.RESTART: _restart,
+        FaultKind.STOP: _stop,
+        FaultKind.RESTART_WHILE_STOPPED: _restart_while_stopped,
+        FaultKind.SUSPEND_ENDPOINT: _suspend_endpoint,
+        FaultKind.SUSPEND_ENDPOINT_AND_UPGRADE: _suspend_endpoint_and_upgrade,
+        FaultKind.UPGRADE: _upgrade,
+        FaultKind.UPGRADE_ROLLED_BACK: _roll_back_upgrade,
+        FaultKind.UPGRADE_BOTH_TERMINATED: _terminate_both_in_upgrade,
+        FaultKind.UPGRADE_WHILE_STOPPED: _upgrade_while_stopped,
+    }
+    KINDS: ClassVar[frozenset[FaultKind]] = frozenset(INJECTIONS)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,46 +1,60 @@
-"""A TCP proxy on loopback whose network goes wrong on demand: delay, split, cut, truncate, reset."""
+"""A TCP proxy on loopback with network faults: delay, fragmentation, blackhole, truncation, resets."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from dataclasses import dataclass
+from typing import NamedTuple
 
-READ_SIZE = 65536  # bytes
+READ_BYTES = 65536
+BLACKHOLE_POLL_SECONDS = 0.02
+FRAGMENT_GAP_SECONDS = 0.001
 LOOPBACK = "127.0.0.1"
 
 
-@dataclass(slots=True)
-class Network:
-    """What the proxy does to what passes; everything off at first."""
+class Address(NamedTuple):
+    """A TCP address."""
 
-    delay: float = 0.0  # seconds, each way
-    piece_size: int = 0  # bytes in which data arrives; 0: as it comes
-    is_cut: bool = False  # nothing passes, no connection comes up, nothing ends
-    truncate_after: int = 0  # bytes of answers on a connection, which then ends; 0: never
+    host: str
+    port: int
+
+    @classmethod
+    def parse(cls, text: str) -> Address:
+        """Parse ``host:port``."""
+        host, _, port = text.rpartition(":")
+        return cls(host, int(port))
+
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
 
 
 class Proxy:
-    """Listens on a port of its own and passes on to one address."""
+    """Listens on a port of its own and forwards to one address.
+
+    The network faults hold for all connections, open and new, until they are changed.
+    """
 
-    def __init__(self, target: tuple[str, int]) -> None:
-        """``target`` is where connections lead."""
-        self.network = Network()
-        self.port = 0
+    def __init__(self, target: Address) -> None:
+        """Forward connections to ``target``."""
+        self._port = 0
         self._target = target
+        self._delay = 0.0  # seconds, each way
+        self._fragment_bytes = 0  # 0: no fragmentation
+        self._is_blackhole = False
+        self._max_response_bytes = 0  # of a connection; 0: no limit
         self._server: asyncio.Server | None = None
         self._tasks = set[asyncio.Task[None]]()
         self._writers = set[asyncio.StreamWriter]()
 
     @property
     def address(self) -> str:
-        """``host:port`` to connect to."""
-        return f"{LOOPBACK}:{self.port}"
+        """The address to connect to, ``host:port``."""
+        return f"{LOOPBACK}:{self._port}"
 
     async def open(self) -> str:
-        """Listen; gives the address, the same one when it is opened again."""
-        self._server = await asyncio.start_server(self._accept, LOOPBACK, self.port, backlog=1024)
-        self.port = self._server.sockets[0].getsockname()[1]
+        """Listen, at the same address when opened again; return the address."""
+        self._server = await asyncio.start_server(self._accept, LOOPBACK, self._port, backlog=1024)
+        self._port = self._server.sockets[0].getsockname()[1]
         return self.address
 
     def refuse(self) -> None:
@@ -55,12 +69,39 @@
             writer.transport.abort()
 
     def close(self) -> None:
-        """End everything."""
+        """Close the listening socket and all connections."""
         self.refuse()
         self.reset_all()
         for task in list(self._tasks):
             task.cancel()
 
+    def delay_data(self, seconds: float) -> None:
+        """Delay data by ``seconds`` each way."""
+        self._delay = seconds
+
+    def fragment_data(self, fragment_bytes: int) -> None:
+        """Forward data in fragments; 0 ends the fault."""
+        self._fragment_bytes = fragment_bytes
+
+    def block_data(self) -> None:
+        """Forward nothing and keep the connections open."""
+        self._is_blackhole = True
+
+    def unblock_data(self) -> None:
+        """End the fault of ``block_data``."""
+        self._is_blackhole = False
+
+    def truncate_responses(self, max_bytes: int) -> None:
+        """Reset each connection after ``max_bytes`` from the target; 0 ends the fault."""
+        self._max_response_bytes = max_bytes
+
+    def clear_faults(self) -> None:
+        """End all faults of the forwarded data."""
+        self.delay_data(0.0)
+        self.fragment_data(0)
+        self.unblock_data()
+        self.truncate_responses(0)
+
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
@@ -78,46 +119,50 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target_reader, target_writer = await asyncio.open_connection(*self._target)
         self._writers.add(target_writer)
-        ways = (
-            asyncio.create_task(self._pump(reader, target_writer, is_answer=False)),
-            asyncio.create_task(self._pump(target_reader, writer, is_answer=True)),
-        )
+        requests = asyncio.create_task(self._forward(reader, target_writer))
+        responses = asyncio.create_task(self._forward_responses(target_reader, writer))
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-            if ways[1].done():  # the target has ended it: pass its end on behind its bytes
+            await asyncio.wait((requests, responses), return_when=asyncio.FIRST_COMPLETED)
+            if responses.done():  # the target closed: close after the bytes that are still buffered
                 writer.close()
                 with contextlib.suppress(OSError):
                     await writer.wait_closed()
         finally:
-            for way in ways:
-                way.cancel()
+            requests.cancel()
+            responses.cancel()
             self._writers.discard(target_writer)
             target_writer.transport.abort()
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, is_answer: bool
-    ) -> None:
-        passed = 0
-        while data := await reader.read(READ_SIZE):
-            network = self.network
-            if network.delay:
-                await asyncio.sleep(network.delay)
-            while network.is_cut:
-                await asyncio.sleep(0.02)
-            if is_answer and network.truncate_after and passed + len(data) > network.truncate_after:
-                writer.write(data[: max(0, network.truncate_after - passed)])
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while data := await reader.read(READ_BYTES):
+            await self._wait_for_network()
+            await self._write(writer, data)
+
+    async def _forward_responses(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        forwarded = 0
+        while data := await reader.read(READ_BYTES):
+            await self._wait_for_network()
+            limit = self._max_response_bytes
+            if limit and forwarded + len(data) > limit:
+                writer.write(data[: max(0, limit - forwarded)])
                 await writer.drain()
-                writer.transport.abort()  # a reset: an orderly end would end an answer without length
+                writer.transport.abort()  # an orderly close would complete a response without a length
                 return
-            passed += len(data)
+            forwarded += len(data)
             await self._write(writer, data)
 
+    async def _wait_for_network(self) -> None:
+        if self._delay:
+            await asyncio.sleep(self._delay)
+        while self._is_blackhole:
+            await asyncio.sleep(BLACKHOLE_POLL_SECONDS)
+
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        size = self.network.piece_size
+        size = self._fragment_bytes
         if not size:
             writer.write(data)
         else:
             for start in range(0, len(data), size):
                 writer.write(data[start : start + size])
-                await asyncio.sleep(0.001)
+                await asyncio.sleep(FRAGMENT_GAP_SECONDS)
         await writer.drain()
--- /dev/null
+++ b/soak/scenario.py
@@ -0,0 +1,115 @@
+"""The scenario of a run, which follows from its seed alone: size, clock error and faults with their times."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+from soak.fault_kinds import FAULT_SPECS, FaultFamily, FaultKind, FaultTarget, kinds_of
+
+WARM_UP_SECONDS = 2.5
+FAULT_FREE_END_SECONDS = 4.0  # open requests and recoveries complete in this time
+MIN_RUN_SECONDS = 12.0
+MIN_GROUP_GAP_SECONDS = 1.5
+MAX_GROUP_GAP_SECONDS = 3.0
+MAX_OFFSET_IN_GROUP_SECONDS = 0.8
+MIN_FAULT_SECONDS = 0.5
+MAX_FAULT_SECONDS = 3.5
+ALL_LIMITERS_FRACTION = 0.2  # of the faults of limiters, which then affect all of them
+MAX_AFFECTED_LIMITERS_DIVISOR = 4
+MAX_AFFECTED_ENDPOINTS_DIVISOR = 3
+MIN_ENDPOINTS = 8
+MAX_ENDPOINTS = 12
+CLOCK_ERRORS_SECONDS = (0.0, 0.0, 0.0, 30.0, 3600.0, -3600.0, -30.0)
+
+
+@dataclass(frozen=True, slots=True)
+class Fault:
+    """One fault of a scenario."""
+
+    kind: FaultKind
+    start: float  # seconds after the start of the traffic
+    duration: float  # seconds
+    limiters: tuple[int, ...]
+    endpoints: tuple[int, ...]
+    draw: float  # 0 to 1, decides the details of the kind
+
+    def describe(self) -> str:
+        """Return the fault's line of the printed scenario."""
+        targets = f"limiters {list(self.limiters)}" if self.limiters else f"endpoints {list(self.endpoints)}"
+        return f"{self.start:6.2f} s  {self.kind:31} {self.duration:4.2f} s  {targets}  draw {self.draw:.3f}"
+
+
+@dataclass(frozen=True, slots=True)
+class Scenario:
+    """Everything that a run is to do."""
+
+    seed: int
+    seconds: float
+    limiter_count: int
+    endpoint_count: int
+    # By limiter: whether the platform keeps its listening socket, and so its accept queue, across processes.
+    accept_queue_held: tuple[bool, ...]
+    clock_error: float  # seconds by which all wall clocks are off when the limiters start
+    faults: tuple[Fault, ...]
+
+    def describe(self) -> str:
+        """Return the printed scenario, one line for each fault."""
+        head = (
+            f"seed {self.seed}: {self.limiter_count} limiters, {self.endpoint_count} endpoints, "
+            f"{self.seconds:.0f} s, wall clocks {self.clock_error:+.0f} s off at the start"
+        )
+        return "\n".join([head, *(fault.describe() for fault in self.faults)])
+
+
+class _FaultGenerator:
+    """Draws faults for a number of limiters and endpoints."""
+
+    def __init__(self, random: Random, limiters: int, endpoints: int) -> None:
+        self._random = random
+        self._limiters = limiters
+        self._endpoints = endpoints
+
+    def draw(self, family: FaultFamily, start: float, max_duration: float) -> Fault:
+        """Draw a fault of a family. The order of the draws is fixed: a seed keeps its scenario."""
+        kind = self._random.choice(kinds_of(family))
+        limiters: tuple[int, ...] = ()
+        endpoints: tuple[int, ...] = ()
+        if FAULT_SPECS[kind].target is FaultTarget.LIMITERS:
+            limiters = self._draw_limiters()
+        else:
+            endpoints = self._draw_endpoints()
+        duration = self._random.uniform(MIN_FAULT_SECONDS, max_duration)
+        return Fault(kind, start, duration, limiters, endpoints, draw=self._random.random())
+
+    def _draw_limiters(self) -> tuple[int, ...]:
+        if self._random.random() < ALL_LIMITERS_FRACTION:
+            count = self._limiters
+        else:
+            count = self._random.randint(1, max(1, self._limiters // MAX_AFFECTED_LIMITERS_DIVISOR))
+        return tuple(sorted(self._random.sample(range(self._limiters), count)))
+
+    def _draw_endpoints(self) -> tuple[int, ...]:
+        count = self._random.randint(1, max(1, self._endpoints // MAX_AFFECTED_ENDPOINTS_DIVISOR))
+        return tuple(sorted(self._random.sample(range(self._endpoints), count)))
+
+
+def make_scenario(seed: int, seconds: float, limiters: int) -> Scenario:
+    """Return the scenario of a seed: groups of two or three overlapping faults of different families."""
+    random = Random(f"soak {seed}")
+    endpoints = random.randrange(MIN_ENDPOINTS, MAX_ENDPOINTS + 1)
+    accept_queue_held = tuple(random.random() < 0.5 for _ in range(limiters))
+    clock_error = random.choice(CLOCK_ERRORS_SECONDS)
+    generator = _FaultGenerator(random, limiters, endpoints)
+    faults = list[Fault]()
+    group_start = WARM_UP_SECONDS
+    faults_end = seconds - FAULT_FREE_END_SECONDS
+    while group_start < faults_end - MIN_FAULT_SECONDS:
+        for family in random.sample(list(FaultFamily), random.randrange(2, 4)):
+            start = group_start + random.uniform(0, MAX_OFFSET_IN_GROUP_SECONDS)
+            max_duration = min(MAX_FAULT_SECONDS, faults_end - start)
+            if max_duration > MIN_FAULT_SECONDS:
+                faults.append(generator.draw(family, start, max_duration))
+        group_start += random.uniform(MIN_GROUP_GAP_SECONDS, MAX_GROUP_GAP_SECONDS)
+    faults.sort(key=lambda fault: fault.start)
+    return Scenario(seed, seconds, limiters, endpoints, accept_queue_held, clock_error, faults=tuple(faults))
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -1,41 +1,59 @@
-"""The settings that the limiters of a soak run are started with, as on the wire."""
+"""The settings that the limiters of a run are started with, by their names on the wire."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any
 
-SERVING_LIMITERS = 3  # that serve one customer
-DEDUPLICATION_WINDOW = 1.0  # seconds
-LONGEST_DEADLINE = 2.0  # seconds
-DRAIN_GRACE = 2.0  # seconds
-WARM_UP_TIME = 8.0  # seconds
-INITIAL_CAPACITY = 0.1
-OVERLOAD_MULTIPLE = 1.5
-OVERLOAD_WINDOW = 1.0  # seconds
-CEILING_RATE = 8.0  # units a second
-CEILING_BURST = 16.0  # units
+LIMITERS_PER_ACCOUNT = 3
+DEDUPLICATION_WINDOW_SECONDS = 1.0
+MAX_DEADLINE_SECONDS = 2.0
+DRAIN_GRACE_SECONDS = 2.0
+WARM_UP_SECONDS = 8.0
+INITIAL_CAPACITY_FRACTION = 0.1
+OVERLOAD_FACTOR = 1.5
+OVERLOAD_WINDOW_SECONDS = 1.0
+CEILING_RATE_UNITS_PER_SECOND = 8.0
+CEILING_BURST_UNITS = 16.0
+
+
+class RequestClass(StrEnum):
+    """The request classes, by how a request may be repeated."""
+
+    LOOKUP = "lookup"  # idempotent
+    KEYED = "keyed"  # with an idempotency key
+    POST = "post"  # not idempotent
+
+
+class PlanName(StrEnum):
+    """The customers' plans."""
+
+    OPEN = "open"
+    CAPPED = "capped"  # with a ceiling
+
+
 CLASSES: list[dict[str, Any]] = [
-    {"name": "lookup", "aim_s": 0.8, "hard_limit_s": LONGEST_DEADLINE, "effect": "idempotent", "worth": 1.0,
-     "late_worth": 0.2},
-    {"name": "keyed", "aim_s": 0.8, "hard_limit_s": 1.5, "effect": "deduplicated", "group": "all",
-     "window_s": DEDUPLICATION_WINDOW, "worth": 2.0, "late_worth": 0.2},
-    {"name": "post", "aim_s": 0.8, "hard_limit_s": LONGEST_DEADLINE, "effect": "at_most_once", "worth": 2.0,
-     "late_worth": 0.2},
+    {"name": RequestClass.LOOKUP, "aim_s": 0.8, "hard_limit_s": MAX_DEADLINE_SECONDS,
+     "effect": "idempotent", "worth": 1.0, "late_worth": 0.2},
+    {"name": RequestClass.KEYED, "aim_s": 0.8, "hard_limit_s": 1.5, "effect": "deduplicated", "group": "all",
+     "window_s": DEDUPLICATION_WINDOW_SECONDS, "worth": 2.0, "late_worth": 0.2},
+    {"name": RequestClass.POST, "aim_s": 0.8, "hard_limit_s": MAX_DEADLINE_SECONDS,
+     "effect": "at_most_once", "worth": 2.0, "late_worth": 0.2},
 ]  # fmt: skip
 PLANS: list[dict[str, Any]] = [
-    {"name": "open", "quota_rate": 500.0, "store_size": 1000.0},
-    {"name": "capped", "quota_rate": 500.0, "store_size": 1000.0, "never_over_rate": CEILING_RATE,
-     "hard_burst": CEILING_BURST},
+    {"name": PlanName.OPEN, "quota_rate": 500.0, "store_size": 1000.0},
+    {"name": PlanName.CAPPED, "quota_rate": 500.0, "store_size": 1000.0,
+     "never_over_rate": CEILING_RATE_UNITS_PER_SECOND, "hard_burst": CEILING_BURST_UNITS},
 ]  # fmt: skip
 
 
-def make_settings(index: int, limiters: int) -> dict[str, Any]:
-    """The settings of one limiter of the run."""
+def make_settings(limiter: int, limiter_count: int) -> dict[str, Any]:
+    """Return the settings of one limiter of the run."""
     return {
         "classes": CLASSES,
         "tariffs": PLANS,
-        "n_instances": limiters,
-        "me": index,
+        "n_instances": limiter_count,
+        "me": limiter,
         "my_zone": "a",
         "discovery": "push",
         "limits": {
@@ -48,11 +66,11 @@
         },
         "specifics": {"has_counter": True, "count_wait_s": 0.05, "max_units": 4},
         "contract": {
-            "cold_from": INITIAL_CAPACITY,
-            "warm_after_s": WARM_UP_TIME,
-            "fall_multiple": OVERLOAD_MULTIPLE,
-            "fall_s": OVERLOAD_WINDOW,
-            "stop_sending_within_s": DRAIN_GRACE,
+            "cold_from": INITIAL_CAPACITY_FRACTION,
+            "warm_after_s": WARM_UP_SECONDS,
+            "fall_multiple": OVERLOAD_FACTOR,
+            "fall_s": OVERLOAD_WINDOW_SECONDS,
+            "stop_sending_within_s": DRAIN_GRACE_SECONDS,
             "answer_slack_s": 0.5,
         },
     }
--- /dev/null
+++ b/soak/tolerances.py
@@ -0,0 +1,60 @@
+"""Tolerances that several checks share: inexact times, delays by the network, late notification."""
+
+from __future__ import annotations
+
+from soak.fault_kinds import FaultKind
+from soak.history import Attempt, History, LimiterState
+
+SOCKET_TOLERANCE_SECONDS = 0.05
+WRITE_DELAY_SECONDS = 0.15  # between the limiter's decision and its write to the socket
+NETWORK_RECOVERY_SECONDS = 1.0
+MAX_NOTIFICATION_SECONDS = 6.0  # after discovery has a change, under any fault
+FAULT_FREE_NOTIFICATION_SECONDS = 0.2
+NOTIFICATION_LOOKBACK_SECONDS = 0.5
+NOTIFICATION_DELAYING_KINDS = (
+    FaultKind.DISCOVERY_UNRESPONSIVE,
+    FaultKind.DISCOVERY_DOWN,
+    FaultKind.DISCOVERY_FRAGMENTED,
+    LimiterState.CHANGING_DISCOVERY,
+    LimiterState.STOPPED,
+    LimiterState.UNAVAILABLE,
+    FaultKind.CONNECT_ERRORS,
+    FaultKind.SOCKET_ERRORS,
+    FaultKind.READ_ERRORS,
+    FaultKind.SHORT_TRANSFERS,
+)
+
+
+def timing_tolerance(history: History, at: float) -> float:
+    """Return the seconds by which a recorded time around ``at`` may be off."""
+    return SOCKET_TOLERANCE_SECONDS + history.runner_delay_around(at)
+
+
+def may_be_delayed_by_network(history: History, attempt: Attempt, until: float | None = None) -> bool:
+    """Whether a network fault may have delayed an attempt, or the end of its connection before ``until``."""
+    end = attempt.complete_at if until is None else until
+    start = attempt.first_byte_at - NETWORK_RECOVERY_SECONDS
+    return any(
+        fault.endpoint == attempt.endpoint and fault.start <= end and fault.end >= start
+        for fault in history.network_faults
+    )
+
+
+def notification_deadline(history: History, limiter: int, at: float) -> float:
+    """Return the latest time at which a limiter has to know of a change that discovery had at ``at``."""
+    latest = at + MAX_NOTIFICATION_SECONDS
+    if not history.is_affected(
+        limiter, at - NOTIFICATION_LOOKBACK_SECONDS, latest, *NOTIFICATION_DELAYING_KINDS
+    ):
+        return at + FAULT_FREE_NOTIFICATION_SECONDS
+    outage_ends = (
+        span.end
+        for span in history.spans
+        if span.kind is FaultKind.DISCOVERY_DOWN
+        and span.limiter == limiter
+        and span.start <= latest
+        and span.end >= at
+    )
+    available_at = max(at, max(outage_ends, default=at))
+    stopped = history.span_seconds(LimiterState.STOPPED, limiter, at, latest)
+    return available_at + MAX_NOTIFICATION_SECONDS + stopped
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -53,7 +53,7 @@
         self.environment = {
             "LD_PRELOAD": str(library),
             "SOAK_FAULT_CONTROL": str(self.control.path),
-            "SOAK_FAULT_FOLDER": str(self.shared_folder),
+            "SOAK_FAULT_DIRECTORY": str(self.shared_folder),
             "TMPDIR": str(self.shared_folder),
         }
 
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from soak.fault_control import ACCEPT_ERRNO, ACCEPT_FAILURES
+from soak.fault_control import SystemCall
 from tests.admin_client import send_command
 from tests.gateway_process import ProcessFaults, config, free_port, started
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
@@ -28,12 +28,11 @@
             config(endpoint), tmp_path, LB_MGMT=f"127.0.0.1:{port}", environment=faults.environment
         ) as program,
     ):
-        faults.control.set(ACCEPT_ERRNO, error)
         for _ in range(2):
-            faults.control.set(ACCEPT_FAILURES, 3)
+            faults.control.fail_calls(SystemCall.ACCEPT, error, 3)
             reader, writer = await program.connect()
             writer.write(http_request())
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
-            faults.control.set(ACCEPT_FAILURES, 1)
+            faults.control.fail_calls(SystemCall.ACCEPT, error, 1)
             assert await send_command(port, b"STATUS") == "SUCCESS\n"
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from soak.fault_control import FolderCalls
+from soak.fault_control import DirectoryCalls
 from tests.admin_client import fetch_metrics, send_command
 from tests.gateway_process import ProcessFaults, Program, config, free_port, started
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
@@ -37,14 +37,14 @@
 @pytest.mark.parametrize(
     ("error", "calls"),
     [
-        pytest.param(errno.ENOSPC, FolderCalls.WRITING, id="full"),
-        pytest.param(errno.EIO, FolderCalls.WRITING | FolderCalls.READING, id="broken"),
-        pytest.param(errno.ENOLCK, FolderCalls.LOCKING, id="no locks"),
+        pytest.param(errno.ENOSPC, DirectoryCalls.WRITING, id="full"),
+        pytest.param(errno.EIO, DirectoryCalls.WRITING | DirectoryCalls.READING, id="broken"),
+        pytest.param(errno.ENOLCK, DirectoryCalls.LOCKING, id="no locks"),
     ],
 )
 @async_test
 async def test_a_suspension_made_while_the_folder_fails_holds_in_the_next_process(
-    error: int, calls: FolderCalls, tmp_path: Path, faults: ProcessFaults
+    error: int, calls: DirectoryCalls, tmp_path: Path, faults: ProcessFaults
 ) -> None:
     origin = ScriptedEndpoint()
     async with running_server(origin.handle_connection) as endpoint:
@@ -53,7 +53,7 @@
         mgmt = f"127.0.0.1:{port}"
         async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
             assert " 200 " in await first_line(program)
-            faults.control.fail_folder(error, calls)
+            faults.control.fail_directory_calls(error, calls)
             called_at = time.monotonic()
             reply = await send_command(port, b"SUSPEND s1")
             assert time.monotonic() - called_at < REPLY_LIMIT
@@ -61,7 +61,7 @@
             assert " 429 " in await first_line(
                 program
             )  # in force all the same: it may be recorded any moment
-            faults.control.fail_folder(0, FolderCalls.NONE)
+            faults.control.fail_directory_calls(0, DirectoryCalls.NONE)
             await asyncio.sleep(SAVED_WITHIN)
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
             await restart_beside(program)
@@ -72,10 +72,10 @@
             assert await send_command(port, b"RESTORE s1") == "SUCCESS\n"
 
 
-@pytest.mark.parametrize("calls", list(FolderCalls)[1:], ids=str)
+@pytest.mark.parametrize("calls", list(DirectoryCalls)[1:], ids=str)
 @async_test
 async def test_a_process_that_starts_while_the_folder_fails_joins_later(
-    calls: FolderCalls, tmp_path: Path, faults: ProcessFaults
+    calls: DirectoryCalls, tmp_path: Path, faults: ProcessFaults
 ) -> None:
     """It starts, keeps to what was suspended, and is seen by the next process once the folder is sound."""
     async with running_server(ScriptedEndpoint().handle_connection) as endpoint:
@@ -85,8 +85,10 @@
         async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
             await restart_beside(program)
-        faults.control.fail_folder(errno.EIO, calls)
-        asyncio.get_running_loop().call_later(1.5, faults.control.fail_folder, 0, FolderCalls.NONE)
+        faults.control.fail_directory_calls(errno.EIO, calls)
+        asyncio.get_running_loop().call_later(
+            1.5, faults.control.fail_directory_calls, 0, DirectoryCalls.NONE
+        )
         async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
             assert " 429 " in await first_line(program)
             await asyncio.sleep(2.0)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -8,7 +8,7 @@
 import signal
 from pathlib import Path
 
-from soak.fault_control import FolderCalls
+from soak.fault_control import DirectoryCalls
 from tests.gateway_process import WIRE_SETTINGS, ProcessFaults, Program, config, started
 from tests.loopback import (
     ConnectionHandler,
@@ -175,10 +175,10 @@
         raw = config("127.0.0.1:1")
         async with started(raw, folder, environment=faults.environment) as program:
             (folder / "config.json").write_text(json.dumps(raw | {"discovery": discovery}))
-            faults.control.fail_folder(errno.ENFILE, FolderCalls.READING)
+            faults.control.fail_directory_calls(errno.ENFILE, DirectoryCalls.READING)
             program.process.send_signal(signal.SIGHUP)
             assert " 200 " in await program.health()
             await asyncio.sleep(0.5)
-            faults.control.fail_folder(0, FolderCalls.NONE)
+            faults.control.fail_directory_calls(0, DirectoryCalls.NONE)
             async with asyncio.timeout(3.0):
                 assert await connected.get() == "agent"
--- /dev/null
+++ b/tests/test_soak_checker.py
@@ -0,0 +1,211 @@
+"""The checker of the soak test: each check finds its violation, and finds none in a clean history."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from soak.checker import check_history
+from soak.endpoint_checks import allowed_requests
+from soak.fault_kinds import FaultKind
+from soak.history import (
+    ALL_LIMITERS,
+    Attempt,
+    ClientBehaviour,
+    ClientRequest,
+    CommandReply,
+    EndpointChange,
+    EndpointHealth,
+    History,
+    IncompleteRequest,
+    LimiterState,
+    NetworkFault,
+    ProcessExit,
+    RequestOutcome,
+    Span,
+    Suspension,
+)
+from soak.settings import PlanName, RequestClass
+from soak.violations import Invariant
+
+REQUEST = ClientRequest(
+    id="aa",
+    limiter=0,
+    request_class=RequestClass.POST,
+    plan=PlanName.OPEN,
+    account=1,
+    timeout=1.0,
+    behaviour=ClientBehaviour.PLAIN,
+    sent_at=10.0,
+    outcome=RequestOutcome.RESPONSE_RECEIVED,
+    status=200,
+    body=b"aa",
+    ended_at=10.2,
+)
+ATTEMPT = Attempt(
+    request_id="aa",
+    endpoint="s-1",
+    incarnation=0,
+    connection=1,
+    first_byte_at=10.01,
+    complete_at=10.01,
+    propagated_deadline=0.9,
+    body_size=200,
+    response=b"aa",
+    ended_at=10.19,
+)
+
+
+def make_history(request: ClientRequest = REQUEST, *attempts: Attempt) -> History:
+    history = History(started_at=0.0)
+    history.requests[request.id] = request
+    history.attempts[request.id] = list(attempts)
+    return history
+
+
+def violated_invariants(history: History) -> list[Invariant]:
+    return [violation.invariant for violation in check_history(history)]
+
+
+def test_a_clean_request_violates_nothing() -> None:
+    assert violated_invariants(make_history(REQUEST, ATTEMPT)) == []
+
+
+@pytest.mark.parametrize("outcome", [RequestOutcome.CONNECTION_CLOSED, RequestOutcome.TIMED_OUT])
+def test_a_request_without_a_response_is_found_unless_its_process_was_killed(outcome: RequestOutcome) -> None:
+    history = make_history(replace(REQUEST, outcome=outcome, ended_at=13.0))
+    assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
+    history.spans.append(Span(FaultKind.KILL, 0, 9.99, 10.3))
+    assert violated_invariants(history) == []
+
+
+def test_a_late_response_is_found_without_the_time_that_the_process_was_stopped() -> None:
+    history = make_history(replace(REQUEST, ended_at=11.6), ATTEMPT)
+    assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
+    history.spans.append(Span(LimiterState.STOPPED, 0, 10.0, 10.2))
+    assert violated_invariants(history) == []
+
+
+def test_a_body_that_no_endpoint_sent_is_found() -> None:
+    assert violated_invariants(make_history(REQUEST, replace(ATTEMPT, response=b"bb"))) == [
+        Invariant.EVERY_REQUEST_ANSWERED
+    ]
+
+
+def test_a_request_that_is_not_idempotent_and_was_executed_twice_is_found() -> None:
+    second = replace(ATTEMPT, endpoint="s-2", first_byte_at=10.3, complete_at=10.3, propagated_deadline=0.6)
+    assert violated_invariants(make_history(REQUEST, ATTEMPT, second)) == [Invariant.NO_REPEATED_EXECUTION]
+    resent = make_history(replace(REQUEST, resent=True), ATTEMPT, second)
+    resent.spans.append(Span(FaultKind.KILL, 0, 10.1, 10.2))
+    assert violated_invariants(resent) == []
+    rejected = replace(ATTEMPT, executed=False)
+    assert violated_invariants(make_history(REQUEST, rejected, second)) == []
+
+
+def test_a_keyed_retry_after_its_window_and_concurrent_attempts_are_found() -> None:
+    keyed = replace(REQUEST, request_class=RequestClass.KEYED, timeout=2.0, ended_at=11.2)
+    late = replace(ATTEMPT, first_byte_at=11.1, complete_at=11.1, propagated_deadline=0.5, ended_at=11.15)
+    assert violated_invariants(make_history(keyed, ATTEMPT, late)) == [Invariant.NO_REPEATED_EXECUTION]
+    together = replace(late, first_byte_at=10.1, complete_at=10.1)
+    assert violated_invariants(make_history(keyed, ATTEMPT, together)) == [Invariant.NO_REPEATED_EXECUTION]
+
+
+def test_an_attempt_without_a_client_request_is_found() -> None:
+    history = make_history(REQUEST, ATTEMPT)
+    history.attempts["bb"] = [replace(ATTEMPT, request_id="bb")]
+    assert violated_invariants(history) == [Invariant.NO_REPEATED_EXECUTION]
+
+
+def test_an_attempt_at_a_draining_endpoint_is_found_after_the_grace() -> None:
+    history = make_history(REQUEST, ATTEMPT)
+    history.endpoint_changes.append(EndpointChange(7.2, "s-1", EndpointHealth.DRAINING, 0))
+    assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
+    history.spans.append(Span(FaultKind.COUNTER_DOWN, 0, 7.0, 8.0))
+    assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
+    history.spans.append(
+        Span(FaultKind.DISCOVERY_UNRESPONSIVE, 0, 7.0, 8.0)
+    )  # the notification may be late then
+    assert violated_invariants(history) == []
+
+
+def test_an_attempt_at_a_suspended_endpoint_is_found_until_it_is_restored() -> None:
+    history = make_history(REQUEST, ATTEMPT)
+    history.suspensions.append(Suspension(0, "s-1", requested_at=7.0, accepted_at=7.1))
+    assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
+    history.suspensions[0].restored_at = 9.0
+    assert violated_invariants(history) == []
+
+
+def test_an_endpoint_that_is_overloaded_while_it_warms_up_is_found() -> None:
+    history = make_history(REQUEST, ATTEMPT)
+    history.endpoint_changes.append(EndpointChange(9.0, "s-1", EndpointHealth.READY, 1))
+    for number in range(40):
+        request = replace(REQUEST, id=f"{number}", body=b"aa")
+        history.requests[request.id] = request
+        history.attempts[request.id] = [replace(ATTEMPT, request_id=request.id, incarnation=1)]
+    assert violated_invariants(history) == [Invariant.SLOW_START]
+    history.spans.append(
+        Span(FaultKind.DISCOVERY_UNRESPONSIVE, ALL_LIMITERS, 8.5, 9.5)
+    )  # no limiter had to know of the restart
+    assert violated_invariants(history) == []
+
+
+def test_the_allowed_requests_of_a_warming_up_endpoint_grow_with_its_age() -> None:
+    assert 0 < allowed_requests(20.0, 0.0) < allowed_requests(20.0, 4.0) < allowed_requests(20.0, 8.0)
+    assert allowed_requests(1000.0, 0.0) == pytest.approx(150 + 2 * 150**0.5 + 2)
+    assert allowed_requests(100.0, 0.0) == pytest.approx(15 + 3 * 15**0.5 + 3)
+
+
+def test_an_attempt_for_a_disconnected_client_is_found() -> None:
+    left = replace(REQUEST, outcome=RequestOutcome.DISCONNECTED, status=0, ended_at=10.1)
+    assert violated_invariants(make_history(left, ATTEMPT)) == []
+    late = replace(ATTEMPT, first_byte_at=10.3, complete_at=10.3, propagated_deadline=0.5)
+    assert violated_invariants(make_history(left, late)) == [Invariant.EVERY_REQUEST_ANSWERED]
+
+
+def test_a_propagated_deadline_beyond_the_remaining_time_is_found() -> None:
+    assert violated_invariants(make_history(REQUEST, replace(ATTEMPT, propagated_deadline=1.3))) == [
+        Invariant.DEADLINE_PROPAGATION
+    ]
+
+
+def test_an_exceeded_ceiling_is_found() -> None:
+    history = History(started_at=0.0)
+    for number in range(30):
+        request = replace(REQUEST, id=f"{number}", plan=PlanName.CAPPED)
+        history.requests[request.id] = request
+        history.attempts[request.id] = [replace(ATTEMPT, request_id=request.id)]
+    assert violated_invariants(history) == [Invariant.CEILING]
+
+
+def test_an_incomplete_request_that_stays_open_too_long_is_found() -> None:
+    history = make_history(REQUEST, ATTEMPT)
+    history.incomplete_requests += [
+        IncompleteRequest(0, "body", 5.0, 8.1),
+        IncompleteRequest(0, "body", 5.0, 8.6),
+    ]
+    assert violated_invariants(history) == [Invariant.INCOMPLETE_REQUEST_TIMEOUT]
+
+
+def test_late_replies_crashes_internal_errors_and_wrong_metrics_are_found() -> None:
+    history = make_history(REQUEST, ATTEMPT)
+    history.replies.append(CommandReply(0, "STATUS", 5.0, 6.2, "SUCCESS"))
+    history.exits.append(ProcessExit(0, 7.0, 1, expected=False, log=""))
+    history.exits.append(ProcessExit(0, 8.0, 0, expected=True, log="... invariant violated: answered_once"))
+    history.metrics[0] = {"app.handled.post.passed": 9, "app.violations.answered_once": 1}
+    assert sorted(violated_invariants(history)) == [
+        Invariant.ADMIN_REPLY,
+        Invariant.CLEAN_EXIT,
+        Invariant.METRICS,
+        Invariant.NO_INTERNAL_ERROR,
+        Invariant.NO_INTERNAL_ERROR,
+    ]
+
+
+def test_a_delay_by_a_network_fault_is_no_violation() -> None:
+    history = make_history(REQUEST, replace(ATTEMPT, propagated_deadline=1.3))
+    history.network_faults.append(NetworkFault("s-1", 9.0, 9.5))
+    assert violated_invariants(history) == []
+    history.network_faults[0] = NetworkFault("s-2", 9.0, 9.5)
+    assert violated_invariants(history) == [Invariant.DEADLINE_PROPAGATION]
