--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -1,11 +1,12 @@
 """The open requests: attempts, retries and the one final answer of each."""
 
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from quota_gateway import model
 from quota_gateway.decisions.admission import AdmissionGate
-from quota_gateway.decisions.context import LATENCY_FRACTION, Context
-from quota_gateway.decisions.controller import REFERENCE_LOAD
+from quota_gateway.decisions.context import Context
+from quota_gateway.decisions.controller import REFERENCE_LOAD, overdue_latency
 from quota_gateway.decisions.endpoint_set import EndpointSet
 from quota_gateway.decisions.leases import LeaseManager
 from quota_gateway.decisions.load_balancer import LoadBalancer
@@ -78,6 +79,15 @@
         self.context.actions.append(model.Forward(request.id, state.endpoint.name, timeout, not_after))
         return True
 
+    def endpoints_in_flight(self) -> Iterator[EndpointState]:
+        """Yield the endpoint of each attempt in flight."""
+        for request in self.requests.values():
+            yield from request.in_flight.values()
+
+    def on_client_disconnected(self, _now: float, event: model.ClientDisconnected) -> None:
+        """Close the request of a client that has disconnected."""
+        self.forget(event.request_id)
+
     def on_upload_completed(self, now: float, event: model.UploadCompleted) -> None:
         """Start the timeouts of a request whose body is complete."""
         request = self.requests.get(event.request_id)
@@ -131,8 +141,9 @@
         for request in list(self.requests.values()):
             if now >= request.deadline and not request.in_flight:
                 self.finish(request, model.RejectionReason.ATTEMPTS)
-            overdue = request.request_class.latency_objective * LATENCY_FRACTION / REFERENCE_LOAD
-            if request.in_flight and not request.uploading and now - request.started_at > overdue:
+            age = now - request.started_at
+            is_overdue = age > overdue_latency(request.request_class.latency_objective)
+            if is_overdue and request.in_flight and not request.uploading:
                 self.gate.controller.record_overload()
 
     def finish(self, request: OpenRequest, reason: model.RejectionReason) -> None:
