--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -53,15 +53,14 @@
         self.gate.controller.record_admission()
         self.retry_budget.credit()
         request.accept(within_quota=within_quota)
-        account.ceiling_tokens -= request.units if plan.ceiling_rate > 0 else 0.0
-        if within_quota:
-            account.guaranteed_tokens = max(-request.units, account.guaranteed_tokens - request.units)
+        account.charge_shares(request.units, within_quota=within_quota)
         if prepaid and account.leased >= request.units:
-            account.leased -= request.units
+            account.charge_lease(request.units)
         elif within_quota and not prepaid:
-            account.tokens = min(account.tokens, max(0.0, account.tokens - request.units))
-            if not account.is_sparse or now < self.leases.budget.unavailable_until:
-                self.leases.add_usage(now, account, request.units)
+            is_reported = not account.is_sparse or now < self.leases.budget.unavailable_until
+            account.charge(request.units, is_reported=is_reported)
+            if is_reported:
+                self.leases.report_significant_usage(now, account)
         return True
 
     def _attempt(self, now: float, request: OpenRequest) -> bool:
@@ -72,7 +71,7 @@
         if state is None:
             return False
         request.start_attempt(now, state)
-        request.account.open_attempts += 1
+        request.account.start_attempt()
         if request.uploading:
             timeout = request.useful_time  # from the last byte of the body
         not_after = repeat_deadline(request)
@@ -114,7 +113,7 @@
 
     def _learn(self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted) -> None:
         """Update endpoint, load and account with an attempt that was in flight."""
-        request.account.open_attempts -= 1
+        request.account.finish_attempt()
         if event.status not in NO_SIGN_OF_LIFE:
             state.record_sign_of_life(now)
         if event.status is CallStatus.OK:
@@ -126,7 +125,7 @@
         self.outliers.record(now, state, event)
         if event.charged_units is not None and request.within_quota:
             charged = min(event.charged_units, self.context.settings.max_units)
-            request.account.adjust(charged - request.units)
+            request.account.correct_charge(charged - request.units)
         state.stop_waiting_if_idle()
 
     def _retry(self, now: float, request: OpenRequest, event: AttemptCompleted) -> None:
@@ -163,7 +162,7 @@
             return
         for state in request.in_flight.values():
             state.finish_attempt(request.work)
-            request.account.open_attempts -= 1
+            request.account.finish_attempt()
             state.stop_waiting_if_idle()
 
     def take_rejections(self) -> dict[str, int]:
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
+from quota_gateway.decisions.account_table import AccountTable
 from quota_gateway.decisions.admission import AdmissionGate
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.endpoint_set import EndpointSet
-from quota_gateway.decisions.quota import AccountTable
 from quota_gateway.decisions.slow_start import SlowStart
 from quota_gateway.model import HandOver, HandoverState, ProcessCountChanged
 
