--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -5,8 +5,9 @@
 restart.
 """
 
-from quota_gateway.state.account import Account, PendingCall
+from quota_gateway.state.account import Account
 from quota_gateway.state.endpoint import EndpointState
+from quota_gateway.state.global_bucket import PendingCall
 from quota_gateway.state.rejections import describe_rejections
 from quota_gateway.state.request import Attempt, OpenRequest
 
