--- a/scale/fleet/lockstep.py
+++ b/scale/fleet/lockstep.py
@@ -44,7 +44,7 @@
     outcomes: Connection
 
 
-def run(
+def run_workers(
     work: Work, count: int, task: Any, started: Callable[[list[int]], None] = lambda _pids: None
 ) -> list[Any]:
     """The workers' results in order; ``BrokenRunError`` names the causes where some of them fail or die.
--- a/scale/fleet/simulation.py
+++ b/scale/fleet/simulation.py
@@ -7,8 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from scale.fleet import lockstep
-from scale.fleet.lockstep import Exchange
+from scale.fleet.lockstep import Exchange, run_workers
 from scale.fleet.scenario import Scenario, World
 from scale.fleet.tally import Tally
 
@@ -25,7 +24,7 @@
 def simulate(scenario: Scenario, processes: int) -> SimulationResult:
     """Run a scenario in so many processes; ``BrokenRunError`` where one of them fails or dies."""
     began = time.monotonic()
-    tallies = lockstep.run(run_worker, processes, scenario)
+    tallies = run_workers(run_worker, processes, scenario)
     total: Tally = tallies[0]
     for tally in tallies[1:]:
         total.add(tally)
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -184,7 +184,7 @@
 
 def test_killed_worker_ends_the_run_with_its_cause() -> None:
     with pytest.raises(BrokenRunError, match=r"worker 1.* exit code -9"):
-        lockstep.run(work_until_killed, 2, 10.0, kill_last)
+        lockstep.run_workers(work_until_killed, 2, 10.0, kill_last)
 
 
 def test_percentile_counts_requests_that_did_not_wait() -> None:
