--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -61,12 +61,12 @@
 Costs = dict[Operation, float]
 
 
-def measure_costs(size: dict[str, Any], wide: bool, seed: int) -> Costs:
+def measure_costs(size: dict[str, Any], *, full_spread: bool, seed: int) -> Costs:
     """Seconds of processor time of each operation, in a fresh process; a job.
 
-    ``wide``: all limiters serve each tenant. Without a counter call there is no ``COUNTER_REPLY``.
+    With ``full_spread`` all limiters serve each tenant. Without a counter call there is no ``COUNTER_REPLY``.
     """
-    limiter = SimulatedLimiter(Size(**size), wide, seed)
+    limiter = SimulatedLimiter(Size(**size), full_spread=full_spread, seed=seed)
     limiter.start()
     gc.collect()
     gc.freeze()  # as the program does once it is ready
@@ -87,13 +87,13 @@
 
 
 def _event_costs(limiter: SimulatedLimiter) -> Costs:
-    """Means over the load; the classes' names are the keys of ``SimulatedLimiter.costs``."""
+    """Return the means over the load."""
     costs = {
-        Operation.REQUEST: limiter.mean_cost(model.Request.__name__, model.AttemptCompleted.__name__),
-        Operation.TICK: limiter.mean_cost(model.TimerFired.__name__),
+        Operation.REQUEST: limiter.costs.mean_seconds(model.Request, model.AttemptCompleted),
+        Operation.TICK: limiter.costs.mean_seconds(model.TimerFired),
     }
-    if model.CounterReplied.__name__ in limiter.costs:
-        costs[Operation.COUNTER_REPLY] = limiter.mean_cost(model.CounterReplied.__name__)
+    if limiter.costs.count(model.CounterReplied):
+        costs[Operation.COUNTER_REPLY] = limiter.costs.mean_seconds(model.CounterReplied)
     return costs
 
 
@@ -135,7 +135,7 @@
     size: Size
 
     @property
-    def wide(self) -> bool:
+    def full_spread(self) -> bool:
         """Whether all limiters serve each customer."""
         return self.by == "customers"
 
@@ -159,7 +159,7 @@
     points = make_points(size, effort)
     largest = next(point.size for point in reversed(points) if point.by == "servers")
     _add_slopes(result, points, effort)
-    result.notes += _notes(SimulatedLimiter(largest, False, 1))
+    result.notes += _notes(SimulatedLimiter(largest, full_spread=False, seed=1))
     if not effort.quick:
         _add_figures(size, budget, result)
     return result
@@ -170,7 +170,7 @@
     jobs = [
         Job(
             "scale.cpu:measure_costs",
-            {"size": asdict(point.size), "wide": point.wide, "seed": effort.seed + run},
+            {"size": asdict(point.size), "full_spread": point.full_spread, "seed": effort.seed + run},
         )
         for point, run in runs
     ]
@@ -200,13 +200,13 @@
 
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
     """The costs at the size, and the share of a core that control takes of them."""
-    remembered = SimulatedLimiter(size, True, 1).expected_tenants(IDLE_TIME)
+    remembered = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_TIME)
     result.notes.append(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
         f"{remembered} of {size.tenants} come within the {IDLE_TIME:.0f} s after which one is forgotten: "
         "the third share is the lines' at that number, the second that of a limiter that knows all"
     )
-    few = SimulatedLimiter(size, False, 1).tenants
+    few = SimulatedLimiter(size, full_spread=False, seed=1).tenants
     for costs, customers in (
         (_costs_at(result, "servers", size.servers), few),
         (_costs_at(result, "customers", size.tenants), size.tenants),
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -19,7 +19,7 @@
 from quota_gateway.settings_parser import parse_settings
 from scale.memory.allocation import MemoryUse, allocated_bytes
 from scale.model import Size
-from scale.synthetic_inputs import CLIENT_TIMEOUT, PLAN_NAME, complete_list_text, synthetic_settings
+from scale.synthetic_inputs import CLIENT_TIMEOUT_SECONDS, PLAN_NAME, complete_list_text, synthetic_settings
 
 CONNECT_TIMEOUT = 0.25  # seconds
 IDLE_TIMEOUT = 30.0  # seconds
@@ -72,7 +72,7 @@
     ok = model.CallStatus.OK
     tenant = f"{number:016x}"
     request = model.Request(
-        number, "class-0", PLAN_NAME, CLIENT_TIMEOUT, tenant, serving_gateways=serving_gateways
+        number, "class-0", PLAN_NAME, CLIENT_TIMEOUT_SECONDS, tenant, serving_gateways=serving_gateways
     )
     actions = gateway.handle(now, request)
     while actions:
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -42,8 +42,8 @@
 class _LimiterProcess:
     """The decisions and the connection pool of a simulated limiter."""
 
-    def __init__(self, size: Size, wide: bool, seed: int) -> None:
-        self.limiter = SimulatedLimiter(size, wide, seed)
+    def __init__(self, size: Size, *, full_spread: bool, seed: int) -> None:
+        self.limiter = SimulatedLimiter(size, full_spread=full_spread, seed=seed)
         self._pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
 
     def apply_list(self, text: str) -> None:
@@ -84,15 +84,17 @@
         self._pool.close()
 
 
-def measure_process(size: dict[str, Any], wide: bool, seed: int, load: float, churn: float) -> ProcessMemory:
+def measure_process(
+    size: dict[str, Any], *, full_spread: bool, seed: int, load: float, churn: float
+) -> ProcessMemory:
     """Memory of a limiter's process at its start, with the list, after the load and after the churn.
 
-    ``load`` and ``churn`` are emulated seconds. ``wide``: all limiters serve each tenant.
+    ``load`` and ``churn`` are emulated seconds. With ``full_spread`` all limiters serve each tenant.
     """
 
     async def main() -> ProcessMemory:
         at_start = resident_bytes()
-        process = _LimiterProcess(Size(**size), wide, seed)
+        process = _LimiterProcess(Size(**size), full_spread=full_spread, seed=seed)
         process.start()
         with_list = resident_bytes()
         process.run_load(load)
--- a/scale/memory/summary.py
+++ b/scale/memory/summary.py
@@ -166,10 +166,14 @@
     """The whole process where few tenants meet at a limiter, and where all do."""
     runs = min(effort.runs, MAX_PROCESS_RUNS)
     # The longer ones first: they are what the run waits for.
-    jobs = [_process_job(size, wide, effort.seed + run) for wide in (True, False) for run in range(runs)]
+    jobs = [
+        _process_job(size, full_spread=full_spread, seed=effort.seed + run)
+        for full_spread in (True, False)
+        for run in range(runs)
+    ]
     found = [ProcessMemory(**memory) for memory in run_jobs(jobs, effort.processes)]
-    for wide, memories in ((False, found[runs:]), (True, found[:runs])):
-        tenants = SimulatedLimiter(size, wide, effort.seed).tenants
+    for full_spread, memories in ((False, found[runs:]), (True, found[:runs])):
+        tenants = SimulatedLimiter(size, full_spread=full_spread, seed=effort.seed).tenants
         _add_process(result, f"{tenants} customers at a limiter", memories, budget.control_memory)
     result.notes.append(
         f"the hour of churn: the day's {load_profile.RESTARTS_PER_DAY} restarts and "
@@ -180,10 +184,16 @@
     )
 
 
-def _process_job(size: Size, wide: bool, seed: int) -> Job:
+def _process_job(size: Size, *, full_spread: bool, seed: int) -> Job:
     return Job(
         "scale.memory.process:measure_process",
-        {"size": asdict(size), "wide": wide, "seed": seed, "load": LOAD_SECONDS, "churn": CHURN_SECONDS},
+        {
+            "size": asdict(size),
+            "full_spread": full_spread,
+            "seed": seed,
+            "load": LOAD_SECONDS,
+            "churn": CHURN_SECONDS,
+        },
     )
 
 
--- a/scale/messages/counter_demand.py
+++ b/scale/messages/counter_demand.py
@@ -20,22 +20,28 @@
 
 
 def measure_counter_demand(
-    size: dict[str, Any], wide: bool, near: float, over: float, seed: int, warm_up: float, load: float
+    size: dict[str, Any],
+    *,
+    full_spread: bool,
+    near: float,
+    over: float,
+    seed: int,
+    warm_up: float,
+    load: float,
 ) -> CounterDemand:
     """Calls and requests of one limiter whose counter answers all: at first, and after the warm-up.
 
     ``near`` and ``over`` are shares of the tenants near and over their quota; ``warm_up`` and ``load`` are
-    emulated seconds. ``wide``: all limiters serve each tenant.
+    emulated seconds. With ``full_spread`` all limiters serve each tenant.
     """
-    limiter = SimulatedLimiter(Size(**size), wide, seed, LoadMix(near, over))
+    limiter = SimulatedLimiter(Size(**size), full_spread=full_spread, seed=seed, mix=LoadMix(near, over))
     limiter.start()
     limiter.run(load / 2)
-    limiter.counter_calls = 0
+    limiter.reset_counts()
     limiter.run(load / 2)
     first_calls = limiter.counter_calls / (load / 2)
     limiter.run(warm_up)
-    limiter.counter_calls = 0
-    limiter.requests = 0
+    limiter.reset_counts()
     limiter.run(load)
     return CounterDemand(
         first_calls=first_calls, calls=limiter.counter_calls / load, requests=limiter.requests / load
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -39,18 +39,18 @@
 class Scenario:
     """A mix of tenants, and how many limiters serve each."""
 
-    wide: bool  # all limiters serve each tenant
+    full_spread: bool  # all limiters serve each tenant
     name: str
     mix: LoadMix
 
     def limiters_per_tenant(self, size: Size) -> str:
         """How many limiters serve a tenant, in words."""
-        return f"{size.limiters if self.wide else min(size.spread, size.limiters)} limiters a customer"
+        return f"{size.limiters if self.full_spread else min(size.spread, size.limiters)} limiters a customer"
 
 
 SCENARIOS = tuple(
-    Scenario(wide, name, mix)
-    for wide in (False, True)
+    Scenario(full_spread, name, mix)
+    for full_spread in (False, True)
     for name, mix in (("calm", CALM_MIX), ("tense", TENSE_MIX))
 )
 Demands = dict[Scenario, list[CounterDemand]]  # by run
@@ -145,7 +145,7 @@
         "scale.messages.counter_demand:measure_counter_demand",
         {
             "size": asdict(part),
-            "wide": scenario.wide,
+            "full_spread": scenario.full_spread,
             "near": scenario.mix.near,
             "over": scenario.mix.over,
             "seed": effort.seed + run,
@@ -157,7 +157,7 @@
 
 def _change_bytes(size: Size) -> float:
     """Mean bytes of a change of the list."""
-    limiter = SimulatedLimiter(size, False, 1)
+    limiter = SimulatedLimiter(size, full_spread=False, seed=1)
     lines = [limiter.next_list_change() for _ in range(CHANGES)]
     for line in lines:
         parse_watch_event(json.loads(line))  # what is counted is what the limiter reads
@@ -240,7 +240,7 @@
     bound = min(budget.counter_calls / size.limiters, *wanted.values())
     call_rates = {f"{bound:.2f} counter calls a second": bound}
     for scenario, rate in wanted.items():
-        limiters = "all" if scenario.wide else "few"
+        limiters = "all" if scenario.full_spread else "few"
         call_rates[f"counter calls as wanted, {limiters} limiters a customer, {scenario.name}"] = rate
     for rolling_restart in (False, True):
         for description, call_rate in call_rates.items():
--- a/scale/synthetic_inputs.py
+++ b/scale/synthetic_inputs.py
@@ -11,7 +11,7 @@
 
 PLAN_NAME = "basic"
 CLASS_COUNT = 4
-CLIENT_TIMEOUT = 2.0  # seconds that a client waits
+CLIENT_TIMEOUT_SECONDS = 2.0  # seconds that a client waits
 BUCKET_SECONDS = 4.0  # seconds of the quota that its bucket holds
 # Demand over quota of the three kinds of tenants.
 BELOW_QUOTA_LOAD = 0.3
@@ -83,7 +83,7 @@
         "effect": _EFFECTS[number % len(_EFFECTS)],
         "group": "all",
         "window_s": 4.0,
-        "hard_limit_s": CLIENT_TIMEOUT,
+        "hard_limit_s": CLIENT_TIMEOUT_SECONDS,
     }
 
 
--- a/tests/test_scale_memory.py
+++ b/tests/test_scale_memory.py
@@ -26,7 +26,7 @@
 
 def test_process_memory_is_measured_after_load_and_churn() -> None:
     size = {"limiters": 3, "servers": 40, "services": 4, "tenants": 40, "rate": 30.0}
-    arguments = {"size": size, "wide": True, "seed": 1, "load": 5.0, "churn": 60.0}
+    arguments = {"size": size, "full_spread": True, "seed": 1, "load": 5.0, "churn": 60.0}
     memory = ProcessMemory(**run_job(Job("scale.memory.process:measure_process", arguments)))
     assert 5e6 < memory.at_start <= memory.with_list <= memory.after_load < 200e6
     assert memory.after_churn > 5e6
