--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What the limiter costs at a size: slopes measured on the real program and on simulated limiters."""
+"""Scale tests: the limiter's cost at a size, from slopes of the real program and of simulated limiters."""
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -1,4 +1,4 @@
-"""The command: its options, the run of the chosen tests, and the exit code."""
+"""The command line: options, run of the selected tests, and exit code."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class ExitCode(IntEnum):
-    """How the command ends."""
+    """The exit codes of the command."""
 
     WITHIN_BUDGET = 0
     OVER_BUDGET = 1
-    BAD_INPUT = 2  # as click ends it
+    BAD_INPUT = 2  # the code of click
     BROKEN_RUN = 3
-    INTERRUPTED = 130  # as a shell has it for SIGINT
+    INTERRUPTED = 130  # the code of a shell after SIGINT
 
 
 def measure(tests: Sequence[ScaleTest], size: Size, budget: Budget, effort: Effort) -> Outcome:
-    """Run the tests one after the other; one that breaks does not end the others."""
+    """Run the tests one after the other. A test without a result does not end the others."""
     outcome = Outcome()
     for test in tests:
         click.echo(f"{test.name}: {test.about}", err=True)
@@ -40,7 +40,7 @@
             outcome.broken[test.name] = str(error)
         except KeyboardInterrupt:
             raise click.exceptions.Exit(ExitCode.INTERRUPTED) from None
-        except Exception as error:  # Python itself would end with 1, the code of a passed budget
+        except Exception as error:  # uncaught, it would give the exit code of an exceeded budget
             outcome.broken[test.name] = f"the test itself failed: {error!r}"
         else:
             _add_result(outcome, test.name, result)
@@ -50,13 +50,16 @@
 def _add_result(outcome: Outcome, name: str, result: Result) -> None:
     not_finite = [figure.name for figure in result.figures if not math.isfinite(figure.value)]
     if not_finite:
-        outcome.broken[name] = f"no number came of {not_finite[0]}"
+        outcome.broken[name] = f"{not_finite[0]} is not a finite number"
     else:
         outcome.results[name] = result
 
 
 def select_tests(names: Sequence[str]) -> list[ScaleTest]:
-    """The tests of these names, each once; all tests without a name. ``BadParameter`` for an unknown one."""
+    """Return the tests of these names, each once, or all tests without a name.
+
+    Raise ``BadParameter`` for an unknown name.
+    """
     known = {test.name: test for test in TESTS}
     for name in names:
         if name not in known:
@@ -65,7 +68,7 @@
 
 
 def exit_code(outcome: Outcome) -> ExitCode:
-    """The code for what the tests gave."""
+    """Return the exit code of the results."""
     if outcome.broken:
         return ExitCode.BROKEN_RUN
     if all(figure.passed for figure in outcome.figures):
@@ -81,15 +84,23 @@
 @click.option("--routes", type=int, default=DEFAULT.routes, show_default=True)
 @click.option("--tenants", type=int, default=DEFAULT.tenants, show_default=True)
 @click.option("--rate", type=float, default=DEFAULT.rate, show_default=True, help="Requests/s of the fleet.")
-@click.option("--spread", type=int, default=DEFAULT.spread, show_default=True, help="Limiters a tenant.")
+@click.option(
+    "--spread", type=int, default=DEFAULT.spread, show_default=True, help="Limiters that serve a tenant."
+)
 @click.option("--regions", type=int, default=DEFAULT.regions, show_default=True)
 @click.option("--zones", type=int, default=DEFAULT.zones, show_default=True)
-@click.option("--runs", type=click.IntRange(1, 1000), default=5, show_default=True, help="Of each point.")
+@click.option(
+    "--runs", type=click.IntRange(1, 1000), default=5, show_default=True, help="Runs of each point."
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--processes", type=click.IntRange(1, 256), default=4, show_default=True, help="At a time.")
-@click.option("--quick", is_flag=True, help="A tenth of each size: slopes only, no figures of the size.")
-@click.option("--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Keep the results.")
-@click.option("--list", "list_tests", is_flag=True, help="Name the tests and end.")
+@click.option(
+    "--processes", type=click.IntRange(1, 256), default=4, show_default=True, help="Processes at a time."
+)
+@click.option("--quick", is_flag=True, help="A tenth of each size: slopes without the figures at the size.")
+@click.option(
+    "--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the results to a file."
+)
+@click.option("--list", "list_tests", is_flag=True, help="List the tests and exit.")
 def main(
     names: tuple[str, ...],
     runs: int,
@@ -100,9 +111,9 @@
     list_tests: bool,
     **sizes: Any,
 ) -> None:
-    """What the limiter costs at a size: slopes, and what they come to beside the budget.
+    """Measure the limiter's cost at a size, and compare it with the budget.
 
-    Ends with 0: all within the budget; 1: a budget is passed; 2: bad input; 3: a run broke.
+    The exit code is 0 within the budget, 1 if a budget is exceeded, 2 for invalid input, 3 for a failed run.
     """
     if list_tests:
         for test in TESTS:
@@ -113,7 +124,7 @@
     effort = Effort(runs=runs, seed=seed, processes=processes, quick=quick)
     check_sizes(size, effort, tests, machine_memory())
     if path is not None and not (path.parent.is_dir() and os.access(path.parent, os.W_OK)):
-        reject_option("json", f"the folder of {path} cannot be written to")
+        reject_option("json", f"the directory of {path} is not writable")
     click.get_current_context().exit(_run(tests, size, effort, path))
 
 
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -1,6 +1,6 @@
 """The test ``cpu``: processor time of requests, ticks, lists and reloads, and control's share of a core.
 
-The costs are those of a simulated limiter's decisions; sockets are not in them.
+The costs are those of the decisions of a simulated limiter, without sockets.
 """
 
 from __future__ import annotations
@@ -26,18 +26,21 @@
 from scale.simulated_limiter import SimulatedLimiter
 from scale.worker import Job, run_jobs
 
-FILL_SECONDS = 20.0  # emulated, in which all tenants come
-LOAD_SECONDS = 15.0  # emulated, of the load that is measured
-CHANGES = 60  # of the list in a run; the median counts
-LISTS = 5  # complete ones in a run; the median counts
-RELOADS = 5  # in a run; the median counts
-FIRST_WEIGHT = 7.0  # of a class: each reload changes it
-NANOSECONDS = 1e9  # in a second
-MICROSECONDS = 1e6
+FILL_SECONDS = 20.0  # virtual; each tenant sends its first request in this time
+LOAD_SECONDS = 15.0  # virtual
+# Repetitions in a run, whose median is the cost.
+LIST_CHANGES = 60
+COMPLETE_LISTS = 5
+RELOADS = 5
+FIRST_PRIORITY_WEIGHT = 7.0  # of the first class; each reload changes it
+NANOSECONDS_PER_SECOND = 1e9
+MICROSECONDS_PER_SECOND = 1e6
+MICROSECONDS_PER_MILLISECOND = 1e3
+MICROSECONDS_PER_PERCENT = 1e4  # of a second
 
 
 class Operation(StrEnum):
-    """What processor time is measured of."""
+    """The operations whose processor time is measured."""
 
     REQUEST = "request"
     COUNTER_REPLY = "counted"
@@ -48,7 +51,7 @@
     RELOAD = "reload"
 
 
-# As the figures name them, in their order.
+# Names of the operations in the figures, in the order of the figures.
 DESCRIPTIONS = {
     Operation.REQUEST: "a request with its outcome",
     Operation.COUNTER_REPLY: "an answer of the counter",
@@ -62,32 +65,34 @@
 
 
 def measure_costs(size: dict[str, Any], *, full_spread: bool, seed: int) -> Costs:
-    """Seconds of processor time of each operation, in a fresh process; a job.
+    """Return the processor seconds of each operation. A job: it runs in a process of its own.
 
-    With ``full_spread`` all limiters serve each tenant. Without a counter call there is no ``COUNTER_REPLY``.
+    With ``full_spread`` all limiters serve each tenant. Without a counter call ``COUNTER_REPLY`` is missing.
     """
     limiter = SimulatedLimiter(Size(**size), full_spread=full_spread, seed=seed)
     limiter.start()
     gc.collect()
-    gc.freeze()  # as the program does once it is ready
+    gc.freeze()  # as the program does when it is ready
     limiter.visit_all_tenants(FILL_SECONDS)
     limiter.costs.clear()
     limiter.run(LOAD_SECONDS)
     costs = _event_costs(limiter)
     costs[Operation.CHANGE] = median(
-        _timed(partial(_apply_list, limiter, limiter.next_list_change())) for _ in range(CHANGES)
+        _timed(partial(_apply_list, limiter, limiter.next_list_change())) for _ in range(LIST_CHANGES)
     )
     text = limiter.complete_list()
-    costs[Operation.PARSE_LIST] = median(_timed(partial(_parse_list, text)) for _ in range(LISTS))
+    costs[Operation.PARSE_LIST] = median(_timed(partial(_parse_list, text)) for _ in range(COMPLETE_LISTS))
     update = _parse_list(text)
-    costs[Operation.APPLY_LIST] = median(_timed(partial(limiter.handle, update)) for _ in range(LISTS))
+    costs[Operation.APPLY_LIST] = median(
+        _timed(partial(limiter.handle, update)) for _ in range(COMPLETE_LISTS)
+    )
     texts = _changed_settings(limiter)
     costs[Operation.RELOAD] = median(_timed(partial(_reload, limiter, changed)) for changed in texts)
     return costs
 
 
 def _event_costs(limiter: SimulatedLimiter) -> Costs:
-    """Return the means over the load."""
+    """Return the mean costs of the events of the load."""
     costs = {
         Operation.REQUEST: limiter.costs.mean_seconds(model.Request, model.AttemptCompleted),
         Operation.TICK: limiter.costs.mean_seconds(model.TimerFired),
@@ -108,7 +113,7 @@
 def _changed_settings(limiter: SimulatedLimiter) -> list[str]:
     texts = []
     for number in range(RELOADS):
-        limiter.settings["classes"][0]["worth"] = FIRST_WEIGHT + number
+        limiter.settings["classes"][0]["worth"] = FIRST_PRIORITY_WEIGHT + number
         texts.append(json.dumps(limiter.settings))
     return texts
 
@@ -120,10 +125,10 @@
 
 
 def _timed(work: Callable[[], object]) -> float:
-    """Seconds of processor time that the work takes."""
-    began = process_time_ns()
+    """Return the processor seconds of a call."""
+    started = process_time_ns()
     work()
-    return (process_time_ns() - began) / NANOSECONDS
+    return (process_time_ns() - started) / NANOSECONDS_PER_SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +146,7 @@
 
 
 def make_points(size: Size, effort: Effort) -> list[Point]:
-    """Sizes by servers (customers as the spread has them), then by customers (all servers)."""
+    """Return the sizes by servers at the size's spread, then by customers with all servers."""
     by_servers = [
         Point("servers", count, replace(size, servers=count)) for count in sample_sizes(size.servers, effort)
     ]
@@ -154,7 +159,7 @@
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """Slopes by servers and by customers, and the share of a core."""
+    """Measure the slopes by servers and by customers, and derive the share of a core."""
     result = Result()
     points = make_points(size, effort)
     largest = next(point.size for point in reversed(points) if point.by == "servers")
@@ -177,7 +182,7 @@
     by_name: dict[tuple[str, Operation], dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
     for (point, _), costs in zip(runs, run_jobs(jobs, effort.processes), strict=True):
         for operation, seconds in costs.items():
-            by_name[point.by, Operation(operation)][point.count].append(seconds * MICROSECONDS)
+            by_name[point.by, Operation(operation)][point.count].append(seconds * MICROSECONDS_PER_SECOND)
     for by in ("servers", "customers"):
         for operation in DESCRIPTIONS:
             by_count = by_name[by, operation]
@@ -199,11 +204,11 @@
 
 
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
-    """The costs at the size, and the share of a core that control takes of them."""
-    remembered = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_TIME)
+    """Add the costs at the size and control's share of a core."""
+    recent = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_TIME)
     result.notes.append(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
-        f"{remembered} of {size.tenants} come within the {IDLE_TIME:.0f} s after which one is forgotten: "
+        f"{recent} of {size.tenants} come within the {IDLE_TIME:.0f} s after which one is forgotten: "
         "the third share is the lines' at that number, the second that of a limiter that knows all"
     )
     few = SimulatedLimiter(size, full_spread=False, seed=1).tenants
@@ -215,13 +220,13 @@
         _add_costs(result, costs, end, f"median at {size.servers} servers and {customers} customers")
         _add_shares(result, costs, end, size, budget)
         _add_list_time(result, costs, end)
-    # Between the points: only a share is made of it.
-    costs = _costs_at(result, "customers", remembered)
-    _add_shares(result, costs, f"{remembered} customers at the limiter", size, budget)
+    # This count lies between the measured points: it gives a share of a core only.
+    costs = _costs_at(result, "customers", recent)
+    _add_shares(result, costs, f"{recent} customers at the limiter", size, budget)
 
 
 def _costs_at(result: Result, by: str, count: int) -> Costs:
-    """Microseconds of the operations at a count."""
+    """Return the microseconds of the operations at a count."""
     slopes = {slope.name: slope for slope in result.slopes}
     names = {operation: _slope_name(operation, by) for operation in DESCRIPTIONS}
     return {
@@ -238,29 +243,29 @@
 
 
 def _add_shares(result: Result, costs: Costs, end: str, size: Size, budget: Budget) -> None:
-    """Control's share of a core, on an ordinary day and while all of its restarts come together."""
-    # What the counter bears at least, shared evenly; a small fleet wants less, about one a request.
+    """Add control's share of a core on an ordinary day and in a rolling restart of the fleet."""
+    # An even share of the counter's guaranteed rate; a small fleet makes about one call a request.
     reply_rate = min(budget.counter_calls, size.rate) / size.limiters
     reload_rate = load_profile.reload_rate(size)
     for rolling_restart in (False, True):
-        change_rate = load_profile.list_change_rate(rolling_restart)
+        change_rate = load_profile.list_change_rate(rolling_restart=rolling_restart)
         parts = {
             "ticks": costs[Operation.TICK],
             "changes": change_rate * costs[Operation.CHANGE],
             "counter": reply_rate * costs.get(Operation.COUNTER_REPLY, 0.0),
             "reloads": reload_rate * costs[Operation.RELOAD],
         }
-        share = sum(parts.values()) / MICROSECONDS
-        how = ", ".join(f"{name} {part / 1e4:.2f}%" for name, part in parts.items())
+        share = sum(parts.values()) / MICROSECONDS_PER_SECOND
+        how = ", ".join(f"{name} {part / MICROSECONDS_PER_PERCENT:.2f}%" for name, part in parts.items())
         how += f"; a second: 1 tick, {change_rate:.3f} changes, {reply_rate:.2f} counter answers, "
         how += f"{reload_rate:.4f} reloads"
-        name = f"control's share of a core, {end}, {load_profile.describe(rolling_restart)}"
+        name = f"control's share of a core, {end}, {load_profile.describe(rolling_restart=rolling_restart)}"
         limit = 100 * budget.control_cpu
         result.figures.append(Figure(name, "%", 100 * share, Origin.DERIVED, how, limit))
 
 
 def _add_list_time(result: Result, costs: Costs, end: str) -> None:
-    milliseconds = (costs[Operation.PARSE_LIST] + costs[Operation.APPLY_LIST]) / 1e3
+    milliseconds = (costs[Operation.PARSE_LIST] + costs[Operation.APPLY_LIST]) / MICROSECONDS_PER_MILLISECOND
     how = "reading and taking it; the loop does nothing else meanwhile"
     result.figures.append(Figure(f"a whole list at once, {end}", "ms", milliseconds, Origin.DERIVED, how))
 
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -1,4 +1,4 @@
-"""The clients of a limiter: connections that send requests without waiting for each other's responses."""
+"""An HTTP client of a limiter: each open request has a connection of its own."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 
 from scale.processes import split_address
 
-BROKEN = 0  # status of a response that did not come
-STATUS_CODE = slice(9, 12)  # of a status line
+BROKEN = 0  # status in place of a response that was not received
+STATUS_CODE_SLICE = slice(9, 12)  # in a status line
+MICROSECONDS_PER_SECOND = 1e6
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Response:
-    """What a client got: the status, when, and what the endpoint reports of it."""
+    """A response as its client received it, with the endpoint's report."""
 
-    status: int  # ``BROKEN`` where there is none
+    status: int  # or ``BROKEN``
     received_at: float  # seconds of ``time.monotonic``
     service_time: float = 0.0  # seconds at the endpoint
     on_new_connection: bool = False  # the first request on the limiter's connection to the endpoint
 
     @property
     def is_served(self) -> bool:
-        """Whether an endpoint answered."""
+        """Whether an endpoint served the request."""
         return self.status == HTTPStatus.OK
 
     @property
@@ -39,10 +40,26 @@
 OnResponse = Callable[[Response], None]
 
 
+@dataclass(frozen=True, slots=True)
+class _EndpointReport:
+    """An endpoint's report on a request."""
+
+    service_time: float  # seconds
+    on_new_connection: bool
+
+
+@dataclass(frozen=True, slots=True)
+class _ParsedResponse:
+    """A complete response, and whether its connection closes."""
+
+    response: Response
+    closes_connection: bool
+
+
 def encode_request(request_id: str, path: str, plan: str, timeout: float, serving_gateways: int) -> bytes:
-    """A client's request for one unit; its priority class is the first part of the path.
+    """Return a request for one unit; its priority class is the first part of the path.
 
-    ``timeout`` is in seconds; ``serving_gateways`` is how many limiters serve the tenant.
+    ``timeout`` is in seconds; ``serving_gateways`` is the number of limiters that serve the tenant.
     """
     priority_class = path[1:].partition("?")[0]
     return (
@@ -53,25 +70,32 @@
     ).encode()
 
 
-def _parse_response(data: bytes) -> tuple[Response, bool] | None:
-    """The response and whether its connection closes; None while it is not complete."""
+def _parse_response(data: bytes) -> _ParsedResponse | None:
+    """Return None while the response is not complete."""
     head, end, body = data.partition(b"\r\n\r\n")
     if not end:
         return None
     fields = dict(line.partition(b": ")[::2] for line in head.lower().split(b"\r\n")[1:])
     if len(body) < int(fields.get(b"content-length", b"0")):
         return None
-    response = Response(int(head[STATUS_CODE]), time.monotonic())
-    report = fields.get(b"x-served")
-    if report is not None:  # us=MICROSECONDS,first=0 or 1
-        service_time, first = report.split(b",")
-        response.service_time = int(service_time.removeprefix(b"us=")) / 1e6
-        response.on_new_connection = first.endswith(b"1")
-    return response, fields.get(b"connection") == b"close"
+    report = _parse_report(fields.get(b"x-served"))
+    response = Response(
+        int(head[STATUS_CODE_SLICE]), time.monotonic(), report.service_time, report.on_new_connection
+    )
+    return _ParsedResponse(response, closes_connection=fields.get(b"connection") == b"close")
+
+
+def _parse_report(report: bytes | None) -> _EndpointReport:
+    """Parse ``us=MICROSECONDS,first=F``, where F is 1 on a new connection and 0 otherwise."""
+    if report is None:
+        return _EndpointReport(0.0, on_new_connection=False)
+    service_time, first = report.split(b",")
+    seconds = int(service_time.removeprefix(b"us=")) / MICROSECONDS_PER_SECOND
+    return _EndpointReport(seconds, on_new_connection=first.endswith(b"1"))
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection; one request at a time."""
+    """One connection, with one open request at a time."""
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
@@ -83,15 +107,16 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a request can be written."""
+        """Whether a request can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ready for requests."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        """Keep the transport."""
+        # The transports of uvloop are no subclass.
+        self.transport = cast(asyncio.Transport, transport)
 
-    def send(self, request: bytes, on_response: OnResponse, is_retry: bool) -> None:
-        """Write a request; the connection must be open and idle."""
+    def send(self, request: bytes, on_response: OnResponse, *, is_retry: bool) -> None:
+        """Send a request; the connection must be open and idle."""
         assert self.transport is not None
         self._request = request
         self._on_response = on_response
@@ -100,7 +125,7 @@
         self.transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Pass a complete response on; the connection is idle then, unless the response closes it."""
+        """Deliver a complete response; then the connection is idle, unless the response closes it."""
         self._buffer += data
         on_response = self._on_response
         if on_response is None:
@@ -108,54 +133,61 @@
         parsed = _parse_response(self._buffer)
         if parsed is None:
             return
-        response, closes = parsed
         self._on_response = None
-        if not closes:
-            self._client.idle.append(self)
-        on_response(response)
+        if not parsed.closes_connection:
+            self._client.add_idle(self)
+        on_response(parsed.response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Retry a request of which nothing has come back; report a broken response for another one."""
+        """Retry a request without any byte of a response; deliver a broken response otherwise."""
         self.transport = None
-        if self in self._client.idle:
-            self._client.idle.remove(self)
+        self._client.remove_idle(self)
         on_response = self._on_response
         if on_response is None:
             return
         self._on_response = None
         if self._is_retry or self._buffer:
             on_response(Response(BROKEN, time.monotonic()))
-        else:  # the other side closed it meanwhile: once more on a new connection, as the protocol says
+        else:  # the limiter may have closed the idle connection: the protocol allows a retry
             self._client.send_on_new_connection(self._request, on_response, is_retry=True)
 
 
 class HttpClient:
-    """Connections to one address; a request that finds none idle opens one."""
+    """Connections to one address; a request without an idle connection opens one."""
 
     def __init__(self, address: str) -> None:
         """``address`` is ``host:port``."""
         self._host, self._port = split_address(address)
-        self.idle = deque[_ClientConnection]()
+        self._idle = deque[_ClientConnection]()
         self._tasks = set[asyncio.Task[None]]()
 
     async def open_connections(self, number: int) -> None:
-        """Open connections beforehand: connecting by the clients is no part of what a limiter adds."""
+        """Open connections in advance, because the connects of clients are no part of the added latency."""
         for _ in range(number):
-            self.idle.append(await self._connect())
+            self._idle.append(await self._connect())
+
+    def add_idle(self, connection: _ClientConnection) -> None:
+        """Make a connection available for another request."""
+        self._idle.append(connection)
+
+    def remove_idle(self, connection: _ClientConnection) -> None:
+        """Remove a connection that has closed, if it was idle."""
+        if connection in self._idle:
+            self._idle.remove(connection)
 
     def send(self, request: bytes, on_response: OnResponse) -> None:
-        """Write a request; ``on_response`` gets its response, a ``BROKEN`` one where none comes."""
-        while self.idle:
-            connection = self.idle.popleft()  # in turn, so that none idles until the limiter closes it
+        """Send a request; ``on_response`` receives its response, a ``BROKEN`` one if there is none."""
+        while self._idle:
+            connection = self._idle.popleft()  # in turn, so that none is idle until the limiter closes it
             if connection.is_open:
                 connection.send(request, on_response, is_retry=False)
                 return
         self.send_on_new_connection(request, on_response, is_retry=False)
 
-    def send_on_new_connection(self, request: bytes, on_response: OnResponse, is_retry: bool) -> None:
-        """Connect and write a request there, as ``send``."""
-        work = self._connect_and_send(request, on_response, is_retry)
-        task = asyncio.get_running_loop().create_task(work)
+    def send_on_new_connection(self, request: bytes, on_response: OnResponse, *, is_retry: bool) -> None:
+        """Send a request on a new connection, like ``send``."""
+        sending = self._connect_and_send(request, on_response, is_retry=is_retry)
+        task = asyncio.get_running_loop().create_task(sending)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -164,7 +196,7 @@
         _, connection = await loop.create_connection(lambda: _ClientConnection(self), self._host, self._port)
         return connection
 
-    async def _connect_and_send(self, request: bytes, on_response: OnResponse, is_retry: bool) -> None:
+    async def _connect_and_send(self, request: bytes, on_response: OnResponse, *, is_retry: bool) -> None:
         try:
             connection = await self._connect()
         except OSError:
@@ -173,10 +205,10 @@
         if connection.transport is None:
             on_response(Response(BROKEN, time.monotonic()))
         else:
-            connection.send(request, on_response, is_retry)
+            connection.send(request, on_response, is_retry=is_retry)
 
     async def fetch(self, request: bytes) -> Response:
-        """Send, and wait for the response."""
+        """Send a request and return its response."""
         received: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
         def on_response(response: Response) -> None:
@@ -188,6 +220,6 @@
 
     def close(self) -> None:
         """Reset the idle connections."""
-        for connection in list(self.idle):
+        for connection in list(self._idle):
             if connection.transport is not None:
                 connection.transport.abort()
--- a/scale/input_checks.py
+++ b/scale/input_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the sizes on the command line, before anything is started."""
+"""Checks of the sizes on the command line, before any test is started."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
 
 from scale.model import Effort, ScaleTest, Size
 
-# What a test that does not say holds: a process with its tables for each, by the slopes of the test `state`,
-# and as much again while a complete list is read.
+# Memory of a test without an estimate of its own: for each process its tables, by the slopes of the test
+# `state`, and the same again while a complete list is read.
 PROCESS_BYTES = 60e6
 SERVER_BYTES = 2000.0
 TENANT_BYTES = 1500.0
 ROUTE_BYTES = 1500.0
-MEMORY_FRACTION = 0.5  # of the machine's memory that a run may hold
-MAX_LIMITER_RATE = 2000.0  # requests a second: its decisions alone take a quarter of a core for them
-# The largest value of each option: more than any fleet has.
-MAXIMUM = {
+MEMORY_FRACTION = 0.5  # of the machine's memory that a run may use
+MAX_REQUESTS_PER_SECOND = 2000.0  # of one limiter, whose decisions take a quarter of a core for them
+MAX_VALUES = {
     "limiters": 100_000,
     "servers": 1_000_000,
     "services": 1_000_000,
@@ -31,8 +30,13 @@
     "regions": 1000,
     "zones": 10_000,
 }
-# Options that may not exceed another one.
-NOT_ABOVE = (("spread", "limiters"), ("services", "servers"), ("regions", "zones"), ("zones", "servers"))
+# Pairs of options of which the first may not exceed the second.
+BOUNDED_OPTIONS = (
+    ("spread", "limiters"),
+    ("services", "servers"),
+    ("regions", "zones"),
+    ("zones", "servers"),
+)
 
 
 def reject_option(option: str, reason: str) -> NoReturn:
@@ -41,9 +45,9 @@
 
 
 def check_sizes(size: Size, effort: Effort, tests: Sequence[ScaleTest], memory: float) -> None:
-    """``BadParameter`` names the option whose size is impossible.
+    """Raise ``BadParameter`` for an option that is out of range.
 
-    By itself, beside another option, or in ``memory``, the machine's in bytes.
+    The range depends on the option, on other options, and on ``memory``, the bytes of the machine.
     """
     _check_ranges(size)
     _check_relations(size)
@@ -52,7 +56,7 @@
 
 
 def _check_ranges(size: Size) -> None:
-    for name, maximum in MAXIMUM.items():
+    for name, maximum in MAX_VALUES.items():
         value = getattr(size, name)
         if not math.isfinite(value) or value <= 0:
             reject_option(name, f"{value} is not above 0")
@@ -62,9 +66,11 @@
 
 def _check_relations(size: Size) -> None:
     limiter_rate = size.rate / size.limiters
-    if limiter_rate > MAX_LIMITER_RATE:
-        reject_option("rate", f"{limiter_rate:.0f} a limiter is more than one bears ({MAX_LIMITER_RATE:.0f})")
-    for option, bound in NOT_ABOVE:
+    if limiter_rate > MAX_REQUESTS_PER_SECOND:
+        reject_option(
+            "rate", f"{limiter_rate:.0f} a limiter is more than one bears ({MAX_REQUESTS_PER_SECOND:.0f})"
+        )
+    for option, bound in BOUNDED_OPTIONS:
         if getattr(size, option) > getattr(size, bound):
             reject_option(option, f"{getattr(size, option)} is more than --{bound} {getattr(size, bound)}")
 
@@ -84,17 +90,16 @@
 
 
 def estimate_memory(size: Size, effort: Effort) -> dict[str, float]:
-    """Bytes that a run holds at once, by the option that causes them."""
+    """Return the bytes that a run uses at once, by the option that causes them."""
     per_process = {
         "servers": size.servers * SERVER_BYTES,
         "tenants": size.tenants * TENANT_BYTES,
         "routes": size.routes * ROUTE_BYTES,
     }
-    # More processes than machines have are rejected where they are asked for.
-    in_all = {name: count * effort.processes for name, count in per_process.items()}
-    return in_all | {"processes": PROCESS_BYTES * effort.processes}
+    total = {name: count * effort.processes for name, count in per_process.items()}
+    return total | {"processes": PROCESS_BYTES * effort.processes}
 
 
 def machine_memory() -> float:
-    """Bytes of memory that this machine has."""
+    """Return the memory of this machine in bytes."""
     return float(os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES"))
--- a/scale/limiter_settings.py
+++ b/scale/limiter_settings.py
@@ -1,4 +1,4 @@
-"""The settings that real limiters are started with, as on the wire."""
+"""The settings that real limiters are started with, by their names on the wire."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def make_settings(size: Size, tariffs: list[dict[str, Any]]) -> dict[str, Any]:
-    """Settings of a limiter in a fleet of the size, with these plans."""
+    """Return the settings of a limiter in a fleet of the size; ``tariffs`` are the plans."""
     return {
         "classes": [READ_CLASS],
         "tariffs": tariffs,
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -182,7 +182,7 @@
 
 
 def _add_size_figures(size: Size, result: Result, traffic: ControlTraffic) -> None:
-    without_row = len(encode_chunk(watch_event_text([], 2, False)))
+    without_row = len(encode_chunk(watch_event_text([], 2, complete=False)))
     failures = load_profile.FAILURES_PER_DAY
     checks = (
         f"{failures} failures a day, each probed every {CHECK_INTERVAL:.0f} s for {CHECKED_SECONDS:.0f} s"
@@ -252,7 +252,7 @@
 def _traffic_figure(
     traffic: ControlTraffic, description: str, call_rate: float, rolling_restart: bool, budget: float
 ) -> Figure:
-    change_rate = load_profile.list_change_rate(rolling_restart)
+    change_rate = load_profile.list_change_rate(rolling_restart=rolling_restart)
     changes = change_rate * traffic.change
     calls = call_rate * traffic.counter.call
     health_checks = traffic.health_checks * traffic.health_check
@@ -261,7 +261,7 @@
         f"pings {traffic.counter.idle:.1f}, probes {health_checks:.2f}"
     )
     total = traffic.keep_alives + changes + traffic.counter.idle + health_checks + calls
-    when = load_profile.describe(rolling_restart)
+    when = load_profile.describe(rolling_restart=rolling_restart)
     return Figure(f"bytes of a limiter, {when}, {description}", "B/s", total, Origin.DERIVED, how, budget)
 
 
--- a/scale/model.py
+++ b/scale/model.py
@@ -1,4 +1,4 @@
-"""Sizes, budgets and results that all scale tests share."""
+"""Sizes, budgets and results of the scale tests."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class Origin(Enum):
-    """Where a figure comes from."""
+    """The origin of a figure."""
 
     MEASURED = "measured"
-    DERIVED = "derived"  # from measured slopes and the size
+    DERIVED = "derived"  # from slopes and the size
     ASSUMED = "assumed"
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A fleet and its load; the defaults are the size in two years."""
+    """A fleet and its load; the defaults are the expected size in two years."""
 
     limiters: int = 420
     servers: int = 3400
@@ -33,39 +33,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What the operators allow; per limiter unless said."""
+    """The operators' limits, of one limiter unless stated otherwise."""
 
-    added_p99: float = 0.0031  # seconds added to a request for 99 in 100
-    control_cpu: float = 0.02  # of a core, for control
-    control_memory: float = 128e6  # bytes, for control
-    control_bytes: float = 3000.0  # a second, for control
-    config_in_force: float = 4.0  # seconds until a change of configuration is in force everywhere
-    list_in_force: float = 6.0  # seconds until a change of the list counts as told everywhere
-    counter_calls: float = 930.0  # calls a second that the counter bears at least, all limiters together
+    added_p99: float = 0.0031  # seconds added to a request, 99th percentile
+    control_cpu: float = 0.02  # fraction of a core for control
+    control_memory: float = 128e6  # bytes for control
+    control_bytes: float = 3000.0  # bytes a second for control
+    config_in_force: float = 4.0  # seconds until a change of the configuration is in force at all limiters
+    list_in_force: float = 6.0  # seconds until all limiters are notified of a change of the list
+    counter_calls: float = 930.0  # calls a second that the counter guarantees to all limiters together
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """How a cost grows with one thing, as a straight line through the medians of several runs."""
+    """The growth of a cost with a count, as a straight line through the medians of several runs."""
 
     name: str
     unit: str  # of the cost
-    by: str  # what it grows with: "servers", "tenants", ...
+    by: str  # the count: "servers", "tenants", ...
     points: tuple[tuple[float, tuple[float, ...]], ...]  # size, and the cost in each run
     slope: float
     intercept: float
-    residual: float  # largest distance of a median from the line, as a share of the largest median
+    residual: float  # largest distance of a median from the line, as a fraction of the largest median
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One number of the summary; a budget makes it a check: above it the run fails."""
+    """One number of the summary. With a budget it is a check that fails above the budget."""
 
     name: str
     unit: str
     value: float
     origin: Origin
-    how: str  # one line: the slope, run or assumption it rests on
+    how: str  # the slope, run or assumption that the value is based on, one line
     budget: float | None = None
 
     @property
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one test found."""
+    """The result of one test."""
 
     slopes: list[Slope] = field(default_factory=list)
     figures: list[Figure] = field(default_factory=list)
@@ -85,16 +85,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Effort:
-    """How much work a run may be."""
+    """The extent of a run."""
 
     runs: int = 5  # of each point
     seed: int = 1
     processes: int = 4
-    quick: bool = False  # smaller points, for a look and the tests: no figures of the size
+    quick: bool = False  # smaller sizes and no figures at the size, for the tests and a first look
 
 
 class BrokenRunError(Exception):
-    """A stand-in or worker died, or a rule broke: no figure of this run counts."""
+    """A stand-in or worker exited, or an invariant was violated: the run has no valid figure."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,5 +104,5 @@
     name: str
     about: str
     run: Callable[[Size, Budget, Effort], Result]
-    # Bytes held at once by the size option that asks for them ("servers", ...); None: a rough guess is taken.
+    # Bytes used at once, by the option that causes them ("servers", ...); None: an estimate by the size.
     memory: Callable[[Size, Effort], Mapping[str, float]] | None = None
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -1,4 +1,4 @@
-"""The real limiter and the stand-ins as processes, and the death of one as the cause of a broken run."""
+"""Real limiters and the stand-ins as processes; an unexpected exit is the cause of a failed run."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 from scale.stand_ins.discovery import EndpointEntry
 from scale.worker import ROOT
 
-READY_TIMEOUT = 30.0  # seconds until a limiter must answer
-READY_POLL_INTERVAL = 0.02  # seconds
-MAX_LOG_CHARACTERS = 600  # of a dead process, told as the cause
-LINE_LIMIT = 1 << 20  # bytes of an answer of the stand-ins
+READY_TIMEOUT_SECONDS = 30.0
+READY_POLL_SECONDS = 0.02
+MAX_LOG_CHARACTERS = 600  # of an exited process, in the cause of a failed run
+MAX_LINE_BYTES = 1 << 20  # of a reply of the stand-ins
 MAX_SOCKETS = 1024  # of a limiter
+NANOSECONDS_PER_SECOND = 1e9
 T = TypeVar("T")
 
 
 def free_port() -> int:
-    """A port of loopback that nothing uses now."""
+    """Return an unused port of loopback."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         port: int = unused.getsockname()[1]
@@ -36,24 +37,24 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of ``host:port``."""
+    """Return host and port of ``host:port``."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def run_queue_seconds(pid: int) -> float:
-    """Seconds that a process's first thread was ready and waited for a core (Linux: schedstat)."""
+    """Return the seconds that a process's first thread was ready and waited for a core (schedstat)."""
     try:
-        return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
+        return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / NANOSECONDS_PER_SECOND
     except (OSError, ValueError, IndexError):
         return 0.0
 
 
 class ChildProcess:
-    """A process started here; ``guard`` turns its death into the cause of a broken run."""
+    """A child process; ``guard`` turns its exit into the cause of a failed run."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
-        """``log`` is the file that its standard error goes to."""
+        """``log`` is the file of its standard error."""
         self.name = name
         self.process = process
         self._log = log
@@ -61,21 +62,21 @@
 
     @property
     def exit(self) -> asyncio.Task[int]:
-        """Done when the process has ended."""
+        """The task that ends with the process; its result is the exit code."""
         return self._exit
 
     def describe_exit(self) -> str:
-        """How it ended, with the end of what it wrote to standard error."""
+        """Return the exit code and the end of standard error."""
         text = self._log.read_text(errors="replace").strip() if self._log.exists() else ""
-        last_words = text[-MAX_LOG_CHARACTERS:] or "no last words"
-        return f"{self.name} ended with {self.process.returncode}: {last_words}"
+        log_end = text[-MAX_LOG_CHARACTERS:] or "nothing on standard error"
+        return f"{self.name} ended with {self.process.returncode}: {log_end}"
 
     def run_queue_seconds(self) -> float:
-        """Seconds so far in which it could run and had no core; 0 where the system does not report it."""
+        """Return the seconds of waiting for a core so far; 0 if the system does not report them."""
         return run_queue_seconds(self.process.pid)
 
     async def stop(self) -> None:
-        """Kill it and wait for its end."""
+        """Kill the process and wait for its exit."""
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
@@ -83,7 +84,7 @@
 
 
 async def guard(work: Awaitable[T], *processes: ChildProcess) -> T:
-    """The work's result; ``BrokenRunError`` with the cause as soon as one of the processes ends."""
+    """Return the result of the work. Raise ``BrokenRunError`` as soon as one of the processes exits."""
     task = asyncio.ensure_future(work)
     by_exit = {process.exit: process for process in processes}
     done, _ = await asyncio.wait({task, *by_exit}, return_when=asyncio.FIRST_COMPLETED)
@@ -97,36 +98,40 @@
 
 
 class StandIns(ChildProcess):
-    """The stand-ins' process."""
+    """The process of the stand-ins."""
 
     addresses: Addresses
 
     async def stats(self) -> Stats:
-        """What they have seen so far; ``BrokenRunError`` where the process is dead."""
+        """Return the counts so far. Raise ``BrokenRunError`` if the process has exited."""
         return Stats.from_json(await self.exchange({}))
 
     async def change_health(self, port: int, health: str) -> Stats:
-        """Publish a new health of the endpoints behind a port; ``BrokenRunError`` as ``stats``."""
+        """Publish a new health of the endpoints behind a port. Raises the errors of ``stats``."""
         return Stats.from_json(await self.exchange(asdict(HealthChange(port, health))))
 
-    async def exchange(self, question: dict[str, Any]) -> dict[str, Any]:
-        """One line to the process, and the line that it answers with."""
+    async def open(self, setup: Setup) -> None:
+        """Let the stand-ins listen; sets ``addresses``."""
+        self.addresses = Addresses(**await self.exchange(setup.to_json()))
+
+    async def exchange(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Send a line to the process, and return its reply."""
         stdin = self.process.stdin
         stdout = self.process.stdout
         assert stdin is not None and stdout is not None
-        with contextlib.suppress(OSError, RuntimeError):  # uvloop's error for a pipe that has closed
-            stdin.write(json.dumps(question).encode() + b"\n")
-        answer = await stdout.readline()
-        if not answer:
+        with contextlib.suppress(OSError, RuntimeError):  # uvloop raises it for a closed pipe
+            stdin.write(json.dumps(command).encode() + b"\n")
+        reply = await stdout.readline()
+        if not reply:
             await self.exit
             raise BrokenRunError(self.describe_exit())
-        return cast(dict[str, Any], json.loads(answer))
+        return cast(dict[str, Any], json.loads(reply))
 
 
 @asynccontextmanager
-async def start_stand_ins(folder: Path, setup: Setup) -> AsyncIterator[StandIns]:
-    """Stand-ins in a process of their own, killed at the end."""
-    log = folder / "stand_ins.log"
+async def start_stand_ins(directory: Path, setup: Setup) -> AsyncIterator[StandIns]:
+    """Start the stand-ins in a process of their own, and kill it at the end."""
+    log = directory / "stand_ins.log"
     with log.open("wb") as errors:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -136,34 +141,34 @@
             stderr=errors,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=LINE_LIMIT,
+            limit=MAX_LINE_BYTES,
         )
     stand_ins = StandIns("the stand-ins", process, log)
     try:
-        stand_ins.addresses = Addresses(**await stand_ins.exchange(setup.to_json()))
+        await stand_ins.open(setup)
         yield stand_ins
     finally:
         await stand_ins.stop()
 
 
 class Limiter(ChildProcess):
-    """A real limiter."""
+    """The process of a real limiter."""
 
     def __init__(self, process: asyncio.subprocess.Process, config: dict[str, Any], path: Path) -> None:
-        """``config`` is what the file ``path`` has; the log is beside it."""
+        """``config`` is the content of the file ``path``; the log is in the same directory."""
         super().__init__(f"limiter {config['name']}", process, path.with_suffix(".log"))
-        self.config = config  # as in its file
+        self.config = config
         self.address = str(config["listen"])
         self._path = path
 
     def write_config(self) -> None:
-        """Put its configuration in place in one step, as a deployment would."""
+        """Replace the configuration file in one step, as a deployment does."""
         temporary = self._path.with_suffix(".new")
         temporary.write_text(json.dumps(self.config))
         temporary.rename(self._path)
 
     async def metrics(self) -> dict[str, int]:
-        """The metrics at its admin address, by name without the prefix."""
+        """Return the metrics by their names without the prefix."""
         reader, writer = await asyncio.open_connection(*split_address(self.config["mgmt"]))
         writer.write(b"METRICS\n")
         text = (await reader.read()).decode()
@@ -172,19 +177,19 @@
         return {name.removeprefix("app."): int(value) for name, _, value in pairs}
 
     async def wait_ready(self) -> None:
-        """Return when it serves."""
+        """Return when the limiter serves."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*split_address(self.address))
             except OSError:
-                await asyncio.sleep(READY_POLL_INTERVAL)
+                await asyncio.sleep(READY_POLL_SECONDS)
                 continue
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
             is_ready = b" 200 " in await reader.readline()
             writer.close()
             if is_ready:
                 return
-            await asyncio.sleep(READY_POLL_INTERVAL)
+            await asyncio.sleep(READY_POLL_SECONDS)
 
 
 def limiter_config(
@@ -193,9 +198,10 @@
     addresses: Addresses,
     endpoints: list[EndpointEntry],
     seed: int,
+    *,
     with_counter: bool,
 ) -> dict[str, Any]:
-    """A limiter's configuration as its file has it, with free ports of its own."""
+    """Return the configuration of a limiter that listens at free ports."""
     known = {"seq": 1, "whole": True, "hosts": [endpoint.to_json() for endpoint in endpoints]}
     config = {
         "name": f"n{index}",
@@ -210,8 +216,8 @@
     return config | ({"counter": addresses.counter} if with_counter else {})
 
 
-async def _start_limiter(folder: Path, config: dict[str, Any]) -> Limiter:
-    path = folder / f"{config['name']}.json"
+async def _start_limiter(directory: Path, config: dict[str, Any]) -> Limiter:
+    path = directory / f"{config['name']}.json"
     scratch = path.with_suffix(".tmp")
     scratch.mkdir(exist_ok=True)
     path.write_text(json.dumps(config))
@@ -228,17 +234,20 @@
 
 
 @asynccontextmanager
-async def start_limiters(folder: Path, configs: list[dict[str, Any]]) -> AsyncIterator[list[Limiter]]:
-    """Real limiters, ready to serve; ``BrokenRunError`` where one ends or is not ready in time."""
+async def start_limiters(directory: Path, configs: list[dict[str, Any]]) -> AsyncIterator[list[Limiter]]:
+    """Start real limiters that are ready to serve, and kill them at the end.
+
+    Raise ``BrokenRunError`` if one exits or is not ready in time.
+    """
     limiters = list[Limiter]()
     try:
         for config in configs:
-            limiters.append(await _start_limiter(folder, config))
+            limiters.append(await _start_limiter(directory, config))
         try:
-            async with asyncio.timeout(READY_TIMEOUT):
+            async with asyncio.timeout(READY_TIMEOUT_SECONDS):
                 await guard(asyncio.gather(*(limiter.wait_ready() for limiter in limiters)), *limiters)
         except TimeoutError:
-            raise BrokenRunError(f"no limiter was ready within {READY_TIMEOUT:.0f} s") from None
+            raise BrokenRunError(f"no limiter was ready within {READY_TIMEOUT_SECONDS:.0f} s") from None
         yield limiters
     finally:
         for limiter in limiters:
--- a/scale/regression.py
+++ b/scale/regression.py
@@ -1,4 +1,4 @@
-"""A straight line through the medians of several runs, and how far from it they lie."""
+"""A straight line through the medians of several runs, and its fit."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from scale.model import Slope
 
-MAX_LINEAR_RESIDUAL = 0.10  # share of the largest median; above it the points are taken for a curve
-MIN_SIZES = 4  # with fewer sizes a curve passes for a line
+MAX_RESIDUAL_FRACTION = 0.10  # of the largest median; above it the points are not linear
+MIN_SIZES = 4  # fewer sizes cannot tell a curve from a line
 
 
 def line(name: str, unit: str, by: str, points: Mapping[float, Iterable[float]]) -> Slope:
-    """The least-squares line through the medians of the runs at each size; equal weights.
+    """Return the least-squares line through the medians of the runs at each size, with equal weights.
 
-    ``points`` has the costs of the runs, in ``unit``, by size. Raises ``ValueError`` for fewer than two sizes
+    ``points`` has the costs of the runs, in ``unit``, by size. Raise ``ValueError`` for fewer than two sizes
     or a size without a run.
     """
-    # Workers import the modules that use this: numpy would be 25 MB of what they are there to measure.
+    # Workers import the callers of this module, and measure memory: numpy would add 25 MB.
     import numpy as np
 
     measured = tuple((float(size), tuple(map(float, runs))) for size, runs in sorted(points.items()))
@@ -40,13 +40,13 @@
 
 
 def cost_at(slope: Slope, size: float) -> float:
-    """The cost at a size: the median measured there, or the line's value where nothing was measured."""
+    """Return the cost at a size: the median of its runs, or the line's value without runs."""
     medians = (median(runs) for measured_size, runs in slope.points if measured_size == size)
     return next(medians, slope.slope * size + slope.intercept)
 
 
 def warning(slope: Slope) -> str:
-    """Why the line is not to be trusted; empty where it is."""
+    """Return the reason not to trust the line; empty if there is none."""
     if len(slope.points) < MIN_SIZES:
         return "few points"
-    return "no line" if slope.residual > MAX_LINEAR_RESIDUAL else ""
+    return "no line" if slope.residual > MAX_RESIDUAL_FRACTION else ""
--- a/scale/report.py
+++ b/scale/report.py
@@ -1,4 +1,4 @@
-"""What a run found, as tables on the terminal and as a JSON file."""
+"""The results of a run, as tables on the terminal and as a JSON file."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 FIGURE_HEADER = ("figure", "value", "unit", "budget", "", "origin", "how")
 SIGNIFICANT_DIGITS = 4  # of a number in a table
 MAX_DECIMALS = 6
-GIT_TIMEOUT = 10.0  # seconds
+GIT_TIMEOUT_SECONDS = 10.0
 FILE_MODE = 0o644
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What all tests of a run gave, by name."""
+    """The results of all tests of a run, by name."""
 
     results: dict[str, Result] = field(default_factory=dict)
-    broken: dict[str, str] = field(default_factory=dict)  # causes of the tests that broke
+    broken: dict[str, str] = field(default_factory=dict)  # causes of the tests without a result
 
     @property
     def figures(self) -> list[Figure]:
-        """The figures of all tests that did not break."""
+        """The figures of all tests with a result."""
         return [figure for result in self.results.values() for figure in result.figures]
 
 
 def format_number(value: float) -> str:
-    """Four digits, and thousands separated."""
+    """Format a number with four significant digits and separated thousands."""
     if value == 0 or abs(value) >= 10 ** (SIGNIFICANT_DIGITS - 1):
         return f"{value:,.0f}"
     decimals = max(0, SIGNIFICANT_DIGITS - 1 - math.floor(math.log10(abs(value))))
@@ -53,7 +53,7 @@
 
 
 def figure_rows(figures: Sequence[Figure]) -> list[tuple[str, ...]]:
-    """The table of figures, its header first."""
+    """Return the rows of the table of figures; the first one is the header."""
     rows: list[tuple[str, ...]] = [FIGURE_HEADER]
     for figure in figures:
         budget = format_number(figure.budget) if figure.budget is not None else ""
@@ -64,7 +64,7 @@
 
 
 def align_columns(rows: Sequence[tuple[str, ...]]) -> list[str]:
-    """Columns side by side; the last one has no fixed width."""
+    """Return lines with aligned columns; the last column is not padded."""
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]) - 1)]
     lines = []
     for row in rows:
@@ -74,7 +74,7 @@
 
 
 def slope_lines(slope: Slope) -> list[str]:
-    """A slope with the runs at each of its sizes, a line each."""
+    """Return the line of a slope and a line for the runs at each size."""
     warning = regression.warning(slope)
     lines = [
         f"{slope.name}: {slope.slope:.6g} {slope.unit} each of {slope.by}, {slope.intercept:.6g} at none, "
@@ -82,13 +82,13 @@
     ]
     for size, runs in slope.points:
         spread = f"[{format_number(min(runs))}..{format_number(max(runs))}]"
-        middle = format_number(median(runs))
-        lines.append(f"    {format_number(size):>10} {slope.by}: {middle:>10} {spread}")
+        centre = format_number(median(runs))
+        lines.append(f"    {format_number(size):>10} {slope.by}: {centre:>10} {spread}")
     return lines
 
 
 def print_outcome(outcome: Outcome) -> None:
-    """Tables on standard output; broken tests and passed budgets on standard error."""
+    """Print tables to standard output, failed tests and exceeded budgets to standard error."""
     figures = outcome.figures
     if figures:
         click.echo("\n".join(align_columns(figure_rows(figures))) + "\n")
@@ -113,7 +113,7 @@
 
 
 def json_report(size: Size, budget: Budget, effort: Effort, outcome: Outcome) -> dict[str, Any]:
-    """All of a run, as it is kept in a file."""
+    """Return the content of a run's JSON file."""
     return {
         "date": datetime.now(UTC).isoformat(timespec="seconds"),
         "commit": measured_commit(),
@@ -137,7 +137,7 @@
 
 
 def _to_json(value: Any) -> Any:
-    """The value in types that JSON has."""
+    """Return the value in types of JSON."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
@@ -146,19 +146,21 @@
 
 
 def measured_commit() -> str | None:
-    """The commit that was measured, with ``+`` where files differ from it; None outside a repository."""
+    """Return the measured commit, with ``+`` if files differ from it; None outside a repository."""
     command = ["git", "describe", "--always", "--abbrev=40", "--dirty=+", "--exclude=*"]
     try:
-        completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=GIT_TIMEOUT)
+        completed = subprocess.run(
+            command, cwd=ROOT, capture_output=True, text=True, timeout=GIT_TIMEOUT_SECONDS
+        )
     except (OSError, subprocess.TimeoutExpired):
         return None
     return completed.stdout.strip() or None if completed.returncode == 0 else None
 
 
 def write_json_atomically(path: Path, content: dict[str, Any]) -> None:
-    """Write a temporary file beside ``path`` and move it there: nobody reads half of it.
+    """Write a temporary file in the same directory and rename it, so that no reader sees a part of it.
 
-    Raises ``OSError``, and ``ValueError`` for a number that JSON does not have.
+    Raise ``OSError``, or ``ValueError`` for a number that JSON does not have.
     """
     text = json.dumps(content, indent=1, allow_nan=False) + "\n"
     descriptor, temporary = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
--- a/scale/synthetic_inputs.py
+++ b/scale/synthetic_inputs.py
@@ -1,4 +1,4 @@
-"""Settings, endpoint lists and mixes of tenants of any size, for a single limiter under measurement."""
+"""Generated settings, endpoint lists and mixes of tenants for a single limiter under measurement."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 
 PLAN_NAME = "basic"
 CLASS_COUNT = 4
-CLIENT_TIMEOUT_SECONDS = 2.0  # seconds that a client waits
-BUCKET_SECONDS = 4.0  # seconds of the quota that its bucket holds
-# Demand over quota of the three kinds of tenants.
+CLIENT_TIMEOUT_SECONDS = 2.0
+BUCKET_SECONDS = 4.0  # of the quota, which the bucket holds
+# Demand of the three kinds of tenants, divided by the quota.
 BELOW_QUOTA_LOAD = 0.3
 NEAR_QUOTA_LOAD = 0.95
 OVER_QUOTA_LOAD = 3.0
 _EFFECTS = ("idempotent", "deduplicated", "at_most_once")
-_WEIGHTS = 5  # different priority weights of the classes
-_PLACES = 1000  # steps in which shares of the tenants are drawn
-_PLACE_STRIDE = 7919  # prime, so that kinds of tenants are spread evenly over their numbers
-_NAME_FACTOR = 2654435761  # Knuth's multiplicative hash, for names that are spread evenly
+_WEIGHTS = 5  # number of different priority weights
+_PLACES = 1000  # resolution of the fractions of tenants
+_PLACE_STRIDE = 7919  # a prime, which spreads the kinds of tenants evenly over their numbers
+_NAME_FACTOR = 2654435761  # Knuth's multiplicative hash, which spreads the names evenly
 _PORT = 7070
 
 
 @dataclass(frozen=True, slots=True)
 class LoadMix:
-    """Shares of the tenants near their quota and several times over it; the rest is far below it."""
+    """Fractions of the tenants near their quota and several times over it; the others are far below it."""
 
     near: float
     over: float
 
     @property
     def demand(self) -> float:
-        """Mean demand over quota."""
+        """The mean demand, divided by the quota."""
         below = 1 - self.near - self.over
         return self.near * NEAR_QUOTA_LOAD + self.over * OVER_QUOTA_LOAD + below * BELOW_QUOTA_LOAD
 
     def demand_of(self, tenant: int) -> float:
-        """A tenant's demand over its quota, fixed by its number."""
+        """Return a tenant's demand divided by its quota, which depends on its number alone."""
         place = tenant * _PLACE_STRIDE % _PLACES / _PLACES
         if place < self.over:
             return OVER_QUOTA_LOAD
@@ -52,7 +52,7 @@
 
 
 def synthetic_settings(limiters: int, quota: float, class_count: int = CLASS_COUNT) -> dict[str, Any]:
-    """A settings object as the wire has it; ``quota`` in units a second."""
+    """Return a settings object with its names on the wire; ``quota`` is in units a second."""
     return {
         "classes": [_request_class(number) for number in range(class_count)],
         "tariffs": [
@@ -88,7 +88,7 @@
 
 
 def endpoint_row(number: int, size: Size, health: str = "ready", born_ms: int = 0) -> dict[str, Any]:
-    """An endpoint as discovery lists it; numbers beyond ``size.servers`` are replacements."""
+    """Return an endpoint as discovery lists it; numbers beyond ``size.servers`` are replacements."""
     place = number % size.servers
     address = f"10.{place >> 16 & 255}.{place >> 8 & 255}.{place & 255}"
     return {
@@ -103,14 +103,13 @@
     }
 
 
-def watch_event_text(rows: Iterable[dict[str, Any]], sequence: int, complete: bool) -> str:
-    """A watch event of discovery, as short as JSON allows."""
-    # Row by row: a complete list as objects would count as the limiter's memory.
+def watch_event_text(rows: Iterable[dict[str, Any]], version: int, *, complete: bool) -> str:
+    """Return a watch event of discovery in compact JSON."""
+    # Row by row, because a complete list of objects would count as the limiter's memory.
     hosts = ",".join(json.dumps(row, separators=(",", ":")) for row in rows)
-    whole = "true" if complete else "false"
-    return f'{{"seq":{sequence},"whole":{whole},"hosts":[{hosts}]}}'
+    return f'{{"seq":{version},"whole":{json.dumps(complete)},"hosts":[{hosts}]}}'
 
 
 def complete_list_text(size: Size) -> str:
-    """The watch event with the complete list of a fleet."""
+    """Return the watch event with the complete list of a fleet."""
     return watch_event_text((endpoint_row(number, size) for number in range(size.servers)), 1, complete=True)
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -1,4 +1,4 @@
-"""Jobs in fresh processes: what one job has allocated or warmed up is not in the next one's measurement.
+"""Jobs in processes of their own, so that memory and caches of one job do not affect another.
 
 ``python -m scale.worker MODULE:FUNCTION`` reads keyword arguments as JSON and writes the result as JSON.
 """
@@ -18,28 +18,33 @@
 
 from scale.model import BrokenRunError
 
-ROOT = Path(__file__).resolve().parent.parent  # of the checkout: the working directory of all processes
-JOB_TIMEOUT = 3600.0  # seconds: only a hang takes this long
+ROOT = Path(__file__).resolve().parent.parent  # of the checkout, the working directory of all processes
+JOB_TIMEOUT_SECONDS = 3600.0  # only a job that hangs takes longer
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A function to be called in a process of its own; arguments and result pass as JSON."""
+    """A call in a process of its own; arguments and result are transferred as JSON."""
 
     function: str  # "module:function"
     arguments: dict[str, Any] = field(default_factory=dict)
 
 
 def run_job(job: Job) -> Any:
-    """The job's result, a dataclass as a dict; ``BrokenRunError`` says how a job without one ended."""
+    """Return the job's result, a dataclass as a dict. Raise ``BrokenRunError`` if it has none."""
     command = [sys.executable, "-m", "scale.worker", job.function]
     arguments = json.dumps(job.arguments)
     try:
         completed = subprocess.run(
-            command, input=arguments, capture_output=True, text=True, cwd=ROOT, timeout=JOB_TIMEOUT
+            command,
+            input=arguments,
+            capture_output=True,
+            text=True,
+            cwd=ROOT,
+            timeout=JOB_TIMEOUT_SECONDS,
         )
     except subprocess.TimeoutExpired:
-        raise BrokenRunError(f"{job.function} gave nothing in {JOB_TIMEOUT:.0f} s") from None
+        raise BrokenRunError(f"{job.function} had no result in {JOB_TIMEOUT_SECONDS:.0f} s") from None
     except OSError as error:
         raise BrokenRunError(f"{job.function} could not be started: {error}") from None
     return _parse_result(job, completed)
@@ -49,7 +54,7 @@
     if completed.returncode < 0:
         raise BrokenRunError(f"{job.function} was ended by {signal.Signals(-completed.returncode).name}")
     if completed.returncode:
-        last_line = (completed.stderr.strip().splitlines() or ["no word on it"])[-1]
+        last_line = (completed.stderr.strip().splitlines() or ["nothing on standard error"])[-1]
         raise BrokenRunError(f"{job.function} ended with code {completed.returncode}: {last_line:.200}")
     try:
         return json.loads(completed.stdout)
@@ -58,12 +63,15 @@
 
 
 def run_jobs(jobs: Sequence[Job], processes: int) -> list[Any]:
-    """The results in the order of the jobs, at most ``processes`` at a time; one that breaks breaks all."""
+    """Return the results in the order of the jobs, of which ``processes`` run at a time.
+
+    Raise the error of the first job that fails.
+    """
     with ThreadPoolExecutor(max_workers=max(1, processes)) as pool:
         futures = [pool.submit(run_job, job) for job in jobs]
         try:
             return [future.result() for future in futures]
-        except BaseException:  # an interrupt too: otherwise all queued jobs would still be run
+        except BaseException:  # an interrupt too: without the cancellation all queued jobs would still run
             pool.shutdown(wait=True, cancel_futures=True)
             raise
 
