--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -145,7 +145,9 @@
         for endpoint in update.endpoints:
             is_healthy = endpoint.health is model.EndpointHealth.HEALTHY
             address = watch_event.addresses[endpoint.name]
-            self._pool.update_endpoint(endpoint.name, address, is_healthy, endpoint.started_at)
+            self._pool.update_endpoint(
+                endpoint.name, address, available=is_healthy, started_at=endpoint.started_at
+            )
         self._pool.log_transitions()
         self.dispatch(update)
 
@@ -237,7 +239,7 @@
         self._pool.start(exchange)
 
     def _health_checked(self, exchange: Exchange) -> None:
-        self.dispatch(health_check_event(exchange, self.settings.load_in_health_check))
+        self.dispatch(health_check_event(exchange, with_load=self.settings.load_in_health_check))
 
     def _set_timer(self, action: model.SetTimer) -> None:
         self._loop.call_later(action.delay, self.dispatch, model.TimerFired(action.token))
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -1,108 +1,224 @@
 """One connection to an endpoint: reading its responses, and how each exchange ended.
 
-Nothing here sends a request twice: whether to retry is the caller's decision.
+A request is never sent twice here: whether to retry is the caller's decision.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import fcntl
 import socket
-from typing import TYPE_CHECKING, Protocol
+import struct
+import termios
+from typing import Protocol, cast
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.common.body_stream import BodyStream
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD, STREAM_RECEIVE_BUFFER
-from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.common.socket_calls import shut_down_sending
+from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
+from quota_gateway.net.upstream.exchange import Clock, Exchange
 from quota_gateway.net.upstream.load_report import parse_load_report
+from quota_gateway.net.upstream.request_writer import STALL_TIMEOUT_SECONDS, RequestWriter
 from quota_gateway.net.upstream.response_parser import STATUS_OK, MalformedResponseError, ResponseParser
 from quota_gateway.net.upstream.stats import ConnectionStats
-from quota_gateway.net.upstream.writer import STALL_TIMEOUT, ExchangeOwner, UpstreamWriter
-
-if TYPE_CHECKING:
-    from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
-
-# Seconds between two parts of a response. A length that promises more than comes would otherwise end as a
-# time-out, much later, and that speaks of an unresponsive endpoint.
-MAX_RESPONSE_GAP = 0.5
-# Seconds that a response of unknown length is buffered, so that a retry stays possible, before what has come
-# of it is streamed: it may run long, and then its first bytes count.
-STREAMING_DELAY = 0.2
-# Bytes of a response: interim ones, chunk sizes and trailers too.
-MAX_RESPONSE = MAX_HEAD + 2 * MAX_BUFFERED_BODY
+
+# Longest time between two parts of a response. Without it a response that is shorter than its Content-Length
+# would end as a timeout, much later, and a timeout is evidence of an unresponsive endpoint.
+MAX_RESPONSE_GAP_SECONDS = 0.5
+# A response of unknown length is buffered for this long, which keeps a retry possible, and is then streamed:
+# it may last long, and its client needs the first bytes early.
+STREAMING_DELAY_SECONDS = 0.2
+MAX_RESPONSE_BYTES = MAX_HEAD + 2 * MAX_BUFFERED_BODY  # with interim responses, chunk sizes and trailers
 CLIENT_ERROR_STATUSES = range(400, 500)
 OVERLOAD_STATUSES = (503, 504)
+NATIVE_INT = struct.Struct("i")  # the result of the FIONREAD call
+
 
+class ConnectionOwner(Protocol):
+    """Receives the events of a connection: the pool."""
 
-class ConnectionOwner(ExchangeOwner, Protocol):
-    """What a connection reports to: the pool."""
+    clock: Clock
+    stats: ConnectionStats
 
-    stats: ConnectionStats  # replaced with every log line
+    def record_request_written(self, exchange: Exchange) -> None:
+        """The request of an exchange is written completely."""
 
-    def release(self, connection: UpstreamConnection, reusable: bool) -> None:
+    def complete(self, exchange: Exchange, status: CallStatus) -> None:
+        """An exchange has ended."""
+
+    def release(self, connection: UpstreamConnection, *, reusable: bool) -> None:
         """The connection carries no exchange any more."""
 
     def record_stale_connection(self, connection: UpstreamConnection) -> None:
-        """The connection was reused and broke before any byte of a response."""
+        """The connection was reused and broke before the first byte of a response."""
+
+    def on_streaming_started(self, connection: UpstreamConnection) -> None:
+        """A streamed body is in progress on the connection."""
+
+    def on_streaming_ended(self, connection: UpstreamConnection) -> None:
+        """The streamed body is complete."""
 
     def on_connection_lost(self, connection: UpstreamConnection) -> None:
         """The connection has ended."""
 
 
-class UpstreamConnection(UpstreamWriter):
-    """A connection to an endpoint; it carries one exchange at a time.
+class UpstreamConnection(asyncio.Protocol):
+    """A connection to an endpoint; the owner of its transport and of what it carries.
+
+    It carries one of these at a time:
+
+    - an ``exchange``: its request is being written, or its response is received and buffered;
+    - a streamed response, held by the parser: its exchange has succeeded and is detached;
+    - nothing: the connection is being connected, idle or closing. Any byte received then closes it.
 
     It is the source of a streamed response (``body_stream.BodySource``).
     """
 
-    _owner: ConnectionOwner
-
     def __init__(self, owner: ConnectionOwner, endpoint: UpstreamEndpoint, number: int = 0) -> None:
         """A connection to be opened to the endpoint's present address; the log shows ``number``."""
-        super().__init__(owner, endpoint)
+        self._owner = owner
+        self.endpoint = endpoint
+        self.address = endpoint.address
         self.number = number
-        self.idle_since: float | None = None  # by the owner's clock; None while it carries its first request
-        self.idle_time = 0.0  # seconds that it was idle before its present request
+        self.transport: asyncio.Transport | None = None  # None before the connection opens and after it ends
+        self.exchange: Exchange | None = None
+        self.idle_since: float | None = None  # by the owner's clock; None until its first release
+        self.reused_at = 0.0  # by the owner's clock; when it was last taken from the idle connections
         self._parser = ResponseParser(self._on_large_body)
+        self._writer = RequestWriter(self, owner.clock)
         self._received_bytes = 0  # since the request
         self._gap_timer: asyncio.TimerHandle | None = None
+        self._last_progress = 0.0  # when a streamed response last advanced, by the owner's clock
+        self._reading_paused = False
+
+    # Used by the pool.
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         """Write a request; its response is read next."""
+        assert self.transport is not None
         self._parser.reset()
         self._received_bytes = 0
-        exchange.connection = self
-        exchange.connection_number = self.number
-        exchange.on_reused_connection = self.idle_since is not None
-        exchange.endpoint_started_at = self.endpoint.started_at
-        self._write_request(exchange, data)
+        exchange.assign_connection(
+            self,
+            self.number,
+            reused=self.idle_since is not None,
+            endpoint_started_at=self.endpoint.started_at,
+        )
+        self.exchange = exchange
+        self._writer.write(self.transport, exchange, data)
+
+    def abandon_exchange(self) -> None:
+        """Drop the exchange and close at once, so that no late response answers another request."""
+        exchange = self._detach_exchange()
+        if exchange is not None:
+            exchange.release_connection()
+        self.abort()
+
+    def mark_idle(self, now: float) -> None:
+        """Record that the connection carries nothing from ``now`` on."""
+        self.idle_since = now
+
+    def mark_reused(self, now: float) -> None:
+        """Record that the connection was idle until ``now``."""
+        self.reused_at = now
+
+    def idle_time(self, now: float) -> float:
+        """Return the seconds since the connection became idle."""
+        return now - (self.idle_since or 0.0)
+
+    def is_open(self) -> bool:
+        """Whether the connection is established and not closing."""
+        return self.transport is not None and not self.transport.is_closing()
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether a streamed body has waited too long for this endpoint."""
+        if self._parser.body_stream is None:
+            return self._writer.is_stalled(now)
+        return not self._reading_paused and now - self._last_progress > STALL_TIMEOUT_SECONDS
+
+    def has_unread_input(self) -> bool:
+        """Whether bytes have arrived that the event loop has not read yet."""
+        assert self.transport is not None
+        descriptor = self.transport.get_extra_info("socket").fileno()
+        size = fcntl.ioctl(descriptor, termios.FIONREAD, bytes(NATIVE_INT.size))
+        return bool(NATIVE_INT.unpack(size)[0])
+
+    def close(self) -> None:
+        """Close after what is buffered has been written."""
+        if self.transport is not None:
+            self.transport.close()
+
+    def abort(self) -> None:
+        """Close at once; nothing more is written or read.
+
+        The end of the connection is sent in this very call: a retry of the request may be written in the next
+        step, and must not be in flight together with this attempt.
+        """
+        if self.transport is not None:
+            if not self.transport.is_closing():
+                shut_down_sending(self.transport)
+            self.transport.abort()
+
+    # Used by the request writer.
+
+    def on_upload_started(self) -> None:
+        """Have the owner watch the upload for stalls."""
+        self._owner.on_streaming_started(self)
+
+    def on_request_written(self, exchange: Exchange) -> None:
+        """Mark the request as written; the time of an exchange with an upload starts here."""
+        exchange.record_request_written()
+        if exchange.upload is not None:
+            exchange.start(self._owner.clock())
+            self._owner.on_streaming_ended(self)
+        self._owner.record_request_written(exchange)
+
+    def on_write_failed(self, exchange: Exchange) -> None:
+        """End the exchange: nothing of its request was sent."""
+        self._owner.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
+
+    # Called by the event loop.
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, and have it report each incomplete write."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
+        # With a limit of 0 a write is passed to the operating system in the call itself, and pause_writing
+        # reports that a part of it was not accepted.
+        self.transport.set_write_buffer_limits(high=0)
+
+    def pause_writing(self) -> None:
+        """Report to the writer that a part of a write stayed in the buffer."""
+        self._writer.on_buffer_filled()
+
+    def resume_writing(self) -> None:
+        """Report to the writer that the buffer is empty."""
+        self._writer.on_buffer_emptied()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what the connection carried."""
+        """End the exchange or the streamed response that the connection carried."""
         self.transport = None
+        self._writer.stop()
         if self.exchange is not None:
-            self._owner.stats.record_broken(reused=self.idle_since is not None)
-            if self.idle_since is not None and self._received_bytes == 0:
-                self._owner.record_stale_connection(self)
+            self._record_break()
         self._owner.on_connection_lost(self)
         self._cancel_gap_timer()
-        stream = self._parser.body_stream
+        stream = self._parser.end_streaming()
         if stream is not None:
-            self._parser.body_stream = None
             stream.fail()
-        exchange = self.exchange
+        exchange = self._detach_exchange()
         if exchange is not None:
-            self.exchange = None
-            after_request = exchange.request_written
+            was_written = exchange.request_written
             self._owner.complete(
-                exchange, CallStatus.RESET_AFTER_REQUEST if after_request else CallStatus.RESET_BEFORE_REQUEST
+                exchange, CallStatus.RESET_AFTER_REQUEST if was_written else CallStatus.RESET_BEFORE_REQUEST
             )
 
     def eof_received(self) -> None:
         """Complete a response that ends with the connection."""
         parser = self._parser
-        expected = self.exchange is not None or parser.body_stream is not None
-        if expected and parser.ends_at_eof and parser.status_code is None:
+        is_expected = self.exchange is not None or parser.body_stream is not None
+        if is_expected and parser.ends_at_eof and parser.status_code is None:
             self._complete(parser.finish_at_eof())
 
     def data_received(self, data: bytes) -> None:
@@ -110,7 +226,7 @@
         parser = self._parser
         exchange = self.exchange
         if exchange is None and parser.body_stream is None:
-            return self.abort()  # nothing was requested: whatever it is, it must not meet the next request
+            return self.abort()  # nothing was requested: these bytes must not answer the next request
         if exchange is not None and not exchange.request_written:
             return self.abort()  # no response to a request that is incomplete and so was never executed
         self._received_bytes += len(data)
@@ -118,25 +234,42 @@
             parser.feed(data)
         except MalformedResponseError as error:
             return self._fail_malformed(error)
-        # Only now, with all input parsed, may the connection be reused.
+        # The connection may be reused only now, with all input parsed.
         if parser.status_code is not None:
             self._complete(parser.status_code)
         elif parser.body_stream is not None:
-            self.last_progress = self._owner.clock()
+            self._last_progress = self._owner.clock()
         elif self.exchange is None:
             self.abort()  # the exchange ended while its response was parsed
-        elif self._received_bytes > MAX_RESPONSE:  # its head would grow inside the parser
-            self._fail_malformed(MalformedResponseError(f"response over {MAX_RESPONSE} bytes without an end"))
+        elif self._received_bytes > MAX_RESPONSE_BYTES:  # the parser's limits do not cover an endless head
+            self._fail_malformed(
+                MalformedResponseError(f"response over {MAX_RESPONSE_BYTES} bytes without an end")
+            )
         elif parser.in_message:
             self._start_gap_timer(self.exchange)
 
+    # Exchanges and their responses.
+
+    def _detach_exchange(self) -> Exchange | None:
+        """Carry the exchange no longer, and write nothing more of its request."""
+        exchange = self.exchange
+        self.exchange = None
+        self._writer.stop()
+        return exchange
+
+    def _record_break(self) -> None:
+        is_reused = self.idle_since is not None
+        self._owner.stats.record_broken(reused=is_reused)
+        if is_reused and self._received_bytes == 0:
+            self._owner.record_stale_connection(self)
+
     def _start_gap_timer(self, exchange: Exchange) -> None:
-        """Limit the wait for the rest of a response; open-ended ones are streamed when the time is up."""
-        open_ended = self._parser.has_open_ended_body()
-        if not open_ended:
+        """Limit the wait for the rest of a response; an open-ended one is streamed when the time is up."""
+        is_open_ended = self._parser.has_open_ended_body()
+        if not is_open_ended:
             self._cancel_gap_timer()
         if self._gap_timer is None:
-            delay = STREAMING_DELAY if open_ended else MAX_RESPONSE_GAP
+            delay = STREAMING_DELAY_SECONDS if is_open_ended else MAX_RESPONSE_GAP_SECONDS
             loop = asyncio.get_running_loop()
             self._gap_timer = loop.call_later(delay, self._on_gap_timer, exchange)
 
@@ -153,7 +286,7 @@
             if not self._parser.has_open_ended_body():
                 raise MalformedResponseError("response started and was not completed")
             self._start_streaming()
-        except ValueError as error:  # MalformedResponseError, or of who was to take the stream
+        except ValueError as error:  # MalformedResponseError, or an error of the receiver of the stream
             self._fail_malformed(error)
 
     def _on_large_body(self) -> None:
@@ -161,89 +294,102 @@
             self._start_streaming()
 
     def _start_streaming(self) -> None:
-        """Stream the response to its client: with its first bytes the attempt has succeeded."""
+        """Stream the response to its client: the attempt succeeds with the first bytes."""
         parser = self._parser
         exchange = self.exchange
         if exchange is None or exchange.on_response_started is None or parser.received_status() != STATUS_OK:
             raise MalformedResponseError("response body too large")
         self._cancel_gap_timer()
-        parser.body_stream = stream = BodyStream(self, parser.content_length)
-        self._copy_head(exchange)
-        self.exchange = exchange.connection = None
-        self.last_progress = self._owner.clock()
-        self._owner.streaming_connections.add(self)
-        if self.transport is not None:
-            raw_socket = self.transport.get_extra_info("socket")
-            with contextlib.suppress(OSError):  # it only bounds what the system holds
-                raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER)
-        wanted = exchange.on_response_started(exchange, stream)
+        stream = BodyStream(self, parser.content_length)
+        parser.start_streaming(stream)
+        self._record_response_head(exchange)
+        self._detach_exchange()
+        exchange.release_connection()
+        self._last_progress = self._owner.clock()
+        self._owner.on_streaming_started(self)
+        self._limit_receive_buffer()
+        is_wanted = exchange.on_response_started(exchange, stream)
         self._owner.complete(exchange, CallStatus.OK)
-        if not wanted:
+        if not is_wanted:
             return self.abandon()
         for part in parser.take_body_parts():
             stream.write(part)
 
-    def abandon(self) -> None:
-        """Nobody takes the rest of a streamed response."""
-        self._parser.body_stream = None
-        self.abort()
-
-    def is_stalled(self, now: float) -> bool:
-        """Whether a streamed body has waited too long for this endpoint."""
-        if self._parser.body_stream is None:
-            return super().is_stalled(now)
-        return not self._reading_paused and now - self.last_progress > STALL_TIMEOUT
+    def _limit_receive_buffer(self) -> None:
+        if self.transport is None:
+            return
+        raw_socket = self.transport.get_extra_info("socket")
+        with contextlib.suppress(OSError):  # without the limit only more memory is used
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER)
 
     def _fail_malformed(self, error: ValueError) -> None:
         """End an exchange whose request may have been executed, by an endpoint that is alive.
 
-        All endpoints may respond like that on a bad day, so it must not count as a broken connection.
+        A malformed response does not count as a broken connection: all endpoints may send them at one time.
         """
-        exchange = self.exchange
-        self.exchange = None
+        exchange = self._detach_exchange()
         self._owner.stats.record_malformed_response(self.endpoint.name, error)
         if exchange is None:
-            return self.abort()  # the client of a streamed response is notified by connection_lost
-        exchange.connection = None
+            return self.abort()  # connection_lost notifies the client of a streamed response
+        exchange.release_connection()
         self.abort()
         self._owner.complete(exchange, CallStatus.ERROR)
 
-    def _copy_head(self, exchange: Exchange) -> None:
+    def _record_response_head(self, exchange: Exchange) -> None:
         parser = self._parser
-        exchange.response_headers = b"".join(parser.header_lines)
-        exchange.charged_units = parser.charged_units
-        if parser.load is not None:
-            exchange.load_report = parse_load_report(parser.load.decode("latin-1"))
+        load_report = None if parser.load is None else parse_load_report(parser.load.decode("latin-1"))
+        exchange.record_response_head(b"".join(parser.header_lines), parser.charged_units, load_report)
 
     def _complete(self, status_code: int) -> None:
-        """The response is complete; surplus bytes behind it must not meet the next request."""
+        """End a complete response; the connection is not reused if surplus bytes follow it."""
         self._cancel_gap_timer()
         parser = self._parser
         reusable = parser.keep_alive and not parser.has_surplus
-        stream = parser.body_stream
+        stream = parser.end_streaming()
         if stream is not None:
-            parser.body_stream = None
             self.set_paused(False)
-            self._owner.streaming_connections.discard(self)
-            self._owner.release(self, reusable)
+            self._owner.on_streaming_ended(self)
+            self._owner.release(self, reusable=reusable)
             return stream.finish()
         exchange = self.exchange
-        self.exchange = None
         if exchange is None:
             return self.abort()
-        exchange.connection = None
-        self._copy_head(exchange)
-        exchange.response_body = b"".join(parser.body_parts)
-        self._owner.release(self, reusable and not self._write_buffered)
-        self._owner.complete(exchange, _call_status(status_code, parser.not_processed))
+        self.exchange = None
+        exchange.release_connection()
+        self._record_response_head(exchange)
+        exchange.record_response_body(b"".join(parser.body_parts))
+        self._owner.release(self, reusable=reusable and not self._writer.is_buffered)
+        self._owner.complete(exchange, _call_status(status_code, not_processed=parser.not_processed))
+
+    # As the source of a streamed response.
 
+    def set_paused(self, paused: bool) -> None:
+        """Stop reading, or resume it."""
+        if self.transport is None or self.transport.is_closing() or paused is self._reading_paused:
+            return
+        self._reading_paused = paused
+        self._last_progress = self._owner.clock()
+        if paused:
+            self.transport.pause_reading()
+        else:
+            self.transport.resume_reading()
+
+    def abandon(self) -> None:
+        """Drop the rest of a streamed response: no client reads it."""
+        self._parser.end_streaming()
+        self.abort()
 
-def _call_status(status_code: int, not_processed: bool) -> CallStatus:
+
+def _call_status(status_code: int, *, not_processed: bool) -> CallStatus:
+    """Return how an attempt ended whose response has this status code.
+
+    ``not_processed``: the endpoint states that it did not execute the request.
+    """
     if status_code == STATUS_OK:
         return CallStatus.OK
     if status_code in CLIENT_ERROR_STATUSES:
         return CallStatus.REJECTED
-    # Without the endpoint's mark a 503 or 504 does not say whether the request was executed.
+    # Without that statement a 503 or 504 does not show whether the request was executed.
     if status_code in OVERLOAD_STATUSES and not_processed:
         return CallStatus.OVERLOADED
     return CallStatus.ERROR
--- /dev/null
+++ b/quota_gateway/net/upstream/connection_limits.py
@@ -0,0 +1,46 @@
+"""How many connections to endpoints may be open."""
+
+from __future__ import annotations
+
+from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
+from quota_gateway.net.upstream.idle_connections import IdleConnections
+
+MAX_CONNECTIONS_PER_ENDPOINT = 64
+
+
+class ConnectionLimits:
+    """Counts open connections, in total and by endpoint, against their limits.
+
+    A connection counts from the start of connecting until it has ended. At the total limit a new connection
+    takes the place of the oldest idle one.
+    """
+
+    __slots__ = ("_idle", "_max_connections", "open_connections")
+
+    def __init__(self, max_connections: int, idle: IdleConnections) -> None:
+        """Begin without connections; ``idle`` holds those that may be evicted."""
+        self._max_connections = max_connections
+        self._idle = idle
+        self.open_connections = 0  # to all endpoints
+
+    def set_max_connections(self, max_connections: int) -> None:
+        """Set another limit, and evict idle connections that exceed it."""
+        self._max_connections = max_connections
+        while self.open_connections > self._max_connections and self._idle.evict_oldest():
+            pass
+
+    def make_room(self, endpoint: UpstreamEndpoint) -> bool:
+        """Whether another connection to the endpoint may be opened; may evict an idle one for it."""
+        if endpoint.open_connections >= MAX_CONNECTIONS_PER_ENDPOINT:
+            return False
+        return self.open_connections < self._max_connections or self._idle.evict_oldest()
+
+    def count_opened(self, endpoint: UpstreamEndpoint) -> None:
+        """Count a connection to the endpoint that is about to be opened."""
+        endpoint.open_connections += 1
+        self.open_connections += 1
+
+    def count_closed(self, endpoint: UpstreamEndpoint) -> None:
+        """Stop counting a connection to the endpoint that has ended or was never established."""
+        endpoint.open_connections -= 1
+        self.open_connections -= 1
--- a/quota_gateway/net/upstream/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""Exchange: one request on its way to one endpoint, and what came of it."""
+"""Exchange: one request to one endpoint, and its result."""
 
 from __future__ import annotations
 
@@ -11,30 +11,36 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net.common.body_stream import BodyStream
 
+Clock = Callable[[], float]  # seconds
+
 
 class ExchangeConnection(Protocol):
     """The connection that carries an exchange."""
 
-    exchange: Exchange | None
-
-    def abort(self) -> None:
-        """Close at once; nothing more is written or read."""
+    def abandon_exchange(self) -> None:
+        """Drop the exchange and close the connection at once."""
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One attempt at a request; ``on_complete`` is called exactly once, with ``status`` set."""
+    """One attempt at a request; ``on_complete`` is called exactly once, with ``status`` set.
+
+    It is carried by at most one connection at a time, and only while it is not ``completed``. The pool and
+    the connection change it through its methods alone.
+    """
 
     endpoint: str
-    request_head: bytes  # request line and headers, up to the time-out header that is added when it is sent
+    request_head: (
+        bytes  # request line and headers, without the timeout header, which is added when it is sent
+    )
     request_body: bytes
     expires_at: float  # seconds, by the pool's clock
     on_complete: Callable[[Exchange], None]
-    # Takes a streamed response from its head on; returns False if nobody wants it any more.
+    # Accepts a streamed response once its head is known; returns False if no client reads it any more.
     on_response_started: Callable[[Exchange, BodyStream], bool] | None = None
-    upload: BodyStream | None = None  # a streamed request body; ``expires_at`` is known once it is complete
-    timeout: float = math.inf  # seconds; the most that the endpoint is told it has
-    not_after: float = math.inf  # when it may be written at the latest, in seconds by the pool's clock
+    upload: BodyStream | None = None  # a streamed request body; ``expires_at`` is set once it is complete
+    timeout: float = math.inf  # seconds; upper limit of the timeout that is propagated to the endpoint
+    not_after: float = math.inf  # latest time at which it may be written, in seconds by the pool's clock
     started_at: float = 0.0  # seconds, by the pool's clock
     request_written: bool = False  # completely: from then on the endpoint may execute it
     completed: bool = False
@@ -45,32 +51,82 @@
     load_report: dict[str, float] = field(default_factory=dict)
     charged_units: float | None = None  # quota units that the endpoint charged for the request
     is_health_check: bool = False
-    endpoint_started_at: float = 0.0  # which incarnation of the endpoint it was sent to, by its start time
-    connection_number: int = 0  # of the connection that carried it, from 1; 0: none did
+    endpoint_started_at: float = 0.0  # start time of the endpoint's incarnation that it was sent to
+    connection_number: int = 0  # of the connection that carried it, from 1; 0 if none did
     on_reused_connection: bool = False
-    # Whether the client is still connected, asked just before the request is written.
+    # Polls whether the client is still connected, just before the request is written.
     is_client_connected: Callable[[], bool] | None = None
     connection: ExchangeConnection | None = None  # set while a connection carries it
-    timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
+    expiry_timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
+
+    def start(self, now: float) -> None:
+        """Begin at ``now``; for a streamed upload the time of its last byte replaces this one."""
+        self.started_at = now
+
+    def set_expiry_timer(self, timer: asyncio.TimerHandle) -> None:
+        """Hold the timer that fires at ``expires_at``; it is cancelled when the exchange completes."""
+        self.expiry_timer = timer
+
+    def assign_connection(
+        self, connection: ExchangeConnection, number: int, *, reused: bool, endpoint_started_at: float
+    ) -> None:
+        """Have a connection carry the exchange from now on."""
+        self.connection = connection
+        self.connection_number = number
+        self.on_reused_connection = reused
+        self.endpoint_started_at = endpoint_started_at
+
+    def release_connection(self) -> None:
+        """Have no connection carry the exchange any more."""
+        self.connection = None
+
+    def record_request_written(self) -> None:
+        """Mark the request as written completely: from now on the endpoint may execute it."""
+        self.request_written = True
+
+    def record_response_head(
+        self, headers: bytes, charged_units: float | None, load_report: dict[str, float] | None
+    ) -> None:
+        """Keep what the response's head says; ``load_report`` is None where it has none."""
+        self.response_headers = headers
+        self.charged_units = charged_units
+        if load_report is not None:
+            self.load_report = load_report
+
+    def record_response_body(self, body: bytes) -> None:
+        """Keep the complete body of a response that is not streamed."""
+        self.response_body = body
+
+    def complete(self, status: CallStatus, now: float) -> None:
+        """End the exchange with ``status`` at ``now`` and call ``on_complete``."""
+        self.completed = True
+        self.status = status
+        self.elapsed = now - self.started_at
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
+        if self.upload is not None:
+            self.upload.detach()
+        self.on_complete(self)
 
     def has_lost_client(self) -> bool:
-        """Poll whether the client has left; false where there is no client, as for a health check.
+        """Poll whether the client has disconnected; False where there is no client, as for a health check.
 
-        A client that may have left has its unsent exchanges withdrawn, this one included.
+        The exchanges of a client that may have disconnected are withdrawn if they are unsent, this one
+        included.
         """
         return self.is_client_connected is not None and not self.is_client_connected()
 
     def may_be_executing(self) -> bool:
-        """Whether the endpoint may be executing it, so that a time-out says something of the endpoint.
+        """Whether the endpoint may be executing the request, so that a timeout is evidence on the endpoint.
 
-        Not while it waits for a connection, nor while its upload is incomplete.
+        It is not while the exchange waits for a connection or its upload is incomplete.
         """
         upload_incomplete = self.upload is not None and not self.request_written
         return self.connection is not None and not upload_incomplete
 
 
 def describe_attempt(number: int, attempt: Exchange) -> str:
-    """One attempt: its endpoint and that one's incarnation, its connection, how and when it ended."""
+    """Describe an attempt: its endpoint and incarnation, its connection, how and when it ended."""
     connection = "no connection"
     if attempt.connection_number:
         kind = "reused" if attempt.on_reused_connection else "new"
--- a/quota_gateway/net/upstream/health_check.py
+++ b/quota_gateway/net/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks as HTTP exchanges, with the load of the endpoint where it reports it there."""
+"""Health checks as HTTP exchanges, with the load report where the endpoint sends one."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from quota_gateway.net.upstream.exchange import Exchange
 from quota_gateway.net.upstream.load_report import parse_load_report
 
-HEALTH_CHECK_TIMEOUT = 0.25  # seconds
+HEALTH_CHECK_TIMEOUT_SECONDS = 0.25
 HEALTH_PATH = b"/healthz"
-LOAD_PATH = b"/load"  # answers with a load report, and is a health check as well
+LOAD_PATH = b"/load"  # its response is a load report; a request of it also is a health check
 
 
 def new_health_check(
-    endpoint: str, now: float, with_load: bool, on_complete: Callable[[Exchange], None]
+    *, endpoint: str, now: float, with_load: bool, on_complete: Callable[[Exchange], None]
 ) -> Exchange:
-    """A health check that is ready to be started at ``now``, in seconds of the pool's clock."""
+    """Return a health check that is ready to be started at ``now``, in seconds of the pool's clock."""
     path = LOAD_PATH if with_load else HEALTH_PATH
     return Exchange(
         endpoint=endpoint,
         request_head=b"GET %b HTTP/1.1\r\nHost: %b\r\n" % (path, endpoint.encode()),
         request_body=b"",
-        expires_at=now + HEALTH_CHECK_TIMEOUT,
+        expires_at=now + HEALTH_CHECK_TIMEOUT_SECONDS,
         on_complete=on_complete,
         is_health_check=True,
     )
 
 
-def health_check_event(exchange: Exchange, with_load: bool) -> HealthChecked:
-    """What a completed health check tells the decisions; a report in a header comes before the body's."""
+def health_check_event(exchange: Exchange, *, with_load: bool) -> HealthChecked:
+    """Return the event of a completed health check; a load report in a header overrides one in the body."""
     load = exchange.load_report
     if with_load and exchange.status is CallStatus.OK and not load:
         load = parse_load_report(exchange.response_body.decode("latin-1"))
--- a/quota_gateway/net/upstream/load_report.py
+++ b/quota_gateway/net/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: what an endpoint says of its own load, in a header or in the body of a health check."""
+"""Load reports: the load that an endpoint states, in a response header or in the body of a health check."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Parse ``inflight=7,queue=2`` into numbers by name; empty, with a warning, if any part is malformed."""
+    """Parse ``inflight=7,queue=2`` into numbers by name.
+
+    Return an empty report, and log a warning, if any part is malformed.
+    """
     report: dict[str, float] = {}
     try:
         for part in text.split(","):
             name, _, value = part.partition("=")
             number = float(value)
             if not name.strip() or not math.isfinite(number):
-                raise ValueError("not a number")
+                raise ValueError(f"not a name with a finite number: {part!r:.40}")
             report[name.strip()] = number
     except ValueError:
         log.warning("dropped a malformed load report: %.80r", text)
--- /dev/null
+++ b/quota_gateway/net/upstream/request_writer.py
@@ -0,0 +1,130 @@
+"""Writing of requests to an endpoint, with streamed uploads and flow control."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from quota_gateway.net.upstream.exchange import Clock, Exchange
+
+STALL_TIMEOUT_SECONDS = 15.0  # a streamed body that makes no progress for this long is abandoned
+
+
+class WriterConnection(Protocol):
+    """The connection that a request is written on."""
+
+    def on_upload_started(self) -> None:
+        """The head of a request is written, and its streamed body follows."""
+
+    def on_request_written(self, exchange: Exchange) -> None:
+        """The last byte of the request has been passed to the operating system."""
+
+    def on_write_failed(self, exchange: Exchange) -> None:
+        """The transport failed in the write itself: nothing of the request was sent."""
+
+    def abort(self) -> None:
+        """Close at once; nothing more is written or read."""
+
+
+class RequestWriter:
+    """Writes the requests of one connection, one at a time.
+
+    It holds an exchange from the start of the write until the request is written completely, or until
+    ``stop``. A request that was not written completely is never executed; once its last byte is written it
+    may be. It is the sink of an upload (``body_stream.BodySink``).
+    """
+
+    __slots__ = (
+        "_clock",
+        "_connection",
+        "_exchange",
+        "_last_progress",
+        "_transport",
+        "_upload_finished",
+        "is_buffered",
+    )
+
+    def __init__(self, connection: WriterConnection, clock: Clock) -> None:
+        """Create the writer of a connection; ``clock`` returns seconds."""
+        self._connection = connection
+        self._clock = clock
+        self._transport: asyncio.Transport | None = None
+        self._exchange: Exchange | None = None  # whose request is being written
+        self._upload_finished = False  # the transport has the last chunk of the upload
+        self._last_progress = 0.0  # when the upload last advanced, in seconds of the clock
+        self.is_buffered = False  # the transport holds bytes that the operating system has not accepted
+
+    def write(self, transport: asyncio.Transport, exchange: Exchange, data: bytes) -> None:
+        """Write the head of a request and its buffered body, then attach its upload if it has one."""
+        self._transport = transport
+        self._exchange = exchange
+        self._upload_finished = False
+        transport.write(data)
+        if transport.is_closing():
+            self._exchange = None
+            self._connection.on_write_failed(exchange)
+        elif exchange.upload is not None:
+            self._last_progress = self._clock()
+            self._connection.on_upload_started()
+            exchange.upload.attach(self, not self.is_buffered)
+        elif not self.is_buffered:
+            self._finish_request(exchange)
+
+    def stop(self) -> None:
+        """Write nothing more of the present request: its exchange or its connection has ended."""
+        self._exchange = None
+
+    def on_buffer_filled(self) -> None:
+        """Pause the upload: a part of a write stays in the transport's buffer."""
+        self.is_buffered = True
+        exchange = self._exchange
+        if exchange is not None and exchange.upload is not None and not self._upload_finished:
+            exchange.upload.set_writable(False)
+
+    def on_buffer_emptied(self) -> None:
+        """Resume the upload, or report the request as written where nothing of it remains."""
+        self.is_buffered = False
+        exchange = self._exchange
+        if exchange is None:
+            return
+        if exchange.upload is not None and not self._upload_finished:
+            self._last_progress = self._clock()
+            exchange.upload.set_writable(True)
+        else:
+            self._finish_request(exchange)
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether an upload has waited too long for the endpoint to read."""
+        return self.is_buffered and now - self._last_progress > STALL_TIMEOUT_SECONDS
+
+    def _finish_request(self, exchange: Exchange) -> None:
+        self._exchange = None
+        self._connection.on_request_written(exchange)
+
+    # As the sink of an upload.
+
+    def write_chunk(self, data: bytes) -> None:
+        """Write a part of an upload."""
+        exchange = self._exchange
+        if exchange is None or exchange.upload is None or not data:
+            return
+        assert self._transport is not None
+        self._last_progress = self._clock()
+        is_chunked = exchange.upload.content_length is None
+        self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if is_chunked else data)
+
+    def finish(self) -> None:
+        """End the upload: all of it is written."""
+        exchange = self._exchange
+        if exchange is None or exchange.upload is None or self._upload_finished:
+            return
+        assert self._transport is not None
+        self._upload_finished = True
+        if exchange.upload.content_length is None:
+            self._transport.write(b"0\r\n\r\n")
+        if not self.is_buffered:
+            self._finish_request(exchange)
+
+    def truncate(self) -> None:
+        """Close the connection: an endpoint never executes a request whose upload is truncated."""
+        self._connection.abort()
--- a/quota_gateway/net/upstream/response_parser.py
+++ b/quota_gateway/net/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""Incremental parser of an endpoint's responses: framing, limits and the headers that the gateway reads."""
+"""Incremental parser of an endpoint's responses: framing, size limits, headers for the gateway."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class MalformedResponseError(ValueError):
-    """A response that cannot be read or breaks a limit."""
+    """A response cannot be parsed or exceeds a limit."""
 
 
 class ResponseParser:
     """Parses the responses of one connection, one after the other; ``reset`` before each request.
 
-    A body is buffered in ``body_parts``, or goes to ``body_stream`` once that is set. Interim responses
-    are skipped. Whatever follows a final response sets ``has_surplus`` and is dropped.
+    A body is buffered in ``body_parts``, or written to ``body_stream`` from ``start_streaming`` on. Interim
+    responses are skipped. Bytes after a final response set ``has_surplus`` and are dropped.
     """
 
     __slots__ = (
@@ -53,9 +53,9 @@
     )
 
     def __init__(self, on_large_body: Callable[[], None]) -> None:
-        """``on_large_body`` is called when the body is larger than what is buffered.
+        """``on_large_body`` is called when the body exceeds ``MAX_BUFFERED_BODY``.
 
-        It may set ``body_stream``, or raise ``MalformedResponseError``.
+        It may call ``start_streaming``, or raise ``MalformedResponseError``.
         """
         self._parser = httptools.HttpResponseParser(self)
         self._on_large_body = on_large_body
@@ -65,14 +65,14 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget the last response."""
+        """Discard the last response."""
         self.header_lines: list[bytes] = []  # those to forward
         self.body_parts: list[bytes] = []
         self.body_size = 0  # bytes in ``body_parts``
         self._head_size = 0  # bytes of header names and values
         self.load: bytes | None = None
         self.charged_units: float | None = None
-        self.not_processed = False  # the endpoint says that it did not execute the request
+        self.not_processed = False  # the endpoint states that it did not execute the request
         self.content_length: int | None = None
         self._chunked = False
         self._closes_connection = False
@@ -82,7 +82,10 @@
         self.status_code: int | None = None  # set once the final response is complete
 
     def feed(self, data: bytes) -> None:
-        """Parse what was received; raises ``MalformedResponseError`` before the response is complete."""
+        """Parse received bytes.
+
+        Raise ``MalformedResponseError`` if they cannot be parsed and the final response is not complete yet.
+        """
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -92,38 +95,48 @@
             self.has_surplus = True
 
     def finish_at_eof(self) -> int:
-        """The connection has ended, and with it the body; returns the status code."""
+        """Complete the response at the end of the connection; return its status code."""
         self.status_code = self.received_status()
         self.keep_alive = False
         return self.status_code
 
     def received_status(self) -> int:
-        """Status code of the message that is being parsed."""
+        """Return the status code of the message that is being parsed."""
         status: int = self._parser.get_status_code()
         return status
 
     def has_open_ended_body(self) -> bool:
-        """Whether a part of a body of unknown length has come, and a client would see its truncation."""
+        """Whether part of a body of unknown length is buffered, and a client could detect its truncation."""
         if not self._head_complete or self.body_size == 0:
             return False
         truncation_visible = self._chunked or (self.ends_at_eof and self._closes_connection)
         return truncation_visible and self.received_status() == STATUS_OK
 
+    def start_streaming(self, stream: BodyStream) -> None:
+        """Write the rest of the body to a stream; the buffered parts are left to ``take_body_parts``."""
+        self.body_stream = stream
+
+    def end_streaming(self) -> BodyStream | None:
+        """Write nothing more to the stream of the body; return the stream, None if there was none."""
+        stream = self.body_stream
+        self.body_stream = None
+        return stream
+
     def take_body_parts(self) -> list[bytes]:
-        """Hand over what is buffered of the body."""
+        """Return the buffered parts of the body and buffer them no longer."""
         parts = self.body_parts
         self.body_parts = []
         return parts
 
-    # Callbacks of httptools. It wraps what they raise, and ``feed`` unwraps it.
+    # Callbacks of httptools. It wraps the errors that they raise, and ``feed`` unwraps them.
 
     def on_message_begin(self) -> None:
-        """A first byte of a message: surplus if the final response is complete."""
+        """Begin a message; it is surplus if the final response is complete."""
         self.has_surplus = self.status_code is not None
         self.in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read or keep one header."""
+        """Interpret one header, or store it to be forwarded."""
         key = name.lower()
         value = value.strip(b" \t")  # httptools leaves white space behind a value
         if self.has_surplus or self._head_complete:  # a trailer, in the latter case
@@ -157,7 +170,7 @@
         self._chunked = True
 
     def on_headers_complete(self) -> None:
-        """Settle how the body of a final response is framed."""
+        """Determine the framing of a final response's body."""
         status = self.received_status()
         if self.has_surplus or status < FIRST_FINAL_STATUS:
             return
@@ -186,7 +199,7 @@
             self._on_large_body()
 
     def on_message_complete(self) -> None:
-        """Note the end of the final response; forget an interim one, as the final one follows."""
+        """Record the end of the final response; discard an interim one, which the final one follows."""
         self.in_message = False
         status = self.received_status()
         if self.has_surplus or status >= FIRST_FINAL_STATUS:
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -132,7 +132,7 @@
         idle_timeout = 10 * EXCHANGE_TIMEOUT
         pool = ConnectionPool(unix_clock(), EXCHANGE_TIMEOUT, idle_timeout, count + SPARE_CONNECTIONS)
         for number in range(0, count, PER_ENDPOINT):
-            pool.update_endpoint(f"s-{number}", address, True)
+            pool.update_endpoint(f"s-{number}", address, available=True)
         exchanges = _Exchanges(count)
         resident_before = start_tracing()
         _start_exchanges(pool, count, exchanges)
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -44,7 +44,7 @@
         tracemalloc.start()
         event = parse_watch_event(json.loads(text))
         for endpoint in event.update.endpoints:
-            pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], True)
+            pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], available=True)
         gateway.handle(0.0, event.update)
         del event, endpoint
         memory = MemoryUse(allocated_bytes())
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -53,7 +53,7 @@
             self._pool.retain_only(set(event.addresses))
         for endpoint in event.update.endpoints:
             is_healthy = endpoint.health is model.EndpointHealth.HEALTHY
-            self._pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], is_healthy)
+            self._pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], available=is_healthy)
         self.limiter.handle(event.update)
 
     def start(self) -> None:
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -58,7 +58,7 @@
     decisions = _OneHealthCheck()
     async with stand_in.serve(_converse) as (host, port):
         pool = ConnectionPool(unix_clock(), REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
-        pool.update_endpoint(ENDPOINT, f"{host}:{port}", True)
+        pool.update_endpoint(ENDPOINT, f"{host}:{port}", available=True)
         dispatcher = Dispatcher(
             parse_settings(synthetic_settings(3, 1.0)), decisions, unix_clock(), pool, None
         )
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -42,9 +42,10 @@
         max_connections: int = 200,
         connect_timeout: float = 5.0,
     ) -> None:
-        self.clock = unix_clock()
+        self._running_clock = unix_clock()
+        self._stopped_at: float | None = None
         self.pool = ConnectionPool(self.clock, connect_timeout, idle_timeout, max_connections)
-        self.pool.update_endpoint(ENDPOINT, address, True)
+        self.pool.update_endpoint(ENDPOINT, address, available=True)
 
     async def __aenter__(self) -> PoolHarness:
         return self
@@ -52,9 +53,13 @@
     async def __aexit__(self, *_: object) -> None:
         self.pool.close()
 
+    def clock(self) -> float:
+        """Return the time of the pool's clock, in seconds."""
+        return self._running_clock() if self._stopped_at is None else self._stopped_at
+
     def set_clock(self, now: float) -> None:
         """Stop the pool's clock at a time."""
-        self.clock = self.pool.clock = lambda: now
+        self._stopped_at = now
 
     def start(
         self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b""
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -137,7 +137,7 @@
         await head_received.wait()
         (opened,) = limiter.dispatcher._requests.values()
         assert opened.deadline == math.inf and opened.timer is None  # the client's timeout has not started
-        assert opened.attempts[0].timer is None and not opened.attempts[0].request_written
+        assert opened.attempts[0].expiry_timer is None and not opened.attempts[0].request_written
         writer.write(data[200_000:])
         assert (await read_message(reader))[2] == b"hi"
         assert bodies == [LONG_BODY]
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.upstream import endpoint as upstream_endpoint
+from quota_gateway.net.upstream import idle_connections
 from tests.client_helpers import reject
 from tests.loopback import (
     LoopbackLimiter,
@@ -107,7 +107,7 @@
 @async_test
 async def test_client_that_does_not_read_is_not_read_from(monkeypatch: pytest.MonkeyPatch) -> None:
     # One connection to the endpoint serves them all.
-    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
 
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
     origin = ScriptedEndpoint(lambda _n: large)
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -16,8 +16,7 @@
 from quota_gateway.net.client.liveness import ClientLiveness
 from quota_gateway.net.client.request import ClientRequest
 from quota_gateway.net.client.request_reader import MAX_PIPELINE
-from quota_gateway.net.upstream import endpoint as upstream_endpoint
-from quota_gateway.net.upstream import pool as connection_pool
+from quota_gateway.net.upstream import connector, idle_connections
 from tests.client_helpers import DISCONNECTS, LATE, on_timer, read_final
 from tests.loopback import (
     OK_RESPONSE,
@@ -153,7 +152,7 @@
 
 async def keep_endpoint_connection(limiter: LoopbackLimiter, monkeypatch: pytest.MonkeyPatch) -> None:
     """Keep an endpoint connection idle, so that the next attempt is written in the step of its decision."""
-    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     answer = limiter.decisions.decide
     limiter.decisions.decide = forward_to_s1
     assert " 200 " in (await limiter.fetch(http_request()))[0]
@@ -349,7 +348,7 @@
         running_server(origin.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
-        monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
+        monkeypatch.setattr(connector, "asyncio", Asyncio())
         client = socket.create_connection(limiter.address)
         clients.append(client)
         client.sendall(http_request(timeout_ms=60000))
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.upstream import pool as connection_pool
+from quota_gateway.net.upstream import connector
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -51,7 +51,7 @@
 
     script = ScriptedDecisions(forward_to_s1)
     async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
-        monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
+        monkeypatch.setattr(connector, "asyncio", Asyncio())
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=60000))
         (outcome,) = await script.wait_for(model.AttemptCompleted)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -9,8 +9,9 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.upstream import endpoint as upstream_endpoint
-from quota_gateway.net.upstream.pool import MAX_CONNECTIONS_PER_ENDPOINT, ConnectionPool
+from quota_gateway.net.upstream import idle_connections
+from quota_gateway.net.upstream.connection_limits import MAX_CONNECTIONS_PER_ENDPOINT
+from quota_gateway.net.upstream.pool import ConnectionPool
 from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import ENDPOINT, PoolHarness, async_test
 
@@ -88,7 +89,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # As after a stall of the process, when the delay is over and nothing was read.
-    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
@@ -106,7 +107,7 @@
 async def test_the_most_recently_used_connection_is_reused_until_it_was_idle_too_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     origin = ScriptedEndpoint()
     async with (
         running_server(origin.handle_connection) as address,
@@ -115,10 +116,7 @@
         await asyncio.gather(harness.fetch(), harness.fetch())
         await harness.fetch()
         assert origin.connection_count == 2
-        harness.set_clock(2e9 + 16.0)
-        for endpoint in harness.pool._endpoints._by_name.values():
-            for index, connection in enumerate(endpoint.idle):
-                connection.idle_since = 2e9 + index * 1e-6  # 16 s idle: past half of idle_timeout
+        harness.set_clock(harness.clock() + 16.0)  # over half of idle_timeout
         await harness.fetch()
         assert origin.connection_count == 3
 
@@ -135,8 +133,8 @@
 @pytest.mark.parametrize(
     "drain",
     [
-        lambda pool: pool.update_endpoint(ENDPOINT, "127.0.0.1:1", False),
-        lambda pool: pool.update_endpoint(ENDPOINT, "", False),
+        lambda pool: pool.update_endpoint(ENDPOINT, "127.0.0.1:1", available=False),
+        lambda pool: pool.update_endpoint(ENDPOINT, "", available=False),
         lambda pool: pool.retain_only({"s2"}),
     ],
 )
@@ -158,7 +156,7 @@
     origin = ScriptedEndpoint()
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         _, completed = harness.start()
-        harness.pool.update_endpoint(ENDPOINT, address, False)
+        harness.pool.update_endpoint(ENDPOINT, address, available=False)
         assert (await completed).status is CallStatus.NOT_SENT
         assert not origin.requests
 
@@ -173,7 +171,7 @@
         PoolHarness(old_address) as harness,
     ):
         await harness.fetch()
-        harness.pool.update_endpoint(ENDPOINT, new_address, True)
+        harness.pool.update_endpoint(ENDPOINT, new_address, available=True)
         await harness.fetch()
         assert (len(old.requests), len(new.requests)) == (1, 1)
 
@@ -188,7 +186,7 @@
     ):
         exchanges = [harness.start()[0] for _ in range(limit)]
         assert (await harness.fetch()).status is CallStatus.OVERLOADED
-        harness.pool.update_endpoint("s2", address, True)
+        harness.pool.update_endpoint("s2", address, available=True)
         exchanges.append(harness.start(endpoint="s2")[0])
         assert (await harness.fetch(endpoint="s2")).status is CallStatus.OVERLOADED
         for exchange in exchanges:
@@ -203,13 +201,13 @@
         running_server(origin.handle_connection) as address,
         PoolHarness(address, max_connections=1) as harness,
     ):
-        harness.pool.update_endpoint("s2", address, True)
+        harness.pool.update_endpoint("s2", address, available=True)
         assert (await harness.fetch()).status is CallStatus.OK
         assert (await harness.fetch(endpoint="s2")).status is CallStatus.OK
 
 
 @async_test
-async def test_an_endpoint_that_is_gone_is_forgotten_once_its_last_connection_is_closed() -> None:
+async def test_a_removed_endpoint_is_forgotten_once_its_last_connection_is_closed() -> None:
     release = asyncio.Event()
 
     async def answer_when_released(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -220,19 +218,18 @@
 
     async with running_server(answer_when_released) as address, PoolHarness(address) as harness:
         pool = harness.pool
-        endpoints = pool._endpoints._by_name
         exchange, completed = harness.start()
         while not exchange.request_written:
             await asyncio.sleep(0.001)
         for number in range(100):
-            pool.update_endpoint(f"t{number}", address, True)
+            pool.update_endpoint(f"t{number}", address, available=True)
             pool.retain_only({f"t{number}"})
-        assert set(endpoints) == {ENDPOINT, "t99"}
+        assert pool.endpoint_names() == {ENDPOINT, "t99"}
         release.set()
-        assert (await completed).status is CallStatus.OK  # what is in progress there may end
-        while ENDPOINT in endpoints:
+        assert (await completed).status is CallStatus.OK  # an exchange in progress there may end
+        while ENDPOINT in pool.endpoint_names():
             await asyncio.sleep(0.001)
         assert (await harness.fetch()).status is CallStatus.NOT_SENT
-        pool.update_endpoint(ENDPOINT, address, True)  # it returns, at an old address, and starts afresh
-        assert endpoints[ENDPOINT].open_connections == 0
+        pool.update_endpoint(ENDPOINT, address, available=True)  # it is listed again, at the same address
+        assert pool.open_connections == 0
         assert (await harness.fetch()).status is CallStatus.OK
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -192,7 +192,7 @@
             (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status is model.CallStatus.NOT_SENT
         assert " 429 " in (await read_message(reader))[0]
-        assert limiter.pool._endpoints.open_connections == 0
+        assert limiter.pool.open_connections == 0
         script.decide = forward_to_s1
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         writer.close()
--- a/tests/test_idle_policy.py
+++ b/tests/test_idle_policy.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.upstream import endpoint as upstream_endpoint
+from quota_gateway.net.upstream import idle_connections
 from quota_gateway.net.upstream.exchange import Exchange
 from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import PoolHarness, async_test
@@ -32,7 +32,7 @@
 
 @async_test
 async def test_where_idle_connections_break_on_reuse_none_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     async with running_server(break_on_reuse) as address, PoolHarness(address) as harness:
         results = list[CallStatus]()
         for second in range(6):  # each idle time is as long as the others, however busy this machine is
@@ -52,7 +52,7 @@
         running_server(origin.handle_connection) as sound,
         PoolHarness(breaking) as harness,
     ):
-        harness.pool.update_endpoint("s2", sound, True)
+        harness.pool.update_endpoint("s2", sound, available=True)
         harness.set_clock(harness.clock())
         broken = await reuse_until_break(harness, 0.2, break_delay)
         assert broken.status is CallStatus.RESET_AFTER_REQUEST
@@ -70,7 +70,7 @@
         running_server(origin.handle_connection) as sound,
         PoolHarness(breaking) as harness,
     ):
-        harness.pool.update_endpoint("s2", sound, True)
+        harness.pool.update_endpoint("s2", sound, available=True)
         harness.set_clock(harness.clock())
         for _ in range(5):  # each after the shortest idle time there is
             broken = await reuse_until_break(harness, 0.031, 0.001)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -10,7 +10,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.upstream import pool as connection_pool
+from quota_gateway.net.upstream import connector
 from tests.loopback import (
     OK_RESPONSE,
     SETTINGS,
@@ -82,7 +82,7 @@
         settings = replace(SETTINGS, classes=(*SETTINGS.classes, KEYED))
         limiter.dispatcher.reconfigure(settings)
         limiter.listener.parser.reconfigure(settings)
-        monkeypatch.setattr(connection_pool, "asyncio", Asyncio())
+        monkeypatch.setattr(connector, "asyncio", Asyncio())
         reader, writer = await limiter.connect()
         writer.write(http_request("/entry?account=00000000b4d65521", b"abc"))
         assert " 502 " in (await read_message(reader))[0]
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -16,8 +16,7 @@
 from quota_gateway.net.counter.client import CounterClient
 from quota_gateway.net.discovery import watcher as endpoint_watch
 from quota_gateway.net.discovery.watcher import EndpointWatcher
-from quota_gateway.net.upstream import endpoint as upstream_endpoint
-from quota_gateway.net.upstream import pool as connection_pool
+from quota_gateway.net.upstream import connector, idle_connections
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -69,7 +68,7 @@
         running_server(ScriptedEndpoint().handle_connection) as address,
         PoolHarness(address, max_connections=1) as harness,
     ):
-        fail_first_connect(monkeypatch, connection_pool)
+        fail_first_connect(monkeypatch, connector)
         async with asyncio.timeout(2.0):
             assert (await harness.fetch(timeout=5.0)).status is CallStatus.NOT_SENT
             assert (await harness.fetch(timeout=5.0)).status is CallStatus.OK
@@ -130,7 +129,7 @@
     on_reused_connection: bool, monkeypatch: pytest.MonkeyPatch, no_violations: list[Violation]
 ) -> None:
     """To call it not sent would allow an unsafe repeat."""
-    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", 0.0)
+    monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     script = ScriptedDecisions(forward_to_s1)
     async with (
         running_server(ScriptedEndpoint().handle_connection) as address,
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -8,7 +8,7 @@
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.upstream import connection as upstream_connection
-from quota_gateway.net.upstream import endpoint as upstream_endpoint
+from quota_gateway.net.upstream import idle_connections
 from quota_gateway.net.upstream.exchange import Exchange
 from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, async_test, empty_response
@@ -95,12 +95,12 @@
         assert (await completed).status is CallStatus.RESET_BEFORE_REQUEST
 
 
-@pytest.mark.parametrize("settle_delay", [0.0, upstream_endpoint.SETTLE_DELAY])
+@pytest.mark.parametrize("settle_delay", [0.0, idle_connections.SETTLE_DELAY_SECONDS])
 @async_test
 async def test_surplus_bytes_behind_a_response_do_not_answer_the_next_request(
     settle_delay: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_endpoint, "SETTLE_DELAY", settle_delay)
+    monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", settle_delay)
     surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
     origin = ScriptedEndpoint(lambda number: OK_RESPONSE + surplus if number == 1 else OK_RESPONSE)
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
@@ -135,7 +135,7 @@
 async def test_an_incomplete_response_is_malformed_and_no_time_out(
     incomplete: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP", 0.05)
+    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP_SECONDS", 0.05)
     async with (
         running_server(ScriptedEndpoint(lambda _number: incomplete).handle_connection) as address,
         PoolHarness(address) as harness,
@@ -145,7 +145,7 @@
 
 @async_test
 async def test_an_interim_response_does_not_start_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP", 0.02)
+    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP_SECONDS", 0.02)
 
     async def answer_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
