--- a/quota_gateway/net/dispatch/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -106,7 +106,7 @@
         now = self._clock()
         self._start_deadline(opened, event, now, _answer_margin(event.timeout))
         for attempt in opened.attempts:
-            self._pool.set_expiry(attempt, min(opened.deadline, now + attempt.timeout))
+            self._pool.exchanges.set_expiry(attempt, min(opened.deadline, now + attempt.timeout))
         return True
 
     def _start_deadline(
@@ -123,7 +123,7 @@
             return
         opened.max_attempts = len(opened.attempts)
         for attempt in list(opened.attempts):
-            self._pool.withdraw_unsent(attempt)
+            self._pool.exchanges.withdraw_unsent(attempt)
 
     def close(self, request_id: int) -> PendingRequest | None:
         """Remove a request and cancel its attempts; ``None`` if it is not open."""
@@ -132,7 +132,7 @@
             if opened.timer is not None:
                 opened.timer.cancel()
             for attempt in opened.attempts:
-                self._pool.cancel(attempt)
+                self._pool.exchanges.cancel(attempt)
         return opened
 
     def abandon(self, request_id: int, status: int) -> None:
@@ -166,7 +166,7 @@
         if is_allowed and has_attempts and action.timeout > 0:
             self._start(attempt, opened)
         else:
-            self._pool.complete(attempt, model.CallStatus.NOT_SENT)
+            self._pool.exchanges.complete(attempt, model.CallStatus.NOT_SENT)
 
     def _start(self, attempt: Exchange, opened: PendingRequest) -> None:
         """Start an attempt; whatever goes wrong, the decisions are told how it ended."""
@@ -176,7 +176,7 @@
             log.exception("an attempt could not be started")
             story = describe_request(opened.request.request_id, opened.event, opened.attempts)
             self._invariants.report(Invariant.STARTED_COMPLETELY, story)
-            self._pool.fail(attempt)
+            self._pool.exchanges.fail(attempt)
 
     def _log_end(self, opened: PendingRequest, answer: str) -> None:
         self._log.answered(self._clock(), opened.request.request_id, opened.event, opened.attempts, answer)
@@ -246,4 +246,4 @@
         """Cancel one attempt, if it exists."""
         opened = self.get(action.request_id)
         if opened is not None and action.attempt < len(opened.attempts):
-            self._pool.cancel(opened.attempts[action.attempt])
+            self._pool.exchanges.cancel(opened.attempts[action.attempt])
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -6,41 +6,30 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import fcntl
-import socket
-import struct
-import termios
 from typing import Protocol, cast
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD, STREAM_RECEIVE_BUFFER
-from quota_gateway.net.common.socket_calls import shut_down_sending
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.exchange import Clock, Exchange
 from quota_gateway.net.upstream.load_report import parse_load_report
-from quota_gateway.net.upstream.request_writer import STALL_TIMEOUT_SECONDS, RequestWriter
-from quota_gateway.net.upstream.response_parser import STATUS_OK, MalformedResponseError, ResponseParser
+from quota_gateway.net.upstream.request_writer import RequestWriter
+from quota_gateway.net.upstream.response_parser import MalformedResponseError, ResponseParser
+from quota_gateway.net.upstream.response_source import ResponseSource
+from quota_gateway.net.upstream.response_status import STATUS_OK, call_status
+from quota_gateway.net.upstream.response_timer import ResponseTimer
 from quota_gateway.net.upstream.stats import ConnectionStats
+from quota_gateway.net.upstream.transport_calls import (
+    abort_transport,
+    limit_receive_buffer,
+)
 
-# Longest time between two parts of a response. Without it a response that is shorter than its Content-Length
-# would end as a timeout, much later, and a timeout is evidence of an unresponsive endpoint.
-MAX_RESPONSE_GAP_SECONDS = 0.5
-# A response of unknown length is buffered for this long, which keeps a retry possible, and is then streamed:
-# it may last long, and its client needs the first bytes early.
-STREAMING_DELAY_SECONDS = 0.2
 MAX_RESPONSE_BYTES = MAX_HEAD + 2 * MAX_BUFFERED_BODY  # with interim responses, chunk sizes and trailers
-CLIENT_ERROR_STATUSES = range(400, 500)
-OVERLOAD_STATUSES = (503, 504)
-NATIVE_INT = struct.Struct("i")  # the result of the FIONREAD call
 
 
-class ConnectionOwner(Protocol):
-    """Receives the events of a connection: the pool."""
-
-    clock: Clock
-    stats: ConnectionStats
+class ExchangeEvents(Protocol):
+    """Receives the progress and the end of exchanges."""
 
     def record_request_written(self, exchange: Exchange) -> None:
         """The request of an exchange is written completely."""
@@ -48,6 +37,13 @@
     def complete(self, exchange: Exchange, status: CallStatus) -> None:
         """An exchange has ended."""
 
+
+class ConnectionEvents(Protocol):
+    """Receives the events of a connection."""
+
+    clock: Clock
+    stats: ConnectionStats
+
     def release(self, connection: UpstreamConnection, *, reusable: bool) -> None:
         """The connection carries no exchange any more."""
 
@@ -65,20 +61,38 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """A connection to an endpoint; the owner of its transport and of what it carries.
+    """A connection to an endpoint; the owner of its transport and its exchange.
 
     It carries one of these at a time:
 
     - an ``exchange``: its request is being written, or its response is received and buffered;
-    - a streamed response, held by the parser: its exchange has succeeded and is detached;
+    - a streamed response in the parser, after its exchange has succeeded and was detached;
     - nothing: the connection is being connected, idle or closing. Any byte received then closes it.
-
-    It is the source of a streamed response (``body_stream.BodySource``).
     """
 
-    def __init__(self, owner: ConnectionOwner, endpoint: UpstreamEndpoint, number: int = 0) -> None:
+    __slots__ = (
+        "_exchanges",
+        "_owner",
+        "_parser",
+        "_received_bytes",
+        "_source",
+        "_timer",
+        "_writer",
+        "address",
+        "endpoint",
+        "exchange",
+        "idle_since",
+        "number",
+        "reused_at",
+        "transport",
+    )
+
+    def __init__(
+        self, owner: ConnectionEvents, exchanges: ExchangeEvents, endpoint: UpstreamEndpoint, number: int
+    ) -> None:
         """A connection to be opened to the endpoint's present address; the log shows ``number``."""
         self._owner = owner
+        self._exchanges = exchanges
         self.endpoint = endpoint
         self.address = endpoint.address
         self.number = number
@@ -88,12 +102,9 @@
         self.reused_at = 0.0  # by the owner's clock; when it was last taken from the idle connections
         self._parser = ResponseParser(self._on_large_body)
         self._writer = RequestWriter(self, owner.clock)
+        self._source = ResponseSource(self, owner.clock)
+        self._timer = ResponseTimer(self._on_response_overdue)
         self._received_bytes = 0  # since the request
-        self._gap_timer: asyncio.TimerHandle | None = None
-        self._last_progress = 0.0  # when a streamed response last advanced, by the owner's clock
-        self._reading_paused = False
-
-    # Used by the pool.
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         """Write a request; its response is read next."""
@@ -128,56 +139,45 @@
         """Return the seconds since the connection became idle."""
         return now - (self.idle_since or 0.0)
 
-    def is_open(self) -> bool:
-        """Whether the connection is established and not closing."""
-        return self.transport is not None and not self.transport.is_closing()
-
     def is_stalled(self, now: float) -> bool:
         """Whether a streamed body has waited too long for this endpoint."""
-        if self._parser.body_stream is None:
-            return self._writer.is_stalled(now)
-        return not self._reading_paused and now - self._last_progress > STALL_TIMEOUT_SECONDS
+        part = self._writer if self._parser.body_stream is None else self._source
+        return part.is_stalled(now)
 
-    def has_unread_input(self) -> bool:
-        """Whether bytes have arrived that the event loop has not read yet."""
-        assert self.transport is not None
-        descriptor = self.transport.get_extra_info("socket").fileno()
-        size = fcntl.ioctl(descriptor, termios.FIONREAD, bytes(NATIVE_INT.size))
-        return bool(NATIVE_INT.unpack(size)[0])
+    def is_reading_paused(self) -> bool:
+        """Whether a streamed response waits for its client."""
+        return self._source.is_paused
 
     def close(self) -> None:
-        """Close after what is buffered has been written."""
+        """Close once the buffered bytes are written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once; nothing more is written or read.
-
-        The end of the connection is sent in this very call: a retry of the request may be written in the next
-        step, and must not be in flight together with this attempt.
-        """
+        """Close at once; nothing more is written or read."""
         if self.transport is not None:
-            if not self.transport.is_closing():
-                shut_down_sending(self.transport)
-            self.transport.abort()
+            abort_transport(self.transport)
 
-    # Used by the request writer.
+    # Events of the request writer and the response source.
 
     def on_upload_started(self) -> None:
         """Have the owner watch the upload for stalls."""
         self._owner.on_streaming_started(self)
 
     def on_request_written(self, exchange: Exchange) -> None:
-        """Mark the request as written; the time of an exchange with an upload starts here."""
-        exchange.record_request_written()
+        """Report the request as written; its upload is complete."""
         if exchange.upload is not None:
-            exchange.start(self._owner.clock())
             self._owner.on_streaming_ended(self)
-        self._owner.record_request_written(exchange)
+        self._exchanges.record_request_written(exchange)
 
     def on_write_failed(self, exchange: Exchange) -> None:
         """End the exchange: nothing of its request was sent."""
-        self._owner.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
+        self._exchanges.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
+
+    def on_stream_abandoned(self) -> None:
+        """Close: no client reads the rest of a streamed response."""
+        self._parser.end_streaming()
+        self.abort()
 
     # Called by the event loop.
 
@@ -203,14 +203,14 @@
         if self.exchange is not None:
             self._record_break()
         self._owner.on_connection_lost(self)
-        self._cancel_gap_timer()
+        self._timer.cancel()
         stream = self._parser.end_streaming()
         if stream is not None:
             stream.fail()
         exchange = self._detach_exchange()
         if exchange is not None:
             was_written = exchange.request_written
-            self._owner.complete(
+            self._exchanges.complete(
                 exchange, CallStatus.RESET_AFTER_REQUEST if was_written else CallStatus.RESET_BEFORE_REQUEST
             )
 
@@ -238,7 +238,7 @@
         if parser.status_code is not None:
             self._complete(parser.status_code)
         elif parser.body_stream is not None:
-            self._last_progress = self._owner.clock()
+            self._source.record_progress()
         elif self.exchange is None:
             self.abort()  # the exchange ended while its response was parsed
         elif self._received_bytes > MAX_RESPONSE_BYTES:  # the parser's limits do not cover an endless head
@@ -246,7 +246,7 @@
                 MalformedResponseError(f"response over {MAX_RESPONSE_BYTES} bytes without an end")
             )
         elif parser.in_message:
-            self._start_gap_timer(self.exchange)
+            self._limit_wait(self.exchange)
 
     # Exchanges and their responses.
 
@@ -263,25 +263,16 @@
         if is_reused and self._received_bytes == 0:
             self._owner.record_stale_connection(self)
 
-    def _start_gap_timer(self, exchange: Exchange) -> None:
+    def _limit_wait(self, exchange: Exchange) -> None:
         """Limit the wait for the rest of a response; an open-ended one is streamed when the time is up."""
-        is_open_ended = self._parser.has_open_ended_body()
-        if not is_open_ended:
-            self._cancel_gap_timer()
-        if self._gap_timer is None:
-            delay = STREAMING_DELAY_SECONDS if is_open_ended else MAX_RESPONSE_GAP_SECONDS
-            loop = asyncio.get_running_loop()
-            self._gap_timer = loop.call_later(delay, self._on_gap_timer, exchange)
-
-    def _cancel_gap_timer(self) -> None:
-        if self._gap_timer is not None:
-            self._gap_timer.cancel()
-            self._gap_timer = None
-
-    def _on_gap_timer(self, exchange: Exchange) -> None:
+        if self._parser.has_open_ended_body():
+            self._timer.start_streaming_delay(exchange)
+        else:
+            self._timer.restart_gap(exchange)
+
+    def _on_response_overdue(self, exchange: Exchange) -> None:
         if self.exchange is not exchange:
             return
-        self._gap_timer = None
         try:
             if not self._parser.has_open_ended_body():
                 raise MalformedResponseError("response started and was not completed")
@@ -299,29 +290,22 @@
         exchange = self.exchange
         if exchange is None or exchange.on_response_started is None or parser.received_status() != STATUS_OK:
             raise MalformedResponseError("response body too large")
-        self._cancel_gap_timer()
-        stream = BodyStream(self, parser.content_length)
+        self._timer.cancel()
+        stream = BodyStream(self._source, parser.content_length)
         parser.start_streaming(stream)
-        self._record_response_head(exchange)
+        self._record_response(exchange, body=b"")
         self._detach_exchange()
-        exchange.release_connection()
-        self._last_progress = self._owner.clock()
+        self._source.record_progress()
         self._owner.on_streaming_started(self)
-        self._limit_receive_buffer()
+        if self.transport is not None:
+            limit_receive_buffer(self.transport)
         is_wanted = exchange.on_response_started(exchange, stream)
-        self._owner.complete(exchange, CallStatus.OK)
+        self._exchanges.complete(exchange, CallStatus.OK)
         if not is_wanted:
-            return self.abandon()
+            return self._source.abandon()
         for part in parser.take_body_parts():
             stream.write(part)
 
-    def _limit_receive_buffer(self) -> None:
-        if self.transport is None:
-            return
-        raw_socket = self.transport.get_extra_info("socket")
-        with contextlib.suppress(OSError):  # without the limit only more memory is used
-            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER)
-
     def _fail_malformed(self, error: ValueError) -> None:
         """End an exchange whose request may have been executed, by an endpoint that is alive.
 
@@ -333,21 +317,22 @@
             return self.abort()  # connection_lost notifies the client of a streamed response
         exchange.release_connection()
         self.abort()
-        self._owner.complete(exchange, CallStatus.ERROR)
+        self._exchanges.complete(exchange, CallStatus.ERROR)
 
-    def _record_response_head(self, exchange: Exchange) -> None:
+    def _record_response(self, exchange: Exchange, body: bytes) -> None:
         parser = self._parser
         load_report = None if parser.load is None else parse_load_report(parser.load.decode("latin-1"))
-        exchange.record_response_head(b"".join(parser.header_lines), parser.charged_units, load_report)
+        exchange.record_response(b"".join(parser.header_lines), body, parser.charged_units, load_report)
 
     def _complete(self, status_code: int) -> None:
         """End a complete response; the connection is not reused if surplus bytes follow it."""
-        self._cancel_gap_timer()
+        self._timer.cancel()
         parser = self._parser
         reusable = parser.keep_alive and not parser.has_surplus
-        stream = parser.end_streaming()
+        stream = parser.body_stream
         if stream is not None:
-            self.set_paused(False)
+            parser.end_streaming()
+            self._source.set_paused(False)
             self._owner.on_streaming_ended(self)
             self._owner.release(self, reusable=reusable)
             return stream.finish()
@@ -355,41 +340,6 @@
         if exchange is None:
             return self.abort()
         self.exchange = None
-        exchange.release_connection()
-        self._record_response_head(exchange)
-        exchange.record_response_body(b"".join(parser.body_parts))
+        self._record_response(exchange, body=b"".join(parser.body_parts))
         self._owner.release(self, reusable=reusable and not self._writer.is_buffered)
-        self._owner.complete(exchange, _call_status(status_code, not_processed=parser.not_processed))
-
-    # As the source of a streamed response.
-
-    def set_paused(self, paused: bool) -> None:
-        """Stop reading, or resume it."""
-        if self.transport is None or self.transport.is_closing() or paused is self._reading_paused:
-            return
-        self._reading_paused = paused
-        self._last_progress = self._owner.clock()
-        if paused:
-            self.transport.pause_reading()
-        else:
-            self.transport.resume_reading()
-
-    def abandon(self) -> None:
-        """Drop the rest of a streamed response: no client reads it."""
-        self._parser.end_streaming()
-        self.abort()
-
-
-def _call_status(status_code: int, *, not_processed: bool) -> CallStatus:
-    """Return how an attempt ended whose response has this status code.
-
-    ``not_processed``: the endpoint states that it did not execute the request.
-    """
-    if status_code == STATUS_OK:
-        return CallStatus.OK
-    if status_code in CLIENT_ERROR_STATUSES:
-        return CallStatus.REJECTED
-    # Without that statement a 503 or 504 does not show whether the request was executed.
-    if status_code in OVERLOAD_STATUSES and not_processed:
-        return CallStatus.OVERLOADED
-    return CallStatus.ERROR
+        self._exchanges.complete(exchange, call_status(status_code, not_processed=parser.not_processed))
--- a/quota_gateway/net/upstream/connection_limits.py
+++ b/quota_gateway/net/upstream/connection_limits.py
@@ -29,8 +29,10 @@
         while self.open_connections > self._max_connections and self._idle.evict_oldest():
             pass
 
-    def make_room(self, endpoint: UpstreamEndpoint) -> bool:
-        """Whether another connection to the endpoint may be opened; may evict an idle one for it."""
+    def allows_another(self, endpoint: UpstreamEndpoint) -> bool:
+        """Whether another connection to the endpoint may be opened.
+
+        At the total limit an idle connection is evicted for it."""
         if endpoint.open_connections >= MAX_CONNECTIONS_PER_ENDPOINT:
             return False
         return self.open_connections < self._max_connections or self._idle.evict_oldest()
--- a/quota_gateway/net/upstream/connector.py
+++ b/quota_gateway/net/upstream/connector.py
@@ -27,8 +27,8 @@
     def on_never_connected(self, endpoint: UpstreamEndpoint) -> None:
         """A connection was not established; its ``connection_lost`` is not called."""
 
-    def complete(self, exchange: Exchange, status: CallStatus) -> None:
-        """End an exchange for which no connection was established."""
+    def on_connect_failed(self, exchange: Exchange, status: CallStatus) -> None:
+        """No connection was established for the exchange; ``status`` shows why."""
 
     def on_connect_error(self, exchange: Exchange, error: Exception) -> None:
         """An unexpected error occurred while connecting or sending for an exchange."""
@@ -76,7 +76,7 @@
             connection.abort()
             if connection.transport is None:
                 self._owner.on_never_connected(endpoint)
-            return self._owner.complete(exchange, _connect_failure(error))
+            return self._owner.on_connect_failed(exchange, _connect_failure(error))
         except Exception:
             self._owner.on_never_connected(endpoint)
             raise
--- a/quota_gateway/net/upstream/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -63,9 +63,13 @@
         """Begin at ``now``; for a streamed upload the time of its last byte replaces this one."""
         self.started_at = now
 
-    def set_expiry_timer(self, timer: asyncio.TimerHandle) -> None:
-        """Hold the timer that fires at ``expires_at``; it is cancelled when the exchange completes."""
-        self.expiry_timer = timer
+    def set_expires_at(self, at: float) -> None:
+        """Set the time of expiry of an exchange whose upload is complete."""
+        self.expires_at = at
+
+    def start_expiry_timer(self, delay: float, on_expired: Callable[[Exchange], None]) -> None:
+        """Call ``on_expired`` after ``delay`` seconds, unless the exchange completes before."""
+        self.expiry_timer = asyncio.get_running_loop().call_later(delay, on_expired, self)
 
     def assign_connection(
         self, connection: ExchangeConnection, number: int, *, reused: bool, endpoint_started_at: float
@@ -84,19 +88,24 @@
         """Mark the request as written completely: from now on the endpoint may execute it."""
         self.request_written = True
 
-    def record_response_head(
-        self, headers: bytes, charged_units: float | None, load_report: dict[str, float] | None
+    def record_response(
+        self,
+        headers: bytes,
+        body: bytes,
+        charged_units: float | None,
+        load_report: dict[str, float] | None,
     ) -> None:
-        """Keep what the response's head says; ``load_report`` is None where it has none."""
+        """Store the response, and have no connection carry the exchange any more.
+
+        ``body`` is empty if it is streamed, ``load_report`` is None if the response has none.
+        """
+        self.connection = None
         self.response_headers = headers
+        self.response_body = body
         self.charged_units = charged_units
         if load_report is not None:
             self.load_report = load_report
 
-    def record_response_body(self, body: bytes) -> None:
-        """Keep the complete body of a response that is not streamed."""
-        self.response_body = body
-
     def complete(self, status: CallStatus, now: float) -> None:
         """End the exchange with ``status`` at ``now`` and call ``on_complete``."""
         self.completed = True
--- /dev/null
+++ b/quota_gateway/net/upstream/exchange_control.py
@@ -0,0 +1,72 @@
+"""How exchanges end: completed, expired, cancelled or withdrawn."""
+
+from __future__ import annotations
+
+from quota_gateway.model import CallStatus
+from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.upstream.exchange import Clock, Exchange
+from quota_gateway.net.upstream.stats import AttemptStats
+
+
+class ExchangeControl:
+    """Ends each exchange exactly once, and counts how."""
+
+    __slots__ = ("_clock", "_metrics", "_stats")
+
+    def __init__(self, clock: Clock, metrics: Metrics) -> None:
+        """Create it with the pool's clock; ``metrics`` counts the attempts that are written."""
+        self._clock = clock
+        self._metrics = metrics
+        self._stats = AttemptStats()
+
+    def set_expiry(self, exchange: Exchange, at: float) -> None:
+        """Set the time at which an exchange whose upload is complete times out."""
+        if not exchange.completed:
+            exchange.set_expires_at(at)
+            exchange.start_expiry_timer(max(0.0, at - self._clock()), self.expire)
+
+    def withdraw_unsent(self, exchange: Exchange) -> None:
+        """End an exchange that no connection carries yet."""
+        if exchange.connection is None:
+            self._abandon(exchange, CallStatus.NOT_SENT)
+
+    def cancel(self, exchange: Exchange) -> None:
+        """Cancel an exchange; its connection is closed, so that no late response answers another request."""
+        self._abandon(exchange, CallStatus.CANCELLED)
+
+    def fail(self, exchange: Exchange) -> None:
+        """End an exchange after an unexpected error.
+
+        The request may have been executed if a connection carries the exchange.
+        """
+        is_sent = exchange.connection is not None
+        self._abandon(exchange, CallStatus.CANCELLED if is_sent else CallStatus.NOT_SENT)
+
+    def complete(self, exchange: Exchange, status: CallStatus) -> None:
+        """End an exchange with ``status``; do nothing if it has ended already."""
+        if exchange.completed:
+            return
+        self._stats.record(status)
+        exchange.complete(status, self._clock())
+
+    def record_request_written(self, exchange: Exchange) -> None:
+        """Mark the request as written; the time of an exchange with an upload starts here."""
+        exchange.record_request_written()
+        if exchange.upload is not None:
+            exchange.start(self._clock())
+        self._metrics.upstream_attempts += not exchange.is_health_check
+
+    def log_and_reset(self) -> None:
+        """Log how exchanges have ended since the last call."""
+        self._stats.log_and_reset()
+
+    def expire(self, exchange: Exchange) -> None:
+        """End an exchange at its expiry: the endpoint timed out if it may be executing the request."""
+        self._abandon(exchange, CallStatus.TIMEOUT if exchange.may_be_executing() else CallStatus.NOT_SENT)
+
+    def _abandon(self, exchange: Exchange, status: CallStatus) -> None:
+        if exchange.completed:
+            return
+        if exchange.connection is not None:
+            exchange.connection.abandon_exchange()
+        self.complete(exchange, status)
--- a/quota_gateway/net/upstream/idle_connections.py
+++ b/quota_gateway/net/upstream/idle_connections.py
@@ -8,24 +8,28 @@
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.idle_policy import IdlePolicy
 from quota_gateway.net.upstream.stats import ConnectionStats
+from quota_gateway.net.upstream.transport_calls import has_unread_input
 
 # A connection stays idle for this long before its next request. Bytes that an endpoint sends after a response
 # (a duplicate, noise) then arrive while no request is waiting, and close the connection. Without the delay
-# they could be taken for the response to the next request.
+# they could be parsed as the response to the next request.
 SETTLE_DELAY_SECONDS = 0.03
 
 
 class IdleConnections:
     """The connections that carry no exchange and may be reused.
 
-    A connection is held here from ``add`` until ``take`` returns it, it is closed here, or ``discard``.
+    A connection belongs here from ``add`` until ``take`` returns it, it is closed here, or ``discard``.
     The connections of an endpoint are in the order in which they became idle.
     """
 
     __slots__ = ("_by_endpoint", "_policy", "_stats")
 
     def __init__(self, policy: IdlePolicy, stats: ConnectionStats) -> None:
-        """Begin without connections; ``policy`` limits their idle time, ``stats`` counts the expired ones."""
+        """Begin without connections.
+
+        ``policy`` limits their idle time; ``stats`` counts those that are reused and those that expired.
+        """
         self._by_endpoint = dict[UpstreamEndpoint, list[UpstreamConnection]]()
         self._policy = policy
         self._stats = stats
@@ -51,22 +55,24 @@
         max_idle = self._policy.trusted_idle(now)
         for index in range(len(connections) - 1, -1, -1):
             connection = connections[index]
-            idle_time = connection.idle_time(now)
+            idle_time = now - (connection.idle_since or 0.0)
             if idle_time < SETTLE_DELAY_SECONDS:
                 continue
             del connections[index]
-            if not connection.is_open():
+            transport = connection.transport
+            if transport is None or transport.is_closing():
                 continue
             # After a stall of this process the delay may be over with bytes that arrived in it still unread.
-            if idle_time < max_idle and not connection.has_unread_input():
+            if idle_time < max_idle and not has_unread_input(transport):
                 connection.mark_reused(now)
+                self._stats.record_reused()
                 return connection
             self._stats.record_idle_too_long()
-            connection.close()
+            transport.close()
         return None
 
     def discard(self, connection: UpstreamConnection) -> None:
-        """Remove a connection that has ended, if it is held."""
+        """Remove a connection that has ended, if it is idle."""
         connections = self._by_endpoint.get(connection.endpoint, ())
         if connection in connections:
             self._by_endpoint[connection.endpoint].remove(connection)
--- a/quota_gateway/net/upstream/request_writer.py
+++ b/quota_gateway/net/upstream/request_writer.py
@@ -68,7 +68,8 @@
             self._connection.on_upload_started()
             exchange.upload.attach(self, not self.is_buffered)
         elif not self.is_buffered:
-            self._finish_request(exchange)
+            self._exchange = None
+            self._connection.on_request_written(exchange)
 
     def stop(self) -> None:
         """Write nothing more of the present request: its exchange or its connection has ended."""
--- a/quota_gateway/net/upstream/response_parser.py
+++ b/quota_gateway/net/upstream/response_parser.py
@@ -9,8 +9,8 @@
 
 from quota_gateway.net.common.body_stream import BodyStream
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD, NOT_FORWARDED
+from quota_gateway.net.upstream.response_status import STATUS_OK
 
-STATUS_OK = 200
 FIRST_FINAL_STATUS = 200  # lower status codes are those of interim responses
 SERVER_LOAD_HEADER = b"x-server-load"
 NOT_PROCESSED_HEADER = b"x-not-processed"
--- /dev/null
+++ b/quota_gateway/net/upstream/response_source.py
@@ -0,0 +1,58 @@
+"""Flow control of a streamed response."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from quota_gateway.net.upstream.exchange import Clock
+from quota_gateway.net.upstream.request_writer import STALL_TIMEOUT_SECONDS
+
+
+class SourceConnection(Protocol):
+    """The connection that a streamed response is read from."""
+
+    transport: asyncio.Transport | None
+
+    def on_stream_abandoned(self) -> None:
+        """No client reads the rest of the response."""
+
+
+class ResponseSource:
+    """The source of the streamed responses of one connection (``body_stream.BodySource``).
+
+    Reading is paused while the client does not accept the bytes that were read.
+    """
+
+    __slots__ = ("_clock", "_connection", "_last_progress", "is_paused")
+
+    def __init__(self, connection: SourceConnection, clock: Clock) -> None:
+        """Create the source of a connection; ``clock`` returns seconds."""
+        self._connection = connection
+        self._clock = clock
+        self._last_progress = 0.0  # when a streamed response last advanced, in seconds of the clock
+        self.is_paused = False
+
+    def record_progress(self) -> None:
+        """Record that a part of the response has been received."""
+        self._last_progress = self._clock()
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether the response has waited too long for the endpoint."""
+        return not self.is_paused and now - self._last_progress > STALL_TIMEOUT_SECONDS
+
+    def set_paused(self, paused: bool) -> None:
+        """Stop reading, or resume it."""
+        transport = self._connection.transport
+        if transport is None or transport.is_closing() or paused is self.is_paused:
+            return
+        self.is_paused = paused
+        self.record_progress()
+        if paused:
+            transport.pause_reading()
+        else:
+            transport.resume_reading()
+
+    def abandon(self) -> None:
+        """Drop the rest of the response: no client reads it."""
+        self._connection.on_stream_abandoned()
--- a/tests/test_attempts_out.py
+++ b/tests/test_attempts_out.py
@@ -9,8 +9,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.upstream import connection as upstream_connection
-from quota_gateway.net.upstream import idle_connections
+from quota_gateway.net.upstream import idle_connections, response_timer
 from tests.loopback import (
     OK_RESPONSE,
     LoopbackLimiter,
@@ -31,7 +30,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Whoever sees the second request sees the end of the first one's connection already."""
-    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP_SECONDS", 0.05)
+    monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.05)
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     first_socket = list[socket.socket]()
     has_ended = list[bool]()
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -87,7 +87,7 @@
         reader, writer = await limiter.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(http_request())
-        while not any(connection._reading_paused for connection in limiter.pool.streaming_connections):
+        while not any(connection.is_reading_paused() for connection in limiter.pool.streaming_connections):
             await asyncio.sleep(0.01)
         assert sent < total  # the rest waits at the endpoint, not here
         reader._transport.resume_reading()  # type: ignore[attr-defined]
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -190,7 +190,7 @@
         exchanges.append(harness.start(endpoint="s2")[0])
         assert (await harness.fetch(endpoint="s2")).status is CallStatus.OVERLOADED
         for exchange in exchanges:
-            harness.pool.cancel(exchange)
+            harness.pool.exchanges.cancel(exchange)
         assert all(exchange.status is CallStatus.CANCELLED for exchange in exchanges)
 
 
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -17,6 +17,7 @@
 from quota_gateway.net.discovery import watcher as endpoint_watch
 from quota_gateway.net.discovery.watcher import EndpointWatcher
 from quota_gateway.net.upstream import connector, idle_connections
+from quota_gateway.net.upstream.exchange_control import ExchangeControl
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -138,10 +139,10 @@
         if on_reused_connection:
             assert " 200 " in (await limiter.fetch(http_request()))[0]
 
-        def fail(_exchange: object) -> None:
+        def fail(*_arguments: object) -> None:
             raise UnexpectedError
 
-        monkeypatch.setattr(limiter.pool, "record_request_written", fail)
+        monkeypatch.setattr(ExchangeControl, "record_request_written", fail)
         _, writer = await limiter.connect()
         writer.write(http_request("/post?account=00000000b4d65521", b"abc"))
         completed = await script.wait_for(model.AttemptCompleted, 1 + on_reused_connection)
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -7,8 +7,7 @@
 import pytest
 
 from quota_gateway.model import CallStatus
-from quota_gateway.net.upstream import connection as upstream_connection
-from quota_gateway.net.upstream import idle_connections
+from quota_gateway.net.upstream import idle_connections, response_timer
 from quota_gateway.net.upstream.exchange import Exchange
 from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
 from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, async_test, empty_response
@@ -135,7 +134,7 @@
 async def test_an_incomplete_response_is_malformed_and_no_time_out(
     incomplete: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP_SECONDS", 0.05)
+    monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.05)
     async with (
         running_server(ScriptedEndpoint(lambda _number: incomplete).handle_connection) as address,
         PoolHarness(address) as harness,
@@ -145,7 +144,7 @@
 
 @async_test
 async def test_an_interim_response_does_not_start_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_connection, "MAX_RESPONSE_GAP_SECONDS", 0.02)
+    monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.02)
 
     async def answer_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
