--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -1,4 +1,4 @@
-"""A connection pool with one endpoint, for the tests of the pool and of what it is made of."""
+"""A connection pool with one endpoint, for the tests of the pool and its parts."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def empty_response(status: str, extra_headers: str = "") -> bytes:
-    """A response without a body."""
+    """Return a response without a body."""
     return f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra_headers}\r\n".encode()
 
 
 class PoolHarness:
-    """A pool that knows ``ENDPOINT``, and exchanges to wait for; closed at the end of ``async with``."""
+    """A pool with the endpoint ``ENDPOINT``, closed at the end of ``async with``."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
     def start(
         self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b""
     ) -> tuple[Exchange, asyncio.Future[Exchange]]:
-        """Start an exchange; the future has it when it is complete."""
+        """Start an exchange; return it with a future that has it once it is complete."""
         future = asyncio.get_running_loop().create_future()
         head = REQUEST_HEAD
         if body:
@@ -74,6 +74,6 @@
         return exchange, future
 
     async def fetch(self, timeout: float = 10.0, endpoint: str = ENDPOINT) -> Exchange:
-        """One exchange, when it is complete."""
+        """Return an exchange that is complete."""
         _, completed = self.start(timeout, endpoint)
         return await completed
--- a/tests/test_attempts_out.py
+++ b/tests/test_attempts_out.py
@@ -1,4 +1,4 @@
-"""Attempts that are given up: their connection ends before another attempt of the request is written."""
+"""Abandoned attempts: their connection ends before another attempt of the request is written."""
 
 from __future__ import annotations
 
@@ -16,7 +16,6 @@
     ScriptedDecisions,
     ScriptedEndpoint,
     async_test,
-    forward_to_s1,
     http_request,
     read_message,
     running_server,
@@ -26,22 +25,22 @@
 
 
 @async_test
-async def test_the_connection_of_a_given_up_attempt_has_ended_when_the_next_attempt_is_written(
+async def test_the_connection_of_an_abandoned_attempt_has_ended_when_the_next_attempt_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whoever sees the second request sees the end of the first one's connection already."""
+    """At the time of the second request the first endpoint can see the end of its connection."""
     monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.05)
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     first_socket = list[socket.socket]()
     has_ended = list[bool]()
 
-    async def talk_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_incompletely(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         first_socket.append(writer.get_extra_info("socket"))
         writer.write(ENDLESS_RESPONSE)
         await asyncio.Event().wait()
 
-    def look(event: model.Event) -> list[model.Action]:
+    def retry_after_error(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request):
             return [model.Forward(event.id, "s1", 5.0)]
         if isinstance(event, model.AttemptCompleted) and event.status is model.CallStatus.ERROR:
@@ -52,12 +51,11 @@
         return []
 
     second = ScriptedEndpoint(lambda _number: OK_RESPONSE)
-    script = ScriptedDecisions(forward_to_s1)
+    script = ScriptedDecisions(retry_after_error)
     async with (
-        running_server(talk_first) as first_address,
+        running_server(respond_incompletely) as first_address,
         running_server(second.handle_connection) as second_address,
         LoopbackLimiter(script, {"s1": first_address, "s2": second_address}) as limiter,
     ):
-        script.decide = look
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         assert has_ended == [True]
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -1,4 +1,4 @@
-"""Connections to an endpoint that break before their connect is notified."""
+"""Connections to an endpoint that end before the connector is notified that they were established."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.upstream import connector
+from tests.connect_faults import replace_create_connection
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -21,37 +22,24 @@
 
 
 @async_test
-async def test_connection_that_breaks_before_its_connect_is_notified_proves_that_nothing_ran(
+async def test_connection_that_ends_before_the_connector_is_notified_proves_that_nothing_was_executed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Else the request would wait for its whole time, for an outcome that never comes."""
+    """Otherwise the request would wait until its timeout for an event that never occurs."""
 
-    class LateLoop:
-        """An event loop that returns connections once the peer has ended them."""
+    async def connect_and_wait_for_the_end(*args: Any) -> Any:
+        """Return a connection only after the endpoint has ended it."""
+        transport, protocol = await asyncio.get_running_loop().create_connection(*args)
+        while protocol.transport is not None:
+            await asyncio.sleep(0)
+        return transport, protocol
 
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio.get_running_loop(), name)
-
-        async def create_connection(self, *args: Any) -> Any:
-            transport, protocol = await asyncio.get_running_loop().create_connection(*args)
-            while protocol.transport is not None:
-                await asyncio.sleep(0)
-            return transport, protocol
-
-    class Asyncio:
-        """The asyncio module with that event loop."""
-
-        get_running_loop = LateLoop
-
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio, name)
-
-    async def talk(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def break_at_once(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     script = ScriptedDecisions(forward_to_s1)
-    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
-        monkeypatch.setattr(connector, "asyncio", Asyncio())
+    async with running_server(break_at_once) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
+        replace_create_connection(monkeypatch, connector, connect_and_wait_for_the_end)
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=60000))
         (outcome,) = await script.wait_for(model.AttemptCompleted)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool over loopback sockets: connecting, reuse of idle connections, draining endpoints, limits."""
+"""The connection pool over loopback sockets: connecting, reuse, draining endpoints, limits."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 @async_test
-async def test_a_time_out_closes_the_connection_so_that_no_late_response_meets_the_next_request() -> None:
+async def test_a_timeout_closes_the_connection_so_that_no_late_response_answers_the_next_request() -> None:
     origin = ScriptedEndpoint(lambda number: None if number == 1 else OK_RESPONSE)
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch(0.1)).status is CallStatus.TIMEOUT
@@ -67,28 +67,28 @@
 
 
 @async_test
-async def test_a_late_copy_of_a_response_does_not_answer_the_next_request() -> None:
+async def test_a_late_duplicate_of_a_response_does_not_answer_the_next_request() -> None:
     release = asyncio.Event()
 
-    async def answer_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         writer.write(OK_RESPONSE)
         await release.wait()
         writer.write(OTHER_RESPONSE)
         await reader.read()
 
-    async with running_server(answer_twice) as address, PoolHarness(address) as harness:
+    async with running_server(respond_twice) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).response_body == b"hi"
-        _, completed = harness.start()  # at once, before the copy has come
+        _, completed = harness.start()  # at once, before the duplicate arrives
         release.set()
         assert (await completed).response_body == b"hi"
 
 
 @async_test
-async def test_nor_does_a_copy_that_this_process_was_too_slow_to_read(
+async def test_a_duplicate_response_that_is_still_unread_does_not_answer_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # As after a stall of the process, when the delay is over and nothing was read.
+    # As after a stall of the process: the settle delay is over and nothing was read.
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -104,7 +104,7 @@
 
 
 @async_test
-async def test_the_most_recently_used_connection_is_reused_until_it_was_idle_too_long(
+async def test_the_most_recently_used_connection_is_reused_until_it_has_been_idle_for_too_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
@@ -178,10 +178,10 @@
 
 @async_test
 async def test_connections_are_limited_per_endpoint_and_in_total() -> None:
-    silent = ScriptedEndpoint(lambda _number: None)
+    unresponsive = ScriptedEndpoint(lambda _number: None)
     limit = MAX_CONNECTIONS_PER_ENDPOINT
     async with (
-        running_server(silent.handle_connection) as address,
+        running_server(unresponsive.handle_connection) as address,
         PoolHarness(address, max_connections=limit + 1) as harness,
     ):
         exchanges = [harness.start()[0] for _ in range(limit)]
@@ -210,13 +210,13 @@
 async def test_a_removed_endpoint_is_forgotten_once_its_last_connection_is_closed() -> None:
     release = asyncio.Event()
 
-    async def answer_when_released(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         await release.wait()
         writer.write(OK_RESPONSE)
         await reader.read()
 
-    async with running_server(answer_when_released) as address, PoolHarness(address) as harness:
+    async with running_server(respond_when_released) as address, PoolHarness(address) as harness:
         pool = harness.pool
         exchange, completed = harness.start()
         while not exchange.request_written:
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,8 +1,9 @@
-"""Repeats of keyed requests: written within the window in which the key is known, whatever holds them up."""
+"""Retries of requests with an idempotency key: none is written after the deduplication window."""
 
 from __future__ import annotations
 
 import asyncio
+import itertools
 import time
 from dataclasses import replace
 from typing import Any
@@ -11,6 +12,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.upstream import connector
+from tests.connect_faults import replace_create_connection
 from tests.loopback import (
     OK_RESPONSE,
     SETTINGS,
@@ -24,16 +26,16 @@
 )
 from tests.simulation import GatewaySimulation, endpoint_list, make_request, make_settings
 
-WINDOW = 0.5  # seconds
-HOLD_UP = 0.15  # seconds that a limiter may be held up between its clock and a write
+WINDOW_SECONDS = 0.5
+MAX_WRITE_DELAY_SECONDS = 0.15  # between the decision and the write, on a busy machine
 KEYED = model.RequestClass(
-    "entry", 2.0, 1.0, model.Idempotency.KEYED, deduplication_window=WINDOW, deadline=5.0
+    "entry", 2.0, 1.0, model.Idempotency.KEYED, deduplication_window=WINDOW_SECONDS, deadline=5.0
 )
 ERROR_RESPONSE = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
 
 def retry_errors(event: model.Event) -> list[model.Action]:
-    """Forward to s1, and repeat at s2 what failed there."""
+    """Forward each request to s1, and retry it at s2 if that fails."""
     if isinstance(event, model.Request):
         return [model.Forward(event.id, "s1", 5.0)]
     if isinstance(event, model.AttemptCompleted) and event.status is model.CallStatus.ERROR:
@@ -44,31 +46,17 @@
 
 
 @async_test
-async def test_a_repeat_whose_connect_takes_longer_than_the_window_is_not_written(
+async def test_a_retry_whose_connect_takes_longer_than_the_deduplication_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    class SlowLoop:
-        """An event loop whose second connection comes up late."""
+    connects = itertools.count(1)
 
-        connections = 0
-
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio.get_running_loop(), name)
-
-        async def create_connection(self, *args: Any) -> Any:
-            connected = await asyncio.get_running_loop().create_connection(*args)
-            SlowLoop.connections += 1
-            if SlowLoop.connections == 2:
-                time.sleep(WINDOW)
-            return connected
-
-    class Asyncio:
-        """The asyncio module with that event loop."""
-
-        get_running_loop = SlowLoop
-
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio, name)
+    async def connect_late(*args: Any) -> Any:
+        """Return the second connection only after the window."""
+        connected = await asyncio.get_running_loop().create_connection(*args)
+        if next(connects) == 2:
+            time.sleep(WINDOW_SECONDS)
+        return connected
 
     first = ScriptedEndpoint(lambda _number: ERROR_RESPONSE)
     second = ScriptedEndpoint(lambda _number: OK_RESPONSE)
@@ -82,7 +70,7 @@
         settings = replace(SETTINGS, classes=(*SETTINGS.classes, KEYED))
         limiter.dispatcher.reconfigure(settings)
         limiter.listener.parser.reconfigure(settings)
-        monkeypatch.setattr(connector, "asyncio", Asyncio())
+        replace_create_connection(monkeypatch, connector, connect_late)
         reader, writer = await limiter.connect()
         writer.write(http_request("/entry?account=00000000b4d65521", b"abc"))
         assert " 502 " in (await read_message(reader))[0]
@@ -91,11 +79,11 @@
 
 
 @pytest.mark.parametrize("window", [0.4, 1.5, 4.0])
-def test_a_repeat_is_decided_early_enough_to_be_held_up(window: float) -> None:
-    """Its write may come so much later than the decision, and has to be within the window."""
+def test_a_retry_is_decided_early_enough_for_a_late_write(window: float) -> None:
+    """Its write may be delayed by ``MAX_WRITE_DELAY_SECONDS``, and must be within the window."""
     scope = model.DeduplicationScope.CELL
     keyed = replace(KEYED, deduplication_scope=scope, deduplication_window=window)
-    repeated = list[float]()
+    retry_ages = list[float]()
     for step in range(1, 60):
         age = window * step / 50
         simulation = GatewaySimulation(make_settings(classes=(replace(keyed, latency_objective=9.0),)))
@@ -105,5 +93,5 @@
         simulation.now += age
         simulation.feed(model.AttemptCompleted(1, 0, sent.endpoint, model.CallStatus.ERROR, age, False, {}))
         if len(simulation.forwarded) > 1:
-            repeated.append(age)
-    assert repeated and max(repeated) <= window - HOLD_UP
+            retry_ages.append(age)
+    assert retry_ages and max(retry_ages) <= window - MAX_WRITE_DELAY_SECONDS
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -1,8 +1,9 @@
-"""Errors that no module expects: what depends on the call goes on, and whoever waits for it is told."""
+"""Unexpected errors: the service continues, and each attempt is reported as ended."""
 
 from __future__ import annotations
 
 import asyncio
+import itertools
 from random import Random
 from types import ModuleType
 from typing import Any
@@ -18,6 +19,7 @@
 from quota_gateway.net.discovery.watcher import EndpointWatcher
 from quota_gateway.net.upstream import connector, idle_connections
 from quota_gateway.net.upstream.exchange_control import ExchangeControl
+from tests.connect_faults import replace_create_connection
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -30,39 +32,23 @@
 
 
 class UnexpectedError(Exception):
-    """What a library raises that promises other errors."""
+    """An error that the called library does not document."""
 
 
-def fail_first_connect(monkeypatch: pytest.MonkeyPatch, module: ModuleType) -> list[int]:
-    """Have the first connect that the module makes raise; gives the calls so far."""
-    calls = list[int]()
+def fail_first_connect(monkeypatch: pytest.MonkeyPatch, module: ModuleType) -> None:
+    """Have the first connect that the module makes raise an unexpected error."""
+    connects = itertools.count(1)
 
-    class FailingLoop:
-        """The running event loop with another ``create_connection``."""
-
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio.get_running_loop(), name)
-
-        async def create_connection(self, *args: Any) -> Any:
-            calls.append(len(calls))
-            if len(calls) == 1:
-                raise UnexpectedError
-            return await asyncio.get_running_loop().create_connection(*args)
-
-    class Asyncio:
-        """The asyncio module with that event loop."""
-
-        get_running_loop = FailingLoop
-
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio, name)
+    async def fail_or_connect(*args: Any) -> Any:
+        if next(connects) == 1:
+            raise UnexpectedError
+        return await asyncio.get_running_loop().create_connection(*args)
 
-    monkeypatch.setattr(module, "asyncio", Asyncio())
-    return calls
+    replace_create_connection(monkeypatch, module, fail_or_connect)
 
 
 @async_test
-async def test_an_attempt_whose_connect_raises_ends_and_leaves_its_place(
+async def test_an_attempt_whose_connect_raises_ends_and_frees_its_connection_slot(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[Violation]
 ) -> None:
     async with (
@@ -78,7 +64,7 @@
 
 
 @async_test
-async def test_the_counter_is_connected_to_again_after_a_connect_that_raises(
+async def test_the_counter_client_connects_again_after_a_connect_that_raises(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connected = asyncio.Event()
@@ -98,7 +84,7 @@
 
 
 @async_test
-async def test_discovery_is_followed_on_after_an_error_of_the_watcher(
+async def test_the_watcher_polls_discovery_after_an_unexpected_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     polled = asyncio.Event()
@@ -126,10 +112,10 @@
 
 @pytest.mark.parametrize("on_reused_connection", [True, False])
 @async_test
-async def test_an_attempt_that_raises_behind_its_write_may_have_been_executed(
+async def test_an_attempt_that_raises_after_its_write_counts_as_possibly_executed(
     on_reused_connection: bool, monkeypatch: pytest.MonkeyPatch, no_violations: list[Violation]
 ) -> None:
-    """To call it not sent would allow an unsafe repeat."""
+    """Reported as not sent, it would allow an unsafe retry."""
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     script = ScriptedDecisions(forward_to_s1)
     async with (
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection over loopback sockets: what each ending proves, and the limits on a response."""
+"""One connection over loopback sockets: the status of each ending, and the limits on a response."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
         (empty_response("503 Full", "X-Not-Processed: 0\r\n"), CallStatus.ERROR),
         (b"", CallStatus.RESET_AFTER_REQUEST),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhi", CallStatus.TIMEOUT),
-        # Malformed: the request may have been executed, and the endpoint is not dead. Each is judged without
-        # waiting for its end.
+        # Malformed: the request may have been executed, and the endpoint is alive. Each ends the exchange
+        # without a wait for the rest of the response.
         (b"what is this\r\n\r\n", CallStatus.ERROR),
         (b"\x00\xff\x13\x37", CallStatus.ERROR),
         (b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", CallStatus.ERROR),
@@ -53,7 +53,9 @@
     ids=lambda value: value.name if isinstance(value, CallStatus) else repr(value[:60]),
 )
 @async_test
-async def test_each_ending_has_its_status(response: bytes, status: CallStatus) -> None:
+async def test_each_response_or_end_of_the_connection_gives_the_status_of_the_exchange(
+    response: bytes, status: CallStatus
+) -> None:
     async with (
         running_server(ScriptedEndpoint(lambda _number: response).handle_connection) as address,
         PoolHarness(address) as harness,
@@ -64,8 +66,8 @@
 
 
 @async_test
-async def test_a_break_with_bytes_still_buffered_proves_that_the_request_was_not_executed() -> None:
-    """After the last byte has left a break proves nothing."""
+async def test_a_break_while_part_of_the_request_is_buffered_proves_that_it_was_not_executed() -> None:
+    """Once the last byte is written, a break proves nothing."""
     accepted = asyncio.Event()
     break_connection = asyncio.Event()
 
@@ -83,20 +85,20 @@
 
 
 @async_test
-async def test_a_response_before_the_request_is_complete_is_none() -> None:
-    async def answer_unread(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def test_a_response_before_the_request_is_written_completely_is_ignored() -> None:
+    async def respond_without_reading(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(OK_RESPONSE)
         await asyncio.Event().wait()
 
-    async with running_server(answer_unread) as address, PoolHarness(address) as harness:
+    async with running_server(respond_without_reading) as address, PoolHarness(address) as harness:
         _, completed = harness.start(body=HUGE_BODY)
         assert (await completed).status is CallStatus.RESET_BEFORE_REQUEST
 
 
 @pytest.mark.parametrize("settle_delay", [0.0, idle_connections.SETTLE_DELAY_SECONDS])
 @async_test
-async def test_surplus_bytes_behind_a_response_do_not_answer_the_next_request(
+async def test_surplus_bytes_after_a_response_do_not_answer_the_next_request(
     settle_delay: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", settle_delay)
@@ -131,7 +133,7 @@
     ],
 )
 @async_test
-async def test_an_incomplete_response_is_malformed_and_no_time_out(
+async def test_an_incomplete_response_ends_as_malformed_and_not_as_a_timeout(
     incomplete: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.05)
@@ -146,14 +148,14 @@
 async def test_an_interim_response_does_not_start_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.02)
 
-    async def answer_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         writer.write(b"HTTP/1.1 103 Early Hints\r\n\r\n")
         await asyncio.sleep(0.1)
         writer.write(OK_RESPONSE)
         await reader.read()
 
-    async with running_server(answer_late) as address, PoolHarness(address) as harness:
+    async with running_server(respond_late) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).status is CallStatus.OK
 
 
@@ -161,7 +163,7 @@
     ("value", "charged"), [("3", 3.0), ("2.25", 2.25), ("-1", None), ("nan", None), ("", None), ("1e9", None)]
 )
 @async_test
-async def test_charged_units_are_read_where_they_are_a_number(value: str, charged: float | None) -> None:
+async def test_charged_units_are_read_if_they_are_a_number(value: str, charged: float | None) -> None:
     origin = ScriptedEndpoint(lambda _number: empty_response("200 OK", f"X-Units-Charged: {value}\r\n"))
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).charged_units == charged
