--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -1,4 +1,4 @@
-"""A connection pool with one endpoint, for the tests of the pool and of what it is made of."""
+"""A connection pool with one endpoint, for the tests of the pool and its parts."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def empty_response(status: str, extra_headers: str = "") -> bytes:
-    """A response without a body."""
+    """Return a response without a body."""
     return f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra_headers}\r\n".encode()
 
 
 class PoolHarness:
-    """A pool that knows ``ENDPOINT``, and exchanges to wait for; closed at the end of ``async with``."""
+    """A pool with the endpoint ``ENDPOINT``, closed at the end of ``async with``."""
 
     def __init__(
         self,
@@ -42,9 +42,10 @@
         max_connections: int = 200,
         connect_timeout: float = 5.0,
     ) -> None:
-        self.clock = unix_clock()
+        self._running_clock = unix_clock()
+        self._stopped_at: float | None = None
         self.pool = ConnectionPool(self.clock, connect_timeout, idle_timeout, max_connections)
-        self.pool.update_endpoint(ENDPOINT, address, True)
+        self.pool.update_endpoint(ENDPOINT, address, available=True)
 
     async def __aenter__(self) -> PoolHarness:
         return self
@@ -52,14 +53,18 @@
     async def __aexit__(self, *_: object) -> None:
         self.pool.close()
 
+    def clock(self) -> float:
+        """Return the time of the pool's clock, in seconds."""
+        return self._running_clock() if self._stopped_at is None else self._stopped_at
+
     def set_clock(self, now: float) -> None:
         """Stop the pool's clock at a time."""
-        self.clock = self.pool.clock = lambda: now
+        self._stopped_at = now
 
     def start(
         self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b""
     ) -> tuple[Exchange, asyncio.Future[Exchange]]:
-        """Start an exchange; the future has it when it is complete."""
+        """Start an exchange; return it with a future that has it once it is complete."""
         future = asyncio.get_running_loop().create_future()
         head = REQUEST_HEAD
         if body:
@@ -69,6 +74,6 @@
         return exchange, future
 
     async def fetch(self, timeout: float = 10.0, endpoint: str = ENDPOINT) -> Exchange:
-        """One exchange, when it is complete."""
+        """Return an exchange that is complete."""
         _, completed = self.start(timeout, endpoint)
         return await completed
