--- a/quota_gateway/decisions/account_table.py
+++ b/quota_gateway/decisions/account_table.py
@@ -44,7 +44,7 @@
         """Remove accounts without recent requests and open attempts."""
         for key, account in list(self.accounts.items()):
             is_idle = now - account.updated_at > IDLE_ACCOUNT_SECONDS and not account.open_attempts
-            # An account that is created anew starts with a full ceiling, so a partly used one is kept.
+            # A new account would start with a full ceiling, so an account with a partly used one stays.
             if is_idle and account.is_ceiling_full(now):
                 del self.by_counter_id[account.counter_id]
                 del self.accounts[key]
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -1,4 +1,4 @@
-"""State handed from one process of this gateway to the next while a new version takes over."""
+"""Sharing of limits and handover of state between the processes of one limiter during an upgrade."""
 
 from dataclasses import dataclass
 
@@ -7,34 +7,44 @@
 from quota_gateway.decisions.context import Context
 from quota_gateway.decisions.endpoint_set import EndpointSet
 from quota_gateway.decisions.slow_start import SlowStart
-from quota_gateway.model import HandOver, HandoverState, ProcessCountChanged
+from quota_gateway.model import (
+    AccountHandover,
+    EndpointHandover,
+    HandOver,
+    HandoverState,
+    ProcessCountChanged,
+)
 
-TAKE_OVER_TIME = 5.0  # seconds after its start in which a process takes another's state
-MAX_ACCOUNTS = 4000  # in a handover: those met last
+TAKE_OVER_SECONDS = 5.0  # time after its start in which a process takes over state
+MAX_ACCOUNTS = 4000  # in a handover; the accounts that were created last are kept
 
 
 @dataclass(slots=True, eq=False)
 class Handover:
-    """Splits the shares among the processes of this gateway, and exports and imports what they know."""
+    """Splits the limits among the processes of this limiter, and exports and imports state."""
 
     context: Context
     table: AccountTable
     endpoints: EndpointSet
     gate: AdmissionGate
     slow_start: SlowStart
-    has_imported: bool = False
+    has_taken_over: bool = False
 
     def on_process_count_changed(self, now: float, event: ProcessCountChanged) -> None:
-        """So many processes share all limits from now on; one that has come gets what this one knows."""
+        """Split all limits among the processes, and hand over state to a process that has joined."""
         has_grown = event.count > self.context.process_count
-        count = self.context.process_count = max(1, event.count)
+        self.context.set_process_count(event.count)
+        count = self.context.process_count
         alone_until = now - event.seconds_unknown
         accounts = [
             account.set_process_count(now, count, alone_until) for account in self.table.accounts.values()
         ]
-        if not has_grown or self.gate.controller.integral is None:
-            return
-        state = HandoverState(
+        has_state = self.gate.controller.integral is not None
+        if has_grown and has_state:
+            self.context.actions.append(HandOver(self._export(accounts)))
+
+    def _export(self, accounts: list[AccountHandover]) -> HandoverState:
+        return HandoverState(
             completion_rate=self.slow_start.completion_rate,
             mean_work=self.gate.work.mean_work,
             mean_units=self.gate.work.mean_units,
@@ -42,23 +52,29 @@
             endpoints=tuple(state.export() for state in self.endpoints.listed()),
             accounts=tuple(accounts[-MAX_ACCOUNTS:]),
         )
-        self.context.actions.append(HandOver(state))
 
     def take_over(self, now: float, state: HandoverState) -> None:
-        """Take what the process before knows, once and only when fresh; the controller starts anew."""
-        if self.has_imported or now - self.context.started_at > TAKE_OVER_TIME:
+        """Take over the state of another process, once and shortly after the start of this one."""
+        if self.has_taken_over or now - self.context.started_at > TAKE_OVER_SECONDS:
             return
-        self.has_imported = True
-        work = self.gate.work
-        self.slow_start.completion_rate = state.completion_rate or self.slow_start.completion_rate
-        work.mean_work = state.mean_work or work.mean_work
-        work.mean_units = state.mean_units or work.mean_units
-        work.base_latencies |= {name: base for name, base in state.base_latencies.items() if base > 0}
-        for handover in state.endpoints:
-            known = self.endpoints.by_name.get(handover.name)
-            if known is not None and known.endpoint.started_at == handover.started_at:
-                known.take_over(now, handover)
+        self.has_taken_over = True
+        self.slow_start.take_over(state.completion_rate)
+        self.gate.work.take_over(state.mean_work, state.mean_units, state.base_latencies)
+        for endpoint in state.endpoints:
+            self._take_over_endpoint(now, endpoint)
         for account in state.accounts:
-            if account.plan in self.context.plans:
-                own = self.table.find_or_create(now, account.plan, account.account, account.serving_gateways)
-                own.take_over(now, account)
+            self._take_over_account(now, account)
+
+    def _take_over_endpoint(self, now: float, handover: EndpointHandover) -> None:
+        """Take over the state of an endpoint that is still in the same incarnation."""
+        known = self.endpoints.by_name.get(handover.name)
+        if known is not None and known.endpoint.started_at == handover.started_at:
+            known.take_over(now, handover)
+
+    def _take_over_account(self, now: float, handover: AccountHandover) -> None:
+        """Take over an account whose plan is in the settings of this process."""
+        if handover.plan in self.context.plans:
+            account = self.table.find_or_create(
+                now, handover.plan, handover.account, handover.serving_gateways
+            )
+            account.take_over(now, handover)
--- a/quota_gateway/model/handover.py
+++ b/quota_gateway/model/handover.py
@@ -1,4 +1,4 @@
-"""What one process of a limiter hands to the next, so that an upgrade does not begin from nothing."""
+"""The state that one process of a limiter hands over to the next one during an upgrade."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointHandover:
-    """What a process knows of one endpoint; it holds for the incarnation that started at ``started_at``."""
+    """The state of one endpoint, valid for the incarnation that started at ``started_at``."""
 
     name: str
     started_at: float  # Unix time
-    warming_since: float | None  # None: warmed up
-    responses: int  # good ones in this incarnation
-    mean_slowdown: float  # mean latency of these over the idle latency
-    slowdown: float  # recent latency over the idle latency
-    work_rate: float  # work completed a second
+    warming_since: float | None  # Unix time; None: not in slow start
+    responses: int  # successful responses of this incarnation
+    mean_slowdown: float  # mean latency of these responses divided by the idle latency
+    slowdown: float  # recent latency divided by the idle latency
+    work_rate: float  # work completed per second
 
 
 @dataclass(frozen=True, slots=True)
 class AccountHandover:
-    """What a process knows of a customer's quota, and the part of the ceiling that it gives away."""
+    """The state of a customer's account, and the part of the ceiling that moves to the next process."""
 
     plan: str
     account: str
     serving_gateways: int
-    tokens: float  # units that the global bucket is taken to hold
+    tokens: float  # estimated units in the global bucket
     guaranteed_tokens: float  # units of the guaranteed share
     ceiling_tokens: float  # units of the ceiling that the next process gets
-    remote_usage_rate: float  # units a second that other gateways grant
-    last_synchronised: float  # time of the counter's last total
-    counter_total: float | None
+    remote_usage_rate: float  # units per second that other gateways grant
+    last_synchronised: float  # Unix time of the counter's last total
+    counter_total: float | None  # units; None: no total received
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """All of it, sent once to a process that has just started."""
+    """The complete state, sent once to a process that has just started; a value of 0 is unknown."""
 
-    completion_rate: float  # work that a warm endpoint completes a second
+    completion_rate: float  # work that a warm endpoint completes per second
     mean_work: float  # seconds of work of a request
-    mean_units: float  # of a request
-    base_latencies: Mapping[str, float]  # idle latency by request class
+    mean_units: float  # units of a request
+    base_latencies: Mapping[str, float]  # idle latency in seconds, by request class
     endpoints: tuple[EndpointHandover, ...]
     accounts: tuple[AccountHandover, ...]
--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -20,7 +20,7 @@
       sum never exceeds the ceiling's burst. An admitted request is charged to the part of its process.
     - Demand: moving average of the requested units per second, admitted or not.
 
-    All amounts are in units. Most customers send a single request, so an account is kept small.
+    All amounts are in units. Many customers send a single request, so the memory of an account matters.
     """
 
     __slots__ = (
--- a/quota_gateway/state/global_bucket.py
+++ b/quota_gateway/state/global_bucket.py
@@ -145,7 +145,9 @@
             self.unreported_usage = self.unreported_usage + call.amount - call.lease
             self.tokens += call.lease
         if status is CallStatus.OK:
-            uncovered = max(0.0, min(self.leased, -self.tokens))  # the bucket held less than was leased
+            uncovered = max(
+                0.0, min(self.leased, -self.tokens)
+            )  # the bucket had fewer units than were leased
             self.return_lease(uncovered)
         self.tokens = max(self.tokens, -self.lease_requested)
         return call
