--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -77,8 +77,10 @@
         """Refill the global bucket, the guaranteed share and the ceiling up to ``now``."""
         elapsed = max(0.0, now - self.updated_at)
         self.updated_at = now
-        self.refill_tokens(now, elapsed)
         plan = self.plan
+        # The next total deducts the remote usage since the last one; until then the burst may be exceeded.
+        capacity = plan.burst + plan.rate * (now - self.last_synchronised)
+        self.tokens = refilled(self.tokens, plan.rate, elapsed, capacity)
         guaranteed_rate = plan.rate / self.share_count
         self.guaranteed_tokens = refilled(
             self.guaranteed_tokens, guaranteed_rate, elapsed, self.guaranteed_capacity
--- a/quota_gateway/state/global_bucket.py
+++ b/quota_gateway/state/global_bucket.py
@@ -4,7 +4,6 @@
 
 from typing import NamedTuple
 
-from quota_gateway.arithmetic import refilled
 from quota_gateway.model import MAY_BE_COUNTED, CallStatus, Plan
 
 # Fraction of their even shares that the other gateways are assumed to use before the counter's first reply.
@@ -86,12 +85,6 @@
         self.plan = plan
         self.is_sparse = plan.burst < 2 * self.serving_gateways  # the even share is less than two units
 
-    def refill_tokens(self, now: float, elapsed: float) -> None:
-        """Add the tokens of ``elapsed`` seconds; the capacity includes the refill since the last total."""
-        plan = self.plan
-        capacity = plan.burst + plan.rate * (now - self.last_synchronised)
-        self.tokens = refilled(self.tokens, plan.rate, elapsed, capacity)
-
     def expected_remote_usage(self, now: float) -> float:
         """Return the expected usage of the other gateways since the counter's last total."""
         return self.remote_usage_rate * (now - self.last_synchronised)
