--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -209,7 +209,8 @@
     result.notes.append(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
         f"{recent} of {size.tenants} come within the {IDLE_ACCOUNT_SECONDS:.0f} s "
-        "after which one is forgotten: the third share is the lines' at that number, the second that of a limiter that knows all"
+        "after which one is forgotten: the third share is the lines' at that number, "
+        "the second that of a limiter that knows all"
     )
     few = SimulatedLimiter(size, full_spread=False, seed=1).tenants
     for costs, customers in (
