--- a/quota_gateway/net/client/connection.py
+++ b/quota_gateway/net/client/connection.py
@@ -1,228 +1,161 @@
-"""One client connection: the order of its requests and responses, and when it is read, written and closed."""
+"""The event loop's protocol of one client connection: opening, idle timeout, eviction and closing."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-from collections import deque
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
-from quota_gateway.net.client.closing import ConnectionCloser
-from quota_gateway.net.client.liveness import ClientLiveness
-from quota_gateway.net.client.request import ClientRequest
-from quota_gateway.net.client.request_reader import MAX_PIPELINE, RequestReader
-from quota_gateway.net.client.stats import CloseReason
-from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.client.eviction import EvictionPriority, EvictionRank
+from quota_gateway.net.client.request_intake import RequestIntake
+from quota_gateway.net.client.request_pipeline import RequestPipeline
+from quota_gateway.net.client.shared_state import SharedState
+from quota_gateway.net.client.stats import VOLUNTARY, CloseReason
+from quota_gateway.net.client.transport import ClientTransport
+from quota_gateway.net.common.invariants import Invariant
 
-if TYPE_CHECKING:
-    from quota_gateway.net.client.listener import ClientListener
+IDLE_TIMEOUT_SECONDS = 2.05  # an idle connection may be closed after 2 s; a faulty client's must be by 3 s
 
-log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT = 2.05  # seconds: a kept connection may be closed after 2, a bad client's must be by 3
-RESPONSE_STALL_TIMEOUT = 15.0  # seconds in which a client takes nothing of a streamed response
-CONNECTION_CLOSE = b"Connection: close\r\n"
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+class ConnectionOwner(Protocol):
+    """The listener of a connection."""
+
+    shared: SharedState
+    intake: RequestIntake
+
+    def on_connected(self, connection: ClientConnection) -> None:
+        """Register an established connection."""
+
+    def on_disconnected(self, connection: ClientConnection) -> None:
+        """Unregister a connection whose transport is closed."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """Queues the requests of one connection and writes their responses in order."""
+    """Closes its connection in the ways that the pipeline, the listener and the client require.
+
+    Every close by the limiter records its reason in ``_record_close``, which guards the invariant that no
+    unanswered request is closed on.
+    """
 
     __slots__ = (
-        "_write_blocked",
-        "closer",
-        "discards_input",
-        "has_sent_data",
-        "listener",
-        "liveness",
-        "phase_started_at",
-        "reader",
-        "reading_paused",
-        "received_after",
-        "request_queue",
+        "_close_reason",
+        "_has_sent_data",
+        "_owner",
+        "_shared",
+        "pipeline",
         "transport",
     )
 
-    def __init__(self, listener: ClientListener) -> None:
-        """Create the protocol of a connection that ``listener`` accepts."""
-        now = listener.clock()
-        self.listener = listener
-        self.transport: asyncio.Transport | None = None  # until the connection closes
-        self.request_queue = deque[ClientRequest]()  # requests whose response is not written yet
-        self.reader = RequestReader(self)
-        self.liveness = ClientLiveness(self, now)
-        self.closer = ConnectionCloser(self)
-        self.phase_started_at = now  # of the last connect, begin of a request or end of a response
-        self.received_after = now  # what is read now, or an end of input, may have come since
-        self.discards_input = False  # nothing more is parsed, what is received is dropped
-        self.reading_paused = False
-        self.has_sent_data = False
-        self._write_blocked = False  # the client does not take what is written
+    def __init__(self, owner: ConnectionOwner) -> None:
+        """Create the protocol of a connection that ``owner`` accepts."""
+        self._owner = owner
+        self._shared = owner.shared
+        self._close_reason = CloseReason.BY_CLIENT  # until the limiter closes the connection
+        self._has_sent_data = False
+        self.transport = ClientTransport()
+        self.pipeline = RequestPipeline(self.transport, self, owner.intake, owner.shared)
+
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the listener."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        self.listener.connected(self)
+        self.transport.on_connected(cast(asyncio.Transport, transport))  # uvloop's is not a subclass
+        self._owner.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister, and give up what is unanswered."""
-        self.transport = None
-        self.closer.detach()
-        self.listener.stats.ended[self.closer.reason] += 1
-        self.listener.active_connections -= self.has_sent_data
-        self.listener.disconnected(self)
-        self.notify_disconnected()
-
-    def notify_disconnected(self) -> None:
-        """Give up the queued requests, and tell the handler of those that are unanswered."""
-        requests = self.request_queue
-        self.request_queue = deque()
-        for request in requests:
-            if request.response_stream is not None:
-                request.on_client_disconnected()
-            elif request.response is None:
-                self.listener.open_request_ids.discard(request.request_id)
-                self.listener.handler.on_client_disconnected(request)
+        """Unregister, and end the requests without a response."""
+        self.transport.on_lost()
+        self._shared.stats.record_end(self._close_reason)
+        if self._has_sent_data:
+            self._shared.remove_active_connection()
+        self._owner.on_disconnected(self)
+        self.pipeline.disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Parse input, or discard it on a connection that is closing."""
-        if self.discards_input:
-            self.closer.discard(len(data))
-            return
-        listener = self.listener
-        listener.active_connections += not self.has_sent_data
-        self.has_sent_data = True
-        now = listener.clock()
-        listener.stalls.mark(now)
-        self.received_after = listener.stalls.unread_since(now)
-        self.reader.feed(data)
+        """Pass received bytes on to the pipeline."""
+        if not self._has_sent_data:
+            self._has_sent_data = True
+            self._shared.add_active_connection()
+        self.pipeline.receive(data)
 
     def eof_received(self) -> bool:
-        """Keep the connection open where responses are owed: the client may wait for them half-closed."""
-        if self.transport is None or not self.request_queue or self.reader.body.upload is not None:
-            return False
-        self.liveness.on_input_ended()
-        return True
-
-    def flush(self) -> None:
-        """Write the responses whose turn has come."""
-        listener = self.listener
-        while self.request_queue and self.transport is not None:
-            request = self.request_queue[0]
-            if request.response_stream is not None:
-                self._start_stream(request, request.response_stream)
-                break  # the requests behind it follow when it is finished
-            if request.response is None:
-                break
-            self.request_queue.popleft()
-            self.phase_started_at = listener.clock()
-            headers, length_and_body = request.response
-            # Of pipelined responses only the last one closes: the requests behind are accepted too.
-            is_last = not self.request_queue and (listener.closes_connections or self.liveness.input_ended)
-            close = is_last or not request.keep_alive
-            self.transport.write(headers + (CONNECTION_CLOSE if close else b"") + length_and_body)
-            if close:
-                self.closer.close_after_response()
-        self.update_reading()
-
-    def _start_stream(self, request: ClientRequest, stream: BodyStream) -> None:
-        head = request.response_head
-        if head is None:
-            return  # started already
-        request.response_head = None
-        request.last_progress = self.listener.clock()
-        request.keep_alive = request.keep_alive and not self.listener.closes_connections
-        self.write(head + (b"" if request.keep_alive else CONNECTION_CLOSE) + b"\r\n")
-        stream.attach(request, not self._write_blocked)
-
-    def on_stream_finished(self, request: ClientRequest) -> None:
-        """A streamed response is written to its end."""
-        if not self.request_queue or self.request_queue[0] is not request:
-            return
-        self.request_queue.popleft()
-        self.phase_started_at = self.listener.clock()
-        if (not request.keep_alive or self.liveness.input_ended) and not self.request_queue:
-            self.closer.close_after_response()
-        self.flush()
-
-    def write(self, data: bytes) -> None:
-        """Write, unless the connection is closing."""
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(data)
-
-    def write_continue(self) -> None:
-        """Write an interim response."""
-        if self.transport is not None:
-            self.transport.write(CONTINUE)
+        """Return whether the connection stays open because its client may be half-closed."""
+        return self.transport.is_open and self.pipeline.end_input()
 
     def pause_writing(self) -> None:
-        """The write buffer is full."""
-        self._set_write_blocked(True)
+        """Stop producing output: the write buffer is full."""
+        self.pipeline.set_write_blocked(blocked=True)
 
     def resume_writing(self) -> None:
-        """The write buffer has drained."""
-        self._set_write_blocked(False)
-
-    def _set_write_blocked(self, blocked: bool) -> None:
-        self._write_blocked = blocked
-        first = self.request_queue[0] if self.request_queue else None
-        if first is not None and first.response_stream is not None and first.response_head is None:
-            first.last_progress = self.listener.clock()
-            first.response_stream.set_writable(not blocked)
-        self.update_reading()
-
-    def update_reading(self) -> None:
-        """Read only while responses are taken: what a client does not read would fill the memory."""
-        stop = self._write_blocked or self.reader.body.paused or len(self.request_queue) >= MAX_PIPELINE
-        stop = stop or (self.discards_input and bool(self.request_queue))
-        if self.transport is None or self.transport.is_closing() or stop is self.reading_paused:
-            return
-        self.reading_paused = stop
-        if stop:
-            self.transport.pause_reading()
-        else:
-            self.transport.resume_reading()
+        """Produce output again: the write buffer has drained."""
+        self.pipeline.set_write_blocked(blocked=False)
 
-    def reject(self, status: int) -> None:
-        """Answer malformed or overdue input behind the queued requests, and close."""
-        self.discards_input = True
-        request = ClientRequest(self, keep_alive=False)
-        self.request_queue.append(request)
-        request.respond(status)
+    # Timeouts and eviction.
 
     def check_timeouts(self, now: float) -> None:
-        """Close idle clients and answer slow ones: both hold a descriptor and memory."""
-        age = now - self.phase_started_at
-        if self.transport is None:
-            return
-        if self.reader.body.upload is not None:
-            self._check_upload(now)
-        elif self.reader.in_message and not self.reading_paused and self.reader.is_overdue(now):
-            self.reject(408)  # also behind requests that wait for their responses
-        elif self.request_queue:
-            self._check_response(now)
-        elif not self.reader.in_message and (age > IDLE_TIMEOUT or self.listener.closes_idle_connections):
-            self.closer.close_idle()
-
-    def _check_upload(self, now: float) -> None:
-        if self.reading_paused:
-            self.liveness.poll()
-        if self.transport is None or not self.reader.body.is_upload_stalled(now):
+        """Close an idle connection and respond to a slow client: both hold a descriptor and memory."""
+        if not self.transport.is_open:
             return
-        request = self.request_queue[-1]
-        self.listener.handler.on_client_disconnected(request)
-        request.respond(408)
-
-    def _check_response(self, now: float) -> None:
-        first = self.request_queue[0]
-        if self.reading_paused and not self.liveness.input_ended:
-            self.liveness.poll()
+        if not self.pipeline.is_idle:
+            self.pipeline.check_timeouts(now)
+        elif (
+            now - self.pipeline.queue.active_at > IDLE_TIMEOUT_SECONDS or self._shared.closes_idle_connections
+        ):
+            self._close_idle(CloseReason.IDLE)
+
+    def eviction_rank(self) -> EvictionRank | None:
+        """Return the place in the order of eviction; None if the connection must not be evicted."""
+        if self.transport.is_lingering:
+            priority = EvictionPriority.LINGERING
+        elif not self.transport.is_open or self.pipeline.queue:
+            return None
+        elif not self._has_sent_data:
+            priority = EvictionPriority.NEVER_SENT_DATA
+        elif self.pipeline.reader.in_request:
+            priority = EvictionPriority.PARTIAL_REQUEST
+        else:
+            priority = EvictionPriority.IDLE
+        return EvictionRank(priority, self.pipeline.queue.active_at)
+
+    def evict(self) -> bool:
+        """Close or reset unless a request, or the rest of one, is unread; return whether that was done."""
+        if self.transport.is_open and not self.pipeline.reader.in_request:
+            return self._close_idle(CloseReason.EVICTED)
+        if self.transport.is_open and self.transport.has_unread_input:
+            return False
+        self.abort(CloseReason.EVICTED)
+        return True
+
+    # Closing.
+
+    def close_after_response(self) -> None:
+        """Half-close behind a response, and discard input for a while (lingering close)."""
+        if not self.transport.is_open:
             return
-        stalled = now - first.last_progress > RESPONSE_STALL_TIMEOUT
-        if first.response_stream is not None and self._write_blocked and stalled:
-            log.warning("a client took nothing of its streamed response")
-            self.abort(CloseReason.STALLED)
+        self._record_close(CloseReason.RESPONSE)
+        self.pipeline.reader.stop()
+        self.transport.half_close()
+        self.pipeline.disconnect()
+
+    def _close_idle(self, reason: CloseReason) -> bool:
+        """Close between two requests, unless input is unread; return whether the connection was closed."""
+        if not self.transport.close_without_input():
+            return False
+        self._record_close(reason)
+        self.pipeline.reader.stop()
+        return True
 
     def abort(self, reason: CloseReason) -> None:
         """Reset the connection at once."""
-        self.closer.abort(reason)
+        self._record_close(reason)
+        self.pipeline.disconnect()
+        self.transport.abort()
+
+    def _record_close(self, reason: CloseReason) -> None:
+        if self._close_reason is CloseReason.BY_CLIENT:
+            self._close_reason = reason
+        if reason not in VOLUNTARY:
+            return
+        unanswered = self.pipeline.queue.unanswered_ids()
+        if unanswered:
+            story = f"{reason} with unanswered requests: {', '.join(unanswered)}"
+            self._shared.metrics.invariants.report(Invariant.ANSWERED_BEFORE_CLOSE, story)
--- /dev/null
+++ b/quota_gateway/net/client/eviction.py
@@ -0,0 +1,22 @@
+"""The order in which connections are evicted when a listener is at its limit."""
+
+from __future__ import annotations
+
+import enum
+from typing import NamedTuple
+
+
+class EvictionPriority(enum.IntEnum):
+    """The kinds of connections without an open request; lower ones are evicted first."""
+
+    LINGERING = 0
+    NEVER_SENT_DATA = 1
+    PARTIAL_REQUEST = 2
+    IDLE = 3
+
+
+class EvictionRank(NamedTuple):
+    """The place of a connection in the order of eviction; the lowest rank is evicted first."""
+
+    priority: EvictionPriority
+    phase_started_at: float  # seconds of the event loop's clock
--- a/quota_gateway/net/client/liveness.py
+++ b/quota_gateway/net/client/liveness.py
@@ -3,151 +3,165 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import select
-import socket
-import struct
-from typing import TYPE_CHECKING
+import enum
+from collections.abc import Callable
+from typing import Protocol
 
-from quota_gateway.net.client.stats import CloseReason
+from quota_gateway.net.common.socket_calls import PeerState
 
-if TYPE_CHECKING:
-    from quota_gateway.net.client.connection import ClientConnection
+RESET_WAIT_SECONDS = 0.1  # a disconnected client's reset arrives within a round trip and an event loop delay
+# An attempt may begin until 0.1 s after the end of the client's input; the rest is left to a slow event loop.
+# A client that was seen within this time is not polled either.
+PRESENCE_GRACE_SECONDS = 0.05
 
-# Seconds in which a client that has gone shows it by a reset: a round trip, and a slow event loop.
-RESET_WAIT = 0.1
-# Seconds after the end of a client's input in which an attempt for it may still begin: 0.1 s are allowed, and
-# a slow event loop needs its part of them. For as long a client that was seen is taken to be there unpolled.
-PRESENCE_GRACE = 0.05
-TCP_INFO_SIZE = 64  # bytes of struct tcp_info (Linux), up to the times of the last segments
-LAST_DATA_RECEIVED = 52  # offset of tcpi_last_data_recv: milliseconds since the last byte came
-NATIVE_UNSIGNED = struct.Struct("I")
+
+class WatchedTransport(Protocol):
+    """The transport of the client that is watched."""
+
+    @property
+    def is_open(self) -> bool:
+        """Whether the connection has not been ended."""
+
+    @property
+    def is_writable(self) -> bool:
+        """Whether the connection has neither been ended nor failed."""
+
+    def poll_peer(self) -> PeerState:
+        """Return what the socket shows of the client."""
+
+    def has_error(self) -> bool:
+        """Whether a reset was received."""
+
+
+class LivenessObserver(Protocol):
+    """Receives the findings on its client."""
+
+    def on_client_reset(self) -> None:
+        """Abort the connection: its client has disconnected."""
+
+    def on_confirmation_needed(self) -> None:
+        """Send an interim response if one is allowed; a disconnected client responds with a reset."""
+
+    def on_client_maybe_disconnected(self) -> None:
+        """Withdraw the attempts that have not been sent; those in flight may still answer the client."""
+
+    def on_client_confirmed(self) -> None:
+        """Resume an upload that was deferred until the client proved to be half-closed."""
+
+    def has_queued_requests(self) -> bool:
+        """Whether the client still waits for a response."""
+
+
+class Confirmation(enum.Enum):
+    """Whether a client that ended its input has proved to be half-closed."""
+
+    NOT_STARTED = enum.auto()
+    RUNNING = enum.auto()  # the interim response was sent, and a reset may follow
+    CONFIRMED = enum.auto()  # no reset followed
 
 
 class ClientLiveness:
-    """What is known of the client's presence.
+    """The knowledge about the presence of one client.
 
-    A client that ends its input has gone, or waits half-closed for its responses. One that has gone meets the
-    next bytes with a reset: an interim response is sent, and ``RESET_WAIT`` later the socket tells.
+    A client that ends its input has disconnected, or is half-closed and waits for its responses. To
+    distinguish these, an interim response is sent: a disconnected client responds to it with a reset, which
+    the socket shows ``RESET_WAIT_SECONDS`` later.
     """
 
     __slots__ = (
-        "_connection",
+        "_clock",
+        "_confirmation",
         "_input_ended_at",
-        "_is_confirmed",
-        "_is_confirming",
+        "_last_seen_at",
+        "_observer",
+        "_transport",
         "input_ended",
-        "last_seen_at",
     )
 
-    def __init__(self, connection: ClientConnection, now: float) -> None:
-        """Take the client of a new connection as seen ``now``."""
-        self._connection = connection
-        self._input_ended_at: float | None = None  # the earliest time at which it may have ended
-        self._is_confirming = False  # an interim response has been sent
-        self._is_confirmed = False  # and no reset followed
+    def __init__(
+        self, transport: WatchedTransport, observer: LivenessObserver, clock: Callable[[], float]
+    ) -> None:
+        """Watch the client of a new connection, which counts as seen now."""
+        self._transport = transport
+        self._observer = observer
+        self._clock = clock
+        self._confirmation = Confirmation.NOT_STARTED
+        self._input_ended_at: float | None = None  # the earliest possible time
+        self._last_seen_at = clock()  # when the input had not ended
         self.input_ended = False  # the event loop has read the end of the input
-        self.last_seen_at = now  # when the input had not ended
 
-    @property
-    def is_in_doubt(self) -> bool:
-        """Whether the client may have gone, and has not been confirmed to wait half-closed."""
-        return self._input_ended_at is not None and not self._is_confirmed
+    def record_seen(self, at: float) -> None:
+        """Record that the input had not ended at a time of the clock."""
+        self._last_seen_at = at
+
+    def has_left(self) -> bool:
+        """Whether the client is known to have disconnected, or may have and is not confirmed half-closed.
 
-    def was_seen_recently(self, now: float) -> bool:
-        """Whether the client's input had not ended within ``PRESENCE_GRACE``."""
-        return now - self.last_seen_at <= PRESENCE_GRACE
+        A client that was not seen recently is polled.
+        """
+        if not self._transport.is_open or self._was_seen_recently():
+            return False
+        self.poll()
+        if not self._transport.is_open:
+            return True
+        return self._input_ended_at is not None and self._confirmation is not Confirmation.CONFIRMED
 
     def is_connected(self) -> bool:
         """Whether an attempt may begin for the client.
 
-        The socket is polled where the event loop may not have read the end yet. A client that ended its input
-        within ``PRESENCE_GRACE`` may wait half-closed, and is served. A poll that finds it gone aborts
-        the connection, and one that is in doubt has unsent attempts withdrawn.
+        The socket is polled, because the event loop may not have read the end of the input yet. A client that
+        ended its input within ``PRESENCE_GRACE_SECONDS`` may be half-closed and is served. If it ended its
+        input earlier, its unsent attempts are withdrawn; if it sent a reset, its connection is aborted.
         """
-        connection = self._connection
-        if connection.transport is None or connection.transport.is_closing():
+        if not self._transport.is_writable:
             return False
-        if self._input_ended_at is None and self.was_seen_recently(connection.listener.clock()):
+        if self._input_ended_at is None and self._was_seen_recently():
             return True
         self.poll()
-        if connection.transport is None:
+        if not self._transport.is_open:
             return False
         ended_at = self._input_ended_at
-        if ended_at is not None and connection.listener.clock() - ended_at > PRESENCE_GRACE:
-            self._notify_maybe_gone()
+        if ended_at is not None and self._clock() - ended_at > PRESENCE_GRACE_SECONDS:
+            self._observer.on_client_maybe_disconnected()
             return False
         return True
 
-    def seconds_unread(self) -> float:
-        """Seconds that what has just been read had waited, if this process may have stood still meanwhile."""
-        connection = self._connection
-        now = connection.listener.clock()
-        if connection.transport is None or not connection.listener.stalls.is_after_stall(now):
-            return 0.0
-        elapsed = now - connection.received_after
-        client_socket = connection.transport.get_extra_info("socket")
-        with contextlib.suppress(OSError, struct.error):
-            info = client_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
-            (milliseconds,) = NATIVE_UNSIGNED.unpack_from(info, LAST_DATA_RECEIVED)
-            return float(min(elapsed, milliseconds / 1000))
-        return 0.0
+    def _was_seen_recently(self) -> bool:
+        return self._clock() - self._last_seen_at <= PRESENCE_GRACE_SECONDS
 
     def poll(self) -> None:
-        """Look at the socket: while the input is not read, nothing else shows that the client has gone."""
-        connection = self._connection
-        assert connection.transport is not None
-        poll = select.poll()
-        now = connection.listener.clock()
-        poll.register(connection.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-        found = poll.poll(0)
-        if not found:
-            self.last_seen_at = now
-            return
-        _, events = found[0]
-        if events & ~select.POLLRDHUP:
-            connection.abort(CloseReason.CLIENT_GONE)
-            return
-        if self._input_ended_at is None:
-            self._input_ended_at = self.last_seen_at
-        self._start_confirmation()
+        """Examine the socket: while input is not read, nothing else shows that the client disconnected."""
+        now = self._clock()
+        state = self._transport.poll_peer()
+        if state is PeerState.CONNECTED:
+            self._last_seen_at = now
+        elif state is PeerState.RESET:
+            self._observer.on_client_reset()
+        else:
+            if self._input_ended_at is None:
+                self._input_ended_at = self._last_seen_at
+            self._start_confirmation()
 
     def on_input_ended(self) -> None:
-        """The event loop has read the end of the input, and responses are owed."""
+        """Record that the event loop has read the end of the input while responses are pending."""
         self.input_ended = True
         if self._input_ended_at is None:
-            self._input_ended_at = self._connection.listener.clock()
+            self._input_ended_at = self._clock()
         self._start_confirmation()
 
     def _start_confirmation(self) -> None:
-        if self._is_confirming:
+        if self._confirmation is not Confirmation.NOT_STARTED:
             return
-        self._is_confirming = True
-        first = self._connection.request_queue[0]
-        if first.response_stream is None and not first.is_http_1_0:
-            self._connection.write_continue()
-        asyncio.get_running_loop().call_later(RESET_WAIT, self._finish_confirmation)
+        self._confirmation = Confirmation.RUNNING
+        self._observer.on_confirmation_needed()
+        asyncio.get_running_loop().call_later(RESET_WAIT_SECONDS, self._finish_confirmation)
 
     def _finish_confirmation(self) -> None:
-        """Nothing more is forwarded for a client that may have gone; attempts in flight may answer it."""
-        connection = self._connection
-        if connection.transport is None or connection.transport.is_closing() or not connection.request_queue:
+        if not self._transport.is_writable or not self._observer.has_queued_requests():
             return
-        if _has_socket_error(connection.transport):
-            connection.abort(CloseReason.CLIENT_GONE)
+        if self._transport.has_error():
+            self._observer.on_client_reset()
             return
-        self._is_confirmed = True
-        self._notify_maybe_gone()
-        connection.reader.body.on_client_confirmed()
-
-    def _notify_maybe_gone(self) -> None:
-        connection = self._connection
-        for request in list(connection.request_queue):
-            if request.response is None and request.response_stream is None:
-                connection.listener.handler.on_client_maybe_gone(request)
-
-
-def _has_socket_error(transport: asyncio.Transport) -> bool:
-    """Whether a reset has been received, also while nothing is read."""
-    client_socket = transport.get_extra_info("socket")
-    return bool(client_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+        self._confirmation = Confirmation.CONFIRMED
+        self._observer.on_client_maybe_disconnected()
+        self._observer.on_client_confirmed()
--- a/quota_gateway/net/client/request.py
+++ b/quota_gateway/net/client/request.py
@@ -1,30 +1,29 @@
-"""One request of a client, and the place of its response among those of its connection."""
+"""One request of a client, with its one final response."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from quota_gateway import model
+from quota_gateway.net.client.shared_state import SharedState
 from quota_gateway.net.client.stats import CloseReason
 from quota_gateway.net.common.body_stream import BodyStream
 from quota_gateway.net.common.invariants import Invariant
 
-if TYPE_CHECKING:
-    from quota_gateway.net.client.connection import ClientConnection
-
 REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
     409: b"Conflict", 413: b"Content Too Large", 429: b"Too Many Requests", 500: b"Internal Server Error",
     502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
 }  # fmt: skip
 STATUS_LINES = {code: b"HTTP/1.1 %d %b\r\n" % (code, reason) for code, reason in REASON_PHRASES.items()}
+CONNECTION_CLOSE = b"Connection: close\r\n"
 
 
 class RequestHandler(Protocol):
-    """Receives the requests of all client connections and what becomes of their clients."""
+    """Receives the requests of all client connections and the disconnects of their clients."""
 
     def on_request(self, request: ClientRequest) -> None:
-        """A request was accepted; of a streamed upload the body is still to come."""
+        """A request was accepted; the body of a streamed upload is still being received."""
 
     def on_upload_completed(self, request: ClientRequest) -> None:
         """The last byte of a streamed upload was received."""
@@ -33,43 +32,113 @@
         """The client of an unanswered request has disconnected."""
 
     def on_client_maybe_gone(self, request: ClientRequest) -> None:
-        """The client of an unanswered request ended its sending side and may be gone."""
+        """The client of an unanswered request ended its sending side and may have disconnected."""
+
+
+class ClientPresence(Protocol):
+    """Whether the client of a request is still there."""
+
+    def is_connected(self) -> bool:
+        """Whether an attempt may begin for the client."""
+
+
+class RequestConnection(Protocol):
+    """The connection of a request, as far as its response needs it."""
+
+    shared: SharedState
+
+    @property
+    def liveness(self) -> ClientPresence:
+        """The presence of the client."""
+
+    def write_responses(self) -> None:
+        """Write the responses whose turn it is."""
+
+    def on_stream_finished(self, request: ClientRequest) -> None:
+        """Continue behind a streamed response that is written completely."""
+
+    def write(self, data: bytes) -> None:
+        """Write, unless the connection is closing."""
+
+    def abort(self, reason: CloseReason) -> None:
+        """Reset the connection."""
+
+    def discard_upload(self) -> None:
+        """Discard the rest of the upload of a request that has its response already."""
 
 
 class ClientRequest:
-    """A request with its one final response, either whole or streamed (it is the sink of the stream)."""
+    """A request with its one final response, complete or streamed (the request is the sink of the stream).
+
+    At most one of ``response_head`` and ``response_stream`` is ever set, once.
+    """
 
     __slots__ = (
         "_chunked",
         "_connection",
+        "_last_progress_at",
+        "_length_and_body",
+        "_stream_head",
         "event",
         "forwarded_body",
         "forwarded_head",
         "is_http_1_0",
         "keep_alive",
-        "last_progress",
         "request_id",
-        "response",
         "response_head",
         "response_stream",
         "upload",
     )
 
-    def __init__(self, connection: ClientConnection, keep_alive: bool, is_http_1_0: bool = False) -> None:
+    def __init__(
+        self,
+        connection: RequestConnection,
+        *,
+        keep_alive: bool,
+        is_http_1_0: bool = False,
+        upload: BodyStream | None = None,
+    ) -> None:
         """Create a request whose response is written to ``connection``."""
         self._connection = connection
         self._chunked = False  # whether the streamed response is in chunks
+        self._length_and_body = b""  # of a complete response: Content-Length, empty line and body
+        self._last_progress_at = 0.0  # when the client last accepted data of the streamed response
+        self._stream_head: bytes | None = None  # of the streamed response, until it is written
         self.keep_alive = keep_alive
         self.is_http_1_0 = is_http_1_0
         self.event: model.Request | None = None
         self.request_id = b""
-        self.forwarded_head = b""  # forwarded: the request line and headers without the empty line
+        self.forwarded_head = b""  # request line and headers for the endpoint, without the empty line
         self.forwarded_body = b""
-        self.upload: BodyStream | None = None  # a streamed body, in place of ``forwarded_body``
-        self.response: tuple[bytes, bytes] | None = None  # around the place of a ``Connection: close``
-        self.response_stream: BodyStream | None = None  # a streamed response, in place of ``response``
-        self.response_head: bytes | None = None  # of the streamed response, until it is written
-        self.last_progress = 0.0  # when the client last took something of the streamed response
+        self.upload = upload  # a streamed body, in place of ``forwarded_body``
+        self.response_head: bytes | None = None  # status line and headers of a complete response
+        self.response_stream: BodyStream | None = None
+
+    # The request.
+
+    @property
+    def is_answered(self) -> bool:
+        """Whether the final response has been set, or its stream has begun."""
+        return self.response_head is not None or self.response_stream is not None
+
+    def accept(
+        self, event: model.Request, request_id: bytes, forwarded_head: bytes, forwarded_body: bytes
+    ) -> None:
+        """Set the contents of a valid request, whose id is registered as open."""
+        self.event = event
+        self.request_id = request_id
+        self.forwarded_head = forwarded_head
+        self.forwarded_body = forwarded_body
+
+    def update_event(self, event: model.Request) -> None:
+        """Replace the event, whose remaining time has changed."""
+        self.event = event
+
+    def is_client_connected(self) -> bool:
+        """Whether an attempt may begin: not for a client that left or ended its sending side a while ago."""
+        return self._connection.liveness.is_connected()
+
+    # The response.
 
     def respond(
         self, status: int, body: bytes = b"", headers: bytes = b"", retry_after: float | None = None
@@ -82,15 +151,32 @@
             return
         connection = self._connection
         if self.upload is not None and not self.upload.complete:
-            connection.reader.discard_upload()
+            connection.discard_upload()
             self.keep_alive = False
-        connection.listener.open_request_ids.discard(self.request_id)
+        connection.shared.open_request_ids.discard(self.request_id)
         if self.event is not None:
-            connection.listener.metrics.record_request(self.event.request_class, status)
+            connection.shared.metrics.record_request(self.event.request_class, status)
         retry_header = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
-        length_header = b"Content-Length: %d\r\n\r\n" % len(body)
-        self.response = b"".join((STATUS_LINES[status], headers, retry_header)), length_header + body
-        connection.flush()
+        self.response_head = b"".join((STATUS_LINES[status], headers, retry_header))
+        self._length_and_body = b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+        connection.write_responses()
+
+    def response_bytes(self, *, closes: bool) -> bytes:
+        """Return the complete response; ``closes`` announces the end of the connection."""
+        assert self.response_head is not None
+        connection_header = CONNECTION_CLOSE if closes else b""
+        return self.response_head + connection_header + self._length_and_body
+
+    def reject_malformed(self, status: int) -> None:
+        """Respond to a malformed request, and close the connection with the response."""
+        self.keep_alive = False
+        self.upload = None
+        self.respond(status)
+
+    def reject_expired(self, event: model.Request) -> None:
+        """Respond to a request whose timeout passed before it was read."""
+        self.event = event
+        self.respond(503, retry_after=0.0)
 
     def begin_response(self, headers: bytes, stream: BodyStream) -> None:
         """Begin a streamed final response of status 200; its body follows from ``stream``.
@@ -100,9 +186,8 @@
         if not self._may_answer(200):
             stream.abandon()
             return
-        connection = self._connection
-        connection.listener.open_request_ids.discard(self.request_id)
-        connection.listener.metrics.streaming_responses += 1
+        self._connection.shared.open_request_ids.discard(self.request_id)
+        self._connection.shared.metrics.streaming_responses += 1
         self.response_stream = stream
         self._chunked = stream.content_length is None and not self.is_http_1_0
         if stream.content_length is not None:
@@ -112,29 +197,52 @@
         else:
             framing = b""
             self.keep_alive = False  # the end of the connection is the end of the body
-        self.response_head = STATUS_LINES[200] + headers + framing
-        connection.flush()
+        self._stream_head = STATUS_LINES[200] + headers + framing
+        self._connection.write_responses()
 
     def _may_answer(self, status: int) -> bool:
-        """Guard of the one final answer."""
-        if self.response is None and self.response_stream is None:
+        """Guard the invariant of one final response."""
+        if self.response_head is None and self.response_stream is None:
             return True
         story = f"request {self.request_id.decode('latin-1')}: answered {status} behind its final answer"
-        self._connection.listener.metrics.invariants.report(Invariant.ANSWERED_ONCE, story)
+        self._connection.shared.metrics.invariants.report(Invariant.ANSWERED_ONCE, story)
         return False
 
-    def is_client_connected(self) -> bool:
-        """Whether an attempt may begin: not for a client that left or ended its sending side a while ago."""
-        return self._connection.liveness.is_connected()
+    # The stream of the response.
+
+    def start_stream(self, *, closes: bool, writable: bool) -> None:
+        """Write the head of a streamed response and attach the stream, unless that was done before.
+
+        ``closes`` announces the end of the connection; ``writable`` is whether the client accepts data.
+        """
+        head = self._stream_head
+        stream = self.response_stream
+        if head is None or stream is None:
+            return
+        self._stream_head = None
+        self._last_progress_at = self._connection.shared.clock()
+        self.keep_alive = self.keep_alive and not closes
+        self._connection.write(head + (b"" if self.keep_alive else CONNECTION_CLOSE) + b"\r\n")
+        stream.attach(self, writable=writable)
+
+    def set_client_writable(self, *, writable: bool) -> None:
+        """Record whether the client accepts data; the stream is read only while it does."""
+        if self.response_stream is not None and self._stream_head is None:
+            self._last_progress_at = self._connection.shared.clock()
+            self.response_stream.set_writable(writable=writable)
+
+    def seconds_without_progress(self, now: float) -> float:
+        """Return the time since the client last accepted data of the streamed response."""
+        return now - self._last_progress_at
 
     def write_chunk(self, data: bytes) -> None:
         """Write a part of the streamed response."""
         if data:
-            self.last_progress = self._connection.listener.clock()
+            self._last_progress_at = self._connection.shared.clock()
             self._connection.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
 
     def finish(self) -> None:
-        """End the streamed response: all of it is written."""
+        """End the streamed response, which is complete."""
         if self._chunked:
             self._connection.write(b"0\r\n\r\n")
         self._end_stream(200)
@@ -146,16 +254,16 @@
         self._connection.abort(CloseReason.TRUNCATED)
 
     def _end_stream(self, status: int) -> None:
-        metrics = self._connection.listener.metrics
+        metrics = self._connection.shared.metrics
         self.response_stream = None
         metrics.streaming_responses -= 1
         if self.event is not None:
             metrics.record_request(self.event.request_class, status)
 
-    def on_client_disconnected(self) -> None:
+    def abandon_stream(self) -> None:
         """Abandon the streamed response of a client that has disconnected."""
         stream = self.response_stream
         if stream is not None:
             self.response_stream = None
-            self._connection.listener.metrics.streaming_responses -= 1
+            self._connection.shared.metrics.streaming_responses -= 1
             stream.abandon()
--- a/quota_gateway/net/client/request_head.py
+++ b/quota_gateway/net/client/request_head.py
@@ -4,17 +4,20 @@
 
 import re
 
-from quota_gateway.net.client.request import ClientRequest
 from quota_gateway.net.client.request_parser import DECIMAL_PATTERN, PARSED_HEADERS, TIMEOUT, BadRequestError
+from quota_gateway.net.common.body_stream import BodyStream
 from quota_gateway.net.common.http_common import MAX_HEAD, MAX_STREAMED_BODY, NOT_FORWARDED
 
 ABSOLUTE_FORM_PATTERN = re.compile(rb"https?://[^/?#]+(?=/)", re.IGNORECASE)
 TARGET_PATTERN = re.compile(rb"[!-~]+")
 HTTP_VERSIONS = ("1.0", "1.1")
+HEADERS_NOT_COPIED = NOT_FORWARDED | {TIMEOUT}  # each attempt is sent with the time that is left
 
 
 class RequestHead:
-    """Collects one head at a time from the HTTP parser's callbacks; raises BadRequestError for faults.
+    """Collects one head at a time from the HTTP parser's callbacks.
+
+    Malformed input raises BadRequestError.
 
     A connection has one of these for all its requests.
     """
@@ -22,17 +25,21 @@
     __slots__ = (
         "_chunked",
         "_forwarded_headers",
+        "_is_complete",
         "_target",
         "_trailer_size",
-        "complete",
         "content_length",
         "expects_continue",
         "headers",
+        "http_version",
+        "method",
         "size",
     )
 
     def __init__(self) -> None:
         """Create an empty head."""
+        self.method = b""
+        self.http_version = ""
         self.begin()
 
     def begin(self) -> None:
@@ -40,24 +47,24 @@
         self._target = b""
         self._forwarded_headers: list[bytes] = []  # as lines
         self._chunked = False
-        self._trailer_size = 0
+        self._is_complete = False
+        self._trailer_size = 0  # bytes
         self.headers: dict[bytes, bytes] = {}  # those of PARSED_HEADERS
         self.size = 0  # bytes
         self.content_length: int | None = None
         self.expects_continue = False
-        self.complete = False
 
     def on_url(self, url: bytes) -> None:
-        """Take the target, or a part of it where the input was split."""
+        """Append the target, or a part of it if it was received in parts."""
         self._target += url
         self.size += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header, or a trailer behind a chunked body."""
+        """Record a header, or drop a trailer of a chunked body."""
         key = name.lower()
         value = value.strip(b" \t")
         size = len(name) + len(value)
-        if self.complete:
+        if self._is_complete:
             self._skip_trailer(size)
             return
         self.size += size
@@ -65,7 +72,7 @@
             if key in self.headers:
                 raise BadRequestError(400, "a header stands twice")
             self.headers[key] = value
-        if key not in NOT_FORWARDED and key != TIMEOUT:
+        if key not in HEADERS_NOT_COPIED:
             self._forwarded_headers.append(b"%b: %b\r\n" % (name, value))
         else:
             self._read_framing(key, value)
@@ -85,39 +92,46 @@
             self._chunked = True
 
     def _skip_trailer(self, size: int) -> None:
-        """Trailers are dropped: the head has said all that counts."""
+        """Drop a trailer: only the headers of the head are forwarded."""
         self._trailer_size += size
         if self._trailer_size > MAX_HEAD:
             raise BadRequestError(400, "trailer too large")
 
-    def check(self) -> None:
-        """Check what only the whole head shows."""
+    def finish(self, method: bytes, http_version: str) -> None:
+        """End the head, and check what only the complete head shows."""
+        self.method = method
+        self.http_version = http_version
         if self.size > MAX_HEAD:
             raise BadRequestError(400, "head too large")
         if self._chunked and self.content_length is not None:
             raise BadRequestError(400, "two framings: one of them may hide a request")
+        self._is_complete = True
+
+    def add_unparsed_input(self, size: int) -> bool:
+        """Count input of a head whose unfinished line no callback has shown yet; return whether it fits.
+
+        Parts of the head that were shown before count twice, as the limit on memory need not be exact.
+        """
+        self.size += size
+        return self.size <= MAX_HEAD
 
-    def normalize_target(self, http_version: str) -> str:
-        """The target in origin form; a proxy's absolute form (RFC 9112, 3.2.2) is accepted."""
-        if not TARGET_PATTERN.fullmatch(self._target) or http_version not in HTTP_VERSIONS:
+    def normalize_target(self) -> str:
+        """Return the target in origin form; a proxy's absolute form (RFC 9112, 3.2.2) is accepted."""
+        if not TARGET_PATTERN.fullmatch(self._target) or self.http_version not in HTTP_VERSIONS:
             raise BadRequestError(400, "target or version")
         absolute_form = ABSOLUTE_FORM_PATTERN.match(self._target)
         if absolute_form is not None:
             self._target = self._target[absolute_form.end() :]
         return self._target.decode("latin-1")
 
-    def add_framing(self, request: ClientRequest, method: bytes) -> None:
-        """Frame the forwarded body anew."""
-        upload = request.upload
+    def forwarded(self, body: bytes, upload: BodyStream | None) -> bytes:
+        """Return the head for the endpoint without its empty line; the body is framed anew."""
+        framing = b""
         if upload is not None and upload.content_length is None:
-            self._forwarded_headers.append(b"Transfer-Encoding: chunked\r\n")
+            framing = b"Transfer-Encoding: chunked\r\n"
         elif upload is not None:
-            self._forwarded_headers.append(b"Content-Length: %d\r\n" % (upload.content_length or 0))
-        elif method == b"POST":
-            self._forwarded_headers.append(b"Content-Length: %d\r\n" % len(request.forwarded_body))
-        elif request.forwarded_body:
-            raise BadRequestError(400, "a body where none belongs")
-
-    def forwarded(self, method: bytes) -> bytes:
-        """The request line and the headers for the endpoint, without the empty line."""
-        return b"%b %b HTTP/1.1\r\n%b" % (method, self._target, b"".join(self._forwarded_headers))
+            framing = b"Content-Length: %d\r\n" % (upload.content_length or 0)
+        elif self.method == b"POST":
+            framing = b"Content-Length: %d\r\n" % len(body)
+        headers = b"".join(self._forwarded_headers)
+        return b"%b %b HTTP/1.1\r\n%b%b" % (self.method, self._target, headers, framing)
--- /dev/null
+++ b/quota_gateway/net/client/request_intake.py
@@ -0,0 +1,81 @@
+"""Accepts requests that were read: checks them against the settings and hands them to the handler."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from quota_gateway import model
+from quota_gateway.net.client.request import ClientRequest, RequestHandler
+from quota_gateway.net.client.request_head import RequestHead
+from quota_gateway.net.client.request_parser import REQUEST_ID, BadRequestError
+from quota_gateway.net.client.shared_state import SharedState
+
+MIN_TIMEOUT_SECONDS = 0.001  # the least remaining time that an accepted request has
+HEALTH_CHECK_PATH = "/healthz"
+
+
+class RequestIntake:
+    """Accepts the requests of all connections of a listener."""
+
+    __slots__ = ("_handler", "_shared")
+
+    def __init__(self, handler: RequestHandler, shared: SharedState) -> None:
+        """Hand accepted requests to ``handler``."""
+        self._handler = handler
+        self._shared = shared
+
+    def accept(self, request: ClientRequest, head: RequestHead, body: bytes, seconds_unread: float) -> None:
+        """Hand over a request that had been unread for ``seconds_unread``, or respond to it.
+
+        Raises BadRequestError, without a response, if the request is not valid.
+        """
+        shared = self._shared
+        if head.method not in (b"GET", b"POST"):
+            raise BadRequestError(405, "method")
+        target = head.normalize_target()
+        if target.partition("?")[0] == HEALTH_CHECK_PATH:
+            request.respond(503 if shared.draining else 200)
+            return
+        if body and head.method != b"POST":
+            raise BadRequestError(400, "a body where none belongs")
+        event = shared.parser.parse(head.method, target, head.headers, request.upload is not None)
+        if seconds_unread >= event.timeout:
+            # The client has stopped waiting: an attempt would be wasted work.
+            request.reject_expired(event)
+            return
+        request_id = head.headers[REQUEST_ID].lower()
+        # Another request with this id is open: their outcomes could be confused.
+        if request_id in shared.open_request_ids:
+            raise BadRequestError(409, "the request id is in use")
+        shared.open_request_ids.add(request_id)
+        event = _with_time_left(event, seconds_unread) if seconds_unread else event
+        request.accept(event, request_id, head.forwarded(body, request.upload), body)
+        self._handler.on_request(request)
+
+    def complete_upload(self, request: ClientRequest, seconds_unread: float) -> None:
+        """Notify the handler that the upload of an accepted request has been received completely."""
+        if request.response_head is None and request.event is not None:
+            request.update_event(_with_time_left(request.event, seconds_unread))
+            self._handler.on_upload_completed(request)
+
+    def disconnect(self, request: ClientRequest) -> None:
+        """End a request whose client has disconnected."""
+        if request.response_stream is not None:
+            request.abandon_stream()
+        elif request.response_head is None:
+            self._shared.open_request_ids.discard(request.request_id)
+            self._handler.on_client_disconnected(request)
+
+    def time_out_upload(self, request: ClientRequest) -> None:
+        """End a request whose upload has stalled, and respond to it."""
+        self._handler.on_client_disconnected(request)
+        request.respond(408)
+
+    def withdraw(self, request: ClientRequest) -> None:
+        """Withdraw the unsent attempts of an unanswered request whose client may have disconnected."""
+        self._handler.on_client_maybe_gone(request)
+
+
+def _with_time_left(event: model.Request, seconds_unread: float) -> model.Request:
+    """Return the request with the time that its client still waits."""
+    return replace(event, timeout=max(MIN_TIMEOUT_SECONDS, event.timeout - seconds_unread))
--- a/quota_gateway/net/client/request_parser.py
+++ b/quota_gateway/net/client/request_parser.py
@@ -39,7 +39,7 @@
     """Parses requests against the classes, plans and limits of the settings in force."""
 
     def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
-        """Parse by ``settings``; ``clock`` tells seconds from any start."""
+        """Parse by ``settings``; ``clock`` returns seconds since any start."""
         self._clock = clock
         self._last_id = 0
         self._classes = dict[str, bool]()  # by name: whether its method is GET
--- /dev/null
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -0,0 +1,234 @@
+"""The requests and responses of one client connection, from the received bytes to the written ones."""
+
+from __future__ import annotations
+
+import logging
+from typing import Protocol
+
+from quota_gateway.net.client.liveness import ClientLiveness
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.client.request_head import RequestHead
+from quota_gateway.net.client.request_intake import RequestIntake
+from quota_gateway.net.client.request_parser import BadRequestError
+from quota_gateway.net.client.request_reader import RequestReader
+from quota_gateway.net.client.response_queue import MAX_PIPELINED_REQUESTS, ResponseQueue
+from quota_gateway.net.client.shared_state import SharedState
+from quota_gateway.net.client.stats import CloseReason
+from quota_gateway.net.client.transport import ClientTransport
+from quota_gateway.net.common.body_stream import BodyStream
+
+log = logging.getLogger(__name__)
+
+INTERIM_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
+
+class ConnectionCloser(Protocol):
+    """Closes the connection of a pipeline."""
+
+    def close_after_response(self) -> None:
+        """Close behind the response that was written last."""
+
+    def abort(self, reason: CloseReason) -> None:
+        """Reset the connection."""
+
+
+class RequestPipeline:
+    """Joins the reader, the response queue and the liveness check of one connection.
+
+    These parts do not know each other. Reading is paused or resumed only by ``update_reading``.
+    """
+
+    __slots__ = (
+        "_closer",
+        "_intake",
+        "_received_after",
+        "_transport",
+        "liveness",
+        "queue",
+        "reader",
+        "shared",
+    )
+
+    def __init__(
+        self, transport: ClientTransport, closer: ConnectionCloser, intake: RequestIntake, shared: SharedState
+    ) -> None:
+        """Create the pipeline of a new connection."""
+        self._transport = transport
+        self._closer = closer
+        self._intake = intake
+        self.shared = shared
+        self.reader = RequestReader(self, shared.clock)
+        self.liveness = ClientLiveness(transport, self, shared.clock)
+        self.queue = ResponseQueue(transport, shared)
+        self._received_after = self.queue.active_at  # earliest arrival of the input that is being read
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no request is being read or answered."""
+        return not self.queue and not self.reader.in_request and self.reader.body.upload is None
+
+    def update_reading(self) -> None:
+        """Read only while the client accepts responses, as unsent ones would fill the memory."""
+        queue = self.queue
+        paused = queue.write_blocked or self.reader.body.paused or len(queue) >= MAX_PIPELINED_REQUESTS
+        paused = paused or (bool(queue) and self.reader.is_stopped)
+        if paused is not self._transport.reading_paused:
+            self._transport.set_reading_paused(paused=paused)
+
+    def set_write_blocked(self, *, blocked: bool) -> None:
+        """Produce output and read input only while the client accepts output."""
+        self.queue.set_write_blocked(blocked=blocked)
+        self.update_reading()
+
+    def disconnect(self) -> None:
+        """End all requests: their responses can no longer be written."""
+        self.queue.disconnect(self._intake)
+
+    # Requests that the reader has read.
+
+    def receive(self, data: bytes) -> None:
+        """Parse received bytes, or discard them once the reader has stopped."""
+        if self.reader.is_stopped:
+            if not self._transport.discard(len(data)):
+                self._closer.abort(CloseReason.TOO_MUCH_INPUT)
+            return
+        now = self.shared.clock()
+        self.shared.stalls.mark(now)
+        self._received_after = self.shared.stalls.unread_since(now)
+        self.reader.feed(data)
+
+    def on_request_begun(self, *, is_first: bool) -> float:
+        """Return the time at which the timeouts of a new request begin.
+
+        For the first request that is the connect, as for a client that sends nothing.
+        """
+        return self.queue.active_at if is_first else self.queue.begin_request()
+
+    def on_continue_expected(self) -> None:
+        """Invite the client to send the body, unless other responses are sent first."""
+        if not self.queue:
+            self._transport.write(INTERIM_RESPONSE)
+
+    def on_request_read(
+        self, head: RequestHead, body: bytes, upload: BodyStream | None, *, keep_alive: bool
+    ) -> None:
+        """Queue and hand over a request; raise BadRequestError if it was answered as malformed."""
+        if upload is not None:
+            self._transport.limit_receive_buffer()
+        is_http_1_0 = head.http_version == "1.0"
+        request = ClientRequest(self, keep_alive=keep_alive, is_http_1_0=is_http_1_0, upload=upload)
+        self.liveness.record_seen(self._received_after)
+        self.queue.append(request)
+        try:
+            self._intake.accept(request, head, body, self._seconds_unread())
+        except BadRequestError as error:
+            # A client that sends one malformed request sends more: the connection ends with the response.
+            self.reader.stop_upload()
+            request.reject_malformed(error.status)
+            raise
+        self.update_reading()
+
+    def on_upload_completed(self) -> None:
+        """Notify the handler that the last request's upload has been received completely."""
+        self._intake.complete_upload(self.queue[-1], self._seconds_unread())
+
+    def _seconds_unread(self) -> float:
+        """Return how long the input had been waiting, if the process may have been stalled meanwhile."""
+        now = self.shared.clock()
+        if not self.shared.stalls.is_after_stall(now) or not self._transport.is_open:
+            return 0.0
+        data_age = self._transport.seconds_since_last_data()
+        return 0.0 if data_age is None else min(now - self._received_after, data_age)
+
+    def reject(self, status: int) -> None:
+        """Respond to malformed or overdue input behind the queued requests, and close."""
+        self.reader.stop()
+        request = ClientRequest(self, keep_alive=False)
+        self.queue.append(request)
+        request.respond(status)
+
+    def discard_upload(self) -> None:
+        """Discard the rest of the upload of a request that has its response already."""
+        self.reader.stop_upload()
+        self._transport.allow_upload()
+
+    def may_resume_upload(self) -> bool:
+        """Whether the client is still there, so that its unread input may be read."""
+        return not self.liveness.has_left()
+
+    # Responses.
+
+    def write_responses(self) -> None:
+        """Write the responses whose turn it is."""
+        if self.queue.write_ready(input_ended=self.liveness.input_ended):
+            self._closer.close_after_response()
+        self.update_reading()
+
+    def write(self, data: bytes) -> None:
+        """Write a part of a streamed response, unless the connection is closing."""
+        self._transport.write(data)
+
+    def on_stream_finished(self, request: ClientRequest) -> None:
+        """Write the responses behind a streamed one that is complete."""
+        if self.queue.finish_stream(request, input_ended=self.liveness.input_ended):
+            self._closer.close_after_response()
+        self.write_responses()
+
+    def abort(self, reason: CloseReason) -> None:
+        """Reset the connection."""
+        self._closer.abort(reason)
+
+    # The presence of the client.
+
+    def end_input(self) -> bool:
+        """Record the end of the input; return whether the client may wait half-closed for a response."""
+        if not self.queue or self.reader.body.upload is not None:
+            return False
+        self.liveness.on_input_ended()
+        return True
+
+    def has_queued_requests(self) -> bool:
+        """Whether the client still waits for a response."""
+        return bool(self.queue)
+
+    def on_client_reset(self) -> None:
+        """Abort the connection of a client that has disconnected."""
+        self._closer.abort(CloseReason.CLIENT_GONE)
+
+    def on_confirmation_needed(self) -> None:
+        """Send an interim response where HTTP allows one."""
+        first = self.queue[0]
+        if first.response_stream is None and not first.is_http_1_0:
+            self._transport.write(INTERIM_RESPONSE)
+
+    def on_client_maybe_disconnected(self) -> None:
+        """Withdraw unsent attempts; those in flight may still answer the client."""
+        self.queue.withdraw_attempts(self._intake)
+
+    def on_client_confirmed(self) -> None:
+        """Resume an upload of the client, which has proved to be half-closed."""
+        self.reader.body.on_client_confirmed()
+
+    # Timeouts.
+
+    def check_timeouts(self, now: float) -> None:
+        """Respond to a client that sends too slowly; abort one that accepts no data."""
+        if self.reader.body.upload is not None:
+            self._check_upload(now)
+        elif self.reader.in_request and not self._transport.reading_paused and self.reader.is_overdue(now):
+            self.reject(408)  # also behind requests that wait for their responses
+        elif self.queue:
+            self._check_response(now)
+
+    def _check_upload(self, now: float) -> None:
+        if self._transport.reading_paused:
+            self.liveness.poll()
+        if self._transport.is_open and self.reader.body.is_upload_stalled(now):
+            self._intake.time_out_upload(self.queue[-1])
+
+    def _check_response(self, now: float) -> None:
+        if self._transport.reading_paused and not self.liveness.input_ended:
+            self.liveness.poll()
+        elif self.queue.is_stalled(now):
+            log.warning("a client took nothing of its streamed response")
+            self._closer.abort(CloseReason.STALLED)
--- /dev/null
+++ b/quota_gateway/net/client/response_queue.py
@@ -0,0 +1,109 @@
+"""The requests of one connection whose responses have not been written, in the order of their responses."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import Protocol
+
+from quota_gateway.net.client.request import ClientRequest
+from quota_gateway.net.client.request_intake import RequestIntake
+from quota_gateway.net.client.request_parser import BadRequestError
+from quota_gateway.net.client.shared_state import SharedState
+
+MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection; most clients send one at a time
+RESPONSE_STALL_TIMEOUT_SECONDS = 15.0  # in which a client accepts no data of a streamed response
+
+
+class ResponseOutput(Protocol):
+    """The transport that responses are written to."""
+
+    @property
+    def is_open(self) -> bool:
+        """Whether responses may be written."""
+
+    def write(self, data: bytes) -> None:
+        """Write a response or a part of it."""
+
+
+class ResponseQueue(deque[ClientRequest]):
+    """Writes the responses in order: only that of the first request is ever written.
+
+    Methods that write return whether the connection must be closed behind the response that was written last.
+    """
+
+    __slots__ = ("_output", "_shared", "active_at", "write_blocked")
+
+    def __init__(self, output: ResponseOutput, shared: SharedState) -> None:
+        """Create the queue of a new connection."""
+        super().__init__()
+        self._output = output
+        self._shared = shared
+        self.active_at = shared.clock()  # the connect, the start of a request or the end of a response
+        self.write_blocked = False  # the client does not accept the data that was written
+
+    def begin_request(self) -> float:
+        """Record that another request than the connection's first begins, and return the time.
+
+        Raises BadRequestError if too many requests are unanswered.
+        """
+        now = self._shared.clock()
+        if not self:
+            self.active_at = now
+        elif len(self) >= MAX_PIPELINED_REQUESTS:
+            # Reading is paused at this number, but a single read may contain hundreds of requests.
+            raise BadRequestError(400, "too many requests at once")
+        return now
+
+    def write_ready(self, *, input_ended: bool) -> bool:
+        """Write the responses whose turn it is; ``input_ended`` is whether the client is half-closed."""
+        while self and self._output.is_open:
+            request = self[0]
+            if request.response_head is None:
+                request.start_stream(closes=self._shared.closes_connections, writable=not self.write_blocked)
+                break  # the responses behind a streamed one follow when it is finished
+            self.popleft()
+            self.active_at = self._shared.clock()
+            # Of pipelined responses only the last one closes: the requests behind are accepted too.
+            closes = not self and (self._shared.closes_connections or input_ended)
+            closes = closes or not request.keep_alive
+            self._output.write(request.response_bytes(closes=closes))
+            if closes:
+                return True
+        return False
+
+    def finish_stream(self, request: ClientRequest, *, input_ended: bool) -> bool:
+        """Remove a request whose streamed response has been written completely."""
+        if not self or self[0] is not request:
+            return False
+        self.popleft()
+        self.active_at = self._shared.clock()
+        return not self and (not request.keep_alive or input_ended)
+
+    def set_write_blocked(self, *, blocked: bool) -> None:
+        """Pause or resume the streamed response as the client accepts it."""
+        self.write_blocked = blocked
+        if self:
+            self[0].set_client_writable(writable=not blocked)
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether the client has stopped accepting the streamed response."""
+        first = self[0]
+        is_late = first.seconds_without_progress(now) > RESPONSE_STALL_TIMEOUT_SECONDS
+        return first.response_stream is not None and self.write_blocked and is_late
+
+    def unanswered_ids(self) -> list[str]:
+        """Return the ids of the requests that have no response."""
+        return [request.request_id.decode("latin-1") for request in self if not request.is_answered]
+
+    def withdraw_attempts(self, intake: RequestIntake) -> None:
+        """Withdraw the unsent attempts of all unanswered requests."""
+        for request in list(self):
+            if not request.is_answered:
+                intake.withdraw(request)
+
+    def disconnect(self, intake: RequestIntake) -> None:
+        """Remove and end all requests: their responses can no longer be written."""
+        requests = list(self)
+        self.clear()
+        for request in requests:
+            intake.disconnect(request)
--- a/quota_gateway/net/client/stall_detector.py
+++ b/quota_gateway/net/client/stall_detector.py
@@ -1,17 +1,18 @@
-"""When this process stood still: what waits in its sockets then came earlier than it is read."""
+"""Detects when this process was stalled: input in its sockets then arrived earlier than it is read."""
 
 from __future__ import annotations
 
-STALL = 0.15  # seconds without a mark above which the process has stood still; less is within all slacks
-HEARTBEAT_INTERVAL = 0.1  # seconds between two marks while nothing else happens
-AFTERMATH = 1.0  # seconds after a stall in which what is read may have waited for its end
-LONGEST_WAIT = 60.0  # seconds that a connection may have waited in the accept queue before the start
+STALL_THRESHOLD_SECONDS = 0.15  # a longer time without a mark is a stall; all timing margins are longer
+HEARTBEAT_INTERVAL_SECONDS = 0.1  # between two marks while nothing else happens
+AFTERMATH_SECONDS = 1.0  # after a stall, in which the input that is read may have arrived during it
+MAX_ACCEPT_QUEUE_SECONDS = 60.0  # the longest time for which a connection may wait until the process starts
 
 
 class StallDetector:
-    """Told whenever the event loop runs; knows since when what is read now may have waited.
+    """Determines since when the input that is being read may have been waiting.
 
-    The start counts as the end of a stall: a listening socket that the platform holds has clients already.
+    It is marked whenever the event loop runs. The start of the process counts as the end of a stall, because
+    a listening socket that the platform keeps open may have connections already.
     """
 
     __slots__ = ("_marked_at", "_previous_mark", "_stall_began", "_stall_ended")
@@ -20,15 +21,15 @@
         """Begin at ``now``, in seconds of the event loop's clock."""
         self._marked_at = now
         self._previous_mark = now
-        self._stall_began = now - LONGEST_WAIT
+        self._stall_began = now - MAX_ACCEPT_QUEUE_SECONDS
         self._stall_ended = now
 
     def mark(self, now: float) -> None:
-        """The event loop runs; all marks of one turn have the same time."""
+        """Record that the event loop runs; all marks of one iteration have the same time."""
         if now <= self._marked_at:
             return
-        if now - self._marked_at > STALL:
-            # Not all that waited for the end of a stall is read when the next one begins.
+        if now - self._marked_at > STALL_THRESHOLD_SECONDS:
+            # Input that arrived during the previous stall may still be unread when another stall begins.
             if not self.is_after_stall(self._marked_at):
                 self._stall_began = self._marked_at
             self._stall_ended = now
@@ -36,9 +37,9 @@
         self._marked_at = now
 
     def unread_since(self, now: float) -> float:
-        """The earliest time at which what is read at ``now`` may have come."""
+        """Return the earliest time at which input that is read at ``now`` may have arrived."""
         return self._stall_began if self.is_after_stall(now) else self._previous_mark
 
     def is_after_stall(self, now: float) -> bool:
-        """Whether what is read at ``now`` may have waited for the end of a stall."""
-        return now - self._stall_ended < AFTERMATH
+        """Whether input that is read at ``now`` may have arrived during a stall."""
+        return now - self._stall_ended < AFTERMATH_SECONDS
--- a/quota_gateway/net/client/stats.py
+++ b/quota_gateway/net/client/stats.py
@@ -1,4 +1,4 @@
-"""Counts of how clients' connections ended, and who ended them, for one log line."""
+"""Counts of the reasons for which client connections ended, for one log line."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection ended; the values are the words of the log line."""
+    """Why a client connection ended; the values appear in the log line."""
 
     BY_CLIENT = "ended by the client"
     RESPONSE = "closed with a response"
@@ -23,7 +23,7 @@
     TOO_MUCH_INPUT = "aborted: too much input behind an error"
 
 
-# Endings that nothing at the client or the endpoint asks for: none may leave a request unanswered.
+# Closes that neither the client nor the endpoint has caused; a request that was read must be answered before.
 VOLUNTARY = frozenset(
     (
         CloseReason.RESPONSE,
@@ -36,18 +36,30 @@
 
 
 class ClientStats:
-    """Counts since the last log line."""
+    """Counts of connections since the last log line."""
 
     __slots__ = ("accept_errors", "accepted", "ended")
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Begin with all counts at zero."""
         self.accepted = 0
         self.accept_errors = Counter[str]()  # by error
         self.ended = Counter[CloseReason]()
 
+    def record_accepted(self) -> None:
+        """Count an accepted connection."""
+        self.accepted += 1
+
+    def record_accept_error(self, error_name: str) -> None:
+        """Count a failure of accept."""
+        self.accept_errors[error_name] += 1
+
+    def record_end(self, reason: CloseReason) -> None:
+        """Count the end of a connection."""
+        self.ended[reason] += 1
+
     def log_counts(self, open_connections: int) -> None:
-        """Write the counts that are not zero and begin anew; nothing if there are none."""
+        """Log the counts that are not zero, if any, and begin anew."""
         counts = [f"{reason} {count}" for reason, count in sorted(self.ended.items())]
         counts += [f"accept failed ({error}) {count}" for error, count in sorted(self.accept_errors.items())]
         if counts or self.accepted:
--- a/quota_gateway/net/common/socket_calls.py
+++ b/quota_gateway/net/common/socket_calls.py
@@ -1,14 +1,74 @@
-"""Calls on the sockets of transports that the event loop has no method for."""
+"""System calls on the sockets of transports that the event loop offers no method for."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import enum
+import fcntl
+import select
 import socket
+import struct
+import termios
+
+NATIVE_INT = struct.Struct("i")
+NATIVE_UNSIGNED = struct.Struct("I")
+TCP_INFO_BYTES = 64  # struct tcp_info (Linux) up to the times of the last segments
+LAST_DATA_RECEIVED_OFFSET = 52  # of tcpi_last_data_recv: milliseconds since the last data segment arrived
+MILLISECONDS_PER_SECOND = 1000
+
+
+class PeerState(enum.Enum):
+    """What a socket shows of its peer without being read."""
+
+    CONNECTED = enum.auto()
+    INPUT_ENDED = enum.auto()  # the peer closed its sending side or the whole connection
+    RESET = enum.auto()  # the connection was reset, or both sides are shut down
+
+
+def poll_peer(transport: asyncio.Transport) -> PeerState:
+    """Return the state of the peer, also while the event loop does not read the socket."""
+    poll = select.poll()
+    poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+    ready = poll.poll(0)
+    if not ready:
+        return PeerState.CONNECTED
+    _, events = ready[0]
+    return PeerState.RESET if events & ~select.POLLRDHUP else PeerState.INPUT_ENDED
+
+
+def has_socket_error(transport: asyncio.Transport) -> bool:
+    """Whether an error such as a reset is pending, also while the event loop does not read the socket."""
+    return bool(transport.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+
+
+def has_unread_input(transport: asyncio.Transport) -> bool:
+    """Whether the socket has received bytes that the event loop has not read."""
+    descriptor = transport.get_extra_info("socket").fileno()
+    if descriptor < 0:
+        return False
+    (unread_bytes,) = NATIVE_INT.unpack(fcntl.ioctl(descriptor, termios.FIONREAD, bytes(NATIVE_INT.size)))
+    return bool(unread_bytes)
+
+
+def seconds_since_last_data(transport: asyncio.Transport) -> float | None:
+    """Return the age of the last data segment; None if the system does not report it."""
+    with contextlib.suppress(OSError, struct.error):
+        client_socket = transport.get_extra_info("socket")
+        info = client_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        (milliseconds,) = NATIVE_UNSIGNED.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)
+        return float(milliseconds / MILLISECONDS_PER_SECOND)
+    return None
+
+
+def limit_receive_buffer(transport: asyncio.Transport, size: int) -> None:
+    """Bound the bytes that the system buffers for a socket that is not read."""
+    with contextlib.suppress(OSError):
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
 
 
 def shut_down_sending(transport: asyncio.Transport) -> None:
-    """Send the end of the connection in this very step; the event loop would do so in a later turn."""
+    """Send the end of the output at once; the event loop would do so in a later iteration."""
     descriptor = transport.get_extra_info("socket").fileno()
     if descriptor < 0:
         return
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -164,7 +164,7 @@
     ):
         reader, writer = await limiter.connect()
         writer.write(upload("length", body))
-        while not any(client.reader.body.paused for client in limiter.listener.connections):
+        while not any(client.pipeline.reader.body.paused for client in limiter.listener.connections):
             await asyncio.sleep(0.01)
         resume_reading.set()
         assert (await read_message(reader))[2] == b"hi"
@@ -243,13 +243,13 @@
         if opened and opened[0].attempts[0].connection:
             break
         await asyncio.sleep(0)
-    while connection.reader.body.paused or connection.reader.body.size < size:
+    while connection.pipeline.reader.body.paused or connection.pipeline.reader.body.size < size:
         await asyncio.sleep(0)
     chunk = b"x" * 8192
-    while not connection.reader.body.paused:  # each chunk is read before the next is sent
+    while not connection.pipeline.reader.body.paused:  # each chunk is read before the next is sent
         client.sendall(b"%x\r\n%b\r\n" % (len(chunk), chunk))
         size += len(chunk)
-        while connection.reader.body.size < size and not connection.reader.body.paused:
+        while connection.pipeline.reader.body.size < size and not connection.pipeline.reader.body.paused:
             await asyncio.sleep(0)
     client.sendall(b"0\r\n\r\n")
     return size
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -120,7 +120,7 @@
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         sent = 0
         clients = limiter.listener.connections
-        while not any(client._write_blocked for client in clients):
+        while not any(client.pipeline.queue.write_blocked for client in clients):
             writer.write(http_request())
             sent += 1
             await script.wait_for(model.AttemptCompleted, sent)
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -15,7 +15,7 @@
 from quota_gateway.net.client import liveness as client_liveness
 from quota_gateway.net.client.liveness import ClientLiveness
 from quota_gateway.net.client.request import ClientRequest
-from quota_gateway.net.client.request_reader import MAX_PIPELINE
+from quota_gateway.net.client.response_queue import MAX_PIPELINED_REQUESTS
 from quota_gateway.net.upstream import endpoint as upstream_endpoint
 from quota_gateway.net.upstream import pool as connection_pool
 from tests.client_helpers import DISCONNECTS, LATE, on_timer, read_final
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
-@pytest.mark.parametrize("request_count", [1, MAX_PIPELINE])
+@pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_disconnect_is_noticed_while_requests_wait(close_client: Any, request_count: int) -> None:
     """With a full pipeline its input is not read, and only a poll shows that it has gone."""
@@ -110,7 +110,7 @@
 async def test_half_closed_client_whose_input_is_not_read_gets_one_interim_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener, "SCAN_INTERVAL", 0.01)
+    monkeypatch.setattr(listener, "SCAN_INTERVAL_SECONDS", 0.01)
 
     script = ScriptedDecisions(lambda _event: [])
     async with LoopbackLimiter(script, {}) as limiter:
@@ -123,16 +123,18 @@
 
         monkeypatch.setattr(ClientLiveness, "poll", counting_poll)
         reader, writer = await limiter.connect()
-        for _ in range(MAX_PIPELINE):
+        for _ in range(MAX_PIPELINED_REQUESTS):
             writer.write(http_request(timeout_ms=60000))
-        events = await script.wait_for(model.Request, MAX_PIPELINE)
+        events = await script.wait_for(model.Request, MAX_PIPELINED_REQUESTS)
         writer.write_eof()
         for _ in range(20):
             await polls.get()
         script.decide = lambda _event: [model.Fail(event.id) for event in events]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         answers = await reader.read()
-        assert answers.count(b"HTTP/1.1 100 ") == 1 and answers.count(b"HTTP/1.1 502 ") == MAX_PIPELINE
+        assert (
+            answers.count(b"HTTP/1.1 100 ") == 1 and answers.count(b"HTTP/1.1 502 ") == MAX_PIPELINED_REQUESTS
+        )
 
 
 def close_with_unread_input(client: socket.socket) -> None:
@@ -173,7 +175,7 @@
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
-@pytest.mark.parametrize("request_count", [1, MAX_PIPELINE])
+@pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_no_attempt_begins_for_a_client_that_left_while_its_requests_waited(
     close_client: Any, request_count: int, monkeypatch: pytest.MonkeyPatch
@@ -236,7 +238,7 @@
         (event,) = await script.wait_for(model.Request)
         client = list(limiter.listener.connections)[-1]
         writer.write_eof()
-        while not client.liveness.input_ended:
+        while not client.pipeline.liveness.input_ended:
             await asyncio.sleep(0)
         time.sleep(LATE)
         script.decide = on_timer(forward_to_s1(event))
@@ -251,7 +253,9 @@
 async def test_request_of_a_client_that_has_just_half_closed_is_still_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_liveness, "PRESENCE_GRACE", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(
+        client_liveness, "PRESENCE_GRACE_SECONDS", 10.0
+    )  # a slow machine must not make it late
 
     script = ScriptedDecisions(lambda _event: [])
     origin = ScriptedEndpoint()
@@ -264,18 +268,18 @@
         (event,) = await script.wait_for(model.Request)
         (client,) = limiter.listener.connections
         writer.write_eof()
-        while not client.liveness.input_ended:
+        while not client.pipeline.liveness.input_ended:
             await asyncio.sleep(0)
         script.decide = on_timer(forward_to_s1(event))
         # The connect waits for the event loop, and the confirmation would come between.
-        monkeypatch.setattr(client_liveness, "RESET_WAIT", 10.0)
+        monkeypatch.setattr(client_liveness, "RESET_WAIT_SECONDS", 10.0)
         limiter.dispatcher.dispatch(model.TimerFired(1))
         status, _, body = await read_final(reader)
         assert " 200 " in status and body == b"hi"
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
-@pytest.mark.parametrize("request_count", [1, MAX_PIPELINE])
+@pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_no_retry_begins_for_a_client_that_left_during_the_attempt_before(
     close_client: Any, request_count: int
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -24,10 +24,10 @@
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     """Time out in tenths of a second."""
-    monkeypatch.setattr(listener, "SCAN_INTERVAL", 0.01)
-    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT", 0.1)
-    monkeypatch.setattr(request_body, "BODY_TIMEOUT", 0.1)
-    monkeypatch.setattr(request_body, "MAX_BODY_TIME", 0.3)
+    monkeypatch.setattr(listener, "SCAN_INTERVAL_SECONDS", 0.01)
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(request_body, "BODY_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(request_body, "MAX_COLLECTION_SECONDS", 0.3)
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
 async def test_body_in_steady_flow_may_take_longer_but_not_forever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_body, "MIN_BODY_RATE", 10)
+    monkeypatch.setattr(request_body, "MIN_BODY_BYTES_PER_SECOND", 10)
 
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         for size, status in ((20, " 429 "), (100, " 408 ")):
@@ -81,17 +81,17 @@
             writer.write(request[: len(request) - 60_000 + sent])
             while not limiter.listener.connections:
                 await asyncio.sleep(0)
-            while list(limiter.listener.connections)[-1].reader.body.size < sent:
+            while list(limiter.listener.connections)[-1].pipeline.reader.body.size < sent:
                 await asyncio.sleep(0)
             client = list(limiter.listener.connections)[-1]
-            while not client.reader.head.complete:
+            while client.pipeline.reader.phase is not request_reader.ReaderPhase.BODY:
                 await asyncio.sleep(0)
-            began_at = client.reader.body.started_at - 2.3  # the head took so long
-            client.reader._began_at = began_at
-            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT - 0.1)
-            assert not client.discards_input
-            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT + 0.1)
-            assert client.discards_input is times_out
+            began_at = client.pipeline.reader.body._started_at - 2.3  # the head took so long
+            client.pipeline.reader._began_at = began_at
+            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS - 0.1)
+            assert not client.pipeline.reader.is_stopped
+            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS + 0.1)
+            assert client.pipeline.reader.is_stopped is times_out
             if times_out:
                 assert " 408 " in (await read_message(reader))[0]
             writer.close()
@@ -104,16 +104,16 @@
         while not limiter.listener.connections:
             await asyncio.sleep(0.001)
         (client,) = limiter.listener.connections
-        began_at = client.phase_started_at - 1.9
-        client.phase_started_at = began_at
+        began_at = client.pipeline.queue.active_at - 1.9
+        client.pipeline.queue.active_at = began_at
         writer.write(b"GET /lookup")
-        while not client.reader.in_message:
+        while not client.pipeline.reader.in_request:
             await asyncio.sleep(0.001)
-        assert client.phase_started_at == began_at
-        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT - 0.1)
-        assert not client.discards_input
-        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT + 0.1)
-        assert client.discards_input
+        assert client.pipeline.queue.active_at == began_at
+        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS - 0.1)
+        assert not client.pipeline.reader.is_stopped
+        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS + 0.1)
+        assert client.pipeline.reader.is_stopped
 
 
 HUGE_POST = http_request("/post?account=00000000b4d65521", b"x", Content_Length="2000000")[:-1]
@@ -152,7 +152,7 @@
         reader, writer = await limiter.connect()
         writer.write(sent)
         async with asyncio.timeout(3.0):
-            while not any(client.discards_input for client in limiter.listener.connections):
+            while not any(client.pipeline.reader.is_stopped for client in limiter.listener.connections):
                 await asyncio.sleep(0.01)
         for event in (await script.wait_for(model.Request, requests_before))[:requests_before]:
             script.decide = on_timer([model.Reject(event.id, 0.1)])
@@ -171,7 +171,7 @@
         unknown = HUGE_POST.replace(b"/post?", b"/none?") + b"x" * 100_000
         writer.write(http_request() + unknown)
         (waiting,) = await script.wait_for(model.Request)
-        await asyncio.sleep(3 * request_body.BODY_TIMEOUT)
+        await asyncio.sleep(3 * request_body.BODY_TIMEOUT_SECONDS)
         silent, other = await limiter.connect()
         other.write(b"GET /loo")
         assert " 408 " in (await read_message(silent))[0]
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.client.closing import ConnectionCloser
+from quota_gateway.net.client.transport import ClientTransport
 from tests.client_helpers import reject
 from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
@@ -36,16 +36,16 @@
     """A request between look and end meets an orderly end, as one that crosses it, and no reset."""
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         client = socket.create_connection(limiter.address)
-        has_unread_input = ConnectionCloser.has_unread_input.fget  # type: ignore[attr-defined]
+        has_unread_input = ClientTransport.has_unread_input.fget  # type: ignore[attr-defined]
 
-        def send_after_look(self: ConnectionCloser) -> bool:
+        def send_after_look(self: ClientTransport) -> bool:
             unread: bool = has_unread_input(self)
             client.sendall(http_request())
             return unread
 
         while not limiter.listener.connections:
             await asyncio.sleep(0)
-        monkeypatch.setattr(ConnectionCloser, "has_unread_input", property(send_after_look))
+        monkeypatch.setattr(ClientTransport, "has_unread_input", property(send_after_look))
         await limiter.listener.close(1000)
         client.settimeout(10)
         assert client.recv(10) == b""
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -67,7 +67,7 @@
         assert closed == 28  # half of the connections are kept; later ones close behind their response
         for writer in open_writers[:2]:
             writer.close()
-        while limiter.listener.active_connections > 30:
+        while limiter.listener.shared.active_connections > 30:
             await asyncio.sleep(0)
         reader, writer = await limiter.connect()
         writer.write(http_request())
@@ -82,7 +82,7 @@
             await asyncio.sleep(0)
         limiter.listener.set_max_connections(3)
         clients[0].sendall(http_request())  # silent for longest, and unread when the next one connects
-        limiter.listener.connected(ClientConnection(limiter.listener))
+        limiter.listener.on_connected(ClientConnection(limiter.listener))
         first, _ = await asyncio.open_connection(sock=clients[0])
         second, _ = await asyncio.open_connection(sock=clients[1])
         assert " 429 " in (await read_message(first))[0]
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -203,7 +203,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Connections are accepted once there are descriptors again, and closing does not fail."""
-    monkeypatch.setattr(listener, "DESCRIPTOR_WAIT", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(listener, "DESCRIPTOR_WAIT_SECONDS", 10.0)  # a slow machine must not make it late
 
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         acceptor = limiter.listener._acceptor
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -306,7 +306,7 @@
         (request,) = await script.wait_for(model.Request)
         writer.transport.abort()  # a half-close would not do: such a client waits for its answer
         await script.wait_for(model.ClientDisconnected)
-        assert not limiter.dispatcher.open_requests and not limiter.listener.open_request_ids
+        assert not limiter.dispatcher.open_requests and not limiter.listener.shared.open_request_ids
         too_late: list[model.Action] = [model.Reject(request.id, 0.1), model.Forward(request.id, "s1", 1.0)]
         script.decide = lambda _event: too_late
         limiter.dispatcher.dispatch(model.TimerFired(1))
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -96,12 +96,12 @@
 
 @async_test
 async def test_incomplete_head_is_still_answered_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_reader, "HEAD_TIMEOUT", 0.3)
+    monkeypatch.setattr(request_reader, "HEAD_TIMEOUT_SECONDS", 0.3)
 
     async with LoopbackLimiter(ScriptedDecisions(forward_to_s1), {}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request()[:40])
-        while not any(client.reader.in_message for client in limiter.listener.connections):
+        while not any(client.pipeline.reader.in_request for client in limiter.listener.connections):
             await asyncio.sleep(0)
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
@@ -120,7 +120,7 @@
         reader, writer = await limiter.connect()
         request = http_request()
         writer.write(request[:-2])
-        while not any(client.reader.in_message for client in limiter.listener.connections):
+        while not any(client.pipeline.reader.in_request for client in limiter.listener.connections):
             await asyncio.sleep(0)
         limiter.listener.start_draining()
         await limiter.listener.close(0.01)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.client.request_reader import MAX_PIPELINE
+from quota_gateway.net.client.response_queue import MAX_PIPELINED_REQUESTS
 from tests.client_helpers import POST, assert_rejected, reject
 from tests.loopback import (
     LoopbackLimiter,
@@ -95,7 +95,7 @@
         assert (
             " 429 " in (await limiter.fetch(http_request(X_Request_ID="00000000000000ab")))[0]
         )  # free again
-        assert not limiter.listener.open_request_ids
+        assert not limiter.listener.shared.open_request_ids
 
 
 @async_test
@@ -104,9 +104,9 @@
     async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
         writer.write(b"".join(http_request() for _ in range(200)))
-        await script.wait_for(model.Request, MAX_PIPELINE)
+        await script.wait_for(model.Request, MAX_PIPELINED_REQUESTS)
         reader, other = await limiter.connect()
         script.decide = reject
         other.write(http_request())
         assert " 429 " in (await read_message(reader))[0]
-        assert len(await script.wait_for(model.Request)) == MAX_PIPELINE + 1
+        assert len(await script.wait_for(model.Request)) == MAX_PIPELINED_REQUESTS + 1
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -2,17 +2,21 @@
 
 from __future__ import annotations
 
-from quota_gateway.net.client.stall_detector import AFTERMATH, HEARTBEAT_INTERVAL, StallDetector
+from quota_gateway.net.client.stall_detector import (
+    AFTERMATH_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    StallDetector,
+)
 
 
 def test_while_the_event_loop_runs_nothing_has_waited_longer_than_a_turn() -> None:
     stalls = StallDetector(100.0)
     now = 100.0
     for _ in range(30):
-        now += HEARTBEAT_INTERVAL
+        now += HEARTBEAT_INTERVAL_SECONDS
         stalls.mark(now)
     stalls.mark(now)  # a second mark of the same turn
-    assert stalls.unread_since(now) == now - HEARTBEAT_INTERVAL
+    assert stalls.unread_since(now) == now - HEARTBEAT_INTERVAL_SECONDS
     assert not stalls.is_after_stall(now)
 
 
@@ -20,7 +24,7 @@
     stalls = StallDetector(100.0)
     stalls.mark(100.1)
     assert stalls.is_after_stall(100.1) and stalls.unread_since(100.1) < 50.0
-    assert not stalls.is_after_stall(100.0 + AFTERMATH)
+    assert not stalls.is_after_stall(100.0 + AFTERMATH_SECONDS)
 
 
 def test_a_stall_behind_another_one_does_not_hide_it() -> None:
