--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -38,9 +38,8 @@
         self.requests[request.id] = request
 
     def forward(self, now: float, request: OpenRequest, *, within_quota: bool, prepaid: bool = False) -> bool:
-        """Make the first attempt or reject the request; ``prepaid`` units are leased or reported apart."""
-        account = request.account
-        plan = account.plan
+        """Make the first attempt or reject the request; the caller handles ``prepaid`` units."""
+        plan = request.account.plan
         is_idle = 0 < self.gate.controller.load < MAX_OVER_QUOTA_LOAD
         pays = is_idle and plan.over_quota_value > plan.over_quota_cost
         if not within_quota and not pays:
@@ -53,15 +52,20 @@
         self.gate.controller.record_admission()
         self.retry_budget.credit()
         request.accept(within_quota=within_quota)
-        account.charge_shares(request.units, within_quota=within_quota)
+        self._charge(now, request, prepaid=prepaid)
+        return True
+
+    def _charge(self, now: float, request: OpenRequest, *, prepaid: bool) -> None:
+        """Charge the units of a forwarded request to its account."""
+        account = request.account
+        account.charge_shares(request.units, within_quota=request.within_quota)
         if prepaid and account.leased >= request.units:
             account.charge_lease(request.units)
-        elif within_quota and not prepaid:
+        elif request.within_quota and not prepaid:
             is_reported = not account.is_sparse or now < self.leases.budget.unavailable_until
             account.charge(request.units, is_reported=is_reported)
             if is_reported:
                 self.leases.report_significant_usage(now, account)
-        return True
 
     def _attempt(self, now: float, request: OpenRequest) -> bool:
         # The timeout is all of the useful time: endpoints complete the work that they have begun, so that a
@@ -71,7 +75,6 @@
         if state is None:
             return False
         request.start_attempt(now, state)
-        request.account.start_attempt()
         if request.uploading:
             timeout = request.useful_time  # from the last byte of the body
         not_after = repeat_deadline(request)
@@ -113,7 +116,6 @@
 
     def _learn(self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted) -> None:
         """Update endpoint, load and account with an attempt that was in flight."""
-        request.account.finish_attempt()
         if event.status not in NO_SIGN_OF_LIFE:
             state.record_sign_of_life(now)
         if event.status is CallStatus.OK:
@@ -158,12 +160,8 @@
     def forget(self, request_id: int) -> None:
         """Close a request that has its final answer, or whose client disconnected, with its attempts."""
         request = self.requests.pop(request_id, None)
-        if request is None:
-            return
-        for state in request.in_flight.values():
-            state.finish_attempt(request.work)
-            request.account.finish_attempt()
-            state.stop_waiting_if_idle()
+        if request is not None:
+            request.abandon_attempts()
 
     def take_rejections(self) -> dict[str, int]:
         """Return the number of rejections by reason since the last call."""
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -27,7 +27,8 @@
     def on_process_count_changed(self, now: float, event: ProcessCountChanged) -> None:
         """So many processes share all limits from now on; one that has come gets what this one knows."""
         has_grown = event.count > self.context.process_count
-        count = self.context.process_count = max(1, event.count)
+        self.context.set_process_count(event.count)
+        count = self.context.process_count
         alone_until = now - event.seconds_unknown
         accounts = [
             account.set_process_count(now, count, alone_until) for account in self.table.accounts.values()
@@ -49,11 +50,8 @@
         if self.has_imported or now - self.context.started_at > TAKE_OVER_TIME:
             return
         self.has_imported = True
-        work = self.gate.work
-        self.slow_start.completion_rate = state.completion_rate or self.slow_start.completion_rate
-        work.mean_work = state.mean_work or work.mean_work
-        work.mean_units = state.mean_units or work.mean_units
-        work.base_latencies |= {name: base for name, base in state.base_latencies.items() if base > 0}
+        self.slow_start.take_over(state.completion_rate)
+        self.gate.work.take_over(state.mean_work, state.mean_units, state.base_latencies)
         for handover in state.endpoints:
             known = self.endpoints.by_name.get(handover.name)
             if known is not None and known.endpoint.started_at == handover.started_at:
--- a/quota_gateway/state/request.py
+++ b/quota_gateway/state/request.py
@@ -100,21 +100,34 @@
         self.within_quota = within_quota
 
     def start_attempt(self, now: float, state: EndpointState) -> None:
-        """Record the next attempt, here and at its endpoint."""
+        """Record the next attempt, also at its endpoint and in the account."""
         self.in_flight[len(self.attempts)] = state
         self.attempts.append(Attempt(state, now))
+        self.account.start_attempt()
         state.start_attempt(self.work)
         if not self.uploading:
             state.wait_for_response(now)
 
     def finish_attempt(self, number: int) -> bool:
-        """End an attempt, here and at its endpoint, and return whether it was in flight."""
+        """Record the end of an attempt, and return whether it was in flight.
+
+        The endpoint may still be expected to respond: ``EndpointState.finish_attempt`` says until when.
+        """
         state = self.in_flight.pop(number, None)
         if state is None:
             return False
         state.finish_attempt(self.work)
+        self.account.finish_attempt()
         return True
 
+    def abandon_attempts(self) -> None:
+        """End all attempts in flight, whose responses have no use any more."""
+        for state in self.in_flight.values():
+            state.finish_attempt(self.work)
+            state.stop_waiting_if_idle()
+            self.account.finish_attempt()
+        self.in_flight.clear()
+
     def record_possible_execution(self, number: int) -> None:
         """Record that an attempt may have been executed; the first one limits when and where to repeat."""
         if self.first_executed is None and number < len(self.attempts):
