--- a/scale/fleet/__main__.py
+++ b/scale/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m scale.fleet``: play one run and print it."""
+"""``python -m scale.fleet``: simulate one fleet and print the summary."""
 
 from scale.fleet.command import main
 
--- a/scale/fleet/accounting.py
+++ b/scale/fleet/accounting.py
@@ -1,4 +1,4 @@
-"""The true accounts of a tenant over all limiters: what it was owed, what it got, and what broke a rule."""
+"""The exact account of a tenant over all limiters: offered, served and excess usage, and violations."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 from scale.fleet.tenants import PlanTerms
 from scale.fleet.token_bucket import TokenBucket
 
-# A ceiling counts as exceeded beyond this share of its burst (or the largest request), and the units that
-# come in at its rate while the limiters learn of each other.
-_CEILING_SLACK = 0.1
-_CEILING_LAG = 0.15  # seconds
-_ROUNDING = 1e-9  # units
+# A ceiling counts as exceeded beyond this fraction of its burst (or the largest request) and the units that
+# arrive at its rate until the limiters know of each other's usage.
+_CEILING_TOLERANCE_FRACTION = 0.1
+_CEILING_LAG_SECONDS = 0.15
+_ROUNDING_UNITS = 1e-9
 
 
 class PendingRequest:
-    """A client's request with its retry, and what became of it."""
+    """A client's request with its retry.
+
+    ``limiter`` and ``due_at`` belong to the attempt that was sent last.
+    """
 
     __slots__ = (
         "due_at",
@@ -32,24 +35,41 @@
     )
 
     def __init__(self, started_at: float, kind: int, *, units: int, true_units: int, value: int) -> None:
-        """A request that its client has just begun; ``value`` counts if it is served in time."""
+        """Create a new request; ``value`` counts if it is served in time."""
         self.started_at = started_at
         self.kind = kind  # index of ``REQUEST_KINDS``
         self.units = units  # as estimated by the client
         self.true_units = true_units
         self.value = value
-        self.due_at = 0.0  # when its client gives up
-        self.limiter = 0  # that has it or had it last; -1: there was none
+        self.due_at = 0.0  # when its client stops waiting
+        self.limiter = 0  # -1: none was available
         self.is_retry = False
-        self.within_quota = False  # when it came first
+        self.within_quota = False  # at the first attempt
         self.forwarded_within_quota = False
 
+    def start_attempt(self, limiter: int, due_at: float) -> None:
+        """Record the limiter of an attempt and the time until which the client waits."""
+        self.limiter = limiter
+        self.due_at = due_at
+
+    def start_retry(self) -> None:
+        """Record that the next attempt is a retry."""
+        self.is_retry = True
+
+    def record_offered(self, *, within_quota: bool) -> None:
+        """Record whether the request was within the tenant's quota when it was offered."""
+        self.within_quota = within_quota
+
+    def record_forwarded(self, *, within_quota: bool) -> None:
+        """Record whether the request was within the tenant's quota when it was forwarded."""
+        self.forwarded_within_quota = within_quota
+
 
 class TenantAccount:
-    """Counts the requests of one tenant by the quota that it truly has."""
+    """Counts the requests of one tenant by its quota over all limiters."""
 
     def __init__(self, terms: PlanTerms, tally: Tally) -> None:
-        """Full buckets of these terms; the tally is that of the worker."""
+        """Start with full buckets; ``tally`` is the worker's."""
         self._terms = terms
         self._tally = tally
         self._offered = TokenBucket(terms.rate, terms.burst)
@@ -57,8 +77,8 @@
         self.ceiling = TokenBucket(terms.ceiling_rate, terms.ceiling_burst)
 
     def record_offered(self, at: float, request: PendingRequest) -> None:
-        """A client has a new request."""
-        request.within_quota = self._offered.take(at, request.units)
+        """Count a new request of a client."""
+        request.record_offered(within_quota=self._offered.take(at, request.units))
         counts = self._tally.at(at)
         counts["first requests"] += 1
         if request.within_quota:
@@ -67,29 +87,28 @@
             self._tally.seconds[int(at)]["offered value"] += request.value
 
     def record_forwarded(self, at: float, request: PendingRequest) -> None:
-        """A limiter sends the first attempt of a request."""
+        """Count a request that a limiter forwards for the first time."""
         counts = self._tally.at(at)
         plan = self._terms.name
-        request.forwarded_within_quota = self.forwarded.take(at, request.units)
+        request.record_forwarded(within_quota=self.forwarded.take(at, request.units))
         counts["units sent"] += request.units
         counts[f"units sent {plan}"] += request.units
         if not request.forwarded_within_quota:
             counts["units over quota"] += request.units
             counts[f"units over quota {plan}"] += request.units
         if self._terms.ceiling_rate:
-            self.ceiling.fill(at)
-            self.ceiling.tokens -= request.units
-            counts["ceilings exceeded"] += self.ceiling.tokens < -self._ceiling_tolerance() - _ROUNDING
+            self.ceiling.charge(at, request.units)
+            lowest_allowed = -self._ceiling_tolerance() - _ROUNDING_UNITS
+            counts["ceilings exceeded"] += self.ceiling.tokens < lowest_allowed
 
     def record_final_answer(self, at: float, request: PendingRequest) -> None:
-        """A client has an answer of any kind."""
+        """Count a final response of any kind; it is lost if it arrives too late."""
         self._tally.at(at)["lost"] += at > request.due_at + ANSWER_GRACE
 
     def record_served(self, at: float, request: PendingRequest) -> None:
-        """A request is answered; its value counts where it came in time and within the quota."""
+        """Count a served request; its value counts if it is in time and within the quota."""
         if request.forwarded_within_quota:
-            self.forwarded.fill(at)
-            self.forwarded.tokens -= request.true_units - request.units
+            self.forwarded.charge(at, request.true_units - request.units)
         counts = self._tally.at(request.started_at)
         counts["answers"] += 1
         if at - request.started_at > REQUEST_KINDS[request.kind].latency_objective:
@@ -101,7 +120,7 @@
             self._tally.seconds[int(request.started_at)]["served value"] += request.value
 
     def record_ended(self, at: float, request: PendingRequest, end: RequestEnded) -> None:
-        """A request is rejected or fails."""
+        """Count a request that is rejected or fails."""
         counts = self._tally.at(at)
         counts[f"{end.result.value}: {end.reason}"] += 1
         if end.result is not RequestResult.REJECTED:
@@ -111,6 +130,6 @@
             counts[f"rejected within quota: {end.reason}"] += 1
 
     def _ceiling_tolerance(self) -> float:
-        """Units by which a ceiling may be exceeded."""
-        slack = max(_CEILING_SLACK * self._terms.ceiling_burst, MAX_UNITS)
-        return slack + _CEILING_LAG * self._terms.ceiling_rate
+        """Return the units by which a ceiling may be exceeded."""
+        tolerance = max(_CEILING_TOLERANCE_FRACTION * self._terms.ceiling_burst, MAX_UNITS)
+        return tolerance + _CEILING_LAG_SECONDS * self._terms.ceiling_rate
--- a/scale/fleet/clients.py
+++ b/scale/fleet/clients.py
@@ -1,10 +1,11 @@
-"""All clients of one tenant: when they send requests, to which limiter, and what they do with the answers."""
+"""The clients of one tenant: times of their requests, choice of the limiter, retries."""
 
 from __future__ import annotations
 
 import math
 from bisect import bisect_left
 from random import Random
+from typing import NamedTuple
 
 from scale.fleet.accounting import PendingRequest, TenantAccount
 from scale.fleet.messages import (
@@ -33,16 +34,23 @@
 from scale.fleet.tally import Tally
 from scale.fleet.tenants import Tenant
 
-_REQUEST_ID_BITS = 24  # of a request's id, for its number at its tenant
-_MIN_PATIENCE = 0.5  # share of a kind's deadline that a client waits at least
+_REQUEST_ID_BITS = 24  # of a request's id, for its number within the tenant
+_MIN_TIMEOUT_FRACTION = 0.5  # of a kind's deadline
 _NO_LIMITER = -1
 
 
+class StartedRequest(NamedTuple):
+    """A new request and its message, or None if no limiter is available."""
+
+    request: PendingRequest
+    envelope: Envelope | None
+
+
 class TenantClients:
-    """Draws all that the clients of a tenant do from a random source of the tenant's own."""
+    """Draws the actions of a tenant's clients from the tenant's own random source."""
 
     def __init__(self, tenant: Tenant, world: World, tally: Tally) -> None:
-        """The clients of one tenant; the tally is that of the worker."""
+        """Create the clients of one tenant; ``tally`` is the worker's."""
         self.tenant = tenant
         self._plan = world.plans[tenant.plan]
         self._world = world
@@ -61,7 +69,7 @@
             self._rate_changes_at = CLIENT_START + self._rng.expovariate(1 / BURST_INTERVAL)
 
     def next_request_after(self, now: float) -> float:
-        """When the next new request comes."""
+        """Return the time of the next new request."""
         while True:
             at = now + self._rng.expovariate(self._rate)
             if at < self._rate_changes_at:
@@ -69,25 +77,25 @@
             now = self._rate_changes_at
             self._change_rate()
 
-    def start_request(self, now: float) -> tuple[PendingRequest, Envelope | None]:
-        """A new request and its message for a limiter, or None where the balancer finds no living one."""
+    def start_request(self, now: float) -> StartedRequest:
+        """Draw a new request and send it to a limiter."""
         request = self._draw_request(now)
         self.account.record_offered(now, request)
-        return request, self._send(now, request)
+        return StartedRequest(request, self._send(now, request))
 
     def retry(self, now: float, request: PendingRequest) -> Envelope | None:
-        """The message of a retry, which goes to another limiter if there is one."""
-        request.is_retry = True
+        """Return the message of a retry to another limiter; None if none is available."""
+        request.start_retry()
         return self._send(now, request, avoided_limiter=request.limiter)
 
     def retry_at(self, now: float, request: PendingRequest) -> float | None:
-        """When the client retries, if it does."""
+        """Return the time of the retry; None if the client does not retry."""
         if request.is_retry or self._rng.random() >= CLIENT_RETRY_PROBABILITY:
             return None
         return now + self._rng.uniform(*CLIENT_RETRY_DELAY)
 
     def receive(self, at: float, event: ClientEvent) -> PendingRequest | None:
-        """What a limiter did with a request, which is returned where its client may retry it."""
+        """Count a limiter's event on a request; return the request if its client may retry it."""
         request = self.pending.get(event.request_id)
         if request is None:
             raise AssertionError(f"a second final answer: {event}")
@@ -103,7 +111,7 @@
         return None
 
     def _change_rate(self) -> None:
-        """A burst begins or ends."""
+        """Start or end a burst."""
         now = self._rate_changes_at
         self._bursting = not self._bursting
         burst_rate = self._rng.uniform(*BURST_RATE) * self._plan.rate / MEAN_UNITS
@@ -117,8 +125,8 @@
         rng = self._rng
         draw = rng.random()
         kind = 0
-        while kind < len(REQUEST_KINDS) - 1 and draw >= REQUEST_KINDS[kind].share:
-            draw -= REQUEST_KINDS[kind].share
+        while kind < len(REQUEST_KINDS) - 1 and draw >= REQUEST_KINDS[kind].fraction:
+            draw -= REQUEST_KINDS[kind].fraction
             kind += 1
         units = true_units = rng.randint(1, MAX_UNITS)
         if rng.random() < WRONG_ESTIMATE_PROBABILITY:
@@ -129,16 +137,15 @@
     def _send(
         self, now: float, request: PendingRequest, avoided_limiter: int = _NO_LIMITER
     ) -> Envelope | None:
-        """The message of a request, or None where it fails before it reaches a limiter."""
+        """Return the message of a request; None if it fails before it reaches a limiter."""
         counts = self._tally.at(now)
         counts["requests"] += 1
         limiter = self._choose_limiter(now, avoided_limiter)
         kind = REQUEST_KINDS[request.kind]
-        timeout = kind.deadline * self._rng.uniform(_MIN_PATIENCE, 1.0)
+        timeout = kind.deadline * self._rng.uniform(_MIN_TIMEOUT_FRACTION, 1.0)
         expected_work = kind.work * self._world.work_scale * request.true_units / MEAN_UNITS
         work = expected_work * self._rng.lognormvariate(*WORK_VARIATION)
-        request.limiter = limiter
-        request.due_at = now + timeout
+        request.start_attempt(limiter, due_at=now + timeout)
         if limiter == _NO_LIMITER:
             counts["failed: no living limiter"] += 1
             return None
@@ -166,15 +173,15 @@
         return Envelope(now, self._source, self._sequence, request.limiter, message)
 
     def _choose_limiter(self, now: float, avoided_limiter: int) -> int:
-        """One of the tenant's set; the next one where that is known to be down or has just rejected."""
+        """Draw a limiter of the tenant's set, without the avoided limiter and those known to be down."""
         world = self._world
         size = world.size
-        rank = int(now / self._rotation_interval)
+        position = int(now / self._rotation_interval)
         weights = world.cumulative_set_weights
-        rank += bisect_left(weights, self._rng.random() * weights[-1])
+        position += bisect_left(weights, self._rng.random() * weights[-1])
         for step in range(size.spread):
-            limiter = (self.tenant.first_limiter + (rank + step) % size.spread) % size.limiters
-            may_try = limiter != avoided_limiter or size.spread == 1
-            if may_try and not world.faults.limiter_avoided(limiter, now):
+            limiter = (self.tenant.first_limiter + (position + step) % size.spread) % size.limiters
+            is_allowed = limiter != avoided_limiter or size.spread == 1
+            if is_allowed and not world.faults.limiter_avoided(limiter, now):
                 return limiter
         return _NO_LIMITER
--- a/scale/fleet/command.py
+++ b/scale/fleet/command.py
@@ -1,4 +1,4 @@
-"""The command that simulates one fleet and prints what it found."""
+"""The command that simulates one fleet and prints the summary."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from scale.fleet.faults import FaultSchedule, Interval, Slowdown
 from scale.fleet.parameters import COUNTER_CAPACITY, COUNTER_PARTITIONS
-from scale.fleet.scale_test import SHORT_RUN, WARM_UP, like_fleets
+from scale.fleet.scale_test import SHORT_RUN_SECONDS, WARM_UP_SECONDS, like_fleets
 from scale.fleet.scenario import Scenario
 from scale.fleet.simulation import simulate
 from scale.fleet.summary import summarize
@@ -24,32 +24,36 @@
 @click.option("--limiters", default=42, show_default=True)
 @click.option("--servers", default=340, show_default=True)
 @click.option("--tenants", default=1500, show_default=True)
-@click.option("--rate", default=3600.0, show_default=True, help="First tries a second of the whole fleet.")
+@click.option("--rate", default=3600.0, show_default=True, help="New requests a second of the whole fleet.")
 @click.option(
     "--seconds",
-    default=SHORT_RUN,
+    default=SHORT_RUN_SECONDS,
     show_default=True,
-    help="Virtual, after the warm-up; at 108 the cut lasts a minute.",
+    help="Virtual seconds after the warm-up; with 108 the partition lasts a minute.",
 )
-@click.option("--warm-up", default=WARM_UP, show_default=True, help="Virtual seconds before these.")
+@click.option("--warm-up", default=WARM_UP_SECONDS, show_default=True, help="Virtual seconds of warm-up.")
 @click.option("--spread", default=3, show_default=True, help="Limiters that serve one tenant.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--processes", default=4, show_default=True)
 @click.option(
-    "--calls", default=COUNTER_CAPACITY, show_default=True, help="Counter calls a second, all parts."
+    "--calls", default=COUNTER_CAPACITY, show_default=True, help="Counter calls a second of all partitions."
 )
-@click.option("--parts", default=COUNTER_PARTITIONS, show_default=True, help="Of the counter, by name.")
-@click.option("--crowd", default=0, help="Fleets like this that share the counter; 0: 420 / limiters.")
-@click.option("--lists", default=0.0, help="Calls a second that discovery serves; 0: it pushes to agents.")
+@click.option("--parts", default=COUNTER_PARTITIONS, show_default=True, help="Partitions of the counter.")
+@click.option("--crowd", default=0, help="Fleets of this size that share the counter; 0: 420 / limiters.")
+@click.option("--lists", default=0.0, help="Calls a second that discovery serves; 0: it notifies agents.")
 @click.option(
-    "--silence", nargs=2, type=float, multiple=True, help="Begin and end; the counter comes back empty."
+    "--silence",
+    nargs=2,
+    type=float,
+    multiple=True,
+    help="Begin and end of a counter outage, which empties it.",
 )
 @click.option(
-    "--slow", nargs=3, type=float, multiple=True, help="Begin, end, and how many times slower it is."
+    "--slow", nargs=3, type=float, multiple=True, help="Begin, end and factor of a counter slowdown."
 )
-@click.option("--package", default="", help="Another checkout whose decisions are played.")
-@click.option("--progress", is_flag=True, help="Tell every 10 virtual seconds on standard error.")
-@click.option("--json", "path", type=click.Path(path_type=Path), help="Write all figures there.")
+@click.option("--package", default="", help="Another checkout, whose decisions are simulated.")
+@click.option("--progress", is_flag=True, help="Print a line to standard error every 10 virtual seconds.")
+@click.option("--json", "path", type=click.Path(path_type=Path), help="Write the summary to a file.")
 def main(
     limiters: int,
     servers: int,
@@ -60,7 +64,7 @@
     path: Path | None,
     **options: Any,
 ) -> None:
-    """Play one run of a fleet and print what it found."""
+    """Simulate one fleet and print the summary."""
     size = Size(limiters=limiters, servers=servers, tenants=tenants, rate=rate, spread=spread)
     scenario = _scenario(size, **options)
     try:
@@ -85,7 +89,7 @@
     progress: bool,
     **faults: Any,
 ) -> Scenario:
-    """The scenario that the options ask for."""
+    """Return the scenario of the options."""
     return Scenario(
         size,
         _schedule(**faults),
@@ -106,7 +110,7 @@
     silence: tuple[tuple[float, float], ...],
     slow: tuple[tuple[float, float, float], ...],
 ) -> FaultSchedule:
-    """The faults that the options ask for."""
+    """Return the fault schedule of the options."""
     return replace(
         FaultSchedule.of(seconds, warm_up),
         counter_outages=tuple(Interval(*outage) for outage in silence),
@@ -115,7 +119,7 @@
 
 
 def _without_infinity(value: Any) -> Any:
-    """JSON has no infinity: what did not happen is null there."""
+    """Replace infinity, which JSON does not have, by null."""
     if isinstance(value, dict):
         return {key: _without_infinity(inner) for key, inner in value.items()}
     return None if value == math.inf else value
--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery, and the endpoint list that it serves."""
+"""Simulated discovery, and the endpoint list that it serves."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 
 
 class SimulatedDiscovery:
-    """Where no agent stands by: it serves the calls for the list in turn, also those that were given up.
+    """Discovery without agents: serves the calls for the list in turn, those that timed out included.
 
-    ``capacity``: calls a second. A call begins a watch, on which changes are pushed and cost nothing more.
+    A call starts a watch; the changes that are sent on it need no capacity.
     """
 
     def __init__(self, capacity: float) -> None:
-        """Idle, with a capacity in calls a second."""
+        """Start idle; ``capacity`` is in calls a second."""
         self._service_time = 1 / capacity
         self._free_at = 0.0
 
     def call(self, at: float) -> float:
-        """The time of the answer; ``at`` never falls from call to call."""
+        """Return the time of the response; ``at`` never decreases from call to call."""
         self._free_at = max(at, self._free_at) + self._service_time
         return self._free_at
 
 
 class ListChange(NamedTuple):
-    """Endpoints that are removed or come, and when discovery learns of it."""
+    """Endpoints that are removed or added, and when discovery learns of it."""
 
     at: float
     endpoints: tuple[model.Endpoint, ...]
 
 
 class Notification(NamedTuple):
-    """When a limiter's agent is notified of the changes up to this number."""
+    """The time at which a limiter's agent is notified of the first ``known_changes`` changes."""
 
     at: float
     known_changes: int
 
 
 class EndpointHistory:
-    """The endpoint list and each change of it, shared by the limiters of a worker."""
+    """The endpoint list and its changes, shared by the limiters of a worker."""
 
     def __init__(self, world: World) -> None:
-        """The list and its changes as the fault schedule has them."""
+        """Create the list, and its changes by the fault schedule."""
         self._world = world
         self.initial = tuple(self._endpoint(index) for index in range(world.size.servers))
         self.changes = [self._removal(), *self._returns()]
 
     def complete(self, known_changes: int, failed: set[str]) -> model.EndpointUpdate:
-        """The list after so many changes, without those that failed under load."""
+        """Return the list after a number of changes, without the endpoints that failed under load."""
         endpoints = {endpoint.name: endpoint for endpoint in self.initial}
         for _, changed in self.changes[:known_changes]:
             endpoints |= {endpoint.name: endpoint for endpoint in changed}
@@ -64,10 +64,10 @@
             for endpoint in endpoints.values()
             if endpoint.health is not model.EndpointHealth.REMOVED and endpoint.name not in failed
         )
-        return model.EndpointUpdate(tuple(present), True)
+        return model.EndpointUpdate(tuple(present), complete=True)
 
     def notifications(self, limiter: int) -> list[Notification]:
-        """When its agent is notified; a far one hears nothing while its region is cut off."""
+        """Return the notifications of a limiter's agent; a partition delays those of the far region."""
         world = self._world
         zone = world.topology.zone(limiter)
         rng = Random(f"{world.seed} notices {limiter}")
@@ -81,7 +81,7 @@
         return notifications
 
     def _removal(self) -> ListChange:
-        """The endpoints of the lost zone go."""
+        """Return the removal of the endpoints of the lost zone."""
         schedule = self._world.schedule
         removed = tuple(
             self._endpoint(index, model.EndpointHealth.REMOVED)
@@ -91,7 +91,7 @@
         return ListChange(schedule.zone_outage.begin, removed)
 
     def _returns(self) -> Iterable[ListChange]:
-        """They come back in groups."""
+        """Return the restarts of these endpoints, in groups."""
         groups = dict[float, list[model.Endpoint]]()
         for index in range(self._world.size.servers):
             boots_at = self._world.faults.boots_at(index)
@@ -117,15 +117,15 @@
 
 
 def zone_name(zone: int) -> str:
-    """The name of a zone in settings and endpoint lists."""
+    """Return the name of a zone in settings and endpoint lists."""
     return f"zone-{zone}"
 
 
 def endpoint_name(index: int) -> str:
-    """The name of an endpoint in endpoint lists."""
+    """Return the name of an endpoint in endpoint lists."""
     return f"{_ENDPOINT_PREFIX}{index}"
 
 
 def endpoint_index(name: str) -> int:
-    """The number of the endpoint of that name."""
+    """Return the number of the endpoint with a name."""
     return int(name[len(_ENDPOINT_PREFIX) :])
--- a/scale/fleet/endpoint.py
+++ b/scale/fleet/endpoint.py
@@ -1,6 +1,6 @@
-"""A stand-in for an endpoint: cores that serve one queue.
+"""A simulated endpoint: cores that serve one queue.
 
-It knows the whole of an attempt when it arrives, so it answers at once with the time at which it would.
+An attempt is complete when it arrives, so that the time of its response is known at once.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ends and when; one that times out is never answered."""
+    """The outcome and the end of an attempt; one that times out gets no response."""
 
     outcome: AttemptOutcome
     ended_at: float
@@ -34,25 +34,25 @@
 
 
 class SimulatedEndpoint:
-    """It starts slowly, warms up in line with time, and fails for good where too much work comes meanwhile.
+    """Warms up linearly after a start, and fails permanently under an overload while it warms up.
 
-    Too much: work that arrived within the window is more than the multiple of what it can do at that moment.
-    Attempts that run at that moment are still answered: their answers are known when they arrive.
+    An overload is work within the overload window that exceeds a multiple of the present capacity. Attempts
+    that were accepted before the failure still get their responses.
 
-    ``boots_at``: when it starts anew; 0: it is warm from the beginning.
+    ``boots_at`` is the time of the restart; 0 means that the endpoint is warm from the beginning.
     """
 
     __slots__ = ("_arrivals", "_boots_at", "_free_at", "_queue", "_recent_work", "_started_at", "failed")
 
     def __init__(self, boots_at: float) -> None:
-        """Idle; ``boots_at`` in virtual seconds."""
+        """Start idle; ``boots_at`` is in virtual seconds."""
         self._started_at = -math.inf
         self._boots_at = boots_at
         self.failed = False
         self._reset()
 
     def attempt(self, at: float, work: float, timeout: float) -> AttemptResult:
-        """Serve an attempt of so many seconds of work; ``at`` never falls from attempt to attempt."""
+        """Serve an attempt with its seconds of work; ``at`` never decreases from attempt to attempt."""
         if at >= self._boots_at > 0 and self._started_at != self._boots_at:
             self._started_at = self._boots_at
             self._reset()
@@ -66,24 +66,24 @@
         begin = max(at, self._free_at[0])
         if begin > at:
             queue.append(begin)
-        if begin > at + timeout:  # its time is over before its turn: it is not begun
+        if begin > at + timeout:  # it times out in the queue
             return AttemptResult(AttemptOutcome.TIMED_OUT, begin)
         end = begin + work / self._capacity(begin)
         heapreplace(self._free_at, end)
         return AttemptResult(AttemptOutcome.OK, end)
 
     def _reset(self) -> None:
-        self._free_at = [0.0] * ENDPOINT_CORES  # heap: when each core is free
-        self._queue = deque[float]()  # when each of the waiting attempts begins
-        self._arrivals = deque[_Arrival]()  # within the overload window, while it warms up
-        self._recent_work = 0.0  # seconds, of these
+        self._free_at = [0.0] * ENDPOINT_CORES  # heap: when each core becomes free
+        self._queue = deque[float]()  # start times of the waiting attempts
+        self._arrivals = deque[_Arrival]()  # within the overload window, while warming up
+        self._recent_work = 0.0  # seconds of these arrivals
 
     def _capacity(self, at: float) -> float:
-        """Share of its full capacity that the endpoint has."""
+        """Return the present capacity as a fraction of the full one."""
         return min(1.0, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * (at - self._started_at) / WARM_UP_TIME)
 
     def _overloaded_by(self, at: float, work: float) -> bool:
-        """Whether the endpoint warms up and fails under this work."""
+        """Return whether the endpoint is warming up and fails under this work."""
         capacity = self._capacity(at)
         if capacity >= 1:
             return False
@@ -91,6 +91,6 @@
         self._recent_work += work
         while self._arrivals[0].at <= at - OVERLOAD_WINDOW:
             self._recent_work -= self._arrivals.popleft().work
-        bearable = OVERLOAD_MULTIPLE * ENDPOINT_CORES * capacity * OVERLOAD_WINDOW
-        self.failed = self._recent_work > bearable
+        allowed = OVERLOAD_MULTIPLE * ENDPOINT_CORES * capacity * OVERLOAD_WINDOW
+        self.failed = self._recent_work > allowed
         return self.failed
--- a/scale/fleet/endpoint_watch.py
+++ b/scale/fleet/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""What a limiter knows of the endpoint list, and how it comes to know it."""
+"""A simulated limiter's knowledge of the endpoint list, and its watch of discovery."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class EndpointWatch:
-    """Calls discovery with the same spread and back-off as the real client's, until a watch is open.
+    """Calls discovery with the jitter and backoff of the real client until a watch is open.
 
-    With an agent at its side (no ``discovery_capacity``) a limiter always watches.
+    With an agent (no ``discovery_capacity``) the watch is always open.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         rng: Random,
         tally: Tally,
     ) -> None:
-        """The watch of the limiter of that number, which sends by this mailbox."""
+        """Create the watch of a limiter, which sends through its mailbox."""
         self._index = index
         self._world = world
         self._history = history
@@ -53,34 +53,37 @@
         self._is_open = not self._calls_discovery
         self._known_changes = 0  # of the endpoint list
         self._failed_endpoints = set[str]()
-        self._call_id = _NO_CALL  # the call that is out
+        self._call_id = _NO_CALL  # the call in flight
         self._reconnecting_since = 0.0
-        self._failures = 0  # in a row
+        self._failures = 0  # consecutive
 
     def complete_list(self) -> model.EndpointUpdate:
-        """The endpoint list as far as the limiter knows it."""
+        """Return the endpoint list that the limiter knows."""
         return self._history.complete(self._known_changes, self._failed_endpoints)
 
     def changed(self, event: EndpointsChanged) -> model.EndpointUpdate | None:
-        """The change that is pushed, unless the watch is lost."""
+        """Return the change that the watch delivers; None if the watch is lost."""
         if not self._is_open:
             return None
         self._known_changes = max(self._known_changes, event.known_changes)
         change = self._history.changes[event.known_changes - 1]
-        return model.EndpointUpdate(change.endpoints, False)
+        return model.EndpointUpdate(change.endpoints, complete=False)
 
     def endpoint_failed(self, event: EndpointFailed) -> model.EndpointUpdate | None:
-        """The removal that is pushed, unless the watch is lost; the next list leaves it out in any case."""
+        """Return the removal that the watch delivers; None if the watch is lost.
+
+        Complete lists do not contain the endpoint any more.
+        """
         self._failed_endpoints.add(event.endpoint.name)
-        return model.EndpointUpdate((event.endpoint,), False) if self._is_open else None
+        return model.EndpointUpdate((event.endpoint,), complete=False) if self._is_open else None
 
     def schedule_loss(self) -> None:
-        """Have a far limiter find out that its watch ended with the partition."""
+        """Schedule the time at which a far limiter detects that the partition has ended its watch."""
         if self._calls_discovery and self._world.topology.region(self._zone):
             self._mailbox.schedule(self._world.schedule.partition.begin + SILENCE_TIMEOUT, WatchLost())
 
     def reconnect(self, now: float, incarnation: int) -> None:
-        """Give up the watch and call discovery anew."""
+        """Close the watch and call discovery again."""
         if not self._calls_discovery:
             return
         self._is_open = False
@@ -90,11 +93,11 @@
         self._schedule_call(now, incarnation)
 
     def disconnect(self) -> None:
-        """The limiter is killed: its call ends."""
+        """End the call of a killed limiter."""
         self._call_id = _NO_CALL
 
     def call(self, now: float, incarnation: int) -> None:
-        """Call discovery, unless a call is out or the watch is open."""
+        """Call discovery, unless a call is in flight or the watch is open."""
         if self._call_id or self._is_open:
             return
         self._call_id = self._mailbox.next_number()
@@ -107,7 +110,7 @@
             self._mailbox.send(self._index, arrives_at, call)
 
     def call_timed_out(self, now: float, event: DiscoveryCallTimedOut) -> None:
-        """Call again after a longer back-off, unless the call was answered."""
+        """Call again after a longer backoff, unless the call got a response."""
         if event.call_id != self._call_id:
             return
         self._call_id = _NO_CALL
@@ -116,7 +119,7 @@
         self._schedule_call(now, event.incarnation)
 
     def opened(self, now: float, event: WatchOpened) -> model.EndpointUpdate | None:
-        """The complete list, if this answers the call that is out: then the watch is open."""
+        """Open the watch and return the complete list, if this responds to the call in flight."""
         if event.call_id != self._call_id:
             return None
         self._call_id = _NO_CALL
--- a/scale/fleet/faults.py
+++ b/scale/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Which faults come when: a zone is lost, limiters restart together, a region is cut off by a partition."""
+"""The faults of a run and their times: loss of a zone, mass restart of limiters, partition of a region."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from scale.fleet.topology import Topology
 from scale.model import Size
 
-FULL_LENGTH = 108.0  # virtual seconds from which on a run has all faults in full length
+FULL_LENGTH_SECONDS = 108.0  # virtual; a shorter run has shorter faults
 
 
 class Interval(NamedTuple):
-    """Virtual seconds from ``begin`` up to ``end``."""
+    """Virtual time from ``begin`` to ``end``, in seconds."""
 
     begin: float
     end: float
 
 
 class Slowdown(NamedTuple):
-    """From ``begin`` up to ``end`` each call takes ``factor`` times as long."""
+    """Virtual time in which each call takes ``factor`` times as long."""
 
     begin: float
     end: float
@@ -30,7 +30,7 @@
 
 
 class Phase(NamedTuple):
-    """A part of a run; it lasts to the begin of the next one."""
+    """A part of a run; it lasts until the next phase begins."""
 
     name: str
     begin: float
@@ -38,26 +38,26 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultSchedule:
-    """When which fault comes, in virtual seconds from the start."""
+    """The times of the faults, in virtual seconds from the start."""
 
     end: float  # of the run
-    calm_from: float  # the start ends here and the calm phase begins
+    calm_from: float  # begin of the phase without faults, after the start
     zone_outage: Interval
     restart_at: float
     partition: Interval
-    restarted_share: float = 0.7  # of the limiters: so many are killed together
+    restarted_fraction: float = 0.7  # of the limiters, which are killed together
     lost_zone: int = 1
-    counter_outages: tuple[Interval, ...] = ()  # it comes back empty
+    counter_outages: tuple[Interval, ...] = ()  # after which the counter is empty
     counter_slowdowns: tuple[Slowdown, ...] = ()
 
     @staticmethod
     def of(seconds: float, warm_up: float = 0.0) -> FaultSchedule:
-        """From 108 s on the region is cut off for a minute; a shorter run has all faults, shorter.
+        """Return the schedule of a run; shorter runs than ``FULL_LENGTH_SECONDS`` have shorter faults.
 
-        ``warm_up``: so many seconds come before these. A fleet that starts all at once knows no tenant, and
-        its calls crowd before the counter: what is calm shows only behind that.
+        ``warm_up`` seconds precede the schedule: a fleet that has just started knows no tenant, and its calls
+        queue at the counter.
         """
-        scale = min(1.0, seconds / FULL_LENGTH)
+        scale = min(1.0, seconds / FULL_LENGTH_SECONDS)
         return FaultSchedule(
             end=warm_up + seconds,
             calm_from=warm_up + 2 * scale,
@@ -67,7 +67,7 @@
         )
 
     def phases(self) -> tuple[Phase, ...]:
-        """Each phase of the run in order."""
+        """Return the phases of the run in order."""
         return (
             Phase("start", 0.0),
             Phase("calm", self.calm_from),
@@ -80,28 +80,28 @@
 
 
 class Faults:
-    """Which limiters, endpoints and links are down at a time."""
+    """The limiters, endpoints and links that are down at a time."""
 
     def __init__(self, size: Size, topology: Topology, schedule: FaultSchedule, rng: Random) -> None:
-        """Draw which limiters restart, and when."""
+        """Draw the limiters that restart, and their times."""
         self.schedule = schedule
         self._topology = topology
         self.killed_at = [math.inf] * size.limiters
         self.restarted_at = [math.inf] * size.limiters
         self._failed_over_at = [math.inf] * size.limiters
-        restarted = round(schedule.restarted_share * size.limiters)
+        restarted = round(schedule.restarted_fraction * size.limiters)
         for limiter in rng.sample(range(size.limiters), restarted):
             self.killed_at[limiter] = schedule.restart_at
             self.restarted_at[limiter] = schedule.restart_at + rng.uniform(*RESTART_TIME)
             self._failed_over_at[limiter] = schedule.restart_at + rng.uniform(*FAILOVER_TIME)
 
     def partitioned(self, one: int, other: int, at: float) -> bool:
-        """Whether the two zones cannot reach each other."""
+        """Whether a partition separates the two zones."""
         begin, end = self.schedule.partition
         return begin <= at < end and self._topology.region(one) != self._topology.region(other)
 
     def boots_at(self, endpoint: int) -> float:
-        """When an endpoint of the lost zone starts anew; 0 for the others."""
+        """Return the time of the restart of an endpoint of the lost zone; 0 for the others."""
         zone = self._topology.zone(endpoint)
         if zone != self.schedule.lost_zone:
             return 0.0
@@ -109,13 +109,13 @@
         return self.schedule.zone_outage.end + BOOT_GROUP_INTERVAL * group
 
     def endpoint_down(self, endpoint: int, at: float) -> bool:
-        """Whether the endpoint is lost with its zone."""
+        """Whether the endpoint is down because of the loss of its zone."""
         return self.schedule.zone_outage.begin <= at < self.boots_at(endpoint)
 
     def limiter_down(self, limiter: int, at: float) -> bool:
-        """Whether the limiter is killed and not yet back."""
+        """Whether the limiter has been killed and has not restarted."""
         return self.killed_at[limiter] <= at < self.restarted_at[limiter]
 
     def limiter_avoided(self, limiter: int, at: float) -> bool:
-        """Whether the balancer before the limiters knows that this one is down."""
+        """Whether the load balancer in front of the limiters knows that the limiter is down."""
         return self._failed_over_at[limiter] <= at < self.restarted_at[limiter]
--- a/scale/fleet/limiter.py
+++ b/scale/fleet/limiter.py
@@ -1,4 +1,4 @@
-"""A limiter in virtual time: its starts and its end, and what it knows of the endpoint list."""
+"""A limiter in virtual time: starts, kills, and its knowledge of the endpoint list."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 
 class Limiter:
-    """Passes messages on to its process, if it runs and is the one that they are for."""
+    """Delivers messages to the limiter's process, if that runs and is the incarnation that they belong to."""
 
     def __init__(
         self, index: int, world: World, *, history: EndpointHistory, tally: Tally, mailbox: Mailbox
     ) -> None:
-        """Schedule the whole life of the limiter of that number."""
+        """Schedule the starts, the kill and the notifications of a limiter."""
         self._index = index
         self._world = world
         self._tally = tally
@@ -55,15 +55,15 @@
         self._watch.schedule_loss()
 
     def receive(self, envelope: Envelope) -> None:
-        """Handle one message or timer."""
+        """Handle a message or timer."""
         _HANDLERS[type(envelope.event)](self, envelope.time, envelope.event)
 
     def warming_up_endpoints(self) -> int:
-        """Endpoints of its subset that this limiter takes to be warming up."""
+        """Return the number of endpoints of the subset that the limiter considers to be warming up."""
         return 0 if self._process is None else self._process.warming_up_endpoints()
 
     def _schedule_lifetime(self, history: EndpointHistory) -> None:
-        """Its start, its restart where it is killed, and what its agent is notified of."""
+        """Schedule the start, a kill with its restart, and the notifications of the agent."""
         faults = self._world.faults
         self._mailbox.schedule(self._rng.random() * CLIENT_START, LimiterStarted())
         if faults.killed_at[self._index] < math.inf:
@@ -73,7 +73,7 @@
             self._mailbox.schedule(notification.at, EndpointsChanged(notification.known_changes))
 
     def _on_client_request(self, now: float, message: ClientRequest) -> None:
-        assert self._process is not None  # clients do not reach a limiter that is down
+        assert self._process is not None  # clients cannot reach a limiter that is down
         self._process.accept(now, message)
 
     def _on_process_message(self, now: float, message: ProcessMessage) -> None:
--- a/scale/fleet/limiter_network.py
+++ b/scale/fleet/limiter_network.py
@@ -1,4 +1,4 @@
-"""The network between one limiter and its peers: delays, time-outs, and what a fault does to both."""
+"""The network between one limiter and its peers: delays and timeouts, with and without faults."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 from scale.fleet.scenario import World
 from scale.fleet.topology import COORDINATION_ZONE, pair_draw
 
-# Time-outs of the counter after which its connections are given up and calls fail as unreachable.
+# Counter timeouts after which the connections are closed and calls fail as unreachable.
 _COUNTER_TIMEOUTS_UNTIL_UNREACHABLE = 10
 
 
 class OpenRequest:
-    """A request at a limiter."""
+    """A request at a limiter.
+
+    ``attempt``, ``endpoint`` and ``sent_at`` belong to the last attempt, which is in flight or has ended.
+    """
 
     __slots__ = (
         "attempt",
-        "attempt_is_out",
+        "attempt_in_flight",
         "client_request",
         "endpoint",
         "forwarded",
@@ -39,21 +42,46 @@
     )
 
     def __init__(self, client_request: ClientRequest) -> None:
-        """A request that has just come."""
+        """Create a request that has just arrived."""
         self.client_request = client_request
-        self.attempt = -1  # number of the last attempt
-        self.attempt_is_out = False
-        self.forwarded = False  # whether an attempt ever reached an endpoint
-        self.endpoint = 0  # of the last attempt
+        self.attempt = -1
+        self.attempt_in_flight = False
+        self.forwarded = False  # whether an attempt has reached the network of an endpoint
+        self.endpoint = 0
         self.sent_at = 0.0
-        self.waits_since: float | None = None  # for the counter, before its first attempt
+        self.waits_since: float | None = None  # for the counter, before the first attempt
+
+    def start_attempt(self, now: float, endpoint: int) -> None:
+        """Start the next attempt."""
+        self.attempt += 1
+        self.attempt_in_flight = True
+        self.endpoint = endpoint
+        self.sent_at = now
+
+    def end_attempt(self) -> None:
+        """End the attempt in flight."""
+        self.attempt_in_flight = False
+
+    def mark_forwarded(self) -> None:
+        """Record that an attempt has reached the network of an endpoint."""
+        self.forwarded = True
+
+    def start_wait(self, now: float) -> None:
+        """Start to wait for the counter."""
+        self.waits_since = now
+
+    def end_wait(self) -> float | None:
+        """End the wait for the counter; return when it started, None if there was none."""
+        started_at = self.waits_since
+        self.waits_since = None
+        return started_at
 
 
 class LimiterNetwork:
-    """Sends what the decisions of one limiter send, with messages in place of sockets."""
+    """Sends attempts, health checks and counter calls of one limiter, with messages in place of sockets."""
 
     def __init__(self, index: int, world: World, mailbox: Mailbox) -> None:
-        """The network of the limiter of that number, which sends by this mailbox."""
+        """Create the network of a limiter, which sends through its mailbox."""
         self._index = index
         self._faults = world.faults
         self._topology = world.topology
@@ -62,7 +90,7 @@
         self._zone = world.topology.zone(index)
 
     def send_attempt(self, now: float, incarnation: int, request: OpenRequest, timeout: float) -> None:
-        """Send the current attempt of a request; the limiter receives ``AttemptEnded`` in any case."""
+        """Send the current attempt of a request; ``AttemptEnded`` follows in any case."""
         client_request = request.client_request
         endpoint = request.endpoint
         attempt = request.attempt
@@ -71,7 +99,7 @@
         self._mailbox.schedule(now + timeout, timed_out)
         if self._reaches(endpoint, now):
             if not request.forwarded:
-                request.forwarded = True
+                request.mark_forwarded()
                 forwarded = RequestForwarded(request_id)
                 self._mailbox.send(client_request.tenant, now, forwarded)
             message = Attempt(incarnation, request_id, attempt, client_request.work, timeout)
@@ -91,13 +119,13 @@
             self._mailbox.schedule(now + CONNECT_TIMEOUT, failed)
 
     def call_counter(self, now: float, incarnation: int, increment: model.IncrementCounter) -> int:
-        """Send a call to the counter and give its id; ``CounterAnswered`` follows in any case."""
+        """Send a call to the counter and return its id; ``CounterAnswered`` follows in any case."""
         call_id = self._mailbox.next_number()
         partitioned = self._faults.partitioned(self._zone, COORDINATION_ZONE, now)
-        given_up_at = now + COUNTER_TIMEOUT
+        times_out_at = now + COUNTER_TIMEOUT
         failure = self._counter_failure(now, partitioned)
-        failed = CounterAnswered(incarnation, call_id, failure, total=0.0, arrived_at=given_up_at)
-        self._mailbox.schedule(given_up_at, failed)
+        failed = CounterAnswered(incarnation, call_id, failure, total=0.0, arrived_at=times_out_at)
+        self._mailbox.schedule(times_out_at, failed)
         if not partitioned:
             draw = pair_draw(self._index, COORDINATION_ZONE)
             arrives_at = now + self._topology.delay(self._zone, COORDINATION_ZONE, draw)
@@ -112,7 +140,7 @@
         return call_id
 
     def _counter_failure(self, now: float, partitioned: bool) -> CounterOutcome:
-        """How a call ends that the counter does not answer in time."""
+        """Return the outcome of a call without a reply in time."""
         unreachable_after = _COUNTER_TIMEOUTS_UNTIL_UNREACHABLE * COUNTER_TIMEOUT
         if partitioned and now - self._schedule.partition.begin > unreachable_after:
             return CounterOutcome.UNREACHABLE
@@ -124,12 +152,12 @@
         return not self._faults.partitioned(self._zone, self._topology.zone(endpoint), now)
 
     def _connections_are_closed(self, endpoint: int, now: float) -> bool:
-        """Whether an endpoint out of reach is so for long enough that its connections are given up."""
+        """Whether an endpoint has been unreachable for so long that its connections are closed."""
         if self._faults.endpoint_down(endpoint, now):
-            lost_at = self._schedule.zone_outage.begin
+            unreachable_since = self._schedule.zone_outage.begin
         else:
-            lost_at = self._schedule.partition.begin
-        return now - lost_at > CONNECTION_LIFETIME_AFTER_LOSS
+            unreachable_since = self._schedule.partition.begin
+        return now - unreachable_since > CONNECTION_LIFETIME_AFTER_LOSS
 
     def _delay(self, endpoint: int) -> float:
         draw = pair_draw(self._index, endpoint)
--- a/scale/fleet/limiter_process.py
+++ b/scale/fleet/limiter_process.py
@@ -38,12 +38,14 @@
     CounterOutcome.UNREACHABLE: model.CallStatus.UNREACHABLE,
     CounterOutcome.TIMED_OUT: model.CallStatus.TIMEOUT,
 }
+MICROSECONDS_PER_SECOND = 1e6
+MILLIUNITS_PER_UNIT = 1000
 ProcessMessage = AttemptEnded | TimerDue | CounterAnswered | HealthChecked
-_KILLED = "killed"  # the reason why a request failed
+_KILLED = "killed"  # reason of the failed requests
 
 
 class LimiterProcess:
-    """Turns messages into events of the decisions, and their actions into messages."""
+    """Translates messages into events of the decisions, and their actions into messages."""
 
     __slots__ = (
         "_answer_delay",
@@ -68,7 +70,7 @@
         mailbox: Mailbox,
         tally: Tally,
     ) -> None:
-        """Start the decisions at ``now`` with a random seed of their own."""
+        """Start the decisions at ``now``; ``seed`` is theirs."""
         self.incarnation = incarnation
         self._world = world
         self._tally = tally
@@ -77,11 +79,11 @@
         settings = limiter_settings(world, index)
         self._gateway = MeasuredGateway(settings, seed=seed, now=now, cost=tally.cost)
         self._requests = dict[int, OpenRequest]()
-        self._counter_ids = dict[int, int]()  # by the id of the call that is out
-        self._answer_delay = 0.0  # by how much the windows delayed the answer that is being handled
+        self._counter_ids = dict[int, int]()  # by the id of a call in flight
+        self._answer_delay = 0.0  # delay by the windows of the counter reply that is being handled
 
     def accept(self, now: float, message: ClientRequest) -> None:
-        """Take a client's request."""
+        """Handle a client's request."""
         request = OpenRequest(message)
         self._requests[message.request_id] = request
         event = model.Request(
@@ -95,41 +97,39 @@
             is_retry=message.is_retry,
         )
         self._decide(now, event)
-        if message.request_id in self._requests and not request.attempt_is_out:
-            request.waits_since = now
+        if message.request_id in self._requests and not request.attempt_in_flight:
+            request.start_wait(now)
 
     def receive(self, now: float, message: ProcessMessage) -> None:
-        """Take what ends something that this incarnation began."""
+        """Handle a message to this incarnation."""
         _MESSAGE_HANDLERS[type(message)](self, now, message)
 
     def update_endpoints(self, now: float, update: model.EndpointUpdate) -> None:
-        """Take the endpoint list or a change of it."""
+        """Apply the endpoint list or a change of it."""
         self._decide(now, update)
 
     def kill(self, now: float) -> None:
-        """End without a trace: the clients see their connections break."""
+        """End the process; the clients' requests fail with their connections."""
         self._gateway.discard()
         for request_id, request in self._requests.items():
             self._notify_client(now, request, RequestEnded(request_id, RequestResult.FAILED, _KILLED))
 
     def warming_up_endpoints(self) -> int:
-        """Endpoints of its subset that the decisions take to be warming up."""
+        """Return the number of endpoints of the subset that the decisions consider to be warming up."""
         return self._gateway.warming_up_endpoints()
 
     def _decide(self, now: float, event: model.Event) -> None:
-        """Have the decisions handle an event, and carry out their actions."""
+        """Let the decisions handle an event, and execute their actions."""
         for action in self._gateway.handle(now, event):
             handler = _ACTION_HANDLERS.get(type(action))
             if handler is not None:
                 handler(self, now, action)
 
-    # Messages.
-
     def _on_attempt_ended(self, now: float, message: AttemptEnded) -> None:
         request = self._requests.get(message.request_id)
-        if request is None or not request.attempt_is_out or request.attempt != message.attempt:
+        if request is None or not request.attempt_in_flight or request.attempt != message.attempt:
             return
-        request.attempt_is_out = False
+        request.end_attempt()
         self._tally.at(now)[f"attempts {message.outcome.value}"] += 1
         served = message.outcome is AttemptOutcome.OK
         if served:
@@ -165,15 +165,10 @@
         status = _ATTEMPT_STATUS[message.outcome]
         self._decide(now, model.HealthChecked(endpoint_name(message.endpoint), status, elapsed, {}))
 
-    # Actions of the decisions.
-
     def _forward(self, now: float, action: model.Forward) -> None:
         request = self._requests[action.request_id]
         self._end_wait(now, request)
-        request.attempt += 1
-        request.attempt_is_out = True
-        request.endpoint = endpoint_index(action.endpoint)
-        request.sent_at = now
+        request.start_attempt(now, endpoint_index(action.endpoint))
         self._tally.at(now)["attempts"] += 1
         self._network.send_attempt(now, self.incarnation, request, action.timeout)
 
@@ -183,7 +178,7 @@
     def _increment_counter(self, now: float, action: model.IncrementCounter) -> None:
         counts = self._tally.at(now)
         counts["counter calls"] += 1
-        counts["counter milliunits"] += round(abs(action.amount) * 1000)
+        counts["counter milliunits"] += round(abs(action.amount) * MILLIUNITS_PER_UNIT)
         self._tally.seconds[int(now)]["counter calls"] += 1
         call_id = self._network.call_counter(now, self.incarnation, action)
         self._counter_ids[call_id] = action.counter_id
@@ -205,14 +200,13 @@
         self._notify_client(now, request, RequestEnded(request_id, result, reason))
 
     def _end_wait(self, now: float, request: OpenRequest) -> None:
-        """Count how long a request waited for the counter."""
-        if request.waits_since is None:
+        """Count the time for which a request waited for the counter, without the delay by the windows."""
+        started_at = request.end_wait()
+        if started_at is None:
             return
-        # What the windows add to an answer of the counter is no wait of the real thing.
-        waited = now - self._answer_delay - request.waits_since
-        self._tally.waits[max(0, round(waited * 1e6))] += 1
+        waited = now - self._answer_delay - started_at
+        self._tally.waits[max(0, round(waited * MICROSECONDS_PER_SECOND))] += 1
         self._tally.at(now)["waited for counter"] += 1
-        request.waits_since = None
 
     def _notify_client(self, now: float, request: OpenRequest, event: RequestServed | RequestEnded) -> None:
         self._mailbox.send(request.client_request.tenant, now, event)
--- a/scale/fleet/limiter_settings.py
+++ b/scale/fleet/limiter_settings.py
@@ -1,4 +1,4 @@
-"""What the configuration of a simulated limiter says."""
+"""The settings of a simulated limiter."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from scale.fleet.scenario import World
 from scale.fleet.tenants import PlanTerms
 
-_PRICE_SCALE = 10  # tenths of a plan's price in the decisions' settings
+_PRICE_SCALE = 10  # prices of the simulation are in tenths
 
 
 def limiter_settings(world: World, index: int) -> model.Settings:
-    """The settings of one limiter."""
+    """Return the settings of one limiter."""
     return model.Settings(
         gateway_index=index,
         gateway_count=world.size.limiters,
--- a/scale/fleet/lockstep.py
+++ b/scale/fleet/lockstep.py
@@ -1,4 +1,4 @@
-"""Workers in lock-step: each hands messages to each other one after every window of virtual time."""
+"""Worker processes in lock-step, which exchange messages after every window of virtual time."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 from scale.model import BrokenRunError
 
-# Takes the outbox for each worker and gives what the others, and the worker itself, had for this one.
+# Takes the outbox for each worker; returns the messages of all workers for this one.
 Exchange = Callable[[list[list[Any]]], list[Any]]
-# Index of the worker, number of workers, the exchange and the task; what it gives must be picklable.
+# Takes the index of the worker, the number of workers, the exchange and the task; returns a picklable result.
 Work = Callable[[int, int, Exchange, Any], Any]
 
-_EXIT_TIMEOUT = 5.0  # seconds for a worker to exit once its pipe has ended
+_EXIT_TIMEOUT_SECONDS = 5.0  # for a worker whose pipe is closed
 
 
 class PeerLostError(Exception):
-    """Another worker is gone: it, and not this one, is the cause."""
+    """Another worker has exited, which is the cause of the failure."""
 
 
 class _Status(Enum):
@@ -32,7 +32,7 @@
 
 
 class _Outcome(NamedTuple):
-    """How a worker ended, with its result or the cause."""
+    """The end of a worker, with its result or the cause."""
 
     status: _Status
     content: Any
@@ -47,9 +47,10 @@
 def run_workers(
     work: Work, count: int, task: Any, started: Callable[[list[int]], None] = lambda _pids: None
 ) -> list[Any]:
-    """The workers' results in order; ``BrokenRunError`` names the causes where some of them fail or die.
+    """Return the workers' results in order. Raise ``BrokenRunError`` if a worker fails or exits.
 
-    ``work`` and ``task`` are pickled: each worker is a fresh process. ``started`` gets the process ids.
+    Each worker is a process of its own, which receives ``work`` and ``task`` pickled. ``started`` is called
+    with the process ids.
     """
     workers = _start(work, count, task)
     started([worker.process.pid or 0 for worker in workers])
@@ -62,7 +63,7 @@
             elif outcome.status is _Status.FAILED:
                 causes.append(f"worker {index}: {outcome.content}")
         if len(results) < count:
-            raise BrokenRunError("; ".join(causes) or "the workers lost each other")
+            raise BrokenRunError("; ".join(causes) or "the workers lost their connections")
     finally:
         for worker in workers:
             if worker.process.is_alive() and len(results) < count:
@@ -86,7 +87,7 @@
         senders.append(sender)
     for worker in workers:
         worker.process.start()
-    # Only the workers may hold these: an end that stays open here would hide the death of a worker.
+    # An end that stayed open in this process would hide the exit of a worker.
     for own_links in links:
         for link in own_links.values():
             link.close()
@@ -96,7 +97,7 @@
 
 
 def _outcomes(workers: list[_Worker]) -> Iterator[tuple[int, _Outcome]]:
-    """Each worker's index and how it ended, as they end."""
+    """Yield the index and the outcome of each worker as it ends."""
     waiting: dict[Any, int] = {worker.outcomes: index for index, worker in enumerate(workers)}
     while waiting:
         for ready in wait(list(waiting)):
@@ -105,7 +106,7 @@
                 outcome = workers[index].outcomes.recv()
             except (EOFError, OSError):
                 process = workers[index].process
-                process.join(_EXIT_TIMEOUT)
+                process.join(_EXIT_TIMEOUT_SECONDS)
                 outcome = _Outcome(_Status.FAILED, f"it died with exit code {process.exitcode}")
             yield index, outcome
 
@@ -126,10 +127,13 @@
     peers = sorted(links)
 
     def exchange(outboxes: list[list[Any]]) -> list[Any]:
-        """Send to each peer and receive from it."""
+        """Send to each peer and receive from it.
+
+        All workers take the pairs in the same order, and the lower index sends first, so that there is no
+        cycle of waits.
+        """
         received = list[Any]()
         try:
-            # Pairs in one order at all workers, and in a pair the lower one sends first: no cycle of waits.
             for peer in peers:
                 if index < peer:
                     links[peer].send(outboxes[peer])
@@ -139,7 +143,7 @@
                     links[peer].send(outboxes[peer])
                     received += inbox
         except (EOFError, OSError) as error:
-            raise PeerLostError(f"no worker at the other end: {error!r}") from None
+            raise PeerLostError(f"connection to another worker lost: {error!r}") from None
         return received + outboxes[index]
 
     return exchange
--- a/scale/fleet/measured_gateway.py
+++ b/scale/fleet/measured_gateway.py
@@ -1,4 +1,4 @@
-"""The decisions under test, with the cost of each event; only this module looks into them."""
+"""The decisions under test with the cost of each event; only this module reads their internal state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quota_gateway.decisions.gateway import Gateway
 
 _UNKNOWN_REASON = "unknown"
-# The names under which the costs of events are counted.
+# Names of the costs in a run's JSON file.
 _COST_NAMES: dict[type[model.Event], str] = {
     model.TimerFired: "tick",
     model.EndpointUpdate: "list",
@@ -22,7 +22,7 @@
 
 
 class _ReasonRecorder(dict[str, int]):
-    """Takes the place of the decisions' counts of rejections by reason, and keeps the latest reasons."""
+    """Replaces the decisions' counts of rejections by reason, and records the latest reasons."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,8 +36,8 @@
 class MeasuredGateway:
     """The decisions of one incarnation of a limiter.
 
-    Actions do not say why a request is rejected: the reason is read from the forwarder's counts by reason,
-    and the number of endpoints that warm up from the gateway's subset of endpoints.
+    Actions have no reason for a rejection: it is read from the forwarder's counts by reason. The number of
+    endpoints that are warming up is read from the gateway's subset.
     """
 
     def __init__(self, settings: model.Settings, *, seed: int, now: float, cost: Counter[str]) -> None:
@@ -49,11 +49,11 @@
         self._reasons: Iterator[str] = iter(())
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """The actions that the decisions answer an event with; its processor time is counted."""
+        """Return the actions of the decisions for an event, and count its processor time."""
         self._recorder.latest.clear()
-        began = time.thread_time_ns()
+        started = time.thread_time_ns()
         actions = self._gateway.handle(now, event)
-        spent = time.thread_time_ns() - began
+        spent = time.thread_time_ns() - started
         name = _COST_NAMES[type(event)]
         self._cost[name] += spent
         self._cost[f"{name}s"] += 1
@@ -61,13 +61,13 @@
         return actions
 
     def next_reason(self) -> str:
-        """Why the next of the requests was rejected that the last event's actions reject."""
+        """Return the reason of the next rejection among the last event's actions."""
         return next(self._reasons, _UNKNOWN_REASON)
 
     def warming_up_endpoints(self) -> int:
-        """Endpoints of its subset that this limiter takes to be warming up."""
+        """Return the number of endpoints of the subset that are considered to be warming up."""
         return sum(endpoint.warming_since is not None for endpoint in self._gateway.endpoints.subset)
 
     def discard(self) -> None:
-        """Free the decisions: they refer to themselves, and the worker does not collect cycles."""
+        """Release the decisions, whose reference cycles the worker's disabled collector would keep."""
         self._gateway.__dict__.clear()
--- a/scale/fleet/messages.py
+++ b/scale/fleet/messages.py
@@ -1,7 +1,7 @@
-"""What limiters, clients, endpoints, counter and discovery send each other in virtual time.
+"""The messages between limiters, clients, endpoints, counter and discovery in virtual time.
 
-An ``Envelope`` carries one event; envelopes are ordered by time, then by source and its sequence number, so
-that every run takes them in the same order, with however many workers.
+An ``Envelope`` carries one event. Envelopes are ordered by time, then by source and its sequence number, so
+that the order does not depend on the number of workers.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from scale.model import Size
 
-if TYPE_CHECKING:  # a worker may take the decisions from another checkout, later
+if TYPE_CHECKING:  # no import at run time: a worker may import the decisions from another checkout
     from quota_gateway import model
 
 
 class Role(Enum):
-    """To whom an envelope goes."""
+    """The kind of recipient of an envelope."""
 
     LIMITER = auto()
     ENDPOINT = auto()
@@ -26,7 +26,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt or a health check ended; the values are names in a run's JSON file."""
+    """The outcome of an attempt or a health check; the values are names in a run's JSON file."""
 
     OK = "ok"
     OVERLOADED = "full"
@@ -35,7 +35,7 @@
 
 
 class CounterOutcome(Enum):
-    """How a call to the counter ended."""
+    """The outcome of a call to the counter."""
 
     OK = "ok"
     TIMED_OUT = "timed out"
@@ -43,13 +43,13 @@
 
 
 class RequestResult(Enum):
-    """How a request ended that was not served; the values are names in a run's JSON file."""
+    """The outcome of a request that was not served; the values are names in a run's JSON file."""
 
     REJECTED = "refused"
     FAILED = "failed"
 
 
-# To a limiter. The incarnation is that which began what ends here: a later one ignores it.
+# Events of a limiter. Those with an incarnation are ignored by any later one.
 
 
 class ClientRequest(NamedTuple):
@@ -68,7 +68,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The answer of an endpoint, or the timer that ends the attempt without one."""
+    """The response of an endpoint, or the timer that ends the attempt without one."""
 
     incarnation: int
     request_id: int
@@ -77,24 +77,24 @@
 
 
 class TimerDue(NamedTuple):
-    """A timer that the decisions set."""
+    """A timer of the decisions has expired."""
 
     incarnation: int
     token: int
 
 
 class CounterAnswered(NamedTuple):
-    """The answer of the counter, or the timer that ends the call without one."""
+    """The reply of the counter, or the timer that ends the call without one."""
 
     incarnation: int
     call_id: int
     outcome: CounterOutcome
     total: float  # units
-    arrived_at: float  # before the window in which it is handled
+    arrived_at: float  # earlier than the window in which it is handled
 
 
 class HealthChecked(NamedTuple):
-    """How a health check ended."""
+    """A health check has ended."""
 
     incarnation: int
     endpoint: int
@@ -103,13 +103,13 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The agent has pushed the endpoint list's changes up to this one."""
+    """The agent has delivered the first ``known_changes`` changes of the endpoint list."""
 
     known_changes: int
 
 
 class EndpointFailed(NamedTuple):
-    """The agent has pushed that an endpoint failed under too much load."""
+    """The agent has delivered the failure of an overloaded endpoint."""
 
     endpoint: model.Endpoint
 
@@ -123,31 +123,31 @@
 
 
 class WatchLost(NamedTuple):
-    """The watch of the endpoint list has been silent for too long."""
+    """The watch of the endpoint list is unresponsive."""
 
 
 class DiscoveryCallDue(NamedTuple):
-    """The back-off before a call to discovery is over."""
+    """The backoff before a call to discovery has ended."""
 
     incarnation: int
 
 
 class DiscoveryCallTimedOut(NamedTuple):
-    """Discovery did not answer in time."""
+    """Discovery did not respond in time."""
 
     incarnation: int
     call_id: int
 
 
 class WatchOpened(NamedTuple):
-    """Discovery answers with the complete list and the begin of a watch."""
+    """Discovery responds with the complete list and opens a watch."""
 
     incarnation: int
     call_id: int
     known_changes: int
 
 
-# To an endpoint, the counter and discovery; the envelope's source is the limiter.
+# Events of an endpoint, the counter and discovery; the envelope's source is the limiter.
 
 
 class Attempt(NamedTuple):
@@ -168,7 +168,7 @@
 
 
 class CounterCall(NamedTuple):
-    """Add to a counter and read its total."""
+    """An increment of a counter, whose reply is the total."""
 
     incarnation: int
     call_id: int
@@ -178,29 +178,29 @@
 
 
 class DiscoveryCall(NamedTuple):
-    """Read the endpoint list and watch it."""
+    """A request for the endpoint list and a watch of it."""
 
     incarnation: int
     call_id: int
 
 
-# To the clients of a tenant.
+# Events of the clients of a tenant.
 
 
 class RequestForwarded(NamedTuple):
-    """The first attempt of a request is sent."""
+    """The first attempt of a request has been sent."""
 
     request_id: int
 
 
 class RequestServed(NamedTuple):
-    """The client has its answer."""
+    """The client has received its response."""
 
     request_id: int
 
 
 class RequestEnded(NamedTuple):
-    """The request was rejected, or failed, for this reason."""
+    """The request was rejected or failed."""
 
     request_id: int
     result: RequestResult
@@ -225,7 +225,7 @@
 EndpointEvent = Attempt | HealthCheck
 ClientEvent = RequestForwarded | RequestServed | RequestEnded
 Event = LimiterEvent | EndpointEvent | ClientEvent | CounterCall | DiscoveryCall
-# To whom an event goes.
+# The role of the recipient, by the type of the event.
 ROLES: dict[type[Event], Role] = {
     **dict.fromkeys(get_args(LimiterEvent), Role.LIMITER),
     **dict.fromkeys(get_args(EndpointEvent), Role.ENDPOINT),
@@ -236,22 +236,22 @@
 
 
 class Envelope(NamedTuple):
-    """An event on its way."""
+    """An event in transit."""
 
-    time: float  # virtual seconds, when it arrives
+    time: float  # of the arrival, in virtual seconds
     source: int  # of ``SourceNumbers``
-    sequence: int  # grows with each envelope of the source
+    sequence: int  # increases with each envelope of the source
     recipient: int  # number of the limiter, endpoint or tenant; the limiter's for counter and discovery
     event: Event
 
 
 class SourceNumbers:
-    """One number for each sender of a fleet: limiters come first and have their own."""
+    """The numbers of the senders of a fleet; a limiter has its index."""
 
     __slots__ = ("counter", "discovery", "first_endpoint", "first_tenant")
 
     def __init__(self, size: Size) -> None:
-        """The numbers for a fleet of that size."""
+        """Assign the numbers for a size."""
         self.first_endpoint = size.limiters
         self.first_tenant = self.first_endpoint + size.servers
         self.counter = self.first_tenant + size.tenants
--- a/scale/fleet/router.py
+++ b/scale/fleet/router.py
@@ -1,4 +1,4 @@
-"""Which worker has which limiter, endpoint and tenant, and the envelopes on their way to each worker."""
+"""The worker that owns each limiter, endpoint and tenant, and the envelopes for each worker."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Router:
-    """Collects what one worker sends within a window, by the worker that it goes to."""
+    """Collects the envelopes that one worker sends within a window, by the receiving worker."""
 
     def __init__(self, worker: int, worker_count: int, world: World) -> None:
-        """The router of one worker out of so many."""
+        """Create the router of one of ``worker_count`` workers."""
         self._worker = worker
         self._worker_count = worker_count
         self._world = world
@@ -26,19 +26,19 @@
         self._owners = {event: owners[role] for event, role in ROLES.items() if role in owners}
 
     def owns_limiter(self, limiter: int) -> bool:
-        """Whether this worker has the limiter."""
+        """Whether this worker owns a limiter."""
         return self._limiter_owner(limiter) == self._worker
 
     def owns_endpoint(self, endpoint: int) -> bool:
-        """Whether this worker has the endpoint."""
+        """Whether this worker owns an endpoint."""
         return self._endpoint_owner(endpoint) == self._worker
 
     def owns_tenant(self, tenant: int) -> bool:
-        """Whether this worker has the tenant's clients."""
+        """Whether this worker owns a tenant's clients."""
         return self._tenant_owner(tenant) == self._worker
 
     def send(self, envelope: Envelope) -> None:
-        """Have the worker of the recipient take the envelope after the window."""
+        """Add an envelope for the worker of its recipient, which receives it after the window."""
         owner = self._owners.get(type(envelope.event))
         if owner is not None:
             self._outboxes[owner(envelope.recipient)].append(envelope)
@@ -47,13 +47,13 @@
                 outbox.append(envelope)
 
     def exchange(self, exchange: Exchange) -> list[Envelope]:
-        """Hand over what was sent since the last call; what this worker and the others sent to this one."""
+        """Send the envelopes since the last call, and return those for this worker, its own included."""
         outboxes = self._outboxes
         self._outboxes = [[] for _ in outboxes]
-        to_self = outboxes[self._worker]
+        own = outboxes[self._worker]
         outboxes[self._worker] = []
-        from_others = exchange([encode(outbox) for outbox in outboxes])
-        return to_self + decode(from_others)
+        received = exchange([encode(outbox) for outbox in outboxes])
+        return own + decode(received)
 
     def _limiter_owner(self, limiter: int) -> int:
         return limiter * self._worker_count // self._world.size.limiters
@@ -62,5 +62,5 @@
         return endpoint % self._worker_count
 
     def _tenant_owner(self, tenant: int) -> int:
-        """That of the first limiter of its set."""
+        """Return the worker of the first limiter of the tenant's set."""
         return self._limiter_owner(self._world.tenants[tenant].first_limiter)
--- a/scale/fleet/scale_test.py
+++ b/scale/fleet/scale_test.py
@@ -1,4 +1,4 @@
-"""The fleet simulation as one of the scale tests: reduced fleets for slopes, then the full size."""
+"""The fleet simulation as a scale test: reduced fleets for slopes, then the full size."""
 
 from __future__ import annotations
 
@@ -6,20 +6,19 @@
 from typing import Any
 
 from scale import regression
-from scale.fleet.faults import FULL_LENGTH, FaultSchedule
+from scale.fleet.faults import FULL_LENGTH_SECONDS, FaultSchedule
 from scale.fleet.scenario import Scenario
 from scale.fleet.simulation import simulate
 from scale.fleet.summary import summarize
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
 
-SHORT_RUN = 30.0  # virtual seconds of a reduced fleet
-# Virtual seconds before these: service and counter calls of a fresh fleet are not those of the calm.
-WARM_UP = 20.0
-SIZE_SHARES = (0.025, 0.05, 0.1, 1.0)
-QUICK_SIZE_SHARES = (0.0125, 0.025, 0.05, 0.1)
+SHORT_RUN_SECONDS = 30.0  # virtual, of a reduced fleet
+WARM_UP_SECONDS = 20.0  # virtual, until service and counter calls do not depend on the start
+SIZE_FRACTIONS = (0.025, 0.05, 0.1, 1.0)
+QUICK_SIZE_FRACTIONS = (0.0125, 0.025, 0.05, 0.1)
 MAX_RUNS = 3  # of each reduced size; the full size is simulated once
-ENDPOINTS_PER_ZONE = 4  # that a reduced fleet has at least
-# Bytes, by the slopes of the scale test of memory.
+MIN_ENDPOINTS_PER_ZONE = 4
+# By the slopes of the scale test of memory.
 _ENDPOINT_BYTES = 900.0  # at each limiter
 _TENANT_BYTES = 1500.0  # at each limiter of its set
 _PROCESS_BYTES = 60e6
@@ -32,34 +31,34 @@
 )
 
 
-def reduced(size: Size, share: float) -> Size:
-    """The same fleet, smaller: as many requests, endpoints and tenants for each limiter."""
-    limiters = max(size.spread, round(size.limiters * share))
-    share = limiters / size.limiters
+def reduced(size: Size, fraction: float) -> Size:
+    """Return a smaller fleet with as many requests, endpoints and tenants for each limiter."""
+    limiters = max(size.spread, round(size.limiters * fraction))
+    fraction = limiters / size.limiters
     return replace(
         size,
         limiters=limiters,
-        servers=max(size.zones * ENDPOINTS_PER_ZONE, round(size.servers * share)),
-        tenants=max(1, round(size.tenants * share)),
-        rate=size.rate * share,
+        servers=max(size.zones * MIN_ENDPOINTS_PER_ZONE, round(size.servers * fraction)),
+        tenants=max(1, round(size.tenants * fraction)),
+        rate=size.rate * fraction,
     )
 
 
 def like_fleets(size: Size, full_size: Size) -> int:
-    """How many fleets of that size would share the counter of the full one."""
+    """Return the number of fleets of a size that would share the counter of the full fleet."""
     return max(1, round(full_size.limiters / size.limiters))
 
 
 @dataclass(slots=True)
 class _SlopePoints:
-    """Costs of each size's runs, for the slopes."""
+    """The costs in the runs of each size, for the slopes."""
 
     counter_calls: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by limiters
     memory: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by limiters
     control: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by endpoints
 
     def add(self, size: Size, fleets: int, summaries: list[dict[str, Any]]) -> None:
-        """The runs of one size, which shared the counter as so many fleets."""
+        """Add the runs of one size, in which ``fleets`` fleets shared the counter."""
         totals = [summary["over all"] for summary in summaries]
         self.counter_calls[size.limiters] = tuple(
             summary["phases"]["calm"]["calls/s"] / fleets for summary in summaries
@@ -68,7 +67,7 @@
         self.control[size.servers] = tuple(total["real control share of a core"] for total in totals)
 
     def slopes(self) -> list[Slope]:
-        """How the costs grow."""
+        """Return the slopes of the costs."""
         return [
             regression.line("counter calls, calm", "calls/s", "limiters", self.counter_calls),
             regression.line("memory of all processes", "bytes", "limiters", self.memory),
@@ -77,12 +76,15 @@
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """Reduced sizes for slopes, then the full one; ``BrokenRunError`` where a worker fails or dies."""
+    """Simulate reduced sizes for the slopes, then the full size.
+
+    Raise ``BrokenRunError`` if a worker fails or exits.
+    """
     if min(size.limiters, size.servers, size.tenants) < 1 or size.rate <= 0:
-        raise BrokenRunError("a fleet of nothing")
+        raise BrokenRunError(f"a fleet needs limiters, endpoints, tenants and a rate: {size}")
     points = _SlopePoints()
-    for share in QUICK_SIZE_SHARES if effort.quick else SIZE_SHARES:
-        scenarios = _scenarios(size, share, effort)
+    for fraction in QUICK_SIZE_FRACTIONS if effort.quick else SIZE_FRACTIONS:
+        scenarios = _scenarios(size, fraction, effort)
         summaries = [
             summarize(scenario, simulate(scenario, min(effort.processes, scenario.size.limiters)))
             for scenario in scenarios
@@ -97,12 +99,12 @@
     )
 
 
-def _scenarios(size: Size, share: float, effort: Effort) -> list[Scenario]:
-    """The runs of one size, with a seed each."""
-    is_full_size = share == 1.0
+def _scenarios(size: Size, fraction: float, effort: Effort) -> list[Scenario]:
+    """Return the runs of one size, each with a seed of its own."""
+    is_full_size = fraction == 1.0
     runs = 1 if is_full_size or effort.quick else min(MAX_RUNS, effort.runs)
-    schedule = FaultSchedule.of(FULL_LENGTH if is_full_size else SHORT_RUN, WARM_UP)
-    fleet = reduced(size, share)
+    schedule = FaultSchedule.of(FULL_LENGTH_SECONDS if is_full_size else SHORT_RUN_SECONDS, WARM_UP_SECONDS)
+    fleet = reduced(size, fraction)
     fleets = like_fleets(fleet, size)
     return [
         Scenario(fleet, schedule, seed, like_fleets=fleets) for seed in range(effort.seed, effort.seed + runs)
@@ -110,7 +112,7 @@
 
 
 def _figures(summary: dict[str, Any], budget: Budget, source: str) -> list[Figure]:
-    """What the shared command checks and prints; of the full size."""
+    """Return the figures of the full size."""
     total = summary["over all"]
     phases = summary["phases"]
 
@@ -141,7 +143,7 @@
 
 
 def memory(size: Size, effort: Effort) -> dict[str, float]:
-    """Bytes at once, by the option that asks for them: each limiter knows every endpoint and its tenants."""
+    """Return the bytes used at once, by the option that causes them."""
     return {
         "servers": size.limiters * size.servers * _ENDPOINT_BYTES,
         "tenants": size.tenants * size.spread * _TENANT_BYTES,
--- a/scale/fleet/scenario.py
+++ b/scale/fleet/scenario.py
@@ -1,4 +1,4 @@
-"""What one run of the fleet is made of, and the world that follows from it."""
+"""The inputs of one run of the fleet, and the world that they determine."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     seed: int = 1
     counter_capacity: float = COUNTER_CAPACITY  # calls a second of all partitions
     counter_partitions: int = COUNTER_PARTITIONS
-    like_fleets: int = 1  # so many fleets like this one share the counter
+    like_fleets: int = 1  # number of fleets of this size that share the counter
     package: str = ""  # the checkout whose decisions are simulated; empty: this one
-    # Calls a second that discovery serves; 0: it pushes to an agent beside each limiter.
+    # Calls a second that discovery serves; 0: it notifies an agent of each limiter.
     discovery_capacity: float = 0.0
     progress: bool = False  # a line on standard error every 10 virtual seconds
 
     def as_json(self) -> dict[str, Any]:
-        """The inputs under the names that a run's JSON file has for them."""
+        """Return the inputs by their names in a run's JSON file."""
         schedule = self.schedule
         return {
             "size": asdict(self.size),
@@ -39,7 +39,7 @@
                 "zone_lost": schedule.zone_outage,
                 "restart": schedule.restart_at,
                 "cut": schedule.partition,
-                "restarted": schedule.restarted_share,
+                "restarted": schedule.restarted_fraction,
                 "lost_zone": schedule.lost_zone,
                 "silences": schedule.counter_outages,
                 "slow": schedule.counter_slowdowns,
@@ -55,13 +55,13 @@
 
 
 class World:
-    """All that follows from a scenario and never changes; the same in every worker."""
+    """Everything constant that a scenario determines; it is equal in every worker."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Draw all from the seed; ``ValueError`` for a size that cannot be built."""
+        """Draw the world from the seed. Raise ``ValueError`` for an impossible size."""
         size = scenario.size
         if not 1 <= size.spread <= size.limiters or size.zones < 2 or size.regions != 2:
-            raise ValueError("a set needs 1 to all limiters, the world two zones or more and two regions")
+            raise ValueError(f"spread, zones or regions are out of range: {size}")
         self.scenario = scenario
         self.size = size
         self.seed = scenario.seed
@@ -77,10 +77,10 @@
 
 
 def _cumulative_set_weights(spread: int) -> list[float]:
-    """Use is uneven in a set: its second limiter sees half of what the first one does, the third a third."""
+    """Return the cumulative weights of a tenant's limiters: 1, 1/2, 1/3 and so on."""
     total = 0.0
     weights = list[float]()
-    for rank in range(spread):
-        total += 1.0 / (rank + 1)
+    for position in range(1, spread + 1):
+        total += 1.0 / position
         weights.append(total)
     return weights
--- a/scale/fleet/services.py
+++ b/scale/fleet/services.py
@@ -1,7 +1,7 @@
-"""The stand-ins as a worker runs them: they take what has arrived and send their answers to the limiters.
+"""Counter, discovery and endpoints of a worker: they handle arrived messages and reply to the limiters.
 
-Each worker has a copy of the counter and of discovery, which see the calls of all limiters, and answers its
-own limiters from them. Of the endpoints it has some.
+Each worker has a copy of the counter and of discovery, which handle the calls of all limiters and reply to
+the worker's own. Each endpoint belongs to one worker.
 """
 
 from __future__ import annotations
@@ -35,14 +35,15 @@
 from scale.fleet.tally import Tally
 from scale.fleet.topology import COORDINATION_ZONE, pair_draw
 
-_ANY_DISCOVERY_CAPACITY = 1.0  # calls a second where none is ever called
+_UNUSED_DISCOVERY_CAPACITY = 1.0  # calls a second; with agents there are no calls
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class CounterService:
-    """A worker's copy of the counter."""
+    """A worker's copy of the counter. The worker adds arriving calls to ``inbox``, a heap."""
 
     def __init__(self, world: World, router: Router, events: list[Envelope], tally: Tally | None) -> None:
-        """``events``: the heap of the worker's limiters; ``tally``: None for all copies but one."""
+        """``events`` is the heap of the worker's limiters; ``tally`` is None for all copies but one."""
         scenario = world.scenario
         self.inbox = list[Envelope]()
         self._world = world
@@ -60,7 +61,7 @@
         )
 
     def serve_until(self, start: float) -> None:
-        """Take what has arrived before the window that starts then."""
+        """Handle the calls that arrived before the window that begins at ``start``."""
         inbox = self.inbox
         while inbox and inbox[0].time < start:
             envelope = heappop(inbox)
@@ -76,7 +77,7 @@
         if self._tally is not None:
             counts = self._tally.at(answered_at)
             counts["counter calls served"] += 1
-            counts["counter latency us"] += round((answered_at - arrived_at) * 1e6)
+            counts["counter latency us"] += round((answered_at - arrived_at) * MICROSECONDS_PER_SECOND)
         if not self._router.owns_limiter(limiter):
             return
         topology = self._world.topology
@@ -91,22 +92,22 @@
 
 
 class DiscoveryService:
-    """A worker's copy of discovery."""
+    """A worker's copy of discovery. The worker adds arriving calls to ``inbox``, a heap."""
 
     def __init__(
         self, world: World, router: Router, events: list[Envelope], history: EndpointHistory
     ) -> None:
-        """``events``: the heap of the worker's limiters."""
+        """``events`` is the heap of the worker's limiters."""
         self.inbox = list[Envelope]()
         self._world = world
         self._router = router
         self._events = events
         self._history = history
         self._source = SourceNumbers(world.size).discovery
-        self._discovery = SimulatedDiscovery(world.scenario.discovery_capacity or _ANY_DISCOVERY_CAPACITY)
+        self._discovery = SimulatedDiscovery(world.scenario.discovery_capacity or _UNUSED_DISCOVERY_CAPACITY)
 
     def serve_until(self, start: float) -> None:
-        """Take what has arrived before the window that starts then."""
+        """Handle the calls that arrived before the window that begins at ``start``."""
         inbox = self.inbox
         while inbox and inbox[0].time < start:
             envelope = heappop(inbox)
@@ -122,8 +123,8 @@
         zone = topology.zone(limiter)
         if self._world.faults.partitioned(zone, COORDINATION_ZONE, answered_at):
             return
-        learning_time = NOTIFICATION_DELAY[0]
-        known_changes = sum(change.at + learning_time <= answered_at for change in self._history.changes)
+        min_delay, _ = NOTIFICATION_DELAY
+        known_changes = sum(change.at + min_delay <= answered_at for change in self._history.changes)
         delay = topology.delay(zone, COORDINATION_ZONE, pair_draw(limiter, COORDINATION_ZONE))
         event = WatchOpened(call.incarnation, call.call_id, known_changes)
         back_at = max(start, answered_at + delay)
@@ -131,10 +132,10 @@
 
 
 class EndpointService:
-    """A worker's endpoints."""
+    """A worker's endpoints. The worker adds arriving attempts and health checks to ``inbox``, a heap."""
 
     def __init__(self, world: World, router: Router, history: EndpointHistory, tally: Tally) -> None:
-        """The endpoints that the router gives to this worker."""
+        """Create the endpoints that the router assigns to this worker."""
         self.inbox = list[Envelope]()
         self._world = world
         self._faults = world.faults
@@ -143,7 +144,7 @@
         self._history = history
         self._tally = tally
         self._first_source = SourceNumbers(world.size).first_endpoint
-        self._sequences = Counter[int]()  # of what each endpoint sent
+        self._sequences = Counter[int]()  # sequence numbers, by endpoint
         self._endpoints = {
             index: SimulatedEndpoint(world.faults.boots_at(index))
             for index in range(world.size.servers)
@@ -151,7 +152,7 @@
         }
 
     def serve_until(self, start: float, end: float) -> None:
-        """Take what has arrived before the window; answers arrive after its end."""
+        """Handle the messages that arrived before the window; responses arrive after its end."""
         inbox = self.inbox
         while inbox and inbox[0].time < start:
             envelope = heappop(inbox)
@@ -174,7 +175,7 @@
         had_failed = endpoint.failed
         outcome, ended_at = endpoint.attempt(envelope.time, attempt.work, attempt.timeout)
         served = outcome is AttemptOutcome.OK
-        self._tally.at(envelope.time)["work us"] += round(attempt.work * 1e6) * served
+        self._tally.at(envelope.time)["work us"] += round(attempt.work * MICROSECONDS_PER_SECOND) * served
         if endpoint.failed and not had_failed:
             self._announce_failure(index, envelope.time)
         if outcome is AttemptOutcome.TIMED_OUT:
@@ -185,7 +186,7 @@
     def _answer(
         self, index: int, limiter: int, answered_at: float, window_end: float, answer: LimiterEvent
     ) -> None:
-        """Send an answer, unless a fault keeps it back."""
+        """Send a response, unless a fault prevents it."""
         zone = self._topology.zone(index)
         limiter_zone = self._topology.zone(limiter)
         if self._faults.endpoint_down(index, answered_at):
@@ -196,7 +197,7 @@
         self._send(index, limiter, max(window_end, answered_at + delay), answer)
 
     def _announce_failure(self, index: int, at: float) -> None:
-        """Have all limiters' agents notified that an endpoint failed."""
+        """Notify the agents of all limiters of the failure of an endpoint."""
         self._tally.at(at)["endpoints failed"] += 1
         initial = self._history.initial[index]
         removed = model.Endpoint(initial.name, model.EndpointHealth.REMOVED, initial.zone, initial.cell)
--- a/scale/fleet/simulation.py
+++ b/scale/fleet/simulation.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: the workers are started, and what they counted is brought together."""
+"""One run of a scenario: starts the workers and adds up their tallies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class SimulationResult:
-    """What all workers counted."""
+    """The tally of all workers."""
 
     tally: Tally
     elapsed: float  # real seconds that the run took
@@ -22,17 +22,17 @@
 
 
 def simulate(scenario: Scenario, processes: int) -> SimulationResult:
-    """Run a scenario in so many processes; ``BrokenRunError`` where one of them fails or dies."""
-    began = time.monotonic()
+    """Run a scenario in a number of processes. Raise ``BrokenRunError`` if one fails or exits."""
+    started_at = time.monotonic()
     tallies = run_workers(run_worker, processes, scenario)
     total: Tally = tallies[0]
     for tally in tallies[1:]:
         total.add(tally)
-    return SimulationResult(total, time.monotonic() - began, processes)
+    return SimulationResult(total, time.monotonic() - started_at, processes)
 
 
 def run_worker(index: int, count: int, exchange: Exchange, scenario: Scenario) -> Tally:
-    """The part of one worker; it runs in a process of its own, which has not imported the decisions yet."""
+    """Run one worker, in a process of its own that has not imported the decisions yet."""
     if scenario.package:
         _import_decisions_from(scenario.package)
     from scale.fleet.worker import Worker
@@ -41,15 +41,15 @@
 
 
 def _import_decisions_from(checkout: str) -> None:
-    """Import the decisions, and only these, from another checkout: the simulation itself is this one."""
+    """Import the decisions from another checkout; the simulation stays the one of this checkout."""
     if any(name.partition(".")[0] == "quota_gateway" for name in sys.modules):
-        raise RuntimeError("the decisions are here already: another checkout's cannot be taken")
+        raise RuntimeError(f"quota_gateway is imported already: it cannot be imported from {checkout}")
     sys.path.insert(0, checkout)
     import quota_gateway
 
     found = Path(quota_gateway.__file__).resolve()
     if not found.is_relative_to(Path(checkout).resolve()):
-        raise RuntimeError("the checkout given has no decisions")
+        raise RuntimeError(f"quota_gateway is not in {checkout}, but in {found}")
     import quota_gateway.decisions.gateway
 
     sys.path.remove(checkout)
--- a/scale/fleet/summary.py
+++ b/scale/fleet/summary.py
@@ -1,4 +1,4 @@
-"""What one run found, by phase, by second and over the run, under the names of a run's JSON file."""
+"""The summary of one run by phase, by second and in total, with the names of a run's JSON file."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from scale.fleet.simulation import SimulationResult
 from scale.fleet.tally import ALL_EVENTS, CONTROL_EVENTS, Tally
 
-RECOVERY_MARGIN = 0.02  # of the calm service, by which a recovered one may be lower
-RECOVERY_TIME = 3  # seconds for which service must be as in the calm
-_MICROSECONDS = 1e6
-_NANOSECONDS = 1e9
-_SHORTEST_PHASE = 1e-9  # seconds, for rates
+RECOVERY_TOLERANCE = 0.02  # by which the service after a recovery may be below that of the calm phase
+RECOVERY_SECONDS = 3  # for which the service has to stay recovered
+_MICROSECONDS_PER_SECOND = 1e6
+_NANOSECONDS_PER_SECOND = 1e9
+_MIN_PHASE_SECONDS = 1e-9  # avoids a division by zero
 
 
 def summarize(scenario: Scenario, result: SimulationResult) -> dict[str, Any]:
-    """All that one run found; times in seconds, real ones named so."""
+    """Return the summary of one run; times are virtual seconds unless the name says "real"."""
     tally = result.tally
     begins = [phase.begin for phase in scenario.schedule.phases()]
     names = [phase.name for phase in scenario.schedule.phases()]
@@ -31,7 +31,7 @@
         "play": scenario.as_json(),
         "over all": _run_totals(scenario, result),
         "phases": {
-            name: _phase(counts, max(_SHORTEST_PHASE, end - begin), scenario)
+            name: _phase(counts, max(_MIN_PHASE_SECONDS, end - begin), scenario)
             for name, (begin, end), counts in zip(names, ends, tally.phases, strict=True)
         },
         "seconds": {
@@ -45,17 +45,20 @@
     }
 
 
-def percentile(waits: Iterable[tuple[int, int]], zeros: int, share: float) -> float:
-    """Seconds that this share stays within: of waits in microseconds with their numbers, and zeros."""
+def percentile(waits: Iterable[tuple[int, int]], zeros: int, fraction: float) -> float:
+    """Return the seconds that a fraction of the waits does not exceed.
+
+    ``waits`` are pairs of microseconds and a number of requests; ``zeros`` requests did not wait.
+    """
     counted = sorted(waits)
-    wanted = share * (zeros + sum(number for _, number in counted))
+    wanted = fraction * (zeros + sum(number for _, number in counted))
     seen = zeros
     for wait, number in counted:
         if seen >= wanted:
             break
         seen += number
         if seen >= wanted:
-            return wait / _MICROSECONDS
+            return wait / _MICROSECONDS_PER_SECOND
     return 0.0
 
 
@@ -64,14 +67,17 @@
 
 
 def _phase(counts: Counter[str], seconds: float, scenario: Scenario) -> dict[str, Any]:
-    """The figures of one phase of so many seconds."""
+    """Return the figures of one phase."""
     return {
         "seconds": seconds,
         **_phase_service(counts, seconds),
         **_phase_ends(counts),
         **_phase_counter(counts, seconds, scenario.like_fleets),
         "probes/s": counts["health checks"] / seconds,
-        "busy": counts["work us"] / _MICROSECONDS / seconds / (scenario.size.servers * ENDPOINT_CORES),
+        "busy": counts["work us"]
+        / _MICROSECONDS_PER_SECOND
+        / seconds
+        / (scenario.size.servers * ENDPOINT_CORES),
         "list calls": counts["discovery calls"],
         "list calls in vain": counts["discovery calls timed out"],
         "watch after": _ratio(counts["watch delay ms"] / 1000, counts["watches"]),
@@ -82,7 +88,7 @@
 
 
 def _phase_service(counts: Counter[str], seconds: float) -> dict[str, Any]:
-    """What was served of the value that came within the quotas, and what went beyond them."""
+    """Return the served fraction of the value within the quotas, and the usage beyond the quotas."""
     return {
         "service": _ratio(counts["served value"], counts["offered value"]),
         "service basic": _ratio(counts["served value basic"], counts["offered value basic"]),
@@ -96,7 +102,7 @@
 
 
 def _phase_ends(counts: Counter[str]) -> dict[str, Any]:
-    """How requests and attempts ended."""
+    """Return how requests and attempts ended."""
     requests = counts["requests"]
     by_reason = _with_prefix(counts, "rejected within quota: ")
     ended = {key: counts[key] for key in sorted(counts) if key.startswith(("refused", "failed"))}
@@ -110,7 +116,7 @@
 
 
 def _phase_counter(counts: Counter[str], seconds: float, like_fleets: int) -> dict[str, Any]:
-    """The calls to the counter."""
+    """Return the figures of the calls to the counter."""
     calls = counts["counter calls"]
     served = counts["counter calls served"]
     return {
@@ -119,17 +125,17 @@
         "calls timed out": _ratio(counts["counter calls timed out"], calls),
         "calls per try": _ratio(calls, counts["requests"]),
         "units per call": _ratio(counts["counter milliunits"] / 1000, calls),
-        "counter takes": _ratio(counts["counter latency us"] / _MICROSECONDS, served),
+        "counter takes": _ratio(counts["counter latency us"] / _MICROSECONDS_PER_SECOND, served),
     }
 
 
 def _with_prefix(counts: Counter[str], prefix: str) -> dict[str, int]:
-    """Counts whose names begin so, by the rest of their names."""
+    """Return the counts whose names begin with a prefix, by the rest of their names."""
     return {name.removeprefix(prefix): counts[name] for name in sorted(counts) if name.startswith(prefix)}
 
 
 def _run_totals(scenario: Scenario, result: SimulationResult) -> dict[str, Any]:
-    """The figures of the run."""
+    """Return the figures of the whole run."""
     tally = result.tally
     total = Counter[str]()
     for counts in tally.phases:
@@ -155,7 +161,7 @@
 
 
 def _counter_waits(tally: Tally, requests: int) -> dict[str, float]:
-    """How long requests waited for the counter: those that did, and all of them."""
+    """Return the waits for the counter, of the requests that waited and of all requests."""
     waited = sum(tally.waits.values())
     return {
         "held p50": percentile(tally.waits.items(), 0, 0.5),
@@ -173,15 +179,15 @@
     decisions = sum(cost[event] for event in ALL_EVENTS)
     return {
         "events a limiter a second": sum(cost[f"{event}s"] for event in ALL_EVENTS) / limiter_seconds,
-        "real control share of a core": control / _NANOSECONDS / limiter_seconds,
-        "real decision share of a core": decisions / _NANOSECONDS / limiter_seconds,
+        "real control share of a core": control / _NANOSECONDS_PER_SECOND / limiter_seconds,
+        "real decision share of a core": decisions / _NANOSECONDS_PER_SECOND / limiter_seconds,
         "real us per event": {event: _ratio(cost[event] / 1e3, cost[f"{event}s"]) for event in ALL_EVENTS},
-        "real CPU seconds per second": cost["process"] / _NANOSECONDS / seconds,
+        "real CPU seconds per second": cost["process"] / _NANOSECONDS_PER_SECOND / seconds,
     }
 
 
 def _recoveries(tally: Tally, schedule: FaultSchedule) -> dict[str, float]:
-    """Seconds from the end of each fault, up to the next one."""
+    """Return the recovery time of each fault in seconds."""
     return {
         "zone": _recovery(tally, schedule, schedule.zone_outage.end, schedule.restart_at),
         "restart": _recovery(tally, schedule, schedule.restart_at, schedule.partition.begin),
@@ -191,20 +197,21 @@
 
 
 def _recovery(tally: Tally, schedule: FaultSchedule, fault_end: float, until: float) -> float:
-    """Seconds from a fault's end until service is as in the calm for 3 s; infinite if not by ``until``."""
+    """Return the seconds from a fault's end until the service has recovered; infinite after ``until``."""
     calm = range(math.ceil(schedule.calm_from), int(schedule.zone_outage.begin))
     calm_service = _service(tally, calm)
-    for second in range(math.ceil(fault_end), int(until) - RECOVERY_TIME + 1):
-        service = _service(tally, range(second, second + RECOVERY_TIME))
-        if service >= calm_service - RECOVERY_MARGIN:
+    for second in range(math.ceil(fault_end), int(until) - RECOVERY_SECONDS + 1):
+        service = _service(tally, range(second, second + RECOVERY_SECONDS))
+        if service >= calm_service - RECOVERY_TOLERANCE:
             return max(0.0, second - fault_end)
     return math.inf
 
 
 def _warm_up(tally: Tally, schedule: FaultSchedule) -> float:
-    """Seconds from the zone's return until no limiter has endpoints that warm up; infinite if not by the cut.
+    """Return the seconds from the zone's return until no limiter has endpoints that are warming up.
 
-    Only from when all have been notified of the return: what is not known yet does not warm up to anybody.
+    It is infinite if that does not happen before the partition. Seconds before the notification of all
+    limiters do not count.
     """
     returned_at = schedule.zone_outage.end
     for second in range(math.ceil(returned_at + NOTIFICATION_DELAY[1]), int(schedule.partition.begin)):
@@ -214,7 +221,7 @@
 
 
 def _service(tally: Tally, seconds: Iterable[int]) -> float:
-    """Share of the value offered in these seconds that was served."""
+    """Return the served fraction of the value that was offered in these seconds."""
     counts = [tally.seconds[second] for second in seconds if second in tally.seconds]
     served = sum(count["served value"] for count in counts)
     return _ratio(served, sum(count["offered value"] for count in counts))
--- a/scale/fleet/tally.py
+++ b/scale/fleet/tally.py
@@ -1,4 +1,4 @@
-"""What a run counts: whole numbers only, so that sums do not depend on the number of workers."""
+"""The counts of a run: integers, so that sums do not depend on the number of workers."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 
 # Events that the decisions handle, by the names of their costs in a run's JSON file.
-CONTROL_EVENTS = ("tick", "list", "probed")  # whether or not requests come
+CONTROL_EVENTS = ("tick", "list", "probed")  # independent of the requests
 REQUEST_EVENTS = ("ask", "outcome", "counted")
 ALL_EVENTS = (*CONTROL_EVENTS, *REQUEST_EVENTS)
 
 
 @dataclass(slots=True)
 class Tally:
-    """Counts by phase and by second; ``cost`` holds what differs from run to run (real time, memory)."""
+    """Counts by phase and by second; ``cost`` and ``peak_memory`` differ from run to run."""
 
     phase_begins: tuple[float, ...]  # virtual seconds
     phases: list[Counter[str]] = field(default_factory=list)
@@ -29,12 +29,14 @@
     _phase: Counter[str] = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
-        """Empty counts for each phase."""
+        """Create empty counts for each phase."""
         self.phases = self.phases or [Counter() for _ in self.phase_begins]
 
     def at(self, time: float) -> Counter[str]:
-        """The counts of the phase of that time."""
-        if not self._phase_begin <= time < self._phase_end:  # the next time is most likely of the same phase
+        """Return the counts of the phase of a time."""
+        if (
+            not self._phase_begin <= time < self._phase_end
+        ):  # times are mostly of the same phase as the last one
             number = max(0, bisect_right(self.phase_begins, time) - 1)
             self._phase_begin = self.phase_begins[number]
             self._phase_end = (*self.phase_begins, math.inf)[number + 1]
--- a/scale/fleet/tenants.py
+++ b/scale/fleet/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of the fleet, drawn from the run's seed: their plans, and how much they ask for."""
+"""The tenants of the fleet, drawn from the run's seed: plans and demand."""
 
 from __future__ import annotations
 
@@ -6,44 +6,44 @@
 from random import Random
 
 from scale.fleet.parameters import (
-    BURSTY_SHARE,
+    BURSTY_FRACTION,
     ENDPOINT_CORES,
     MEAN_UNITS,
-    NEAR_QUOTA_SHARE,
-    OVER_QUOTA_SHARE,
+    NEAR_QUOTA_FRACTION,
+    OVER_QUOTA_FRACTION,
     QUOTA_UTILIZATION,
     REQUEST_KINDS,
     TARGET_UTILIZATION,
-    VOLUME_PLAN_SHARE,
+    VOLUME_PLAN_FRACTION,
 )
 from scale.model import Size
 
-# Units a second before they are scaled to the fleet's rate. Each plan's part of the use, 54 and 46 in 100,
-# comes from these quotas and the share of the volume plan.
+# Units a second before they are scaled to the fleet's rate. These quotas and the fraction of tenants on the
+# volume plan give 54% and 46% of the usage to the plans.
 _BASIC_RATE = 7.35
 _VOLUME_RATE = 49.0
-_BASIC_BURST = 4.45  # seconds of the quota that the bucket holds
-_VOLUME_BURST = 1.95
+_BASIC_BURST_SECONDS = 4.45  # of the quota, which the bucket holds
+_VOLUME_BURST_SECONDS = 1.95
 _CEILING_MULTIPLE = 2.1  # of the volume plan's rate and burst
-_OVER_QUOTA_LOAD = (1.1, 4.9)  # demand over quota, before the exponent
+_OVER_QUOTA_LOAD = (1.1, 4.9)  # demand divided by the quota, before the exponent
 _OVER_QUOTA_EXPONENT = 0.8
 _NEAR_QUOTA_LOAD = (0.85, 1.0)
 _MAX_BELOW_QUOTA_LOAD = 0.75
 _MIN_LOAD = 1e-4
-_PARETO_SHAPE = 0.9  # of demand below the quota: a few large tenants, many small ones
+_PARETO_SHAPE = 0.9  # of the demand below the quota
 _PARETO_SCALE = 0.05
 _BISECTION_STEPS = 50
-_MAX_SCALE = 1000.0  # of demand below the quota
+_MAX_SCALE = 1000.0  # of the demand below the quota
 
 
 @dataclass(frozen=True, slots=True)
 class PlanTerms:
-    """A plan: rates in units a second, bursts in units; a ceiling of 0 is none."""
+    """A plan: rates in units a second, bursts in units; 0 means no ceiling."""
 
     name: str
     rate: float
     burst: float
-    price: int  # in tenths: value is counted in whole numbers, whose sums do not depend on their order
+    price: int  # in tenths, because sums of integers do not depend on their order
     over_quota_cost: float
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
@@ -51,22 +51,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer with its plan and what it asks for."""
+    """One customer with its plan and demand."""
 
     index: int
     plan: int  # index of the population's plans
-    first_limiter: int  # its set: this one and the next ones
+    first_limiter: int  # of its set, which continues with the next ones
     rate: float  # first requests a second
     bursty: bool
     account: str
 
 
 class Population:
-    """All tenants and their plans, and the work that their use inside the quotas comes to."""
+    """All tenants and their plans, and the work of their usage within the quotas."""
 
     def __init__(self, size: Size, rng: Random) -> None:
-        """Draw the tenants of a fleet of that size."""
-        on_volume = [rng.random() < VOLUME_PLAN_SHARE for _ in range(size.tenants)]
+        """Draw the tenants of a fleet."""
+        on_volume = [rng.random() < VOLUME_PLAN_FRACTION for _ in range(size.tenants)]
         offered_units = size.rate * MEAN_UNITS
         self.plans = _scaled_plans(offered_units, on_volume)
         quotas = [self.plans[volume].rate for volume in on_volume]
@@ -86,36 +86,36 @@
         ]
 
     def work_scale(self, endpoints: int) -> float:
-        """Factor on the work of a request that brings so many endpoints to their utilization."""
-        mean_work = sum(kind.share * kind.work for kind in REQUEST_KINDS)
+        """Return the factor on the work of a request that gives the target utilization."""
+        mean_work = sum(kind.fraction * kind.work for kind in REQUEST_KINDS)
         return TARGET_UTILIZATION * endpoints * ENDPOINT_CORES / (self._within_quota * mean_work)
 
 
 def _scaled_plans(offered_units: float, on_volume: list[bool]) -> tuple[PlanTerms, PlanTerms]:
-    """Both plans; ``offered_units`` a second are the utilization's share of the sum of all quotas."""
+    """Return both plans; ``offered_units`` a second are ``QUOTA_UTILIZATION`` of the sum of all quotas."""
     unscaled = sum(_VOLUME_RATE if volume else _BASIC_RATE for volume in on_volume)
     scale = offered_units / (QUOTA_UTILIZATION * unscaled)
     basic = PlanTerms(
         "basic",
         rate=_BASIC_RATE * scale,
-        burst=_BASIC_RATE * scale * _BASIC_BURST,
+        burst=_BASIC_RATE * scale * _BASIC_BURST_SECONDS,
         price=13,
         over_quota_cost=0.5,
     )
     volume = PlanTerms(
         "volume",
         rate=_VOLUME_RATE * scale,
-        burst=_VOLUME_RATE * scale * _VOLUME_BURST,
+        burst=_VOLUME_RATE * scale * _VOLUME_BURST_SECONDS,
         price=18,
         over_quota_cost=1.0,
         ceiling_rate=_VOLUME_RATE * scale * _CEILING_MULTIPLE,
-        ceiling_burst=_VOLUME_RATE * scale * _VOLUME_BURST * _CEILING_MULTIPLE,
+        ceiling_burst=_VOLUME_RATE * scale * _VOLUME_BURST_SECONDS * _CEILING_MULTIPLE,
     )
     return basic, volume
 
 
 class _Loads:
-    """Each tenant's demand over its quota: some over it, some near it, the others below."""
+    """Each tenant's demand divided by its quota: some above 1, some near 1, the others below."""
 
     def __init__(self, rng: Random, quotas: list[float]) -> None:
         self._quotas = quotas
@@ -123,9 +123,9 @@
         self._below = list[int]()
         for index in range(len(quotas)):
             draw = rng.random()
-            if draw < OVER_QUOTA_SHARE:
+            if draw < OVER_QUOTA_FRACTION:
                 self.relative[index] = rng.uniform(*_OVER_QUOTA_LOAD) ** _OVER_QUOTA_EXPONENT
-            elif draw < OVER_QUOTA_SHARE + NEAR_QUOTA_SHARE:
+            elif draw < OVER_QUOTA_FRACTION + NEAR_QUOTA_FRACTION:
                 self.relative[index] = rng.uniform(*_NEAR_QUOTA_LOAD)
             else:
                 self._below.append(index)
@@ -133,11 +133,11 @@
         self._below_set = set(self._below)
 
     def scale_to(self, offered_units: float) -> None:
-        """Scale demand below the quotas so that all tenants together ask for so many units a second."""
+        """Scale the demand below the quotas so that the total demand is ``offered_units`` a second."""
         quotas = self._quotas
         relative = self.relative
-        everything = sum(quota * load for quota, load in zip(quotas, relative, strict=True))
-        fixed = everything - sum(quotas[index] * relative[index] for index in self._below)
+        total_demand = sum(quota * load for quota, load in zip(quotas, relative, strict=True))
+        fixed = total_demand - sum(quotas[index] * relative[index] for index in self._below)
         low = 0.0
         high = _MAX_SCALE
         for _ in range(_BISECTION_STEPS):
@@ -153,10 +153,10 @@
             relative[index] = max(_MIN_LOAD, min(_MAX_BELOW_QUOTA_LOAD, low * relative[index]))
 
     def within_quota(self) -> float:
-        """Units a second that are asked for inside the quotas."""
+        """Return the demand within the quotas in units a second."""
         return sum(quota * min(1.0, load) for quota, load in zip(self._quotas, self.relative, strict=True))
 
     def draw_bursty(self, index: int, rng: Random) -> bool:
-        """Whether a tenant bursts; only those below their quota do."""
-        probability = BURSTY_SHARE / (1 - OVER_QUOTA_SHARE - NEAR_QUOTA_SHARE)
+        """Draw whether a tenant has bursts; only tenants below their quota do."""
+        probability = BURSTY_FRACTION / (1 - OVER_QUOTA_FRACTION - NEAR_QUOTA_FRACTION)
         return index in self._below_set and rng.random() < probability
--- a/scale/fleet/text_report.py
+++ b/scale/fleet/text_report.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 _LABEL_WIDTH = 28
-_REASONS = "with room by reason"  # the one table whose rows need its name
+_REASONS = "with room by reason"  # the only table whose rows repeat its name
 
 
 def format_summary(summary: dict[str, Any]) -> str:
-    """A row for each figure with a column for each phase, then the figures of the run."""
+    """Return a row for each figure with a column for each phase, then the totals of the run."""
     phases: dict[str, dict[str, Any]] = summary["phases"]
     rows = [f"{'':{_LABEL_WIDTH}}" + "".join(f"{name:>11}" for name in phases)]
     for figure in phases["calm"]:
@@ -27,7 +27,7 @@
 
 
 def _table_rows(phases: dict[str, dict[str, Any]], figure: str) -> Iterator[str]:
-    """The rows of a figure that is a table in each phase."""
+    """Yield the rows of a figure that is a table in each phase."""
     prefix = f"{figure} " if figure == _REASONS else ""
     for name in sorted({name for phase in phases.values() for name in phase[figure]}):
         cells = _cells(phase[figure].get(name, 0) for phase in phases.values())
--- a/scale/fleet/token_bucket.py
+++ b/scale/fleet/token_bucket.py
@@ -2,30 +2,35 @@
 
 from __future__ import annotations
 
-_ROUNDING = 1e-9  # units that a bucket may lack through rounding
+_ROUNDING_UNITS = 1e-9
 
 
 class TokenBucket:
-    """The true bucket of a tenant over all limiters; units, and units a second."""
+    """The exact bucket of a tenant over all limiters; ``rate`` is in units a second."""
 
     __slots__ = ("_filled_at", "_rate", "burst", "tokens")
 
     def __init__(self, rate: float, burst: float) -> None:
-        """A full bucket."""
+        """Start with a full bucket."""
         self._rate = rate
         self.burst = burst
         self.tokens = burst
         self._filled_at = 0.0
 
     def fill(self, at: float) -> float:
-        """The tokens at that time."""
+        """Refill the bucket up to a time and return its tokens."""
         self.tokens = min(self.burst, self.tokens + self._rate * max(0.0, at - self._filled_at))
         self._filled_at = max(at, self._filled_at)
         return self.tokens
 
     def take(self, at: float, units: float) -> bool:
-        """Whether the units are within the quota; those over it take nothing."""
-        if self.fill(at) < units - _ROUNDING:
+        """Take units if they are within the quota; return whether they are."""
+        if self.fill(at) < units - _ROUNDING_UNITS:
             return False
         self.tokens -= units
         return True
+
+    def charge(self, at: float, units: float) -> None:
+        """Take units in any case; a negative number returns units."""
+        self.fill(at)
+        self.tokens -= units
--- a/scale/fleet/topology.py
+++ b/scale/fleet/topology.py
@@ -5,38 +5,38 @@
 from scale.fleet.parameters import CELL_SIZE, OTHER_REGION_DELAY, OTHER_ZONE_DELAY, SAME_ZONE_DELAY
 
 COORDINATION_ZONE = 0  # where the counter and discovery run
-_PAIR_DRAWS = 997  # different places in a range of delays
+_PAIR_DRAWS = 997  # number of different delays in a range
 
 
 class Topology:
-    """Limiters and endpoints stand in turn in the zones, so that a tenant's set of limiters spans several."""
+    """Limiters and endpoints are in the zones in turn, so that a tenant's set of limiters spans several."""
 
     __slots__ = ("_near_zones", "_zones")
 
     def __init__(self, zones: int) -> None:
-        """So many zones in two regions."""
+        """Distribute the zones over two regions."""
         self._zones = zones
         # Three in five belong to the region that has the counter and discovery.
         self._near_zones = -(-3 * zones // 5)
 
     def zone(self, index: int) -> int:
-        """The zone of a limiter or an endpoint."""
+        """Return the zone of a limiter or an endpoint."""
         return index % self._zones
 
     def region(self, zone: int) -> int:
-        """0: the region of the counter and discovery; 1: the other one."""
+        """Return 0 for the region of the counter and discovery, 1 for the other one."""
         return int(zone >= self._near_zones)
 
     def cell(self, endpoint: int) -> int:
-        """The cell: some endpoints of one zone."""
+        """Return the cell of an endpoint, a group of endpoints of one zone."""
         return self.rank_in_zone(endpoint) // CELL_SIZE
 
     def rank_in_zone(self, endpoint: int) -> int:
-        """How many endpoints of its zone come before this one."""
+        """Return the number of endpoints of the same zone with a lower index."""
         return endpoint // self._zones
 
     def delay(self, one: int, other: int, draw: float) -> float:
-        """Seconds one way between two zones; ``draw`` in 0 to 1 fixes the place in the range."""
+        """Return the one-way delay between two zones in seconds; ``draw``, 0 to 1, selects from the range."""
         if one == other:
             low, high = SAME_ZONE_DELAY
         elif self.region(one) == self.region(other):
@@ -47,5 +47,5 @@
 
 
 def pair_draw(limiter: int, peer: int) -> float:
-    """A draw in 0 to 1 that is fixed for the pair, so that what is sent first arrives first."""
+    """Return a draw from 0 to 1 that is constant for the pair, so that messages keep their order."""
     return (limiter * 7919 + peer * 104_729) % _PAIR_DRAWS / _PAIR_DRAWS
--- a/scale/fleet/wire_format.py
+++ b/scale/fleet/wire_format.py
@@ -1,7 +1,4 @@
-"""Envelopes as they go from worker to worker.
-
-Bare tuples: pickling each class by name with each window takes a measurable part of a run.
-"""
+"""The encoding of envelopes between workers: plain tuples, which are faster to pickle than classes."""
 
 from __future__ import annotations
 
@@ -17,7 +14,7 @@
 
 
 def encode(envelopes: Iterable[Envelope]) -> list[EncodedEnvelope]:
-    """The envelopes with the number of each event's type and its fields."""
+    """Encode envelopes; the event becomes the code of its type and its fields."""
     return [
         (time, source, sequence, recipient, _EVENT_CODES[type(event)], tuple(event))
         for time, source, sequence, recipient, event in envelopes
@@ -25,7 +22,7 @@
 
 
 def decode(encoded: Iterable[EncodedEnvelope]) -> list[Envelope]:
-    """The envelopes that were encoded."""
+    """Decode envelopes."""
     return [
         Envelope(time, source, sequence, recipient, _EVENT_TYPES[code](*fields))
         for time, source, sequence, recipient, code, fields in encoded
--- a/scale/fleet/worker.py
+++ b/scale/fleet/worker.py
@@ -1,9 +1,9 @@
 """One of the processes that simulate a fleet: its limiters, endpoints and tenants, window by window.
 
-Within a window only limiters act; endpoints and clients act on it one window later, with the exact times of
-what came, and what they answer comes no earlier than the window after that: an answer in less than two
-windows (an overloaded endpoint's, a refused connection's) is late by up to that much, and one of the counter
-in less than one window by up to one.
+Within a window only limiters act. Endpoints and clients handle its messages one window later, with the exact
+times of arrival, and their responses arrive in the next window at the earliest. So a response in less than
+two windows (an overload, a refused connection) is late by up to two windows, and a reply of the counter in
+less than one window by up to one.
 """
 
 from __future__ import annotations
@@ -26,9 +26,10 @@
 from scale.fleet.tally import Tally
 from scale.fleet.workload import Workload
 
-WINDOW = 0.005  # seconds of virtual time between two exchanges
-DRAIN_TIME = 1.1 * max(kind.deadline for kind in REQUEST_KINDS)  # that the run goes on after the last request
-_PROGRESS_INTERVAL = 10  # virtual seconds
+WINDOW_SECONDS = 0.005  # virtual, between two exchanges
+# Virtual time after the last request, for open requests.
+DRAIN_SECONDS = 1.1 * max(kind.deadline for kind in REQUEST_KINDS)
+_PROGRESS_SECONDS = 10  # virtual
 _BYTES_PER_KIB = 1024  # ``ru_maxrss`` is in KiB
 
 
@@ -36,7 +37,7 @@
     """Runs its part of the world in step with the other workers."""
 
     def __init__(self, index: int, count: int, exchange: Exchange, world: World) -> None:
-        """``exchange`` hands messages over to the other workers, ``count`` in all."""
+        """``exchange`` transfers messages between the ``count`` workers."""
         self._index = index
         self._exchange = exchange
         self._world = world
@@ -48,7 +49,7 @@
         self._limiters = self._own_limiters(history)
         self._workload = self._own_workload()
         self._endpoints = EndpointService(world, self._router, history, self._tally)
-        # Each worker's counter serves all calls; one of them counts.
+        # Each worker's counter serves all calls; only one worker counts them.
         counter_tally = self._tally if index == 0 else None
         self._counter = CounterService(world, self._router, self._limiter_events, counter_tally)
         self._discovery = DiscoveryService(world, self._router, self._limiter_events, history)
@@ -65,16 +66,16 @@
         self._seconds_counted = 0
 
     def run(self) -> Tally:
-        """All windows; the tally of this worker's part."""
-        # Nothing here makes cycles, and looking for them takes as long as the decisions.
+        """Run all windows and return the tally of this worker."""
+        # The simulation creates no reference cycles; a search for them takes as long as the decisions.
         gc.disable()
-        windows = round((self._world.schedule.end + DRAIN_TIME) / WINDOW)
+        windows = round((self._world.schedule.end + DRAIN_SECONDS) / WINDOW_SECONDS)
         for window in range(windows):
-            self._run_window(window * WINDOW, (window + 1) * WINDOW)
+            self._run_window(window * WINDOW_SECONDS, (window + 1) * WINDOW_SECONDS)
         if self._workload is not None:
             undelivered = [heappop(self._client_events) for _ in range(len(self._client_events))]
             self._workload.receive(undelivered)
-            self._workload.count_unanswered(self._world.schedule.end + DRAIN_TIME)
+            self._workload.count_unanswered(self._world.schedule.end + DRAIN_SECONDS)
         peak_memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _BYTES_PER_KIB
         self._tally.peak_memory.append(peak_memory)
         self._tally.cost["process"] += time.process_time_ns()
@@ -113,8 +114,8 @@
         while events and events[0].time < start:
             arrived.append(heappop(events))
         self._workload.receive(arrived)
-        # After its end nothing is sent, and what is out comes to its end.
-        self._workload.send_until(min(self._world.schedule.end, end + WINDOW), self._router.send)
+        # After the end of the run no requests are sent, and the open ones complete.
+        self._workload.send_until(min(self._world.schedule.end, end + WINDOW_SECONDS), self._router.send)
 
     def _run_limiters(self, end: float) -> None:
         events = self._limiter_events
@@ -128,7 +129,7 @@
         self._tally.seconds[self._seconds_counted]["endpoints warming up"] += warming_up
         self._seconds_counted += 1
         reports_progress = self._world.scenario.progress and self._index == 0
-        if reports_progress and self._seconds_counted % _PROGRESS_INTERVAL == 0:
+        if reports_progress and self._seconds_counted % _PROGRESS_SECONDS == 0:
             print(
                 f"virtual second {self._seconds_counted}, {time.process_time():.0f} CPU s of one worker",
                 file=sys.stderr,
--- a/scale/fleet/workload.py
+++ b/scale/fleet/workload.py
@@ -1,4 +1,4 @@
-"""The clients of some tenants: when they send requests, and the limiters' answers in order of time."""
+"""The clients of a worker's tenants: requests and responses in order of time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _DueRequest(NamedTuple):
-    """A request that a client sends next; ordered by time, tenant and retry number."""
+    """A request that is due; ordered by time, tenant and retry number."""
 
     at: float
     tenant: int
@@ -27,10 +27,10 @@
 
 
 class Workload:
-    """Sends the requests of the tenants of one worker and takes the answers."""
+    """Sends the requests of the tenants of one worker and receives the responses."""
 
     def __init__(self, world: World, tenants: list[int], tally: Tally) -> None:
-        """The clients of these tenants, each with its first request scheduled."""
+        """Create the clients of these tenants and schedule their first requests."""
         self._tally = tally
         self._clients = {tenant: TenantClients(world.tenants[tenant], world, tally) for tenant in tenants}
         self._due = [
@@ -41,7 +41,7 @@
         self._retries = 0
 
     def send_until(self, until: float, send: Send) -> None:
-        """Send all requests before that time."""
+        """Send all requests that are due before a time."""
         due = self._due
         while due[0].at < until:
             at, tenant, _, request = heappop(due)
@@ -57,7 +57,7 @@
                 self._schedule_retry(at, clients, request)
 
     def receive(self, envelopes: Iterable[Envelope]) -> None:
-        """Take answers in order of time; a request that was not served may be retried."""
+        """Handle events in order of time; a request that was not served may be retried."""
         for envelope in envelopes:
             event = envelope.event
             assert isinstance(event, _CLIENT_EVENTS)
@@ -67,7 +67,7 @@
                 self._schedule_retry(envelope.time, clients, request)
 
     def count_unanswered(self, end: float) -> None:
-        """Count as lost the requests whose client's time ended before the run did, without an answer."""
+        """Count the requests as lost that have no response although their timeout has ended."""
         for clients in self._clients.values():
             lost = sum(request.due_at + ANSWER_GRACE < end for request in clients.pending.values())
             if lost:
