--- a/scale/latency/__init__.py
+++ b/scale/latency/__init__.py
@@ -1,6 +1,7 @@
-"""The test ``latency``: what the limiter adds to a request, and how much of that is which part's.
+"""The test ``latency``: the latency that the limiter adds to a request, and its parts.
 
-Real limiters stand on loopback between a client here and stand-ins in a process of their own. An endpoint
-reports how long it had a request; what a limiter adds is the client's time less that. Requests go out by a
-schedule that is fixed beforehand and never waits for responses, and their time runs from the schedule.
+Real limiters listen on loopback between clients in this process and stand-ins in another one. An endpoint
+reports the service time of a request; the added latency is the client's time minus the service time. Requests
+are sent by a schedule that is drawn in advance and does not wait for responses; the client's time starts at
+the scheduled moment.
 """
--- a/scale/latency/cells.py
+++ b/scale/latency/cells.py
@@ -1,4 +1,4 @@
-"""The set-ups that are measured."""
+"""The measured configurations."""
 
 from __future__ import annotations
 
@@ -7,39 +7,40 @@
 from scale.model import Effort, Size
 from scale.stand_ins.endpoints import EndpointsSpec
 
-AS_IS = "as is"  # the one that the budget is for
+AS_IS = "as is"  # the configuration that the budget applies to
 NO_QUOTAS = "no quotas"
 REUSED = "kept"  # connections to the endpoints are reused
-CONNECTING = "dialled"  # each request opens a connection
-DIRECT = "direct"  # no limiter
+CONNECTING = "dialled"  # each request opens a connection to the endpoint
+DIRECT = "direct"  # without a limiter
 
-QUICK_SECONDS = 0.5  # of a run
+QUICK_RUN_SECONDS = 0.5
 RUN_SECONDS = 1.2
-AS_IS_RUN_FACTOR = 3  # its runs are that much longer
+AS_IS_RUN_FACTOR = 3  # on the duration of the runs of ``AS_IS``
 QUICK_SERVERS = 60
-FAR_COUNTER_ROUND_TRIP = 0.004  # seconds
-SERVER_COUNTS = (60, 500, 1500)  # for the slopes, beside the full one
-RATE_FACTORS = (0.25, 0.5, 2.0)  # likewise
+FAR_COUNTER_ROUND_TRIP_SECONDS = 0.004
+# For the slopes, in addition to the full count and rate.
+SERVER_COUNTS = (60, 500, 1500)
+RATE_FACTORS = (0.25, 0.5, 2.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One set-up of a load: several runs are made of it."""
+    """One configuration with its load; it is measured in several runs."""
 
     name: str
     servers: int
     rate: float  # requests a second of each limiter
     seconds: float  # of a run
-    quotas: bool = True  # False: plans without a quota, and so without a counter call
+    quotas: bool = True  # False: plans without a quota, and so no counter calls
     endpoints: EndpointsSpec = field(default_factory=EndpointsSpec)
-    counter_round_trip: float = 0.0002  # seconds on the network to the counter, there and back
-    direct: bool = False  # no limiter: the clients ask the endpoints
+    counter_round_trip: float = 0.0002  # seconds on the network
+    direct: bool = False  # without a limiter: clients send to the endpoints
 
 
 def make_cells(size: Size, effort: Effort) -> dict[str, Cell]:
-    """The set-ups by name."""
+    """Return the configurations by name."""
     rate = size.rate / size.limiters
-    seconds = QUICK_SECONDS if effort.quick else RUN_SECONDS
+    seconds = QUICK_RUN_SECONDS if effort.quick else RUN_SECONDS
     servers = min(size.servers, QUICK_SERVERS) if effort.quick else size.servers
     cells = _breakdown_cells(servers, rate, seconds, 1 if effort.quick else AS_IS_RUN_FACTOR)
     if not effort.quick:
@@ -48,7 +49,7 @@
 
 
 def _breakdown_cells(servers: int, rate: float, seconds: float, as_is_factor: int) -> list[Cell]:
-    """Those whose differences are the parts of what is added."""
+    """Return the configurations whose differences are the parts of the added latency."""
     reusing = EndpointsSpec(idle_closing_ports=0, slow_setup_ports=0)
     closing = EndpointsSpec(idle_closing_ports=0, slow_setup_ports=0, keep_alive=False)
     return [
@@ -61,8 +62,8 @@
 
 
 def _slope_cells(servers: int, rate: float, seconds: float) -> list[Cell]:
-    """Other distances, numbers of servers and rates."""
-    far = Cell("counter 4 ms away", servers, rate, seconds, counter_round_trip=FAR_COUNTER_ROUND_TRIP)
+    """Return configurations with other distances, numbers of endpoints and rates."""
+    far = Cell("counter 4 ms away", servers, rate, seconds, counter_round_trip=FAR_COUNTER_ROUND_TRIP_SECONDS)
     fewer = [Cell(f"{count} servers", count, rate, seconds) for count in SERVER_COUNTS if count < servers]
     rates = [Cell(f"{factor:g} of the rate", servers, factor * rate, seconds) for factor in RATE_FACTORS]
     return [far, *fewer, *rates]
--- a/scale/latency/decisions.py
+++ b/scale/latency/decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions alone cost: no socket, and time that only the events move."""
+"""The cost of the decisions alone, without sockets and in virtual time."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from heapq import heappop, heappush
 from itertools import count
 from random import Random
+from typing import NamedTuple
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
@@ -23,80 +24,89 @@
 from scale.model import Size
 from scale.stand_ins.discovery import make_endpoints
 
-MIN_SERVICE_TIME = 0.004  # seconds, drawn evenly between the two
-MAX_SERVICE_TIME = 0.016
-COUNTER_REPLY_TIME = 0.001  # seconds
-NO_REQUEST = -1  # the owner of a tick
+MIN_SERVICE_SECONDS = 0.004
+MAX_SERVICE_SECONDS = 0.016
+COUNTER_REPLY_SECONDS = 0.001
+NO_REQUEST = -1  # in place of the request of a tick
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
-    """The time that ``Gateway.handle`` takes."""
+    """The duration of ``Gateway.handle``."""
 
-    request: Percentiles  # wall seconds of all events of one request
-    tick: Percentiles  # and of the tick once a second, during which requests wait
-    cpu: float  # process seconds a request, ticks included
+    request: Percentiles  # seconds of all events of one request
+    tick: Percentiles  # seconds of a tick, once a second
+    cpu: float  # processor seconds a request, ticks included
+
+
+class _ScheduledEvent(NamedTuple):
+    """An event with its time; ``order`` keeps events of the same time in the order of scheduling."""
+
+    at: float
+    order: int
+    event: model.Event
+    request: int
 
 
 class _TimedGateway:
-    """The decisions under events that are due at times of their own; counter and endpoints reply at once."""
+    """Measures the decisions on scheduled events, with simulated replies of endpoints and the counter."""
 
     def __init__(self, gateway: Gateway, rng: Random) -> None:
         self._gateway = gateway
         self._rng = rng
-        self._queue = list[tuple[float, int, model.Event, int]]()  # when, order, event, request
+        self._queue = list[_ScheduledEvent]()  # heap
         self._order = count()
         self.request_seconds = defaultdict[int, float](float)
         self.tick_seconds = list[float]()
 
     def schedule(self, when: float, event: model.Event, request: int) -> None:
-        """Let an event of a request happen at a time of its own, in emulated seconds."""
-        heappush(self._queue, (when, next(self._order), event, request))
+        """Schedule an event of a request at a virtual time."""
+        heappush(self._queue, _ScheduledEvent(when, next(self._order), event, request))
 
     def run(self, until: float) -> None:
-        """Handle the events that are due before ``until``, and what follows from them."""
-        while self._queue and self._queue[0][0] < until:
+        """Handle the events before ``until``, and the events that they cause."""
+        while self._queue and self._queue[0].at < until:
             now, _, event, request = heappop(self._queue)
             started = time.perf_counter()
             actions = self._gateway.handle(now, event)
-            took = time.perf_counter() - started
+            elapsed = time.perf_counter() - started
             if isinstance(event, model.TimerFired):
-                self.tick_seconds.append(took)
+                self.tick_seconds.append(elapsed)
             else:
-                self.request_seconds[request] += took
+                self.request_seconds[request] += elapsed
             for action in actions:
                 self._execute(now, action, request)
 
     def _execute(self, now: float, action: model.Action, request: int) -> None:
         ok = model.CallStatus.OK
         if isinstance(action, model.Forward):
-            wait = self._rng.uniform(MIN_SERVICE_TIME, MAX_SERVICE_TIME)
+            wait = self._rng.uniform(MIN_SERVICE_SECONDS, MAX_SERVICE_SECONDS)
             completed = model.AttemptCompleted(action.request_id, 0, action.endpoint, ok, wait, True, {})
             self.schedule(now + wait, completed, action.request_id)
         elif isinstance(action, model.IncrementCounter):
             replied = model.CounterReplied(action.counter_id, ok, action.amount)
-            self.schedule(now + COUNTER_REPLY_TIME, replied, request)
+            self.schedule(now + COUNTER_REPLY_SECONDS, replied, request)
         elif isinstance(action, model.SetTimer):
             self.schedule(now + action.delay, model.TimerFired(action.token), NO_REQUEST)
 
 
 def measure_decisions(size: Size, servers: int, rate: float, seconds: float, seed: int) -> DecisionCost:
-    """Time ``Gateway.handle`` alone, under the load that the limiters have, for so many emulated seconds."""
+    """Measure ``Gateway.handle`` under the load of one limiter for a number of virtual seconds."""
     rng = Random(seed)
     gateway = Gateway(parse_settings(limiter_settings(size, rate, quotas=True)), seed, 0.0)
     endpoints = tuple(
         model.Endpoint(endpoint.name, model.EndpointHealth.HEALTHY, endpoint.zone)
         for endpoint in make_endpoints(servers, ["127.0.0.1:1"])
     )
-    gateway.handle(0.0, model.EndpointUpdate(endpoints, True))
+    gateway.handle(0.0, model.EndpointUpdate(endpoints, complete=True))
     timed = _TimedGateway(gateway, rng)
     tenants = tenants_per_limiter(size)
     for number, arrival in enumerate(poisson_schedule(rng, rate, seconds, tenants)):
         timed.schedule(arrival.at, _request(number, arrival.tenant, tenants, size.spread), number)
     timed.schedule(0.0, model.TimerFired(0), NO_REQUEST)
-    began = time.process_time()
+    started = time.process_time()
     timed.run(seconds)
-    cpu = time.process_time() - began
+    cpu = time.process_time() - started
     return DecisionCost(
         request=percentiles(timed.request_seconds.values()),
         tick=percentiles(timed.tick_seconds),
--- a/scale/latency/load.py
+++ b/scale/latency/load.py
@@ -1,4 +1,4 @@
-"""The clients: they send by the schedule, whatever comes back."""
+"""The clients: they send by the schedule, independent of the responses."""
 
 from __future__ import annotations
 
@@ -16,37 +16,45 @@
 from scale.model import BrokenRunError, Size
 from scale.stand_ins.timers import PreciseTimers
 
-LEAD_SECONDS = 0.02  # from the making of a schedule to its begin
-SETTLE_SECONDS = 0.4  # after a run until its last responses are looked for
-POLL_INTERVAL = 0.02  # seconds, while they are not there
-SEED_SHIFT = 24  # a seed's request ids do not meet the next one's
+LEAD_SECONDS = 0.02  # between the drawing of a schedule and its begin
+SETTLE_SECONDS = 0.4  # after a run, for the last responses
+POLL_SECONDS = 0.02  # between two checks for missing responses
+SEED_SHIFT = 24  # keeps the request ids of different seeds apart
 
 
 @dataclass(slots=True)
 class Window:
-    """What one run of a cell gave; times in seconds."""
+    """The observations in one run of a cell; times in seconds."""
 
     added: list[float] = field(default_factory=list)
-    added_on_new: list[float] = field(default_factory=list)  # of them, over a new connection to the endpoint
-    added_on_reused: list[float] = field(default_factory=list)  # of them, over a reused one
+    added_on_new: list[float] = field(default_factory=list)  # over a new connection to the endpoint
+    added_on_reused: list[float] = field(default_factory=list)  # over a reused connection
     rejections: list[float] = field(default_factory=list)  # time to a rejection
-    send_delays: list[float] = field(default_factory=list)  # by which the client was late to write
+    send_delays: list[float] = field(default_factory=list)  # of the client behind the schedule
     rejected_by_plan: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     broken: int = 0
     pending: int = 0  # requests without a response
-    # Share of the run in which a process that takes part waited for a core, added up over the processes.
+    # Fraction of the run in which a process waited for a core, added up over the processes.
     core_wait: float = 0.0
 
+    def start_request(self) -> None:
+        """Count a request that is going to be sent."""
+        self.pending += 1
+
+    def record_core_wait(self, fraction: float) -> None:
+        """Record the fraction of the run in which processes waited for a core."""
+        self.core_wait = fraction
+
     def record(self, plan: str, due: float, response: Response) -> None:
-        """Take in the response to a request that was due then."""
+        """Record the response to a request that was due at ``due``."""
         self.pending -= 1
-        took = response.received_at - due
+        elapsed = response.received_at - due
         if response.is_served:
-            added = took - response.service_time
+            added = elapsed - response.service_time
             self.added.append(added)
             (self.added_on_new if response.on_new_connection else self.added_on_reused).append(added)
         elif response.is_rejected:
-            self.rejections.append(took)
+            self.rejections.append(elapsed)
             self.rejected_by_plan[plan] += 1
         else:
             self.broken += 1
@@ -65,11 +73,11 @@
         self._ids = count(seed << SEED_SHIFT)
 
     def close(self) -> None:
-        """Forget what is due."""
+        """Discard the requests that are due."""
         self._timers.close()
 
     async def run(self, seconds: float) -> Window:
-        """One window; ``BrokenRunError`` where a response does not come."""
+        """Run the load for a time. Raise ``BrokenRunError`` if a response is missing."""
         window = Window()
         begin = time.monotonic() + LEAD_SECONDS
         for number, client in enumerate(self._clients):
@@ -77,7 +85,7 @@
         await asyncio.sleep(begin - time.monotonic() + seconds + SETTLE_SECONDS)
         deadline = time.monotonic() + CLIENT_TIMEOUT
         while window.pending and time.monotonic() < deadline:
-            await asyncio.sleep(POLL_INTERVAL)
+            await asyncio.sleep(POLL_SECONDS)
         if window.pending:
             raise BrokenRunError(
                 f"{self._cell.name}: {window.pending} requests had no answer in {CLIENT_TIMEOUT} s"
@@ -98,7 +106,7 @@
                 serving_gateways=self._size.spread,
             )
             due = begin + arrival.at
-            window.pending += 1
+            window.start_request()
             self._timers.call_at(due, partial(_send, window, client, due, request, plan))
 
 
--- a/scale/latency/measurement.py
+++ b/scale/latency/measurement.py
@@ -1,4 +1,4 @@
-"""The runs of a cell on real limiters, and what they gave."""
+"""The runs of a cell on real limiters, and their results."""
 
 from __future__ import annotations
 
@@ -33,99 +33,104 @@
 from scale.stand_ins.counter import CounterSpec
 from scale.stand_ins.discovery import make_endpoints
 
-LIMITERS = 3  # real ones, the spread of a tenant
-COUNTER_RATE = 1100.0  # calls a second that the counter bears, between the 930 and the 1,300 seen of it
-BACKGROUND_FRACTION = 0.7  # of that, taken by the limiters that are not here: assumed
-CONNECTIONS = 24  # of the clients to a limiter, opened beforehand
+LIMITERS = 3  # the spread of a tenant
+COUNTER_CALLS_PER_SECOND = 1100.0  # served by the counter; operators report 930 to 1,300
+BACKGROUND_FRACTION = 0.7  # of the counter's rate, used by the other limiters of the fleet (assumed)
+CONNECTIONS = 24  # of the clients to a limiter, opened in advance
 WARM_UP_SECONDS = 1.5  # of load before the first run
 QUICK_WARM_UP_SECONDS = WARM_UP_SECONDS / 3
+MILLISECONDS_PER_SECOND = 1e3
 MAX_BROKEN_FRACTION = 0.02  # of the served requests
 
 
 @dataclass(slots=True)
 class CellResult:
-    """What the runs of a cell gave, in seconds."""
+    """The results of a cell's runs, in seconds."""
 
-    runs: list[Percentiles]  # of what was added, by run
-    pooled: Percentiles  # the same of all runs together
-    added_on_new: Percentiles  # of them, over a new connection to the endpoint
-    added_on_reused: Percentiles  # of them, over a reused one
+    runs: list[Percentiles]  # of the added latency, by run
+    pooled: Percentiles  # of the added latency in all runs
+    added_on_new: Percentiles  # over a new connection to the endpoint
+    added_on_reused: Percentiles  # over a reused connection
     rejections: Percentiles  # time to a rejection
-    core_waits: list[float]  # by run: see ``Window.core_wait``
-    send_delay_p99: float  # by which the client here was late to write
+    core_waits: list[float]  # by run, see ``Window.core_wait``
+    send_delay_p99: float  # of the client behind the schedule
     served: int
     rejected: int
-    rejected_far: int  # of them, of tenants far under their quota
+    rejected_far: int  # of tenants far below their quota
     broken: int
     connected: int  # requests for which a limiter opened a connection
     counter_calls: int
 
     def median(self, percentile: Percentile) -> float:
-        """The median of the runs."""
+        """Return the median of the runs."""
         return median(run[percentile] for run in self.runs)
 
     @property
     def quietest_run(self) -> int:
-        """Index of the run that waited least for cores."""
+        """The index of the run with the shortest wait for cores."""
         return self.core_waits.index(min(self.core_waits))
 
     def spread(self, percentile: Percentile) -> str:
-        """Least and most of the runs, in words."""
-        values = [run[percentile] * 1e3 for run in self.runs]
+        """Return the range of the runs as text."""
+        values = [run[percentile] * MILLISECONDS_PER_SECOND for run in self.runs]
         return f"{min(values):.2f} to {max(values):.2f} ms in {len(values)} runs"
 
 
 @dataclass(frozen=True, slots=True)
-class _Stage:
-    """The processes of a cell, and the clients' connections to them."""
+class _CellProcesses:
+    """The processes of a cell, and the load on them."""
 
     stand_ins: StandIns
     limiters: list[Limiter]
     load: Load
 
     @property
-    def processes(self) -> list[ChildProcess]:
+    def all(self) -> list[ChildProcess]:
+        """The stand-ins and the limiters."""
         return [self.stand_ins, *self.limiters]
 
     def core_wait(self) -> float:
-        """Seconds so far in which this process or one of the others waited for a core."""
-        return run_queue_seconds(os.getpid()) + sum(process.run_queue_seconds() for process in self.processes)
+        """Return the seconds for which processes waited for a core so far, this one included."""
+        return run_queue_seconds(os.getpid()) + sum(process.run_queue_seconds() for process in self.all)
 
     async def counter_calls(self) -> int:
+        """Return the calls that the counter has served so far."""
         return (await self.stand_ins.stats()).counter.calls
 
 
-async def measure(cell: Cell, size: Size, effort: Effort, folder: Path) -> CellResult:
-    """All runs of a cell, on limiters and stand-ins of its own."""
+async def measure(cell: Cell, size: Size, effort: Effort, directory: Path) -> CellResult:
+    """Measure all runs of a cell, with limiters and stand-ins of its own."""
     async with AsyncExitStack() as stack:
-        stage = await _set_up(stack, cell, size, effort, folder)
+        processes = await _set_up(stack, cell, size, effort, directory)
         warm_up = QUICK_WARM_UP_SECONDS if effort.quick else WARM_UP_SECONDS
-        await guard(stage.load.run(warm_up), *stage.processes)
-        calls_before = await stage.counter_calls()
+        await guard(processes.load.run(warm_up), *processes.all)
+        calls_before = await processes.counter_calls()
         gc.collect()
-        gc.disable()  # a collection of the client here would count as a limiter's
+        gc.disable()  # a collection in this process would count as added latency
         try:
-            windows = [await _run_window(stage, cell) for _ in range(effort.runs)]
+            windows = [await _run_window(processes, cell) for _ in range(effort.runs)]
         finally:
             gc.enable()
-        calls = await stage.counter_calls() - calls_before
+        calls = await processes.counter_calls() - calls_before
     return _summarize(cell, windows, calls)
 
 
-async def _set_up(stack: AsyncExitStack, cell: Cell, size: Size, effort: Effort, folder: Path) -> _Stage:
+async def _set_up(
+    stack: AsyncExitStack, cell: Cell, size: Size, effort: Effort, directory: Path
+) -> _CellProcesses:
     counter = CounterSpec(
-        rate=COUNTER_RATE,
+        rate=COUNTER_CALLS_PER_SECOND,
         round_trip=cell.counter_round_trip,
-        background_rate=COUNTER_RATE * BACKGROUND_FRACTION,
+        background_rate=COUNTER_CALLS_PER_SECOND * BACKGROUND_FRACTION,
     )
     setup = Setup(cell.servers, cell.endpoints, counter, effort.seed)
-    stand_ins = await stack.enter_async_context(start_stand_ins(folder, setup))
+    stand_ins = await stack.enter_async_context(start_stand_ins(directory, setup))
     number = 1 if effort.quick else LIMITERS
     if cell.direct:
         limiters = list[Limiter]()
         addresses = stand_ins.addresses.endpoints[:number]
     else:
-        settings = limiter_settings(size, cell.rate, cell.quotas)
+        settings = limiter_settings(size, cell.rate, quotas=cell.quotas)
         known = make_endpoints(cell.servers, stand_ins.addresses.endpoints)
         configs = [
             limiter_config(
@@ -133,7 +138,7 @@
             )
             for index in range(number)
         ]
-        limiters = await stack.enter_async_context(start_limiters(folder, configs))
+        limiters = await stack.enter_async_context(start_limiters(directory, configs))
         addresses = [limiter.address for limiter in limiters]
     clients = [HttpClient(address) for address in addresses]
     for client in clients:
@@ -141,19 +146,20 @@
         stack.callback(client.close)
     load = Load(clients, cell, size, effort.seed)
     stack.callback(load.close)
-    return _Stage(stand_ins, limiters, load)
+    return _CellProcesses(stand_ins, limiters, load)
 
 
-async def _run_window(stage: _Stage, cell: Cell) -> Window:
-    waited_before = stage.core_wait()
-    began = time.monotonic()
-    window = await guard(stage.load.run(cell.seconds), *stage.processes)
-    window.core_wait = (stage.core_wait() - waited_before) / (time.monotonic() - began)
+async def _run_window(processes: _CellProcesses, cell: Cell) -> Window:
+    waited_before = processes.core_wait()
+    started_at = time.monotonic()
+    window = await guard(processes.load.run(cell.seconds), *processes.all)
+    waited = processes.core_wait() - waited_before
+    window.record_core_wait(waited / (time.monotonic() - started_at))
     return window
 
 
 def _summarize(cell: Cell, windows: list[Window], counter_calls: int) -> CellResult:
-    """``BrokenRunError`` where a run served nothing, or too many requests failed."""
+    """Raise ``BrokenRunError`` if a run served no request, or if too many requests failed."""
     if any(not window.added for window in windows):
         raise BrokenRunError(f"{cell.name}: a run in which no request was served")
     broken = sum(window.broken for window in windows)
@@ -179,14 +185,14 @@
 
 
 async def measure_all(cells: Sequence[Cell], size: Size, effort: Effort) -> dict[str, CellResult]:
-    """The results of the cells by name."""
+    """Return the results of the cells by name."""
 
     async def measure_one(cell: Cell) -> CellResult:
-        with TemporaryDirectory(prefix="latency-") as folder:
-            return await measure(cell, size, effort, Path(folder))
+        with TemporaryDirectory(prefix="latency-") as directory:
+            return await measure(cell, size, effort, Path(directory))
 
-    if effort.quick:  # at once, for no figure of a quick run counts
+    if effort.quick:  # at the same time, because figures of a quick run have no budget
         results = await asyncio.gather(*(measure_one(cell) for cell in cells))
         return {cell.name: result for cell, result in zip(cells, results, strict=True)}
-    # In turn: not to wait for each other's cores.
+    # One after the other, so that cells do not wait for the cores of others.
     return {cell.name: await measure_one(cell) for cell in cells}
--- a/scale/latency/percentiles.py
+++ b/scale/latency/percentiles.py
@@ -1,4 +1,4 @@
-"""Percentiles of times."""
+"""Percentiles of durations."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-LONGEST_US = 60_000_000
+MAX_MICROSECONDS = 60_000_000
 SIGNIFICANT_DIGITS = 3
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class Percentile(StrEnum):
-    """Those that are reported, as the figures name them."""
+    """The reported percentiles by their names in the figures."""
 
     P50 = "p50"
     P99 = "p99"
@@ -21,7 +21,7 @@
 
     @property
     def percent(self) -> float:
-        """Percent of the values that do not exceed it."""
+        """The percentage of the values that do not exceed the percentile."""
         return float(self.value.removeprefix("p"))
 
 
@@ -29,13 +29,13 @@
 
 
 def percentiles(seconds: Iterable[float]) -> Percentiles:
-    """Each percentile in seconds, to three digits; empty without values."""
-    histogram = HdrHistogram(1, LONGEST_US, SIGNIFICANT_DIGITS)
+    """Return the percentiles in seconds, to three digits; empty without values."""
+    histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
     for value in seconds:
-        histogram.record_value(max(1, round(value * MICROSECONDS)))
+        histogram.record_value(max(1, round(value * MICROSECONDS_PER_SECOND)))
     if not histogram.get_total_count():
         return {}
     return {
-        percentile: histogram.get_value_at_percentile(percentile.percent) / MICROSECONDS
+        percentile: histogram.get_value_at_percentile(percentile.percent) / MICROSECONDS_PER_SECOND
         for percentile in Percentile
     }
--- a/scale/latency/summary.py
+++ b/scale/latency/summary.py
@@ -1,4 +1,4 @@
-"""The figures of what is added, its parts and slopes."""
+"""The figures of the added latency, its parts and slopes."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from scale import regression
 from scale.latency.cells import AS_IS, CONNECTING, DIRECT, NO_QUOTAS, REUSED, Cell, make_cells
 from scale.latency.decisions import DecisionCost, measure_decisions
-from scale.latency.measurement import BACKGROUND_FRACTION, COUNTER_RATE, CellResult, measure_all
+from scale.latency.measurement import BACKGROUND_FRACTION, COUNTER_CALLS_PER_SECOND, CellResult, measure_all
 from scale.latency.percentiles import Percentile
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 
-DECISION_SECONDS = 60.0  # emulated
+DECISION_SECONDS = 60.0  # virtual
 QUICK_DECISION_SECONDS = 10.0
-NEAR_COUNTER_ROUND_TRIP = 0.001  # seconds; cells with a longer one are not on a slope
+NEAR_COUNTER_ROUND_TRIP_SECONDS = 0.001  # cells with a longer one are not on a slope
+MILLISECONDS_PER_SECOND = 1e3
 REPORTED = (Percentile.P50, Percentile.P99)
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """All cells, the parts and the slopes; ``BrokenRunError`` as ``ScaleTest`` says."""
+    """Measure all cells, and derive the parts and the slopes."""
     cells = make_cells(size, effort)
     results = uvloop.run(measure_all(list(cells.values()), size, effort))
     base = cells[AS_IS]
@@ -41,29 +42,29 @@
 
 def _conditions() -> str:
     return (
-        "hollow servers: all share one process and 16 ports of 127.0.0.1, and differ by name only; the first "
-        "port closes connections idle for 0.3 s, the second takes 1.5 ms for a connection's first request, "
-        "which counts as dialling; service 4 to 16 ms. "
-        f"Counter {COUNTER_RATE:.0f} calls/s, {BACKGROUND_FRACTION:.0%} of it taken by limiters that are not "
-        "here (assumed). "
-        "Limiters are not pinned to a core. A server that never comes up is not played."
+        "simulated servers: all share one process and 16 ports of 127.0.0.1, and differ by name only; the "
+        "first port closes connections idle for 0.3 s, the second takes 1.5 ms for a connection's first "
+        "request, which counts as dialling; service 4 to 16 ms. "
+        f"Counter {COUNTER_CALLS_PER_SECOND:.0f} calls/s, {BACKGROUND_FRACTION:.0%} of it used by the other "
+        "limiters of the fleet (assumed). "
+        "Limiters are not pinned to a core. A server that never starts is not simulated."
     )
 
 
 def _describe(name: str, cell: CellResult) -> str:
     added = ", ".join(
-        f"{percentile} {cell.median(percentile) * 1e3:.2f} ms ({cell.spread(percentile)})"
+        f"{percentile} {cell.median(percentile) * MILLISECONDS_PER_SECOND:.2f} ms ({cell.spread(percentile)})"
         for percentile in REPORTED
     )
-    added += f", p99.9 {cell.pooled[Percentile.P99_9] * 1e3:.2f} ms"
+    added += f", p99.9 {cell.pooled[Percentile.P99_9] * MILLISECONDS_PER_SECOND:.2f} ms"
     rejections = ""
     if cell.rejections:
-        rejections = f", p99 of a refusal {cell.rejections[Percentile.P99] * 1e3:.2f} ms"
+        rejections = f", p99 of a refusal {cell.rejections[Percentile.P99] * MILLISECONDS_PER_SECOND:.2f} ms"
     return (
         f"{name}: added {added}; served {cell.served}, dialled for {cell.connected}, refused {cell.rejected} "
         f"(far under quota {cell.rejected_far}){rejections}, failed {cell.broken}, "
         f"counter calls {cell.counter_calls}, "
-        f"client late p99 {cell.send_delay_p99 * 1e3:.2f} ms, waiting for a core "
+        f"client late p99 {cell.send_delay_p99 * MILLISECONDS_PER_SECOND:.2f} ms, waiting for a core "
         f"{min(cell.core_waits):.0%} to {max(cell.core_waits):.0%} of a run (all processes added up)"
     )
 
@@ -77,7 +78,7 @@
 
 
 def _add_totals(result: Result, cell: CellResult, load: str, budget: float | None) -> None:
-    """What is added, as is; ``budget`` in seconds is for 99 in 100 requests."""
+    """Add the latency of ``AS_IS``; ``budget`` in seconds applies to the 99th percentile."""
     how = f"{load}: client's time from the schedule less the server's, "
     quietest = cell.quietest_run
     p50 = Percentile.P50
@@ -101,7 +102,7 @@
     load: str,
     percentile: Percentile,
 ) -> None:
-    """The parts of what is added: decision, counter, connecting and sockets."""
+    """Add the parts of the latency: decision, counter, connecting and sockets."""
     added = {name: cell.median(percentile) for name, cell in results.items()}
     deciding = decision.request[percentile]
     result.figures += [
@@ -127,7 +128,7 @@
 
 
 def _add_by_connection(result: Result, as_is: CellResult, percentile: Percentile) -> None:
-    """What is added over a new connection to the endpoint and over a reused one."""
+    """Add the latency over new and over reused connections to the endpoint."""
     how = "as is, by what the server saw"
     if percentile in as_is.added_on_new:
         result.figures.append(
@@ -143,16 +144,20 @@
     result.figures += [
         _measured("tick p50", tick, f"{load}: once a second, and requests wait meanwhile"),
         _measured("decision cpu", decision.cpu, f"{load}: a request, ticks included"),
-        _measured("client late p99", as_is.send_delay_p99, "the client here, part of what is told as added"),
+        _measured(
+            "client late p99", as_is.send_delay_p99, "the client of the test, included in the added latency"
+        ),
     ]
 
 
 def _add_slopes(result: Result, results: dict[str, CellResult], cells: dict[str, Cell], size: Size) -> None:
-    """What is added by servers and by rate, where nothing else differs."""
+    """Add the slopes by endpoints and by rate, from cells that do not differ otherwise."""
     rate = size.rate / size.limiters
     servers = cells[AS_IS].servers
     comparable = [
-        cell for cell in cells.values() if cell.quotas and cell.counter_round_trip < NEAR_COUNTER_ROUND_TRIP
+        cell
+        for cell in cells.values()
+        if cell.quotas and cell.counter_round_trip < NEAR_COUNTER_ROUND_TRIP_SECONDS
     ]
     by_servers = {cell.servers: results[cell.name] for cell in comparable if cell.rate == rate}
     by_rate = {cell.rate: results[cell.name] for cell in comparable if cell.servers == servers}
--- a/scale/latency/workload.py
+++ b/scale/latency/workload.py
@@ -1,4 +1,4 @@
-"""The tenants of the test, their plans and quotas, and the times of their requests."""
+"""The tenants of the test: plans, quotas and times of their requests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 NEAR_FRACTION = 0.2  # of the tenants: demand near their quota
 OVER_FRACTION = 0.1  # of the tenants: demand over their quota
-# Demand of a tenant as a share of its quota, by the name of its plan.
+# Demand of a tenant divided by its quota, by the name of its plan.
 DEMAND = {"far": 0.1, "near": 0.92, "over": 1.5}
-BURST_SECONDS = 2.0  # of its rate that a quota's bucket holds
-CLIENT_TIMEOUT = 2.0  # seconds that a client waits
+BURST_SECONDS = 2.0  # of the quota, which the bucket holds
+CLIENT_TIMEOUT = 2.0  # seconds
 MIN_TENANTS = 10
 
 
@@ -22,28 +22,28 @@
 class Arrival:
     """A request of the schedule."""
 
-    at: float  # seconds from the begin
+    at: float  # seconds after the begin
     tenant: int
 
 
 def tenants_per_limiter(size: Size) -> int:
-    """Tenants that meet at one limiter."""
+    """Return the number of tenants of one limiter."""
     return max(MIN_TENANTS, round(size.tenants * size.spread / size.limiters))
 
 
 def plan_of(tenant: int, tenants: int) -> str:
-    """The name of a tenant's plan, by its place among all tenants of a limiter."""
+    """Return the name of a tenant's plan, which depends on its number among the limiter's tenants."""
     place = tenant / tenants
     if place < OVER_FRACTION:
         return "over"
     return "near" if place < OVER_FRACTION + NEAR_FRACTION else "far"
 
 
-def limiter_settings(size: Size, rate: float, quotas: bool) -> dict[str, Any]:
-    """A limiter's settings, as on the wire, in a fleet of the size.
+def limiter_settings(size: Size, rate: float, *, quotas: bool) -> dict[str, Any]:
+    """Return the settings of a limiter in a fleet of the size, by their names on the wire.
 
-    Its tenants send it ``rate`` requests a second together. Without ``quotas`` the plans have none, and so
-    the counter is not called.
+    The limiter's tenants send ``rate`` requests a second together. Without ``quotas`` the plans have no
+    quota, and so the counter is not called.
     """
     demand = rate / tenants_per_limiter(size) * size.spread  # requests a second of a tenant, at all limiters
     tariffs = [
@@ -59,7 +59,7 @@
 
 
 def poisson_schedule(rng: Random, rate: float, seconds: float, tenants: int) -> list[Arrival]:
-    """A Poisson stream of ``rate`` requests a second, all fixed beforehand."""
+    """Draw the arrivals of a Poisson process with ``rate`` requests a second."""
     arrivals = list[Arrival]()
     at = rng.expovariate(rate)
     while at < seconds:
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -1,4 +1,4 @@
-"""Jobs: what open connections of clients and to endpoints hold."""
+"""Jobs: memory of open connections of clients and to endpoints."""
 
 from __future__ import annotations
 
@@ -21,30 +21,31 @@
 from scale.memory.forked_peer import FINISHED, fork_peer, wait_finished
 from scale.synthetic_inputs import synthetic_settings
 
-PER_ENDPOINT = 32  # connections to one endpoint: the program's bound is 64
-CONNECT_TIMEOUT = 0.25  # seconds
-IDLE_TIMEOUT = 30.0  # seconds
+CONNECTIONS_PER_ENDPOINT = 32  # half of the program's limit
+CONNECT_TIMEOUT_SECONDS = 0.25
+IDLE_TIMEOUT_SECONDS = 30.0
 MAX_CONNECTIONS = 64
-EXCHANGE_TIMEOUT = 30.0  # seconds
+EXCHANGE_TIMEOUT_SECONDS = 30.0
+ENDPOINT_IDLE_TIMEOUT_FACTOR = 10  # of the exchange timeout
 SPARE_CONNECTIONS = 8
-SPARE_CAPACITY = 10  # times the connections: an overcrowded listener closes them with their responses
+CAPACITY_FACTOR = 10  # of the connections, because a full listener closes connections with their responses
 READ_BYTES = 4096
 PORT_BYTES = 64
 BACKLOG = 1024
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
-RETRY_AFTER = 0.1  # seconds
+RETRY_AFTER_SECONDS = 0.1
 
 
 class RejectAll:
-    """Decisions that reject each request: all that is in memory then is the connection's."""
+    """Decisions that reject each request, so that only the connection uses memory."""
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Reject a request; nothing follows from other events."""
-        return [model.Reject(event.id, RETRY_AFTER)] if isinstance(event, model.Request) else []
+        """Reject a request; ignore other events."""
+        return [model.Reject(event.id, RETRY_AFTER_SECONDS)] if isinstance(event, model.Request) else []
 
 
 def _send_requests(count: int, channel: socket.socket) -> None:
-    """The clients: one rejected request on each connection, which then stays open."""
+    """Act as the clients: send one request on each connection, which is rejected, and keep it open."""
     port = int(channel.recv(PORT_BYTES))
     clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(count)]
     for number, client in enumerate(clients):
@@ -54,35 +55,35 @@
             b"X-Quota: units=1,spread=3,first=1\r\n\r\n" % (number, number)
         )
         if not client.recv(READ_BYTES).startswith(b"HTTP/1.1 429"):
-            raise ConnectionError("a request was not refused")
+            raise ConnectionError("a request was not rejected")
     channel.sendall(FINISHED)
-    channel.recv(1)  # keeps the connections until the other side ends
+    channel.recv(1)  # keeps the connections open until the other side closes the channel
 
 
 def memory_of_client_connections(count: int) -> MemoryUse:
-    """What so many idle connections of clients hold that have had a response each."""
-
-    async def main() -> MemoryUse:
-        parsed = parse_settings(synthetic_settings(3, 1.0))
-        pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
-        dispatcher = Dispatcher(parsed, RejectAll(), unix_clock(), pool, None)
-        listener = ClientListener(dispatcher, parsed, SPARE_CAPACITY * count)
-        _, port = await listener.listen("127.0.0.1", 0)
-        resident_before = start_tracing()
-        with suppress(BrokenPipeError):  # it is dead: the wait for its message tells
-            channel.sendall(b"%d" % port)
-        await wait_finished(channel)
-        memory = MemoryUse(allocated_bytes(), resident_bytes() - resident_before)
-        await listener.close(0.0)
-        pool.close()
-        return memory
-
+    """Return the memory of a number of idle client connections that have had one response each."""
     channel = fork_peer(partial(_send_requests, count))
-    return uvloop.run(main())
+    return uvloop.run(_measure_client_connections(count, channel))
+
+
+async def _measure_client_connections(count: int, channel: socket.socket) -> MemoryUse:
+    parsed = parse_settings(synthetic_settings(3, 1.0))
+    pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS, MAX_CONNECTIONS)
+    dispatcher = Dispatcher(parsed, RejectAll(), unix_clock(), pool, None)
+    listener = ClientListener(dispatcher, parsed, CAPACITY_FACTOR * count)
+    _, port = await listener.listen("127.0.0.1", 0)
+    resident_before = start_tracing()
+    with suppress(BrokenPipeError):  # the peer has exited: wait_finished raises the cause
+        channel.sendall(b"%d" % port)
+    await wait_finished(channel)
+    memory = MemoryUse(allocated_bytes(), resident_bytes() - resident_before)
+    await listener.close(0.0)
+    pool.close()
+    return memory
 
 
 def _serve_requests(listener: socket.socket, channel: socket.socket) -> None:
-    """The endpoints: respond on each connection until one of them or the channel closes."""
+    """Act as the endpoints: respond on each connection until a connection or the channel closes."""
     selector = selectors.DefaultSelector()
     selector.register(listener, selectors.EVENT_READ)
     selector.register(channel, selectors.EVENT_READ)
@@ -99,14 +100,14 @@
 
 
 class _Exchanges:
-    """Counts exchanges; ``all_completed`` fails with the first one that does not end well."""
+    """Counts exchanges; ``all_completed`` fails with the first exchange that fails."""
 
     def __init__(self, expected: int) -> None:
         self._missing = expected
         self.all_completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def on_completed(self, exchange: Exchange) -> None:
-        """Count an exchange that has ended."""
+        """Count a completed exchange."""
         self._missing -= 1
         if self.all_completed.done():
             return
@@ -119,35 +120,35 @@
 
 def _start_exchanges(pool: ConnectionPool, count: int, exchanges: _Exchanges) -> None:
     for number in range(count):
-        endpoint = f"s-{number // PER_ENDPOINT * PER_ENDPOINT}"
-        deadline = unix_clock()() + EXCHANGE_TIMEOUT
+        endpoint = f"s-{number // CONNECTIONS_PER_ENDPOINT * CONNECTIONS_PER_ENDPOINT}"
+        deadline = unix_clock()() + EXCHANGE_TIMEOUT_SECONDS
         head = b"GET /class-0 HTTP/1.1\r\nHost: %b\r\n" % endpoint.encode()
         pool.start(Exchange(endpoint, head, b"", deadline, exchanges.on_completed))
 
 
 def memory_of_endpoint_connections(count: int) -> MemoryUse:
-    """What so many idle connections to endpoints hold that have carried a request each."""
-
-    async def main() -> MemoryUse:
-        idle_timeout = 10 * EXCHANGE_TIMEOUT
-        pool = ConnectionPool(unix_clock(), EXCHANGE_TIMEOUT, idle_timeout, count + SPARE_CONNECTIONS)
-        for number in range(0, count, PER_ENDPOINT):
-            pool.update_endpoint(f"s-{number}", address, True)
-        exchanges = _Exchanges(count)
-        resident_before = start_tracing()
-        _start_exchanges(pool, count, exchanges)
-        try:
-            await asyncio.wait_for(exchanges.all_completed, EXCHANGE_TIMEOUT)
-        except (ConnectionError, TimeoutError):
-            await wait_finished(channel)  # where the stand-in died, that is the cause
-            raise
-        memory = MemoryUse(allocated_bytes(), resident_bytes() - resident_before)
-        pool.close()
-        channel.close()
-        return memory
-
+    """Return the memory of a number of idle connections to endpoints that have had one request each."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
     address = f"127.0.0.1:{listener.getsockname()[1]}"
     channel = fork_peer(partial(_serve_requests, listener))
     listener.close()
-    return uvloop.run(main())
+    return uvloop.run(_measure_endpoint_connections(count, address, channel))
+
+
+async def _measure_endpoint_connections(count: int, address: str, channel: socket.socket) -> MemoryUse:
+    idle_timeout = ENDPOINT_IDLE_TIMEOUT_FACTOR * EXCHANGE_TIMEOUT_SECONDS
+    pool = ConnectionPool(unix_clock(), EXCHANGE_TIMEOUT_SECONDS, idle_timeout, count + SPARE_CONNECTIONS)
+    for number in range(0, count, CONNECTIONS_PER_ENDPOINT):
+        pool.update_endpoint(f"s-{number}", address, True)
+    exchanges = _Exchanges(count)
+    resident_before = start_tracing()
+    _start_exchanges(pool, count, exchanges)
+    try:
+        await asyncio.wait_for(exchanges.all_completed, EXCHANGE_TIMEOUT_SECONDS)
+    except (ConnectionError, TimeoutError):
+        await wait_finished(channel)  # raises the cause if the endpoints have exited
+        raise
+    memory = MemoryUse(allocated_bytes(), resident_bytes() - resident_before)
+    pool.close()
+    channel.close()
+    return memory
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -1,4 +1,4 @@
-"""Jobs: what endpoints, tenants, counter calls and classes hold."""
+"""Jobs: memory of endpoints, tenants, counter calls and classes."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 from scale.model import Size
 from scale.synthetic_inputs import CLIENT_TIMEOUT_SECONDS, PLAN_NAME, complete_list_text, synthetic_settings
 
-CONNECT_TIMEOUT = 0.25  # seconds
-IDLE_TIMEOUT = 30.0  # seconds
+CONNECT_TIMEOUT_SECONDS = 0.25
+IDLE_TIMEOUT_SECONDS = 30.0
 MAX_CONNECTIONS = 64
-LIST_LENGTH = 20  # endpoints, where tenants are measured
-REQUEST_INTERVAL = 1e-3  # seconds between two tenants
-SERVICE_TIME = 0.04  # seconds
+ENDPOINTS_FOR_TENANTS = 20  # on the list while the memory of tenants is measured
+REQUEST_INTERVAL_SECONDS = 1e-3  # between two tenants
+SERVICE_SECONDS = 0.04
 MAX_SERVING_GATEWAYS = 3
-COUNTER_TIMEOUT = 3600.0  # seconds
-FIRST_COUNTER = 2**62
-LIFETIME = 60.0  # seconds of a counter
+COUNTER_TIMEOUT_SECONDS = 3600.0
+FIRST_COUNTER_ID = 2**62
+COUNTER_LIFETIME_SECONDS = 60.0
 
 
 def memory_of_endpoints(count: int, size: dict[str, Any]) -> MemoryUse:
-    """What decisions and sockets hold for a list of so many servers."""
+    """Return the memory of the decisions and the connection pool for a list of endpoints."""
 
     async def main() -> MemoryUse:
         fleet = replace(Size(**size), servers=count)
         gateway = Gateway(parse_settings(synthetic_settings(fleet.limiters, 1.0)), 1, 0.0)
-        pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
+        pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS, MAX_CONNECTIONS)
         text = complete_list_text(fleet)
         tracemalloc.start()
         event = parse_watch_event(json.loads(text))
@@ -55,20 +55,20 @@
 
 
 def memory_of_tenants(count: int, size: dict[str, Any]) -> MemoryUse:
-    """What the decisions hold for so many customers whose requests are over."""
+    """Return the memory of the decisions for customers without open requests."""
     fleet = Size(**size)
     gateway = Gateway(parse_settings(synthetic_settings(fleet.limiters, 4.0)), 1, 0.0)
-    endpoint_list = complete_list_text(replace(fleet, servers=LIST_LENGTH))
+    endpoint_list = complete_list_text(replace(fleet, servers=ENDPOINTS_FOR_TENANTS))
     gateway.handle(0.0, parse_watch_event(json.loads(endpoint_list)).update)
     serving_gateways = min(MAX_SERVING_GATEWAYS, fleet.limiters)
     tracemalloc.start()
     for number in range(count):
-        _serve_request(gateway, 1.0 + number * REQUEST_INTERVAL, number, serving_gateways)
+        _serve_request(gateway, 1.0 + number * REQUEST_INTERVAL_SECONDS, number, serving_gateways)
     return MemoryUse(allocated_bytes())
 
 
 def _serve_request(gateway: Gateway, now: float, number: int, serving_gateways: int) -> None:
-    """One request of a tenant of its own; endpoints and counter reply at once."""
+    """Let the decisions serve one request of a new tenant; endpoints and counter reply at once."""
     ok = model.CallStatus.OK
     tenant = f"{number:016x}"
     request = model.Request(
@@ -78,7 +78,7 @@
     while actions:
         action = actions.pop()
         if isinstance(action, model.Forward):
-            completed = model.AttemptCompleted(number, 0, action.endpoint, ok, SERVICE_TIME, True, {})
+            completed = model.AttemptCompleted(number, 0, action.endpoint, ok, SERVICE_SECONDS, True, {})
             actions += gateway.handle(now, completed)
         elif isinstance(action, model.IncrementCounter):
             replied = model.CounterReplied(action.counter_id, ok, action.amount)
@@ -86,20 +86,24 @@
 
 
 def memory_of_counter_calls(count: int) -> MemoryUse:
-    """What the counter's client holds for so many calls that have no reply yet."""
+    """Return the memory of the counter's client for calls without a reply."""
 
     async def main() -> MemoryUse:
-        client = CounterClient("127.0.0.1", 1, COUNTER_TIMEOUT)  # never started: the calls stay queued
+        client = CounterClient(
+            "127.0.0.1", 1, COUNTER_TIMEOUT_SECONDS
+        )  # not started, so that the calls stay queued
         tracemalloc.start()
         for number in range(count):
-            client.increment(FIRST_COUNTER + number, 1.0, LIFETIME, lambda _status, _total: None)
+            client.increment(
+                FIRST_COUNTER_ID + number, 1.0, COUNTER_LIFETIME_SECONDS, lambda _status, _total: None
+            )
         return MemoryUse(allocated_bytes())
 
     return uvloop.run(main())
 
 
 def memory_of_classes(count: int) -> MemoryUse:
-    """What a configuration of so many classes holds: as read, as settings, and where they are used."""
+    """Return the memory of a configuration with classes: the JSON, the settings and their users."""
     text = json.dumps(synthetic_settings(3, 1.0, count))
     tracemalloc.start()
     raw = json.loads(text)
--- a/scale/memory/forked_peer.py
+++ b/scale/memory/forked_peer.py
@@ -1,4 +1,4 @@
-"""The other end of a limiter's connections, in a forked process: its memory is not the limiter's."""
+"""The other end of a limiter's connections, in a forked process, whose memory is not measured."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 
 FINISHED = b"done"
-MESSAGE_TIMEOUT = 30.0  # seconds
-MAX_MESSAGE = 256  # bytes
+MESSAGE_TIMEOUT_SECONDS = 30.0
+MAX_MESSAGE_BYTES = 256
 
 
 def fork_peer(run: Callable[[socket.socket], None]) -> socket.socket:
-    """Run a peer in a forked process; gives the channel to it. Its error is written there."""
+    """Run a peer in a forked process and return the channel to it; the peer sends its error there."""
     ours, theirs = socket.socketpair()
     if os.fork() == 0:
         ours.close()
@@ -22,14 +22,14 @@
         except Exception as error:
             theirs.sendall(f"{error!r:.200}".encode())
         finally:
-            os._exit(0)  # its end of the channel closes, and so ends the wait for its message
+            os._exit(0)  # closes the channel, which ends the wait for a message
     theirs.close()
-    ours.settimeout(MESSAGE_TIMEOUT)
+    ours.settimeout(MESSAGE_TIMEOUT_SECONDS)
     return ours
 
 
 async def wait_finished(channel: socket.socket) -> None:
-    """Wait until the peer has finished; ``ConnectionError`` where it died, with its own error."""
-    message = await asyncio.to_thread(channel.recv, MAX_MESSAGE)
+    """Wait until the peer has finished. Raise ``ConnectionError`` with its error if it failed."""
+    message = await asyncio.to_thread(channel.recv, MAX_MESSAGE_BYTES)
     if message != FINISHED:
-        raise ConnectionError(f"a stand-in died: {message.decode() or 'without a word'}")
+        raise ConnectionError(f"a stand-in died: {message.decode() or 'no error sent'}")
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -18,17 +18,17 @@
 from scale.model import Size
 from scale.simulated_limiter import SimulatedLimiter
 
-MAX_CONNECTIONS = 480  # a process has room for so many of clients and to servers, each (1,024 descriptors)
-CONNECT_TIMEOUT = 0.25  # seconds
-IDLE_TIMEOUT = 30.0  # seconds
-FILL_SECONDS = 20.0  # emulated, of the load: in which each tenant comes once
-TURNOVER = 0.05  # of the customers go for good each minute of churn, and as many new ones come (assumed)
-MINUTE = 60.0  # seconds
+MAX_CONNECTIONS = 480  # of clients, and as many to endpoints, with 1,024 descriptors
+CONNECT_TIMEOUT_SECONDS = 0.25
+IDLE_TIMEOUT_SECONDS = 30.0
+FILL_SECONDS = 20.0  # virtual, of the load; each tenant sends one request in this time
+TURNOVER_FRACTION = 0.05  # of the customers, which new ones replace each minute of churn (assumed)
+SECONDS_PER_MINUTE = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessMemory:
-    """Resident bytes of a process, and the tenants that it knew."""
+    """Resident bytes of a process, and the number of tenants that it knew."""
 
     at_start: int
     with_list: int
@@ -36,7 +36,7 @@
     after_churn: int
     tenants_after_load: int
     tenants_after_churn: int
-    harness: int  # bytes of the tables of the emulated tenants and counter, part of the others
+    harness: int  # bytes of the simulation's own tables, included in the others
 
 
 class _LimiterProcess:
@@ -44,10 +44,12 @@
 
     def __init__(self, size: Size, *, full_spread: bool, seed: int) -> None:
         self.limiter = SimulatedLimiter(size, full_spread=full_spread, seed=seed)
-        self._pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
+        self._pool = ConnectionPool(
+            unix_clock(), CONNECT_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS, MAX_CONNECTIONS
+        )
 
     def apply_list(self, text: str) -> None:
-        """Take in a message of discovery, as the program does."""
+        """Apply a message of discovery, as the program does."""
         event = parse_watch_event(json.loads(text))
         if event.update.complete:
             self._pool.retain_only(set(event.addresses))
@@ -57,39 +59,40 @@
         self.limiter.handle(event.update)
 
     def start(self) -> None:
-        """Take in the complete list."""
+        """Apply the complete list."""
         self.limiter.start()
         self.apply_list(self.limiter.complete_list())
         gc.collect()
-        gc.freeze()  # as the program does once it is ready
+        gc.freeze()  # as the program does when it is ready
 
     def run_load(self, seconds: float) -> None:
-        """Emulated seconds of load, in the first of which each tenant comes once."""
+        """Run virtual seconds of load, in the first of which each tenant sends one request."""
         self.limiter.visit_all_tenants(min(FILL_SECONDS, seconds))
         self.limiter.run(max(0.0, seconds - FILL_SECONDS))
 
     def run_churn(self, seconds: float) -> None:
-        """The changes of a whole day, and tenants that come and go, in so many emulated seconds."""
-        minutes = max(1, round(seconds / MINUTE))
+        """Apply the list changes of a day and replace tenants, within a number of virtual seconds."""
+        minutes = max(1, round(seconds / SECONDS_PER_MINUTE))
         changes = load_profile.daily_list_changes()
         for minute in range(minutes):
-            self.limiter.replace_tenants(max(1, round(TURNOVER * self.limiter.tenants)))
+            self.limiter.replace_tenants(max(1, round(TURNOVER_FRACTION * self.limiter.tenants)))
             for _ in range(changes // minutes):
                 self.apply_list(self.limiter.next_list_change())
             if minute == minutes // 2:
-                self.apply_list(self.limiter.complete_list())  # a watch that begins anew
-            self.limiter.run(MINUTE)
+                self.apply_list(self.limiter.complete_list())  # a new watch
+            self.limiter.run(SECONDS_PER_MINUTE)
 
     def close(self) -> None:
+        """Close the connection pool."""
         self._pool.close()
 
 
 def measure_process(
     size: dict[str, Any], *, full_spread: bool, seed: int, load: float, churn: float
 ) -> ProcessMemory:
-    """Memory of a limiter's process at its start, with the list, after the load and after the churn.
+    """Measure a limiter's process at its start, with the list, after the load and after the churn.
 
-    ``load`` and ``churn`` are emulated seconds. With ``full_spread`` all limiters serve each tenant.
+    ``load`` and ``churn`` are virtual seconds. With ``full_spread`` all limiters serve each tenant.
     """
 
     async def main() -> ProcessMemory:
--- a/scale/memory/summary.py
+++ b/scale/memory/summary.py
@@ -1,4 +1,4 @@
-"""The slopes and figures of memory."""
+"""The slopes and figures of the memory."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 from scale import load_profile, regression
 from scale.memory.allocation import MemoryUse
-from scale.memory.process import MAX_CONNECTIONS, TURNOVER, ProcessMemory
+from scale.memory.process import MAX_CONNECTIONS, TURNOVER_FRACTION, ProcessMemory
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
 from scale.sample_sizes import sample_sizes
 from scale.simulated_limiter import SimulatedLimiter
 from scale.worker import Job, run_jobs
 
-IN_FLIGHT = 2000  # counter calls without a reply: far beyond any second's calls, for a slope that shows
+IN_FLIGHT_CALLS = 2000  # of the counter; far more than in operation, for a significant slope
 CLASSES = 400
-LOAD_SECONDS = 180.0  # emulated
-CHURN_SECONDS = 3600.0  # emulated, after the load
-MAX_PROCESS_RUNS = 3  # of the whole process: each is two hours' worth of ticks
-MEGABYTE = 1e6
+LOAD_SECONDS = 180.0  # virtual
+CHURN_SECONDS = 3600.0  # virtual, after the load
+MAX_PROCESS_RUNS = 3  # of the whole process, each of which takes long
+BYTES_PER_MEGABYTE = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One thing whose memory is measured at several counts."""
+    """A kind of object whose memory is measured at several counts."""
 
     name: str
-    by: str  # what is counted
-    each: str  # one of it, in words
+    by: str  # name of the count
+    each: str  # one object, in words
     job: str
-    full: int  # the largest count
-    size_count: int | None  # how many there are at the size; None: no figure of all of them
+    full: int  # largest count
+    size_count: int | None  # number of objects at the size; None: no figure of all of them
     arguments: dict[str, Any] = field(default_factory=dict)
 
 
 def make_series(size: Size) -> list[Series]:
-    """All things that are measured one by one."""
+    """Return all kinds of objects."""
     return [*_list_series(size), *_connection_series(), *_other_series(size)]
 
 
@@ -94,7 +94,7 @@
             by="counts",
             each="a count in flight",
             job="scale.memory.decisions:memory_of_counter_calls",
-            full=IN_FLIGHT,
+            full=IN_FLIGHT_CALLS,
             size_count=None,
         ),
         Series(
@@ -109,7 +109,7 @@
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """Slopes of memory, and the whole process at both ends of the spread of customers."""
+    """Measure the slopes of the memory, and the whole process with the smallest and the full spread."""
     result = Result()
     all_series = make_series(size)
     slopes = [measure_slopes(series, effort) for series in all_series]
@@ -134,7 +134,7 @@
 
 
 def measure_slopes(series: Series, effort: Effort) -> list[Slope]:
-    """The allocated bytes by count; a second slope where the job measures the resident bytes as well."""
+    """Measure the allocated bytes by count, and the resident bytes if the job returns them."""
     counts = [count for count in sample_sizes(series.full, effort) for _ in range(effort.runs)]
     jobs = [Job(series.job, {"count": count, **series.arguments}) for count in counts]
     allocated: dict[float, list[float]] = defaultdict(list)
@@ -151,21 +151,21 @@
 
 
 def _add_figures(result: Result, series: Series, slope: Slope) -> None:
-    """One of a series, and all that there are at the size."""
+    """Add the memory of one object, and of all objects at the size."""
     how = f"slope of '{series.name}'"
     result.figures.append(Figure(f"bytes of {series.each}", "B", slope.slope, Origin.MEASURED, how))
     count = series.size_count
     if count is not None:
-        megabytes = slope.slope * count / MEGABYTE
+        megabytes = slope.slope * count / BYTES_PER_MEGABYTE
         result.figures.append(
             Figure(f"{series.name}, {count}", "MB", megabytes, Origin.DERIVED, f"{how} x {count}")
         )
 
 
 def _add_processes(size: Size, budget: Budget, effort: Effort, result: Result) -> None:
-    """The whole process where few tenants meet at a limiter, and where all do."""
+    """Add the whole process with the size's spread, and with all tenants at each limiter."""
     runs = min(effort.runs, MAX_PROCESS_RUNS)
-    # The longer ones first: they are what the run waits for.
+    # The longer ones first, because the run ends with them.
     jobs = [
         _process_job(size, full_spread=full_spread, seed=effort.seed + run)
         for full_spread in (True, False)
@@ -176,9 +176,9 @@
         tenants = SimulatedLimiter(size, full_spread=full_spread, seed=effort.seed).tenants
         _add_process(result, f"{tenants} customers at a limiter", memories, budget.control_memory)
     result.notes.append(
-        f"the hour of churn: the day's {load_profile.RESTARTS_PER_DAY} restarts and "
-        f"{load_profile.FAILURES_PER_DAY} failures all come in it, a whole list once, and {TURNOVER:.0%} of "
-        "the customers a minute go for good while as many come; the "
+        f"the hour of churn: all of the day's {load_profile.RESTARTS_PER_DAY} restarts and "
+        f"{load_profile.FAILURES_PER_DAY} failures, one whole list, and each minute new customers in place "
+        f"of {TURNOVER_FRACTION:.0%} of the customers; the "
         f"load is {size.rate / size.limiters:.0f} requests a second, {LOAD_SECONDS:.0f} s of it "
         "before the hour"
     )
@@ -198,7 +198,7 @@
 
 
 def _add_process(result: Result, end: str, memories: Sequence[ProcessMemory], budget: float) -> None:
-    """The figures of the runs at one end of the spread; ``budget`` in bytes."""
+    """Add the figures of the runs with one spread; ``budget`` is in bytes."""
     stages = (
         ("before the list", [memory.at_start for memory in memories], None),
         ("with the list", [memory.with_list for memory in memories], None),
@@ -206,19 +206,19 @@
         ("after an hour of churn", [memory.after_churn for memory in memories], budget),
     )
     for when, resident, limit in stages:
-        megabytes = [value / MEGABYTE for value in resident]
+        megabytes = [value / BYTES_PER_MEGABYTE for value in resident]
         how = f"RSS, median of {len(memories)} runs [{min(megabytes):.1f}..{max(megabytes):.1f}]"
         name = f"whole process, {end}, {when}"
-        limit_megabytes = limit / MEGABYTE if limit is not None else None
+        limit_megabytes = limit / BYTES_PER_MEGABYTE if limit is not None else None
         result.figures.append(Figure(name, "MB", median(megabytes), Origin.MEASURED, how, limit_megabytes))
-    harness = median(memory.harness for memory in memories) / MEGABYTE
+    harness = median(memory.harness for memory in memories) / BYTES_PER_MEGABYTE
     after_load = round(median(memory.tenants_after_load for memory in memories))
     after_churn = round(median(memory.tenants_after_churn for memory in memories))
     result.notes.append(
-        f"whole process, {end}: {harness:.1f} MB of it are tables of the made customers and counter, not "
-        "the limiter's (what they weigh by sys.getsizeof); open connections are not in it; after the "
-        f"load it knew {after_load} customers, after the hour {after_churn}: who stays away for 60 s is "
-        "forgotten"
+        f"whole process, {end}: {harness:.1f} MB of it are tables of the simulated customers and counter, "
+        "not the limiter's (by sys.getsizeof); open connections are not in it; after the "
+        f"load it knew {after_load} customers, after the hour {after_churn}: a customer without requests for "
+        "60 s is forgotten"
     )
 
 
--- a/scale/messages/counter_bytes.py
+++ b/scale/messages/counter_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of the counter's protocol, by the real client; a job."""
+"""A job: bytes of the counter's protocol, with the real client."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 from quota_gateway import model
 from quota_gateway.net.counter.client import CounterClient
-from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
+from scale.messages.counting_stand_in import REPLY_TIMEOUT_SECONDS, CountingStandIn
 
-CALLS = 200  # whose bytes are counted
-LIFETIME = 60.0  # seconds of a counter
-MAX_AMOUNT = 4
+CALLS = 200  # measured
+COUNTER_LIFETIME_SECONDS = 60.0
+MAX_AMOUNT_UNITS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class CounterBytes:
-    """Mean bytes of a call, and what an idle client sends and gets."""
+    """Mean bytes of a call, and the traffic of an idle client."""
 
     request: float
     reply: float
@@ -27,7 +27,7 @@
 
     @property
     def call(self) -> float:
-        """Bytes of a call with its reply."""
+        """The bytes of a call with its reply."""
         return self.request + self.reply
 
 
@@ -45,7 +45,7 @@
 
 
 class _Replies:
-    """Counts replies; ``all_received`` fails with the first call that does not end well."""
+    """Counts replies; ``all_received`` fails with the first call that fails."""
 
     def __init__(self, expected: int) -> None:
         self._missing = expected
@@ -66,12 +66,15 @@
     stand_in = CountingStandIn()
     rng = Random(1)
     async with stand_in.serve(_converse) as (host, port):
-        client = CounterClient(host, port, REPLY_TIMEOUT)
+        client = CounterClient(host, port, REPLY_TIMEOUT_SECONDS)
         client.start()
         replies = _Replies(CALLS)
         for _ in range(CALLS):
             client.increment(
-                rng.getrandbits(63), rng.randrange(1, MAX_AMOUNT + 1), LIFETIME, replies.on_reply
+                rng.getrandbits(63),
+                rng.randrange(1, MAX_AMOUNT_UNITS + 1),
+                COUNTER_LIFETIME_SECONDS,
+                replies.on_reply,
             )
         await stand_in.wait(replies.all_received)
         received = stand_in.received
@@ -83,5 +86,5 @@
 
 
 def measure_counter_bytes(idle_seconds: float) -> CounterBytes:
-    """Bytes of a call with its reply, and a second of a client that has nothing to ask for so long."""
+    """Measure the bytes of a call with its reply, and of a client that is idle for a time."""
     return uvloop.run(_measure(idle_seconds))
--- a/scale/messages/counter_demand.py
+++ b/scale/messages/counter_demand.py
@@ -1,4 +1,4 @@
-"""Counter calls that a limiter wants, in virtual time; a job."""
+"""A job: counter calls of a limiter whose counter is never full, in virtual time."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterDemand:
-    """Of one limiter, a second."""
+    """Calls and requests of one limiter a second."""
 
     first_calls: float  # soon after the start
-    calls: float  # later on
+    calls: float  # after the warm-up
     requests: float
 
 
@@ -29,10 +29,10 @@
     warm_up: float,
     load: float,
 ) -> CounterDemand:
-    """Calls and requests of one limiter whose counter answers all: at first, and after the warm-up.
+    """Measure one limiter soon after its start and after the warm-up.
 
-    ``near`` and ``over`` are shares of the tenants near and over their quota; ``warm_up`` and ``load`` are
-    emulated seconds. With ``full_spread`` all limiters serve each tenant.
+    ``near`` and ``over`` are the fractions of the tenants near and over their quota; ``warm_up`` and ``load``
+    are virtual seconds. With ``full_spread`` all limiters serve each tenant.
     """
     limiter = SimulatedLimiter(Size(**size), full_spread=full_spread, seed=seed, mix=LoadMix(near, over))
     limiter.start()
--- a/scale/messages/counting_stand_in.py
+++ b/scale/messages/counting_stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in that counts the bytes of a conversation."""
+"""A server that counts the bytes of its connections."""
 
 from __future__ import annotations
 
@@ -7,61 +7,61 @@
 from contextlib import asynccontextmanager
 from typing import TypeVar
 
-REPLY_TIMEOUT = 10.0  # seconds for a reply of the real code
-RESULT_TIMEOUT = 0.1  # seconds for a result that is there
+REPLY_TIMEOUT_SECONDS = 10.0  # of the real clients
+RESULT_TIMEOUT_SECONDS = 0.1  # for a result that has arrived
 
 T = TypeVar("T")
 
 
 class CountingStandIn:
-    """A server on a port of its own; counts what it receives and sends."""
+    """A server on a port of its own that counts received and sent bytes."""
 
     def __init__(self) -> None:
-        """For the running event loop."""
+        """Create the server for the running event loop."""
         self.received = 0  # bytes
         self.sent = 0  # bytes
         self._failure: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     @property
     def total(self) -> int:
-        """Bytes both ways."""
+        """The bytes in both directions."""
         return self.received + self.sent
 
     async def wait(self, result: asyncio.Future[T]) -> T:
-        """The result; an error of the stand-in's own, or ``TimeoutError``, ends the wait for it."""
+        """Return the result. Raise ``ConnectionError`` if the server failed, or ``TimeoutError``."""
         await asyncio.wait(
-            (result, self._failure), timeout=REPLY_TIMEOUT, return_when=asyncio.FIRST_COMPLETED
+            (result, self._failure), timeout=REPLY_TIMEOUT_SECONDS, return_when=asyncio.FIRST_COMPLETED
         )
         if self._failure.done():
             raise ConnectionError(f"a stand-in died: {self._failure.exception()!r}")
-        return await asyncio.wait_for(result, RESULT_TIMEOUT)
+        return await asyncio.wait_for(result, RESULT_TIMEOUT_SECONDS)
 
     async def read_until(self, reader: asyncio.StreamReader, end: bytes) -> bytes:
-        """The next bytes up to ``end``, counted."""
+        """Read up to ``end``, and count the bytes."""
         data = await reader.readuntil(end)
         self.received += len(data)
         return data
 
     def write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Send, counted."""
+        """Send, and count the bytes."""
         self.sent += len(data)
         writer.write(data)
 
     @asynccontextmanager
     async def serve(self, converse: Conversation) -> AsyncIterator[tuple[str, int]]:
-        """Listen, and hold this conversation on each connection; gives host and port."""
+        """Listen, and run ``converse`` on each connection; yield host and port."""
 
-        async def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 await converse(self, reader, writer)
             except (OSError, EOFError, asyncio.CancelledError):
-                pass  # the limiter's side ended it
+                pass  # closed by the client
             except Exception as error:
                 if not self._failure.done():
                     self._failure.set_exception(error)
             writer.transport.abort()
 
-        server = await asyncio.start_server(on_connection, "127.0.0.1", 0)
+        server = await asyncio.start_server(handle_connection, "127.0.0.1", 0)
         try:
             yield server.sockets[0].getsockname()
         finally:
@@ -72,6 +72,6 @@
 
 
 def encode_chunk(text: str) -> bytes:
-    """A line of a watch as a chunk of its response."""
+    """Return a line of a watch as a chunk of its response."""
     data = text.encode() + b"\n"
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of a health check, by the real connection pool; a job."""
+"""A job: bytes of a health check, with the real connection pool."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
 from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import parse_settings
-from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
+from scale.messages.counting_stand_in import REPLY_TIMEOUT_SECONDS, CountingStandIn
 from scale.synthetic_inputs import synthetic_settings
 
 ENDPOINT = "s-00000000"
-IDLE_TIMEOUT = 30.0  # seconds
+IDLE_TIMEOUT_SECONDS = 30.0
 MAX_CONNECTIONS = 8
 
 
@@ -28,18 +28,18 @@
 
     @property
     def total(self) -> float:
-        """Both together."""
+        """The bytes of both."""
         return self.request + self.response
 
 
 class _OneHealthCheck:
-    """Decisions that do nothing but ask for a health check at the first tick."""
+    """Decisions that only start a health check at the first tick."""
 
     def __init__(self) -> None:
         self.status: asyncio.Future[model.CallStatus] = asyncio.get_running_loop().create_future()
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Ask for the health check at a tick, and keep its status."""
+        """Start the health check at a tick, and keep its status."""
         if isinstance(event, model.HealthChecked):
             self.status.set_result(event.status)
         return [model.CheckHealth(ENDPOINT)] if isinstance(event, model.TimerFired) else []
@@ -57,7 +57,7 @@
     stand_in = CountingStandIn()
     decisions = _OneHealthCheck()
     async with stand_in.serve(_converse) as (host, port):
-        pool = ConnectionPool(unix_clock(), REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
+        pool = ConnectionPool(unix_clock(), REPLY_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS, MAX_CONNECTIONS)
         pool.update_endpoint(ENDPOINT, f"{host}:{port}", True)
         dispatcher = Dispatcher(
             parse_settings(synthetic_settings(3, 1.0)), decisions, unix_clock(), pool, None
@@ -65,11 +65,11 @@
         dispatcher.dispatch(model.TimerFired(0))
         status = await stand_in.wait(decisions.status)
         if status is not model.CallStatus.OK:
-            raise ConnectionError(f"the probe ended as {status.value}")
+            raise ConnectionError(f"the health check ended as {status.value}")
         pool.close()
     return HealthCheckBytes(request=stand_in.received, response=stand_in.sent)
 
 
 def measure_health_check_bytes() -> HealthCheckBytes:
-    """Bytes of a health check with its response."""
+    """Measure the bytes of a health check with its response."""
     return uvloop.run(_measure())
--- a/scale/messages/list_bytes.py
+++ b/scale/messages/list_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of a complete endpoint list, by the real watch; a job."""
+"""A job: bytes of a complete endpoint list, with the real watch."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
     list_length: asyncio.Future[int] = asyncio.get_running_loop().create_future()
     async with stand_in.serve(converse) as (host, port):
         watch = asyncio.create_task(EndpointWatcher(host, port, None, on_event).follow())
-        servers = await stand_in.wait(list_length)
+        endpoints = await stand_in.wait(list_length)
         watch.cancel()
-    if servers != size.servers:
-        raise ValueError(f"a list of {size.servers} servers was read as one of {servers}")
+    if endpoints != size.servers:
+        raise ValueError(f"a list of {size.servers} endpoints was read as one of {endpoints}")
     return ListBytes(request=stand_in.received, response=stand_in.sent)
 
 
 def measure_list_bytes(size: dict[str, Any]) -> ListBytes:
-    """Bytes of a complete list: its request, and the response up to the list's last byte."""
+    """Measure the bytes of a watch's request, and of the response up to the end of the complete list."""
     return uvloop.run(_measure(Size(**size)))
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -1,4 +1,4 @@
-"""The figures of the messages: their bytes, the calls, and what they come to at the size."""
+"""The figures of the messages: bytes, calls, and traffic at the size."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 from scale.synthetic_inputs import BUCKET_SECONDS, CALM_MIX, TENSE_MIX, LoadMix, watch_event_text
 from scale.worker import Job, run_job, run_jobs
 
-IDLE_SECONDS = 21.0  # in which the pings of an idle client are counted: ten of each connection
+IDLE_SECONDS = 21.0  # for ten pings of each connection of an idle client
 QUICK_IDLE_SECONDS = 2.5
 KEEP_ALIVE = b"1\r\n\n\r\n"  # an empty line as a chunk
-KEEP_ALIVE_INTERVAL = 2.0  # seconds between two
-WARM_UP_SECONDS = 240.0  # emulated, until the limiter's own bound on calls has risen
+KEEP_ALIVE_SECONDS = 2.0  # between two keep-alives
+WARM_UP_SECONDS = 240.0  # virtual, until the limiter's counter budget has grown
 QUICK_WARM_UP_SECONDS = 20.0
-LOAD_SECONDS = 60.0  # emulated
+LOAD_SECONDS = 60.0  # virtual
 QUICK_LOAD_SECONDS = 10.0
-CHECKED_SECONDS = 60.0  # from a failure until the list has it, in which an endpoint is checked (assumed)
-CHECK_INTERVAL = 2.0  # seconds: between one and a half ticks and the next tick, for ticks tell the time
-DISCOVERY_RATES = (8.0, 100.0)  # calls a second that discovery serves (assumed)
-CHANGES = 300  # whose mean size counts
-MEGABYTE = 1e6
+CHECKED_SECONDS = 60.0  # from a failure of an endpoint until the list has it (assumed)
+CHECK_INTERVAL_SECONDS = 2.0  # between two health checks, which start at ticks
+DISCOVERY_CALLS_PER_SECOND = (8.0, 100.0)  # served by discovery (assumed)
+LIST_CHANGES = 300  # measured
+BYTES_PER_MEGABYTE = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A mix of tenants, and how many limiters serve each."""
+    """A mix of tenants, and their spread."""
 
     full_spread: bool  # all limiters serve each tenant
     name: str
     mix: LoadMix
 
     def limiters_per_tenant(self, size: Size) -> str:
-        """How many limiters serve a tenant, in words."""
+        """Return the number of limiters that serve a tenant, in words."""
         return f"{size.limiters if self.full_spread else min(size.spread, size.limiters)} limiters a customer"
 
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlTraffic:
-    """What a limiter exchanges with discovery and the counter."""
+    """The messages of a limiter with discovery and the counter."""
 
     change: float  # bytes of a change of the list
     complete_list: float  # bytes
@@ -69,7 +69,7 @@
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """Bytes of each message, calls by load and mix, and what they come to at the size."""
+    """Measure the bytes of each message and the calls by load and mix, and derive the traffic."""
     result = Result()
     lists = _measure_lists(size, effort)
     result.slopes.append(regression.line("a whole list, by servers", "bytes", "servers", lists))
@@ -90,20 +90,20 @@
 
 def _notes() -> list[str]:
     return [
-        "bytes are those of the messages, without TCP's and IP's own; the watch's lines are as short as JSON "
-        "allows, and discovery's and the servers' answers bear the fewest headers",
+        "bytes are those of the messages, without the headers of TCP and IP; the watch's lines are compact "
+        "JSON, and responses of discovery and the servers have a minimum of headers",
         f"counter: {CALM_MIX.near:.0%} of the customers are near their quota, {CALM_MIX.over:.0%} at three "
         f"times it (calm), or {TENSE_MIX.near:.0%} and {TENSE_MIX.over:.0%} (tense), the rest at 0.3 of it; "
-        f"a customer's store holds {BUCKET_SECONDS:.0f} s of its quota; refused clients do not come again; "
-        "the made counter "
-        f"answers each call in 5 ms, so that after {WARM_UP_SECONDS:.0f} emulated seconds the limiter's own "
-        "bound binds no more: that is what it wants. A counter that is full slows its answers, and the "
-        "limiters keep to what it bears",
+        f"a customer's bucket holds {BUCKET_SECONDS:.0f} s of its quota; rejected clients do not retry; "
+        "the simulated counter "
+        f"replies to each call in 5 ms, so that after {WARM_UP_SECONDS:.0f} virtual seconds the limiter's "
+        "counter budget does not limit the calls. A full counter replies later, and the limiters reduce "
+        "their calls to its rate",
     ]
 
 
 def _measure_lists(size: Size, effort: Effort) -> dict[float, list[float]]:
-    """Bytes of the complete list in each run, by the number of servers."""
+    """Measure the bytes of the complete list in each run, by the number of endpoints."""
     points = [servers for servers in sample_sizes(size.servers, effort) for _ in range(effort.runs)]
     jobs = [
         Job("scale.messages.list_bytes:measure_list_bytes", {"size": asdict(replace(size, servers=servers))})
@@ -116,7 +116,7 @@
 
 
 def _measure_demands(size: Size, effort: Effort, result: Result) -> Demands:
-    """Add the slopes of the counter's calls by load; gives the runs at the full load."""
+    """Add the slopes of the counter calls by load; return the runs at the full load."""
     scale = QUICK_FRACTION if effort.quick else 1.0
     points = [
         (scenario, fraction * scale, run)
@@ -156,36 +156,37 @@
 
 
 def _change_bytes(size: Size) -> float:
-    """Mean bytes of a change of the list."""
+    """Return the mean bytes of a change of the list."""
     limiter = SimulatedLimiter(size, full_spread=False, seed=1)
-    lines = [limiter.next_list_change() for _ in range(CHANGES)]
+    lines = [limiter.next_list_change() for _ in range(LIST_CHANGES)]
     for line in lines:
-        parse_watch_event(json.loads(line))  # what is counted is what the limiter reads
+        parse_watch_event(json.loads(line))  # raises if the limiter could not read the line
     return mean(len(encode_chunk(line)) for line in lines)
 
 
 def _add_sizes(
     size: Size, result: Result, lists: list[float], counter: CounterBytes, health_check: HealthCheckBytes
 ) -> ControlTraffic:
-    """Bytes of the messages; ``lists`` are those of the complete list by run."""
+    """Add the bytes of the messages; ``lists`` are the bytes of the complete list by run."""
     failures = load_profile.FAILURES_PER_DAY
     traffic = ControlTraffic(
         change=_change_bytes(size),
         complete_list=median(lists),
         counter=counter,
         health_check=health_check.total,
-        keep_alives=len(KEEP_ALIVE) / KEEP_ALIVE_INTERVAL,
-        health_checks=failures * CHECKED_SECONDS / CHECK_INTERVAL / load_profile.SECONDS_PER_DAY,
+        keep_alives=len(KEEP_ALIVE) / KEEP_ALIVE_SECONDS,
+        health_checks=failures * CHECKED_SECONDS / CHECK_INTERVAL_SECONDS / load_profile.SECONDS_PER_DAY,
     )
     _add_size_figures(size, result, traffic)
     return traffic
 
 
 def _add_size_figures(size: Size, result: Result, traffic: ControlTraffic) -> None:
-    without_row = len(encode_chunk(watch_event_text([], 2, complete=False)))
+    empty_change = len(encode_chunk(watch_event_text([], 2, complete=False)))
     failures = load_profile.FAILURES_PER_DAY
     checks = (
-        f"{failures} failures a day, each probed every {CHECK_INTERVAL:.0f} s for {CHECKED_SECONDS:.0f} s"
+        f"{failures} failures a day, each probed every {CHECK_INTERVAL_SECONDS:.0f} s "
+        f"for {CHECKED_SECONDS:.0f} s"
     )
     counter = traffic.counter
 
@@ -196,8 +197,8 @@
         return Figure(name, unit, value, Origin.DERIVED, how)
 
     result.figures += [
-        measured("a change of the list", "B", traffic.change, f"mean of {CHANGES} lines as chunks"),
-        measured("the same without the server's row", "B", without_row, "a line without rows"),
+        measured("a change of the list", "B", traffic.change, f"mean of {LIST_CHANGES} lines as chunks"),
+        measured("the same without the server's row", "B", empty_change, "a line without rows"),
         measured("a whole list", "B", traffic.complete_list, f"{size.servers} servers, with its head"),
         measured("a counter call with its answer", "B", counter.call, f"mean of {CALLS} on a socket"),
         measured("pings of a quiet counter client", "B/s", counter.idle, f"{IDLE_SECONDS:.0f} s idle"),
@@ -208,35 +209,37 @@
 
 
 def _add_demands(size: Size, budget: Budget, result: Result, demands: Demands) -> None:
-    """Counter calls of the fleet in each scenario."""
+    """Add the counter calls of the fleet in each scenario."""
     for scenario, runs in demands.items():
         end = f"{scenario.limiters_per_tenant(size)}, {scenario.name}"
         calls = median(run.calls for run in runs)
         requests = median(run.requests for run in runs)
         first_calls = median(run.first_calls for run in runs) * size.limiters
         per_request = calls / max(1e-9, requests)
-        how = "hollow limiter, full load"
+        how = "simulated limiter, full load"
         name = f"counter calls a request, {end}"
         result.figures.append(Figure(name, "", per_request, Origin.MEASURED, how))
-        how = f"x {size.limiters} limiters, 30 to 60 s after their start, before their own bound has risen"
+        how = (
+            f"x {size.limiters} limiters, 30 to 60 s after their start, before their counter budget has grown"
+        )
         name = f"counter calls at first, {end}"
         result.figures.append(_call_rate(name, first_calls, how, budget))
-        how = f"x {size.limiters} limiters; what they ask where the counter bears it all"
+        how = f"x {size.limiters} limiters; the demand if the counter serves all calls"
         name = f"counter calls wanted, {end}"
         result.figures.append(_call_rate(name, calls * size.limiters, how, budget))
 
 
 def _call_rate(name: str, rate: float, how: str, budget: Budget) -> Figure:
-    """Calls a second of the fleet."""
+    """Return the figure of the fleet's calls a second."""
     return Figure(name, "/s", rate, Origin.DERIVED, how, budget.counter_calls)
 
 
 def _add_traffic(
     size: Size, budget: Budget, result: Result, traffic: ControlTraffic, demands: Demands
 ) -> None:
-    """Bytes a second of a limiter, by its counter calls."""
+    """Add the bytes a second of a limiter, by its counter calls."""
     wanted = {scenario: median(run.calls for run in runs) for scenario, runs in demands.items()}
-    # What the counter bears at least, shared evenly; a small fleet wants less.
+    # An even share of the counter's guaranteed rate; a small fleet makes fewer calls.
     bound = min(budget.counter_calls / size.limiters, *wanted.values())
     call_rates = {f"{bound:.2f} counter calls a second": bound}
     for scenario, rate in wanted.items():
@@ -266,12 +269,12 @@
 
 
 def _add_resync(size: Size, budget: Budget, result: Result, complete_list: float) -> None:
-    """What it takes until all limiters have read a complete list, of so many bytes."""
-    total = complete_list * size.limiters / MEGABYTE
+    """Add bytes and duration of a complete list for each limiter."""
+    total = complete_list * size.limiters / BYTES_PER_MEGABYTE
     result.figures.append(
         Figure("a resync of all limiters", "MB", total, Origin.DERIVED, f"{size.limiters} whole lists")
     )
-    for rate in DISCOVERY_RATES:
+    for rate in DISCOVERY_CALLS_PER_SECOND:
         how = (
             f"{size.limiters} lists at {rate:.0f} calls a second (assumed); a watch begun anew with its "
             "version may be told the changes alone"
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -161,6 +161,11 @@
         self.address = str(config["listen"])
         self._path = path
 
+    def write_settings(self, settings: dict[str, Any]) -> None:
+        """Replace the settings in the configuration file."""
+        self.config["settings"] = settings
+        self.write_config()
+
     def write_config(self) -> None:
         """Replace the configuration file in one step, as a deployment does."""
         temporary = self._path.with_suffix(".new")
--- a/scale/propagation/__init__.py
+++ b/scale/propagation/__init__.py
@@ -1,6 +1,6 @@
-"""The test ``in_force``: how long a change of the list or the configuration takes to the last limiter.
+"""The test ``in_force``: the time until a change of list or configuration is in force at all limiters.
 
-A few real limiters are changed under traffic, and the traffic shows when the change holds. Groups of hundreds
-are hollow: the real discovery clients on loopback sockets, with nothing behind them, against a stand-in with
-a list of few endpoints. What reading a long list costs each limiter is measured elsewhere.
+A few real limiters are changed under traffic, which shows when the change is in force. Groups of hundreds of
+limiters consist of the real discovery clients alone, on loopback sockets, and a stand-in with a short list.
+The cost of reading a long list is measured by the test ``cpu``.
 """
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -1,4 +1,4 @@
-"""Groups of hollow limiters: when their discovery clients have a change of the list."""
+"""Groups of discovery clients: times at which they are notified of a change of the list."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 from scale.stand_ins.discovery import FIRST_VERSION, DiscoveryStandIn, make_endpoints
 
 LIST_LENGTH = 8  # endpoints on the list
-START_INTERVAL = 0.003  # seconds between the starts of two hollow limiters
-SETTLE_TIMEOUT = 30.0  # seconds within which all must have a first list from a discovery that serves
-NOTIFY_TIMEOUT = 25.0  # seconds after the serving time until a limiter counts as never notified
+START_INTERVAL_SECONDS = 0.003  # between the starts of two clients
+SETTLE_TIMEOUT_SECONDS = 30.0  # for the first list of all clients, without a fault
+NOTIFY_TIMEOUT_SECONDS = 25.0  # after the serving time; later a client counts as never notified
 MOVED_VERSION = 77  # of the list at the other discovery
 CHANGED_ENDPOINT = "s-00000000"
-SETTLE_DELAY = (0.1, 0.4)  # seconds, drawn: the change comes at no fixed place between two keep-alives
-LATENESS_INTERVAL = 0.05  # seconds between two looks at the loop's lateness
-SEED_SHIFT = 20  # a seed's clients do not meet the next one's
+SETTLE_DELAY_SECONDS = (0.1, 0.4)  # random, so that the change has no fixed phase to the keep-alives
+LATENESS_INTERVAL_SECONDS = 0.05  # between two checks of the event loop
+SEED_SHIFT = 20  # keeps the clients of different seeds apart
 SEEDS_PER_CASE = 1000
 SPARE_DESCRIPTORS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Convergence:
-    """When the limiters of a group had the change, in seconds from the moment that they could."""
+    """The times of notification in a group, in seconds after the first possible moment."""
 
     median: float
     last: float  # of those that were notified
-    never: int  # those that were not, within the serving time and ``NOTIFY_TIMEOUT``
-    calls: int  # that discovery took from that moment on
+    never: int  # clients without notification within the serving time and ``NOTIFY_TIMEOUT_SECONDS``
+    calls: int  # that discovery received after that moment
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     """One run of all cases."""
 
     cases: list[Convergence]  # in the order of the cases
-    lateness: float  # seconds that the event loop was late at most
+    lateness: float  # longest delay of the event loop in seconds
 
 
 def _any_event(_event: WatchEvent) -> bool:
@@ -62,7 +62,7 @@
 
 
 class _ClientGroup:
-    """The clients of a case, and when each had the event that is waited for."""
+    """The clients of a case, and the time at which each received the expected event."""
 
     def __init__(self, case: Case, seed: int) -> None:
         raw = {"n_instances": case.limiters, "contract": {"stop_sending_within_s": 2.0}}
@@ -90,21 +90,21 @@
                 self._all_notified.set()
 
     def expect(self, is_expected: Callable[[WatchEvent], bool]) -> None:
-        """From now on what counts is the first event of this kind."""
+        """Wait for the first event of this kind at each client."""
         self._is_expected = is_expected
         self._missing = set(range(len(self._clients)))
         self.notified_at = {}
         self._all_notified.clear()
 
     async def wait_notified(self, timeout: float) -> bool:
-        """Whether all have had the event in so many seconds."""
+        """Return whether all clients receive the event within a time."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self._all_notified.wait()
         return not self._missing
 
     async def watch(self, address: str, interval: float = 0.0) -> None:
-        """All go there, so many seconds apart."""
+        """Let all clients watch an address, one after the other with an interval in seconds."""
         host, port = split_address(address)
         for client in self._clients:
             client.set_address(host, port)
@@ -117,7 +117,7 @@
 
 
 class _CaseRun:
-    """One case in real time."""
+    """One run of a case in real time."""
 
     def __init__(self, case: Case, seed: int) -> None:
         self._case = case
@@ -127,7 +127,7 @@
         self._clients = _ClientGroup(case, seed)
 
     async def run(self) -> Convergence:
-        """``BrokenRunError`` where a discovery that serves does not notify all limiters."""
+        """Run the case. Raise ``BrokenRunError`` if clients are not notified without a fault."""
         address = await self._discovery.open()
         try:
             self._clients.expect(_any_event)
@@ -147,56 +147,56 @@
             self._other_discovery.close()
 
     async def _start(self, address: str) -> Convergence:
-        began = time.monotonic()
+        started_at = time.monotonic()
         await self._clients.watch(address)
-        return await self._converge(self._discovery, began)
+        return await self._converge(self._discovery, started_at)
 
     async def _settle(self, address: str) -> None:
-        """Let the clients open their watches, each with its first list unless there is none."""
+        """Let the clients open their watches and receive their first lists, if discovery responds."""
         half_open = self._case.fault is Fault.HALF_OPEN
         if half_open:
-            self._discovery.go_silent()
-        # They come apart: hundreds at once in one loop are late for each other.
-        await self._clients.watch(address, START_INTERVAL)
+            self._discovery.stop_responding()
+        # Hundreds of simultaneous starts would delay each other in the same event loop.
+        await self._clients.watch(address, START_INTERVAL_SECONDS)
         if half_open:
             return
-        if not await self._clients.wait_notified(SETTLE_TIMEOUT):
-            raise BrokenRunError(f"{self._case.name}: a discovery that serves did not tell all limiters")
-        await asyncio.sleep(Random(self._seed).uniform(*SETTLE_DELAY))
+        if not await self._clients.wait_notified(SETTLE_TIMEOUT_SECONDS):
+            raise BrokenRunError(f"{self._case.name}: not all limiters received their first list")
+        await asyncio.sleep(Random(self._seed).uniform(*SETTLE_DELAY_SECONDS))
 
     async def _change(self) -> Convergence:
-        began = time.monotonic()
+        started_at = time.monotonic()
         self._discovery.drain(CHANGED_ENDPOINT)
-        return await self._converge(self._discovery, began)
+        return await self._converge(self._discovery, started_at)
 
     async def _fail(self) -> None:
-        """Discovery cannot be reached; the list changes meanwhile."""
-        if self._case.fault is Fault.SILENT:
-            self._discovery.go_silent()
+        """Make discovery unavailable, and change the list."""
+        if self._case.fault is Fault.UNRESPONSIVE:
+            self._discovery.stop_responding()
         elif self._case.fault is not Fault.HALF_OPEN:
             self._discovery.crash()
         self._discovery.drain(CHANGED_ENDPOINT)
         await asyncio.sleep(self._case.outage)
 
     async def _move(self) -> Convergence:
-        self._other_discovery.version = MOVED_VERSION
+        self._other_discovery.set_version(MOVED_VERSION)
         self._clients.expect(lambda event: event.version == MOVED_VERSION)
         address = await self._other_discovery.open()
-        began = time.monotonic()
+        started_at = time.monotonic()
         await self._clients.watch(address)
-        return await self._converge(self._other_discovery, began)
+        return await self._converge(self._other_discovery, started_at)
 
     async def _recover(self) -> Convergence:
-        self._discovery.capacity = self._case.capacity
+        self._discovery.limit_capacity(self._case.capacity)
         calls_before = self._discovery.calls
         await self._discovery.open()
         convergence = await self._converge(self._discovery, time.monotonic())
         return replace(convergence, calls=convergence.calls - calls_before)
 
-    async def _converge(self, discovery: DiscoveryStandIn, began: float) -> Convergence:
-        limit = self._case.min_serving_time + self._case.write_seconds + NOTIFY_TIMEOUT
+    async def _converge(self, discovery: DiscoveryStandIn, started_at: float) -> Convergence:
+        limit = self._case.min_serving_time + self._case.write_seconds + NOTIFY_TIMEOUT_SECONDS
         await self._clients.wait_notified(limit)
-        times = sorted(when - began for when in self._clients.notified_at.values())
+        times = sorted(when - started_at for when in self._clients.notified_at.values())
         never = self._case.limiters - len(times)
         return Convergence(
             median=median(times + [limit] * never),
@@ -211,17 +211,17 @@
 
 
 class _LatenessMonitor:
-    """How late the event loop has called back at most, in seconds."""
+    """Measures the longest delay of the event loop, in seconds."""
 
     def __init__(self) -> None:
         self.longest = 0.0
 
     async def run(self) -> None:
-        """Watch the loop until cancelled."""
+        """Check the event loop until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + LATENESS_INTERVAL
-            await asyncio.sleep(LATENESS_INTERVAL)
+            due = loop.time() + LATENESS_INTERVAL_SECONDS
+            await asyncio.sleep(LATENESS_INTERVAL_SECONDS)
             self.longest = max(self.longest, loop.time() - due)
 
 
@@ -230,7 +230,7 @@
     monitoring = asyncio.get_running_loop().create_task(monitor.run())
 
     async def run_one(index: int, case: Case) -> Convergence:
-        await asyncio.sleep(START_INTERVAL * sum(before.limiters for before in cases[:index]))
+        await asyncio.sleep(START_INTERVAL_SECONDS * sum(before.limiters for before in cases[:index]))
         return await _CaseRun(case, seed + SEEDS_PER_CASE * index).run()
 
     results = await asyncio.gather(*(run_one(index, case) for index, case in enumerate(cases)))
@@ -239,15 +239,15 @@
 
 
 def run_cases(cases: list[Case], seed: int) -> GroupRun:
-    """All cases at once in one loop, for they mostly wait."""
-    logging.disable()  # the clients write a line for each of hundreds of failures
+    """Run all cases at the same time in one event loop."""
+    logging.disable()  # the clients log each of hundreds of failures
     return uvloop.run(_run_all(cases, seed))
 
 
 def measure_groups(cases: list[Case], effort: Effort) -> list[GroupRun]:
-    """The runs, each in a process of its own.
+    """Run all cases several times, each time in a process of its own.
 
-    ``BrokenRunError`` where a process dies, or may not hold as many sockets as the cases need.
+    Raise ``BrokenRunError`` if a process exits, or may not open as many sockets as the cases need.
     """
     _check_descriptors(cases)
     runs = min(effort.runs, effort.processes)
@@ -256,7 +256,7 @@
         futures = [pool.submit(run_cases, cases, effort.seed + run) for run in range(runs)]
         return [future.result() for future in futures]
     except BrokenProcessPool as error:
-        raise BrokenRunError(f"a process of hollow limiters died: {error}") from None
+        raise BrokenRunError(f"a process of discovery clients died: {error}") from None
     finally:
         pool.shutdown(cancel_futures=True)
 
@@ -266,5 +266,5 @@
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed != resource.RLIM_INFINITY and needed > allowed:
         raise BrokenRunError(
-            f"the hollow limiters need {needed} descriptors, and a process may hold {allowed}"
+            f"the discovery clients need {needed} descriptors, and a process may open {allowed}"
         )
--- a/scale/propagation/real_limiters.py
+++ b/scale/propagation/real_limiters.py
@@ -1,4 +1,4 @@
-"""A few real limiters under traffic: when requests go by a change of configuration or of the list."""
+"""A few real limiters under traffic: the time until a change of configuration or list is in force."""
 
 from __future__ import annotations
 
@@ -27,39 +27,46 @@
 QUICK_LIMITERS = 2
 QUICK_SERVERS = 60
 MAX_QUICK_RUNS = 2
-PORTS = 4  # that the endpoints are behind; those of one port drain together
-REQUEST_INTERVAL = 0.01  # seconds between a response and the next request
+PORTS = 4  # of the endpoints; the endpoints of one port drain together
+REQUEST_INTERVAL_SECONDS = 0.01  # between a response and the next request
 CLIENT_TIMEOUT = 2.0  # seconds
 SERVING_GATEWAYS = 3
-ACCOUNTS = 50  # that the requests to one limiter come from
-ACCOUNT_RANGE = 64  # account numbers of one limiter
-SEED_SHIFT = 24  # a seed's request ids do not meet the next one's
+ACCOUNTS = 50  # used at one limiter
+ACCOUNT_RANGE = 64  # account numbers reserved for one limiter
+SEED_SHIFT = 24  # keeps the request ids of different seeds apart
 WARM_UP_SECONDS = 1.5
 QUICK_WARM_UP_SECONDS = 0.5
-RELOAD_TIMEOUT = 10.0  # seconds in which a limiter must show its new configuration
-RELOAD_POLL_INTERVAL = 0.005  # seconds
-DRAIN_SECONDS = 1.5  # for which the endpoints of a port stay draining
-UNDRAIN_SECONDS = 0.5  # afterwards, until requests go there again
-RECENT_SECONDS = 1.0  # a limiter whose last request there was longer before the change did not use them
-STOP_TIMEOUT = 3.0  # seconds
+RELOAD_TIMEOUT_SECONDS = 10.0  # until a new configuration has to be in force
+RELOAD_POLL_SECONDS = 0.005
+DRAIN_SECONDS = 1.5  # for which the endpoints of a port drain
+RECOVERY_SECONDS = 0.5  # after a drain, until limiters use the endpoints again
+RECENT_USE_SECONDS = (
+    1.0  # before a drain; a limiter without a request in this time does not use the endpoints
+)
+STOP_TIMEOUT_SECONDS = 3.0
 OPEN_PLAN = "open"
-BLOCKED_PLAN = "held"  # its requests are rejected where it is blocked
-BLOCKED_RATE = 0.001  # requests a second that it lets through then
+BLOCKED_PLAN = "held"  # its requests are rejected while it is blocked
+BLOCKED_REQUESTS_PER_SECOND = 0.001  # admitted while it is blocked
 
 
 @dataclass(slots=True)
 class RealTimes:
-    """Seconds until each real limiter went by a change, by run."""
+    """Seconds until a change was in force at each real limiter, by run."""
 
     config: list[list[float]]
     endpoints: list[list[float]]
     servers: int
-    unused: int = 0  # limiters that sent nothing to the endpoints that drained, in all runs
+    unused: int = 0  # limiters that did not use the drained endpoints, in all runs
 
+    def add_drain(self, times: list[float], unused: int) -> None:
+        """Add the times of one drain, and the number of limiters that did not use the endpoints."""
+        self.endpoints.append(times)
+        self.unused += unused
 
-def limiter_settings(size: Size, blocked: bool) -> dict[str, Any]:
-    """A real limiter's settings, as on the wire; ``blocked``: the plan of that name lets nothing through."""
-    blocked_rate = BLOCKED_RATE * blocked
+
+def limiter_settings(size: Size, *, blocked: bool) -> dict[str, Any]:
+    """Return a limiter's settings by their names on the wire; ``blocked`` applies to ``BLOCKED_PLAN``."""
+    blocked_rate = BLOCKED_REQUESTS_PER_SECOND * blocked
     tariffs = [
         {"name": OPEN_PLAN, "never_over_rate": 0.0, "hard_burst": 0.0},
         {"name": BLOCKED_PLAN, "never_over_rate": blocked_rate, "hard_burst": blocked_rate},
@@ -68,15 +75,15 @@
 
 
 class _Traffic:
-    """Requests to one limiter, one after the other, of a plan that is open and one that may be blocked."""
+    """Requests to one limiter, one after the other, in turn of the open plan and of the blocked plan."""
 
     def __init__(self, number: int, limiter: Limiter, ids: count[int]) -> None:
         self._number = number
         self._client = HttpClient(limiter.address)
         self._ids = ids
         self._is_stopping = False
-        self.blocked: bool | None = None  # whether the plan was blocked when last seen
-        self.changed_at = 0.0  # when that was first seen, in seconds of ``time.monotonic``
+        self.blocked: bool | None = None  # by the last response
+        self.changed_at = 0.0  # time of the first such response, in seconds of ``time.monotonic``
 
     async def run(self) -> None:
         """Send until ``stop``."""
@@ -90,7 +97,7 @@
             if is_shown and self.blocked is not response.is_rejected:
                 self.blocked = response.is_rejected
                 self.changed_at = response.received_at
-            await asyncio.sleep(REQUEST_INTERVAL)
+            await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
 
     def _request(self, plan: str, turn: int) -> bytes:
         account = self._number * ACCOUNT_RANGE + turn % ACCOUNTS
@@ -103,7 +110,7 @@
         )
 
     def stop(self) -> None:
-        """End after the request under way."""
+        """End after the open request."""
         self._is_stopping = True
 
 
@@ -119,7 +126,7 @@
         self._size = size
 
     async def run(self, servers: int, runs: int, warm_up: float) -> RealTimes:
-        """The times; ``BrokenRunError`` where a limiter did not take a configuration."""
+        """Return the times. Raise ``BrokenRunError`` if a limiter did not reload its configuration."""
         await asyncio.sleep(warm_up)
         times = RealTimes([], [], servers)
         for turn in range(runs):
@@ -129,18 +136,18 @@
             await self._drain(turn % PORTS, times)
         return times
 
-    async def _reload(self, blocked: bool) -> list[float]:
-        began = time.monotonic()
+    async def _reload(self, *, blocked: bool) -> list[float]:
+        started_at = time.monotonic()
         for limiter in self._limiters:
             index = {"me": limiter.config["settings"]["me"]}
-            limiter.config["settings"] = limiter_settings(self._size, blocked) | index
-            limiter.write_config()
+            settings = limiter_settings(self._size, blocked=blocked) | index
+            limiter.write_settings(settings)
             limiter.process.send_signal(signal.SIGHUP)
-        deadline = began + RELOAD_TIMEOUT
+        deadline = started_at + RELOAD_TIMEOUT_SECONDS
         while any(one.blocked is not blocked for one in self._traffic) and time.monotonic() < deadline:
-            await asyncio.sleep(RELOAD_POLL_INTERVAL)
+            await asyncio.sleep(RELOAD_POLL_SECONDS)
         return [
-            max(0.0, one.changed_at - began) if one.blocked is blocked else RELOAD_TIMEOUT
+            max(0.0, one.changed_at - started_at) if one.blocked is blocked else RELOAD_TIMEOUT_SECONDS
             for one in self._traffic
         ]
 
@@ -148,31 +155,31 @@
         for limiter in self._limiters:
             metrics = await limiter.metrics()
             if metrics["loads"] != runs or metrics["load_errors"]:
-                raise BrokenRunError(f"{limiter.name} took {metrics['loads']} of {runs} configurations")
+                raise BrokenRunError(f"{limiter.name} reloaded {metrics['loads']} of {runs} configurations")
 
     async def _drain(self, port: int, times: RealTimes) -> None:
-        """Drain the endpoints of a port: how long each limiter still sends to them."""
+        """Drain the endpoints of a port, and add the times until the limiters stopped to use them."""
         drained_at = (await self._stand_ins.change_health(port, "draining")).published_at
         assert drained_at is not None
         await asyncio.sleep(DRAIN_SECONDS)
         last = (await self._stand_ins.change_health(port, "ready")).last_request_at
         last_at = [last.get(f"{port} {sender:04x}") for sender in range(len(self._limiters))]
-        times.unused += sum(when is None or when < drained_at - RECENT_SECONDS for when in last_at)
-        times.endpoints.append([max(0.0, when - drained_at) for when in last_at if when is not None])
-        await asyncio.sleep(UNDRAIN_SECONDS)
+        unused = sum(when is None or when < drained_at - RECENT_USE_SECONDS for when in last_at)
+        times.add_drain([max(0.0, when - drained_at) for when in last_at if when is not None], unused)
+        await asyncio.sleep(RECOVERY_SECONDS)
 
 
-async def _measure(size: Size, effort: Effort, folder: Path) -> RealTimes:
+async def _measure(size: Size, effort: Effort, directory: Path) -> RealTimes:
     number = QUICK_LIMITERS if effort.quick else LIMITERS
     servers = QUICK_SERVERS if effort.quick else size.servers
     runs = min(MAX_QUICK_RUNS, effort.runs) if effort.quick else effort.runs
     warm_up = QUICK_WARM_UP_SECONDS if effort.quick else WARM_UP_SECONDS
     async with AsyncExitStack() as stack:
         stand_ins = await stack.enter_async_context(
-            start_stand_ins(folder, Setup(servers, _endpoints_spec(), CounterSpec(), effort.seed))
+            start_stand_ins(directory, Setup(servers, _endpoints_spec(), CounterSpec(), effort.seed))
         )
         configs = _configs(stand_ins, number, servers, size, effort)
-        limiters = await stack.enter_async_context(start_limiters(folder, configs))
+        limiters = await stack.enter_async_context(start_limiters(directory, configs))
         ids = count(effort.seed << SEED_SHIFT)
         traffic = [_Traffic(index, limiter, ids) for index, limiter in enumerate(limiters)]
         experiment = _Experiment(stand_ins, limiters, traffic, size)
@@ -182,7 +189,7 @@
         finally:
             for one in traffic:
                 one.stop()
-            await asyncio.wait(tasks, timeout=STOP_TIMEOUT)
+            await asyncio.wait(tasks, timeout=STOP_TIMEOUT_SECONDS)
             for task in tasks:
                 task.cancel()
 
@@ -200,7 +207,7 @@
 def _configs(
     stand_ins: StandIns, number: int, servers: int, size: Size, effort: Effort
 ) -> list[dict[str, Any]]:
-    """Configurations of limiters whose indices are spread evenly over the fleet's."""
+    """Return the configurations of limiters whose indices are distributed evenly over the fleet."""
     known = make_endpoints(servers, stand_ins.addresses.endpoints)
     settings = limiter_settings(size, blocked=True)
     indices = [place * size.limiters // number for place in range(number)]
@@ -213,10 +220,10 @@
 
 
 def measure_real_limiters(size: Size, effort: Effort) -> RealTimes:
-    """Changes of the configuration and of the list at real limiters."""
+    """Measure changes of the configuration and of the list at real limiters."""
 
     async def main() -> RealTimes:
-        with TemporaryDirectory(prefix="propagation-") as folder:
-            return await _measure(size, effort, Path(folder))
+        with TemporaryDirectory(prefix="propagation-") as directory:
+            return await _measure(size, effort, Path(directory))
 
     return uvloop.run(main())
--- a/scale/propagation/summary.py
+++ b/scale/propagation/summary.py
@@ -1,4 +1,4 @@
-"""The figures of how long a change takes to the median and the last limiter."""
+"""The figures of the time until a change is in force at the median and the last limiter."""
 
 from __future__ import annotations
 
@@ -8,14 +8,20 @@
 from scale import regression
 from scale.model import Budget, Effort, Figure, Origin, Result, ScaleTest, Size
 from scale.propagation.cases import Case, Fault, make_cases
-from scale.propagation.discovery_clients import LIST_LENGTH, NOTIFY_TIMEOUT, Convergence, measure_groups
+from scale.propagation.discovery_clients import (
+    LIST_LENGTH,
+    NOTIFY_TIMEOUT_SECONDS,
+    Convergence,
+    measure_groups,
+)
 from scale.propagation.real_limiters import RealTimes, measure_real_limiters
 
-MIN_GROUPS = 3  # of different sizes, for a slope
+MIN_GROUPS_FOR_SLOPE = 3  # of different sizes
+MILLISECONDS_PER_SECOND = 1e3
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """Real limiters, then groups of hollow ones; ``BrokenRunError`` as ``ScaleTest`` says."""
+    """Measure real limiters, then groups of discovery clients."""
     result = Result()
     cases = make_cases(size, effort)
     _add_real_limiters(result, measure_real_limiters(size, effort), None if effort.quick else budget)
@@ -27,9 +33,9 @@
     _add_slopes(result, cases, convergences)
     lateness = max(run.lateness for run in runs)
     result.notes.append(
-        f"hollow limiters: real discovery clients, {LIST_LENGTH} servers on the list, all cases of a run in "
-        f"one loop, which was late by {lateness * 1e3:.0f} ms at most; {len(runs)} runs in processes "
-        "side by side"
+        f"groups of limiters: real discovery clients, {LIST_LENGTH} servers on the list, all cases of a run "
+        f"in one loop, which was late by {lateness * MILLISECONDS_PER_SECOND:.0f} ms at most; {len(runs)} "
+        "runs in processes side by side"
     )
     return result
 
@@ -40,7 +46,7 @@
         name="configuration",
         runs=times.config,
         servers=times.servers,
-        how="from the first file written (then a signal each) until requests go by it",
+        how="from the first written file (then a signal each) until responses show it",
         limit=budget.config_in_force if budget else None,
     )
     _add_change(
@@ -60,14 +66,14 @@
 def _add_change(
     result: Result, name: str, runs: list[list[float]], servers: int, how: str, limit: float | None
 ) -> None:
-    """Median and last limiter of a kind of change; ``runs`` and ``limit`` in seconds."""
+    """Add the median and the last limiter of a kind of change; ``runs`` and ``limit`` in seconds."""
     last = [max(times) for times in runs]
-    middle = median(median(times) for times in runs)
+    typical = median(median(times) for times in runs)
     conditions = f"{len(runs[0])} real limiters, {servers} servers: {how}"
     spread = f"{min(last):.3f} to {max(last):.3f} s in {len(runs)} runs"
     measured = Origin.MEASURED
     result.figures += [
-        Figure(f"{name} in force, median limiter", "s", middle, measured, conditions),
+        Figure(f"{name} in force, median limiter", "s", typical, measured, conditions),
         Figure(
             f"{name} in force, last limiter", "s", median(last), measured, f"{conditions}; {spread}", limit
         ),
@@ -79,9 +85,9 @@
 
 
 def _counts(case: Case, size: Size, budget: Budget, effort: Effort) -> bool:
-    """Whether the case has a budget to keep.
+    """Whether the budget applies to the case.
 
-    No limiter's choice of when to call makes the serving of all calls shorter than it takes.
+    It does not if discovery needs longer than the budget to serve all calls.
     """
     is_achievable = case.min_serving_time < _budget(case, budget)
     return case.limiters == size.limiters and is_achievable and not effort.quick
@@ -93,15 +99,15 @@
     lasts = [run.last for run in runs]
     how = f"{min(lasts):.2f} to {max(lasts):.2f} s in {len(runs)} runs, {calls:.0f} calls"
     if never:
-        how += f", NEVER told {never} in all runs"
+        how += f", NEVER notified {never} in all runs"
     if case.min_serving_time:
-        how += f", line of {case.min_serving_time:.1f} s at least"
-    last = case.min_serving_time + case.write_seconds + NOTIFY_TIMEOUT if never else median(lasts)
-    middle = median(run.median for run in runs)
+        how += f", queue of {case.min_serving_time:.1f} s at least"
+    last = case.min_serving_time + case.write_seconds + NOTIFY_TIMEOUT_SECONDS if never else median(lasts)
+    typical = median(run.median for run in runs)
     name = f"{case.name}, {case.limiters} limiters"
     result.figures += [
-        Figure(f"{name}: median", "s", middle, Origin.MEASURED, f"hollow; {len(runs)} runs"),
-        Figure(f"{name}: last", "s", last, Origin.MEASURED, f"hollow; {how}", limit),
+        Figure(f"{name}: median", "s", typical, Origin.MEASURED, f"discovery clients; {len(runs)} runs"),
+        Figure(f"{name}: last", "s", last, Origin.MEASURED, f"discovery clients; {how}", limit),
     ]
 
 
@@ -110,7 +116,7 @@
     for case, runs in zip(cases, convergences, strict=True):
         by_name[case.name][float(case.limiters)] = [run.last for run in runs]
     for name, points in by_name.items():
-        if len(points) >= MIN_GROUPS:
+        if len(points) >= MIN_GROUPS_FOR_SLOPE:
             result.slopes.append(regression.line(f"last limiter told: {name}", "s", "limiters", points))
 
 
--- a/scale/stand_ins/__main__.py
+++ b/scale/stand_ins/__main__.py
@@ -1,7 +1,7 @@
-"""The stand-ins as one process, so that their work does not delay the client whose times count.
+"""The stand-ins as one process, so that they do not delay the clients, whose times are measured.
 
-It reads one JSON object a line on its standard input and answers each with one (``scale.stand_ins.control``);
-the end of its input ends it.
+The process reads JSON objects from standard input, one a line, and replies to each with one
+(``scale.stand_ins.control``). It exits at the end of the input.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 async def serve() -> None:
-    """Play the stand-ins until the input ends."""
+    """Run the stand-ins until the input ends."""
     lines = await _open_input()
     setup = Setup.from_json(json.loads(await lines.readline()))
     timers = PreciseTimers()
--- a/scale/stand_ins/connection.py
+++ b/scale/stand_ins/connection.py
@@ -1,4 +1,4 @@
-"""Connections to a stand-in, and the sockets on which it listens."""
+"""Connections to a stand-in, and its listening sockets."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 
 class StandInConnection(asyncio.Protocol):
-    """One connection to a stand-in; it is in ``connections`` as long as it is open."""
+    """One connection to a stand-in; it is in the set of open connections while it is open."""
 
-    def __init__(self, connections: set[Any]) -> None:  # of the subclass: sets are invariant
-        """``connections`` are those that are open."""
+    def __init__(self, connections: set[Any]) -> None:  # Any, because sets are invariant in the subclass
+        """``connections`` is the set of open connections."""
         self._connections = connections
         self.buffer = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the open connections."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        """Add the connection to the open connections."""
+        # The transports of uvloop are no subclass.
+        self.transport = cast(asyncio.Transport, transport)
         self._connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the open connections."""
+        """Remove the connection from the open connections."""
         self.transport = None
         self._connections.discard(self)
 
@@ -41,16 +42,16 @@
 
 
 class LoopbackListener:
-    """A listening socket on loopback, on a port that stays the same when it is closed and opened again."""
+    """A listening socket on loopback, whose port stays the same when it is closed and opened again."""
 
     def __init__(self, make_connection: Callable[[], StandInConnection]) -> None:
-        """``make_connection`` makes the protocol of an accepted connection."""
+        """``make_connection`` creates the protocol of an accepted connection."""
         self._make_connection = make_connection
         self._server: asyncio.Server | None = None
         self.port = 0  # 0 until it is first opened
 
     async def open(self) -> str:
-        """Listen; gives ``host:port``. ``OSError`` where another program has taken the port meanwhile."""
+        """Listen and return ``host:port``. Raise ``OSError`` if another program uses the port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             self._make_connection, LOOPBACK, self.port, backlog=BACKLOG, reuse_address=True
@@ -60,7 +61,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port``."""
+        """The address as ``host:port``."""
         return f"{LOOPBACK}:{self.port}"
 
     @property
@@ -69,7 +70,7 @@
         return self._server is not None
 
     def close(self) -> None:
-        """Refuse new connections; those that are open stay."""
+        """Refuse new connections; open connections stay open."""
         if self._server is not None:
             self._server.close()
         self._server = None
--- a/scale/stand_ins/control.py
+++ b/scale/stand_ins/control.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' process is asked and answers: one JSON object a line on its standard streams."""
+"""The commands and replies of the stand-ins' process: JSON objects, one a line, on its standard streams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """The first line: what to play."""
+    """The first command, with the specifications of the stand-ins."""
 
     list_length: int  # entries of the endpoint list
     endpoints: EndpointsSpec
@@ -20,7 +20,7 @@
 
     @classmethod
     def from_json(cls, fields: dict[str, Any]) -> Setup:
-        """The setup of a line that has been parsed."""
+        """Create the setup from the fields of its line."""
         return cls(
             list_length=fields["list_length"],
             endpoints=EndpointsSpec(**fields["endpoints"]),
@@ -29,13 +29,13 @@
         )
 
     def to_json(self) -> dict[str, Any]:
-        """The fields of its line."""
+        """Return the fields of the line."""
         return asdict(self)
 
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """The answer to the setup: where the stand-ins listen, each as ``host:port``."""
+    """The reply to the setup: the addresses of the stand-ins as ``host:port``."""
 
     endpoints: list[str]
     counter: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChange:
-    """Publish a new health of all endpoints behind one port."""
+    """A command that publishes a new health of all endpoints behind one port."""
 
     port: int  # index
     health: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stats:
-    """The answer to each further line, a ``HealthChange`` or an empty object."""
+    """The reply to each further command, a ``HealthChange`` or an empty object."""
 
     counter: CounterStats
     last_request_at: dict[str, float]  # see ``EndpointsStandIn``
@@ -60,7 +60,7 @@
 
     @classmethod
     def from_json(cls, fields: dict[str, Any]) -> Stats:
-        """The stats of a line that has been parsed."""
+        """Create the stats from the fields of their line."""
         return cls(
             counter=CounterStats(**fields["counter"]),
             last_request_at=fields["last_request_at"],
--- a/scale/stand_ins/counter.py
+++ b/scale/stand_ins/counter.py
@@ -1,4 +1,4 @@
-"""The counter's stand-in: adds amounts to counters, as fast as its capacity allows."""
+"""The counter's stand-in: adds amounts to counters with a limited rate of calls."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 from scale.stand_ins.timers import PreciseTimers
 
 MAX_CONNECTIONS = 32  # from one address
-IDLE_TIMEOUT = 10.0  # seconds until an idle connection is closed
+IDLE_TIMEOUT_SECONDS = 10.0
 MAX_LIFETIME_MS = 60_000
+MILLISECONDS_PER_SECOND = 1000
 INCREMENT = re.compile(rb"tally ([!-~]{1,64}) ([-+]?[0-9.]+(?:[eE][-+]?[0-9]+)?) ([0-9]{1,9})")
 
 
 @dataclass(frozen=True, slots=True)
 class CounterSpec:
-    """Capacity and network of a counter."""
+    """The capacity and the network of a counter."""
 
-    rate: float = 1100.0  # calls a second that all its shards serve together
+    rate: float = 1100.0  # calls a second of all shards
     shards: int = 1
-    round_trip: float = 0.0002  # seconds on the network, there and back
-    background_rate: float = 0.0  # calls a second of the limiters that are not here
+    round_trip: float = 0.0002  # seconds on the network
+    background_rate: float = 0.0  # calls a second of the other limiters of the fleet
     max_connections: int = MAX_CONNECTIONS  # of one address
-    queue_limit: int = 0  # waiting calls, beyond which it answers ``busy``; 0: any number
+    queue_limit: int = 0  # waiting calls, beyond which the reply is ``busy``; 0: any number
 
 
 @dataclass(slots=True)
@@ -38,25 +39,38 @@
     calls: int = 0  # served
     busy: int = 0  # rejected
 
+    def count_served(self) -> None:
+        """Count a served call."""
+        self.calls += 1
+
+    def count_rejected(self) -> None:
+        """Count a rejected call."""
+        self.busy += 1
+
 
 @dataclass(slots=True)
 class Total:
-    """What has been added to one counter."""
+    """The total of one counter."""
 
     amount: float
-    expires: float  # seconds of ``time.monotonic``
+    expires_at: float  # seconds of ``time.monotonic``
+
+    def add(self, amount: float) -> float:
+        """Add an amount and return the total."""
+        self.amount += amount
+        return self.amount
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledReply:
-    """A reply, and when it leaves in seconds of ``time.monotonic``."""
+    """A reply, and the time at which it is sent."""
 
-    when: float
+    at: float  # seconds of ``time.monotonic``
     line: bytes
 
 
 class CounterStandIn:
-    """Serves increments in one queue before all its shards: first come, first served."""
+    """Serves increments in one queue for all shards, in the order of arrival."""
 
     def __init__(self, spec: CounterSpec, timers: PreciseTimers, seed: int = 1) -> None:
         """``seed`` draws the background calls."""
@@ -71,16 +85,16 @@
         self._listener = LoopbackListener(lambda: _CounterConnection(self, self._connections))
 
     async def open(self) -> str:
-        """Listen; gives ``host:port``."""
+        """Listen; return ``host:port``."""
         return await self._listener.open()
 
     @property
     def is_overcrowded(self) -> bool:
-        """Whether one address has too many connections; on loopback all limiters have the same one."""
+        """Whether there are too many connections from one address; on loopback all limiters share it."""
         return len(self._connections) > self.spec.max_connections
 
     def handle(self, line: bytes) -> ScheduledReply:
-        """The reply to a line that has just come."""
+        """Return the reply to a line that has just arrived."""
         now = time.monotonic()
         spec = self.spec
         if line == b"ping":
@@ -91,9 +105,9 @@
         self._serve_background_calls(now)
         arrival = now + spec.round_trip / 2
         if spec.queue_limit and self._queue_length(arrival) >= spec.queue_limit:
-            self.stats.busy += 1
+            self.stats.count_rejected()
             return ScheduledReply(now + spec.round_trip, b"busy")
-        self.stats.calls += 1
+        self.stats.count_served()
         name, amount, lifetime_ms = increment.groups()
         total = self._add(name, float(amount), int(lifetime_ms), now)
         return ScheduledReply(self._serve(arrival) + spec.round_trip / 2, b"ok %.7g" % total)
@@ -107,7 +121,7 @@
         return (min(self._shards_free_at) - arrival) * self.spec.rate / self.spec.shards
 
     def _serve(self, arrival: float) -> float:
-        """When the shard that is free first has served a call."""
+        """Let the first free shard serve a call; return the time of the end."""
         shard = self._shards_free_at.index(min(self._shards_free_at))
         start = max(arrival, self._shards_free_at[shard])
         self._shards_free_at[shard] = start + self.spec.shards / self.spec.rate
@@ -115,11 +129,10 @@
 
     def _add(self, name: bytes, amount: float, lifetime_ms: int, now: float) -> float:
         total = self._totals.get(name)
-        if total is None or total.expires < now:
-            lifetime = min(MAX_LIFETIME_MS, max(1, lifetime_ms)) / 1000
+        if total is None or total.expires_at < now:
+            lifetime = min(MAX_LIFETIME_MS, max(1, lifetime_ms)) / MILLISECONDS_PER_SECOND
             total = self._totals[name] = Total(0.0, now + lifetime)
-        total.amount += amount
-        return total.amount
+        return total.add(amount)
 
 
 class _CounterConnection(StandInConnection):
@@ -130,7 +143,7 @@
         self._last_used = time.monotonic()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Reset the connection where its address has too many."""
+        """Reset the connection if there are too many."""
         super().connection_made(transport)
         if self._counter.is_overcrowded:
             self.abort()
@@ -140,7 +153,7 @@
     def _close_when_idle(self) -> None:
         if self.transport is None:
             return
-        remaining = self._last_used + IDLE_TIMEOUT - time.monotonic()
+        remaining = self._last_used + IDLE_TIMEOUT_SECONDS - time.monotonic()
         if remaining <= 0:
             self.transport.close()
         else:
@@ -152,6 +165,6 @@
         *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             reply = self._counter.handle(line)
-            # Two shards may finish in another order; replies keep the order of the calls.
-            self._last_reply_at = max(self._last_reply_at, reply.when)
+            # Shards may finish in another order, but replies are sent in the order of the calls.
+            self._last_reply_at = max(self._last_reply_at, reply.at)
             self._counter.timers.call_at(self._last_reply_at, partial(self.write, reply.line + b"\r\n"))
--- a/scale/stand_ins/timers.py
+++ b/scale/stand_ins/timers.py
@@ -1,4 +1,4 @@
-"""Timers that are more exact than the event loop's."""
+"""Timers with a higher resolution than those of the event loop."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 LIBC = ctypes.CDLL(None, use_errno=True)
 TFD_TIMER_ABSTIME = 1  # timerfd_settime: expire at this time, not after it
 TIMERFD_READ_BYTES = 8  # of the count of expirations
+NANOSECONDS_PER_SECOND = 1e9
 
 
 class PreciseTimers:
-    """Timers exact to some 0.1 ms: the loop's count whole milliseconds, as long as a call to the counter.
+    """Timers with a resolution of about 0.1 ms; those of the event loop have whole milliseconds.
 
-    Linux only (timerfd). A loop that polled before a due time was as exact, but on a crowded machine it used
-    up the processor time that it then needed.
+    They need Linux (timerfd).
     """
 
     def __init__(self) -> None:
-        """For the running event loop; ``OSError`` where the system has no timerfd."""
+        """Create timers for the running event loop. Raise ``OSError`` without timerfd."""
         self._due = list[tuple[float, int, Callable[[], None]]]()
         self._order = count()
         self._armed_for = 0.0  # seconds of ``time.monotonic``; 0: not armed
@@ -39,7 +39,7 @@
         self._arm()
 
     def close(self) -> None:
-        """Forget what is due."""
+        """Discard all timers."""
         asyncio.get_running_loop().remove_reader(self._descriptor)
         os.close(self._descriptor)
 
@@ -47,12 +47,12 @@
         if self._due and self._due[0][0] != self._armed_for:
             self._armed_for = self._due[0][0]
             seconds = int(self._armed_for)
-            nanoseconds = max(1, int((self._armed_for - seconds) * 1e9))
+            nanoseconds = max(1, int((self._armed_for - seconds) * NANOSECONDS_PER_SECOND))
             expiration = (ctypes.c_long * 4)(0, 0, seconds, nanoseconds)  # struct itimerspec: no interval
             LIBC.timerfd_settime(self._descriptor, TFD_TIMER_ABSTIME, expiration, None)
 
     def _fire(self) -> None:
-        with contextlib.suppress(BlockingIOError):  # armed again since it expired
+        with contextlib.suppress(BlockingIOError):  # armed again after it had expired
             os.read(self._descriptor, TIMERFD_READ_BYTES)
         while self._due and self._due[0][0] <= time.monotonic():
             _, _, callback = heappop(self._due)
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -106,7 +106,7 @@
         for reader, _ in callers:
             await reader.readuntil(b"\r\n\r\n")
         assert time.monotonic() - began >= 4 / 20
-        discovery.go_silent()
+        discovery.stop_responding()
         reader, writer = await connect(address)
         writer.write(b"GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n")
         with pytest.raises(TimeoutError):
