--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -164,7 +164,7 @@
     points = make_points(size, effort)
     largest = next(point.size for point in reversed(points) if point.by == "servers")
     _add_slopes(result, points, effort)
-    result.notes += _notes(SimulatedLimiter(largest, full_spread=False, seed=1))
+    result.add_notes(_notes(SimulatedLimiter(largest, full_spread=False, seed=1)))
     if not effort.quick:
         _add_figures(size, budget, result)
     return result
@@ -187,7 +187,7 @@
         for operation in DESCRIPTIONS:
             by_count = by_name[by, operation]
             if len(by_count) > 1:
-                result.slopes.append(regression.line(_slope_name(operation, by), "us", by, by_count))
+                result.add_slope(regression.line(_slope_name(operation, by), "us", by, by_count))
 
 
 def _slope_name(operation: Operation, by: str) -> str:
@@ -206,7 +206,7 @@
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
     """Add the costs at the size and control's share of a core."""
     recent = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_TIME)
-    result.notes.append(
+    result.add_note(
         f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
         f"{recent} of {size.tenants} come within the {IDLE_TIME:.0f} s after which one is forgotten: "
         "the third share is the lines' at that number, the second that of a limiter that knows all"
@@ -220,7 +220,7 @@
         _add_costs(result, costs, end, f"median at {size.servers} servers and {customers} customers")
         _add_shares(result, costs, end, size, budget)
         _add_list_time(result, costs, end)
-    # This count lies between the measured points: it gives a share of a core only.
+    # No run has this count: it gives a share of a core only.
     costs = _costs_at(result, "customers", recent)
     _add_shares(result, costs, f"{recent} customers at the limiter", size, budget)
 
@@ -239,7 +239,7 @@
 def _add_costs(result: Result, costs: Costs, end: str, how: str) -> None:
     for operation, microseconds in costs.items():
         name = f"{DESCRIPTIONS[operation]}, {end}"
-        result.figures.append(Figure(name, "us", microseconds, Origin.MEASURED, how))
+        result.add_figure(Figure(name, "us", microseconds, Origin.MEASURED, how))
 
 
 def _add_shares(result: Result, costs: Costs, end: str, size: Size, budget: Budget) -> None:
@@ -261,13 +261,13 @@
         how += f"{reload_rate:.4f} reloads"
         name = f"control's share of a core, {end}, {load_profile.describe(rolling_restart=rolling_restart)}"
         limit = 100 * budget.control_cpu
-        result.figures.append(Figure(name, "%", 100 * share, Origin.DERIVED, how, limit))
+        result.add_figure(Figure(name, "%", 100 * share, Origin.DERIVED, how, limit))
 
 
 def _add_list_time(result: Result, costs: Costs, end: str) -> None:
     milliseconds = (costs[Operation.PARSE_LIST] + costs[Operation.APPLY_LIST]) / MICROSECONDS_PER_MILLISECOND
     how = "reading and taking it; the loop does nothing else meanwhile"
-    result.figures.append(Figure(f"a whole list at once, {end}", "ms", milliseconds, Origin.DERIVED, how))
+    result.add_figure(Figure(f"a whole list at once, {end}", "ms", milliseconds, Origin.DERIVED, how))
 
 
 TEST = ScaleTest(
--- a/scale/latency/summary.py
+++ b/scale/latency/summary.py
@@ -35,8 +35,8 @@
     _add_remaining(result, results[AS_IS], decision, load)
     if not effort.quick:
         _add_slopes(result, results, cells, size)
-    result.notes += [_describe(name, cell_result) for name, cell_result in results.items()]
-    result.notes.append(_conditions())
+    result.add_notes([_describe(name, cell_result) for name, cell_result in results.items()])
+    result.add_note(_conditions())
     return result
 
 
@@ -83,16 +83,18 @@
     quietest = cell.quietest_run
     p50 = Percentile.P50
     p99 = Percentile.P99
-    result.figures += [
-        _measured("added p50", cell.median(p50), f"{how}median of runs ({cell.spread(p50)})"),
-        _measured("added p99", cell.median(p99), f"{how}median of runs ({cell.spread(p99)})", budget),
-        _measured("added p99.9", cell.pooled[Percentile.P99_9], f"{how}all {cell.served}"),
-        _measured(
-            "added p99 of the quietest run",
-            cell.runs[quietest][p99],
-            f"{how}the run that waited least for cores ({cell.core_waits[quietest]:.0%} of it)",
-        ),
-    ]
+    result.add_figures(
+        [
+            _measured("added p50", cell.median(p50), f"{how}median of runs ({cell.spread(p50)})"),
+            _measured("added p99", cell.median(p99), f"{how}median of runs ({cell.spread(p99)})", budget),
+            _measured("added p99.9", cell.pooled[Percentile.P99_9], f"{how}all {cell.served}"),
+            _measured(
+                "added p99 of the quietest run",
+                cell.runs[quietest][p99],
+                f"{how}the run that waited least for cores ({cell.core_waits[quietest]:.0%} of it)",
+            ),
+        ]
+    )
 
 
 def _add_parts(
@@ -105,25 +107,27 @@
     """Add the parts of the latency: decision, counter, connecting and sockets."""
     added = {name: cell.median(percentile) for name, cell in results.items()}
     deciding = decision.request[percentile]
-    result.figures += [
-        _measured(f"decision {percentile}", deciding, f"{load}: Gateway.handle alone, by request"),
-        _derived(
-            f"waiting for the counter {percentile}",
-            added[AS_IS] - added[NO_QUOTAS],
-            "added as is less added without quotas",
-        ),
-        _derived(
-            f"dialling {percentile}",
-            added[CONNECTING] - added[REUSED],
-            "added where each request dials less added where none does",
-        ),
-        _derived(
-            f"sockets {percentile}",
-            added[REUSED] - added[DIRECT] - deciding,
-            "added over kept connections without quotas, less direct, less decision",
-        ),
-        _measured(f"client and loopback {percentile}", added[DIRECT], "the same load without a limiter"),
-    ]
+    result.add_figures(
+        [
+            _measured(f"decision {percentile}", deciding, f"{load}: Gateway.handle alone, by request"),
+            _derived(
+                f"waiting for the counter {percentile}",
+                added[AS_IS] - added[NO_QUOTAS],
+                "added as is less added without quotas",
+            ),
+            _derived(
+                f"dialling {percentile}",
+                added[CONNECTING] - added[REUSED],
+                "added where each request dials less added where none does",
+            ),
+            _derived(
+                f"sockets {percentile}",
+                added[REUSED] - added[DIRECT] - deciding,
+                "added over kept connections without quotas, less direct, less decision",
+            ),
+            _measured(f"client and loopback {percentile}", added[DIRECT], "the same load without a limiter"),
+        ]
+    )
     _add_by_connection(result, results[AS_IS], percentile)
 
 
@@ -131,23 +135,27 @@
     """Add the latency over new and over reused connections to the endpoint."""
     how = "as is, by what the server saw"
     if percentile in as_is.added_on_new:
-        result.figures.append(
+        result.add_figure(
             _measured(f"added with a new dial {percentile}", as_is.added_on_new[percentile], how)
         )
-    result.figures.append(
+    result.add_figure(
         _measured(f"added over a kept connection {percentile}", as_is.added_on_reused[percentile], how)
     )
 
 
 def _add_remaining(result: Result, as_is: CellResult, decision: DecisionCost, load: str) -> None:
     tick = decision.tick[Percentile.P50]
-    result.figures += [
-        _measured("tick p50", tick, f"{load}: once a second, and requests wait meanwhile"),
-        _measured("decision cpu", decision.cpu, f"{load}: a request, ticks included"),
-        _measured(
-            "client late p99", as_is.send_delay_p99, "the client of the test, included in the added latency"
-        ),
-    ]
+    result.add_figures(
+        [
+            _measured("tick p50", tick, f"{load}: once a second, and requests wait meanwhile"),
+            _measured("decision cpu", decision.cpu, f"{load}: a request, ticks included"),
+            _measured(
+                "client late p99",
+                as_is.send_delay_p99,
+                "the client of the test, included in the added latency",
+            ),
+        ]
+    )
 
 
 def _add_slopes(result: Result, results: dict[str, CellResult], cells: dict[str, Cell], size: Size) -> None:
@@ -169,7 +177,7 @@
         for unit, by_size in series:
             if len(by_size) > 1:
                 runs = {at: [run[percentile] for run in cell.runs] for at, cell in by_size.items()}
-                result.slopes.append(regression.line(f"added {percentile}", "s", unit, runs))
+                result.add_slope(regression.line(f"added {percentile}", "s", unit, runs))
 
 
 TEST = ScaleTest("latency", "what is added to a request, and by which part", run)
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_SECONDS = 0.25
 IDLE_TIMEOUT_SECONDS = 30.0
 MAX_CONNECTIONS = 64
-ENDPOINTS_FOR_TENANTS = 20  # on the list while the memory of tenants is measured
+ENDPOINTS_FOR_TENANTS = 20  # on the list, where tenants are counted
 REQUEST_INTERVAL_SECONDS = 1e-3  # between two tenants
 SERVICE_SECONDS = 0.04
 MAX_SERVING_GATEWAYS = 3
@@ -35,23 +35,22 @@
 
 def memory_of_endpoints(count: int, size: dict[str, Any]) -> MemoryUse:
     """Return the memory of the decisions and the connection pool for a list of endpoints."""
+    return uvloop.run(_measure_endpoints(replace(Size(**size), servers=count)))
 
-    async def main() -> MemoryUse:
-        fleet = replace(Size(**size), servers=count)
-        gateway = Gateway(parse_settings(synthetic_settings(fleet.limiters, 1.0)), 1, 0.0)
-        pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS, MAX_CONNECTIONS)
-        text = complete_list_text(fleet)
-        tracemalloc.start()
-        event = parse_watch_event(json.loads(text))
-        for endpoint in event.update.endpoints:
-            pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], True)
-        gateway.handle(0.0, event.update)
-        del event, endpoint
-        memory = MemoryUse(allocated_bytes())
-        pool.close()
-        return memory
 
-    return uvloop.run(main())
+async def _measure_endpoints(fleet: Size) -> MemoryUse:
+    gateway = Gateway(parse_settings(synthetic_settings(fleet.limiters, 1.0)), 1, 0.0)
+    pool = ConnectionPool(unix_clock(), CONNECT_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS, MAX_CONNECTIONS)
+    text = complete_list_text(fleet)
+    tracemalloc.start()
+    event = parse_watch_event(json.loads(text))
+    for endpoint in event.update.endpoints:
+        pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], True)
+    gateway.handle(0.0, event.update)
+    del event, endpoint
+    memory = MemoryUse(allocated_bytes())
+    pool.close()
+    return memory
 
 
 def memory_of_tenants(count: int, size: dict[str, Any]) -> MemoryUse:
@@ -87,19 +86,18 @@
 
 def memory_of_counter_calls(count: int) -> MemoryUse:
     """Return the memory of the counter's client for calls without a reply."""
+    return uvloop.run(_measure_counter_calls(count))
+
 
-    async def main() -> MemoryUse:
-        client = CounterClient(
-            "127.0.0.1", 1, COUNTER_TIMEOUT_SECONDS
-        )  # not started, so that the calls stay queued
-        tracemalloc.start()
-        for number in range(count):
-            client.increment(
-                FIRST_COUNTER_ID + number, 1.0, COUNTER_LIFETIME_SECONDS, lambda _status, _total: None
-            )
-        return MemoryUse(allocated_bytes())
-
-    return uvloop.run(main())
+async def _measure_counter_calls(count: int) -> MemoryUse:
+    # The client is not started, so that the calls stay queued.
+    client = CounterClient("127.0.0.1", 1, COUNTER_TIMEOUT_SECONDS)
+    tracemalloc.start()
+    for number in range(count):
+        client.increment(
+            FIRST_COUNTER_ID + number, 1.0, COUNTER_LIFETIME_SECONDS, lambda _status, _total: None
+        )
+    return MemoryUse(allocated_bytes())
 
 
 def memory_of_classes(count: int) -> MemoryUse:
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -94,26 +94,26 @@
 
     ``load`` and ``churn`` are virtual seconds. With ``full_spread`` all limiters serve each tenant.
     """
-
-    async def main() -> ProcessMemory:
-        at_start = resident_bytes()
-        process = _LimiterProcess(Size(**size), full_spread=full_spread, seed=seed)
-        process.start()
-        with_list = resident_bytes()
-        process.run_load(load)
-        after_load = resident_bytes()
-        tenants_after_load = process.limiter.known_tenants()
-        process.run_churn(churn)
-        measured = ProcessMemory(
-            at_start=at_start,
-            with_list=with_list,
-            after_load=after_load,
-            after_churn=resident_bytes(),
-            tenants_after_load=tenants_after_load,
-            tenants_after_churn=process.limiter.known_tenants(),
-            harness=process.limiter.harness_bytes(),
-        )
-        process.close()
-        return measured
-
-    return uvloop.run(main())
+    return uvloop.run(_measure(Size(**size), full_spread=full_spread, seed=seed, load=load, churn=churn))
+
+
+async def _measure(size: Size, *, full_spread: bool, seed: int, load: float, churn: float) -> ProcessMemory:
+    at_start = resident_bytes()
+    process = _LimiterProcess(size, full_spread=full_spread, seed=seed)
+    process.start()
+    with_list = resident_bytes()
+    process.run_load(load)
+    after_load = resident_bytes()
+    tenants_after_load = process.limiter.known_tenants()
+    process.run_churn(churn)
+    measured = ProcessMemory(
+        at_start=at_start,
+        with_list=with_list,
+        after_load=after_load,
+        after_churn=resident_bytes(),
+        tenants_after_load=tenants_after_load,
+        tenants_after_churn=process.limiter.known_tenants(),
+        harness=process.limiter.harness_bytes(),
+    )
+    process.close()
+    return measured
--- a/scale/memory/summary.py
+++ b/scale/memory/summary.py
@@ -114,8 +114,8 @@
     all_series = make_series(size)
     slopes = [measure_slopes(series, effort) for series in all_series]
     for found in slopes:
-        result.slopes += found
-    result.notes += _notes(size)
+        result.add_slopes(found)
+    result.add_notes(_notes(size))
     if effort.quick:
         return result
     for series, (slope, *_) in zip(all_series, slopes, strict=True):
@@ -153,11 +153,11 @@
 def _add_figures(result: Result, series: Series, slope: Slope) -> None:
     """Add the memory of one object, and of all objects at the size."""
     how = f"slope of '{series.name}'"
-    result.figures.append(Figure(f"bytes of {series.each}", "B", slope.slope, Origin.MEASURED, how))
+    result.add_figure(Figure(f"bytes of {series.each}", "B", slope.slope, Origin.MEASURED, how))
     count = series.size_count
     if count is not None:
         megabytes = slope.slope * count / BYTES_PER_MEGABYTE
-        result.figures.append(
+        result.add_figure(
             Figure(f"{series.name}, {count}", "MB", megabytes, Origin.DERIVED, f"{how} x {count}")
         )
 
@@ -175,7 +175,7 @@
     for full_spread, memories in ((False, found[runs:]), (True, found[:runs])):
         tenants = SimulatedLimiter(size, full_spread=full_spread, seed=effort.seed).tenants
         _add_process(result, f"{tenants} customers at a limiter", memories, budget.control_memory)
-    result.notes.append(
+    result.add_note(
         f"the hour of churn: all of the day's {load_profile.RESTARTS_PER_DAY} restarts and "
         f"{load_profile.FAILURES_PER_DAY} failures, one whole list, and each minute new customers in place "
         f"of {TURNOVER_FRACTION:.0%} of the customers; the "
@@ -210,11 +210,11 @@
         how = f"RSS, median of {len(memories)} runs [{min(megabytes):.1f}..{max(megabytes):.1f}]"
         name = f"whole process, {end}, {when}"
         limit_megabytes = limit / BYTES_PER_MEGABYTE if limit is not None else None
-        result.figures.append(Figure(name, "MB", median(megabytes), Origin.MEASURED, how, limit_megabytes))
+        result.add_figure(Figure(name, "MB", median(megabytes), Origin.MEASURED, how, limit_megabytes))
     harness = median(memory.harness for memory in memories) / BYTES_PER_MEGABYTE
     after_load = round(median(memory.tenants_after_load for memory in memories))
     after_churn = round(median(memory.tenants_after_churn for memory in memories))
-    result.notes.append(
+    result.add_note(
         f"whole process, {end}: {harness:.1f} MB of it are tables of the simulated customers and counter, "
         "not the limiter's (by sys.getsizeof); open connections are not in it; after the "
         f"load it knew {after_load} customers, after the hour {after_churn}: a customer without requests for "
--- a/scale/messages/counter_bytes.py
+++ b/scale/messages/counter_bytes.py
@@ -12,7 +12,7 @@
 from quota_gateway.net.counter.client import CounterClient
 from scale.messages.counting_stand_in import REPLY_TIMEOUT_SECONDS, CountingStandIn
 
-CALLS = 200  # measured
+CALLS = 200
 COUNTER_LIFETIME_SECONDS = 60.0
 MAX_AMOUNT_UNITS = 4
 
--- a/scale/messages/counting_stand_in.py
+++ b/scale/messages/counting_stand_in.py
@@ -52,6 +52,7 @@
         """Listen, and run ``converse`` on each connection; yield host and port."""
 
         async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            """Run ``converse``, and keep its first unexpected error."""
             try:
                 await converse(self, reader, writer)
             except (OSError, EOFError, asyncio.CancelledError):
--- a/scale/messages/list_bytes.py
+++ b/scale/messages/list_bytes.py
@@ -27,6 +27,7 @@
     async def converse(
         stand_in: CountingStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Respond with the list, and wait for the end of the watch."""
         await stand_in.read_until(reader, b"\r\n\r\n")
         stand_in.write(writer, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n")
         stand_in.write(writer, b"Transfer-Encoding: chunked\r\n\r\n")
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -31,7 +31,7 @@
 CHECKED_SECONDS = 60.0  # from a failure of an endpoint until the list has it (assumed)
 CHECK_INTERVAL_SECONDS = 2.0  # between two health checks, which start at ticks
 DISCOVERY_CALLS_PER_SECOND = (8.0, 100.0)  # served by discovery (assumed)
-LIST_CHANGES = 300  # measured
+LIST_CHANGES = 300
 BYTES_PER_MEGABYTE = 1e6
 
 
@@ -72,14 +72,14 @@
     """Measure the bytes of each message and the calls by load and mix, and derive the traffic."""
     result = Result()
     lists = _measure_lists(size, effort)
-    result.slopes.append(regression.line("a whole list, by servers", "bytes", "servers", lists))
+    result.add_slope(regression.line("a whole list, by servers", "bytes", "servers", lists))
     demands = _measure_demands(size, effort, result)
     idle_seconds = QUICK_IDLE_SECONDS if effort.quick else IDLE_SECONDS
     counter_job = Job("scale.messages.counter_bytes:measure_counter_bytes", {"idle_seconds": idle_seconds})
     counter = CounterBytes(**run_job(counter_job))
     health_check_job = Job("scale.messages.health_check_bytes:measure_health_check_bytes")
     health_check = HealthCheckBytes(**run_job(health_check_job))
-    result.notes += _notes()
+    result.add_notes(_notes())
     if not effort.quick:
         traffic = _add_sizes(size, result, lists[size.servers], counter, health_check)
         _add_demands(size, budget, result, demands)
@@ -134,7 +134,7 @@
             at_full_load[scenario].append(demand)
     for scenario, calls in by_load.items():
         name = f"counter calls of a limiter, {scenario.limiters_per_tenant(size)}, {scenario.name}"
-        result.slopes.append(regression.line(name, "calls/s", "requests/s", calls))
+        result.add_slope(regression.line(name, "calls/s", "requests/s", calls))
     return at_full_load
 
 
@@ -196,16 +196,20 @@
     def derived(name: str, unit: str, value: float, how: str) -> Figure:
         return Figure(name, unit, value, Origin.DERIVED, how)
 
-    result.figures += [
-        measured("a change of the list", "B", traffic.change, f"mean of {LIST_CHANGES} lines as chunks"),
-        measured("the same without the server's row", "B", empty_change, "a line without rows"),
-        measured("a whole list", "B", traffic.complete_list, f"{size.servers} servers, with its head"),
-        measured("a counter call with its answer", "B", counter.call, f"mean of {CALLS} on a socket"),
-        measured("pings of a quiet counter client", "B/s", counter.idle, f"{IDLE_SECONDS:.0f} s idle"),
-        measured("a probe with its answer", "B", traffic.health_check, "one on a socket"),
-        derived("keep-alives of a watch", "B/s", traffic.keep_alives, "an empty line as a chunk each 2 s"),
-        derived("probes of a limiter", "/s", traffic.health_checks, f"{checks} (assumed)"),
-    ]
+    result.add_figures(
+        [
+            measured("a change of the list", "B", traffic.change, f"mean of {LIST_CHANGES} lines as chunks"),
+            measured("the same without the server's row", "B", empty_change, "a line without rows"),
+            measured("a whole list", "B", traffic.complete_list, f"{size.servers} servers, with its head"),
+            measured("a counter call with its answer", "B", counter.call, f"mean of {CALLS} on a socket"),
+            measured("pings of a quiet counter client", "B/s", counter.idle, f"{IDLE_SECONDS:.0f} s idle"),
+            measured("a probe with its answer", "B", traffic.health_check, "one on a socket"),
+            derived(
+                "keep-alives of a watch", "B/s", traffic.keep_alives, "an empty line as a chunk each 2 s"
+            ),
+            derived("probes of a limiter", "/s", traffic.health_checks, f"{checks} (assumed)"),
+        ]
+    )
 
 
 def _add_demands(size: Size, budget: Budget, result: Result, demands: Demands) -> None:
@@ -218,15 +222,15 @@
         per_request = calls / max(1e-9, requests)
         how = "simulated limiter, full load"
         name = f"counter calls a request, {end}"
-        result.figures.append(Figure(name, "", per_request, Origin.MEASURED, how))
+        result.add_figure(Figure(name, "", per_request, Origin.MEASURED, how))
         how = (
             f"x {size.limiters} limiters, 30 to 60 s after their start, before their counter budget has grown"
         )
         name = f"counter calls at first, {end}"
-        result.figures.append(_call_rate(name, first_calls, how, budget))
+        result.add_figure(_call_rate(name, first_calls, how, budget))
         how = f"x {size.limiters} limiters; the demand if the counter serves all calls"
         name = f"counter calls wanted, {end}"
-        result.figures.append(_call_rate(name, calls * size.limiters, how, budget))
+        result.add_figure(_call_rate(name, calls * size.limiters, how, budget))
 
 
 def _call_rate(name: str, rate: float, how: str, budget: Budget) -> Figure:
@@ -247,7 +251,7 @@
         call_rates[f"counter calls as wanted, {limiters} limiters a customer, {scenario.name}"] = rate
     for rolling_restart in (False, True):
         for description, call_rate in call_rates.items():
-            result.figures.append(
+            result.add_figure(
                 _traffic_figure(traffic, description, call_rate, rolling_restart, budget.control_bytes)
             )
 
@@ -271,7 +275,7 @@
 def _add_resync(size: Size, budget: Budget, result: Result, complete_list: float) -> None:
     """Add bytes and duration of a complete list for each limiter."""
     total = complete_list * size.limiters / BYTES_PER_MEGABYTE
-    result.figures.append(
+    result.add_figure(
         Figure("a resync of all limiters", "MB", total, Origin.DERIVED, f"{size.limiters} whole lists")
     )
     for rate in DISCOVERY_CALLS_PER_SECOND:
@@ -279,7 +283,7 @@
             f"{size.limiters} lists at {rate:.0f} calls a second (assumed); a watch begun anew with its "
             "version may be told the changes alone"
         )
-        result.figures.append(
+        result.add_figure(
             Figure(
                 f"a resync of all limiters, {rate:.0f} calls/s",
                 "s",
--- a/scale/model.py
+++ b/scale/model.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 
@@ -82,6 +82,30 @@
     figures: list[Figure] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
 
+    def add_slope(self, slope: Slope) -> None:
+        """Add a slope."""
+        self.slopes.append(slope)
+
+    def add_slopes(self, slopes: Iterable[Slope]) -> None:
+        """Add several slopes."""
+        self.slopes.extend(slopes)
+
+    def add_figure(self, figure: Figure) -> None:
+        """Add a figure."""
+        self.figures.append(figure)
+
+    def add_figures(self, figures: Iterable[Figure]) -> None:
+        """Add several figures."""
+        self.figures.extend(figures)
+
+    def add_note(self, note: str) -> None:
+        """Add a note on the conditions of the test."""
+        self.notes.append(note)
+
+    def add_notes(self, notes: Iterable[str]) -> None:
+        """Add several notes."""
+        self.notes.extend(notes)
+
 
 @dataclass(frozen=True, slots=True)
 class Effort:
--- a/scale/propagation/summary.py
+++ b/scale/propagation/summary.py
@@ -32,7 +32,7 @@
         _add_group(result, case, by_run, limit)
     _add_slopes(result, cases, convergences)
     lateness = max(run.lateness for run in runs)
-    result.notes.append(
+    result.add_note(
         f"groups of limiters: real discovery clients, {LIST_LENGTH} servers on the list, all cases of a run "
         f"in one loop, which was late by {lateness * MILLISECONDS_PER_SECOND:.0f} ms at most; {len(runs)} "
         "runs in processes side by side"
@@ -58,7 +58,7 @@
         limit=budget.list_in_force if budget else None,
     )
     if times.unused:
-        result.notes.append(
+        result.add_note(
             f"real limiters that sent nothing to the drained servers just before: {times.unused} in all runs"
         )
 
@@ -72,12 +72,19 @@
     conditions = f"{len(runs[0])} real limiters, {servers} servers: {how}"
     spread = f"{min(last):.3f} to {max(last):.3f} s in {len(runs)} runs"
     measured = Origin.MEASURED
-    result.figures += [
-        Figure(f"{name} in force, median limiter", "s", typical, measured, conditions),
-        Figure(
-            f"{name} in force, last limiter", "s", median(last), measured, f"{conditions}; {spread}", limit
-        ),
-    ]
+    result.add_figures(
+        [
+            Figure(f"{name} in force, median limiter", "s", typical, measured, conditions),
+            Figure(
+                f"{name} in force, last limiter",
+                "s",
+                median(last),
+                measured,
+                f"{conditions}; {spread}",
+                limit,
+            ),
+        ]
+    )
 
 
 def _budget(case: Case, budget: Budget) -> float:
@@ -105,10 +112,12 @@
     last = case.min_serving_time + case.write_seconds + NOTIFY_TIMEOUT_SECONDS if never else median(lasts)
     typical = median(run.median for run in runs)
     name = f"{case.name}, {case.limiters} limiters"
-    result.figures += [
-        Figure(f"{name}: median", "s", typical, Origin.MEASURED, f"discovery clients; {len(runs)} runs"),
-        Figure(f"{name}: last", "s", last, Origin.MEASURED, f"discovery clients; {how}", limit),
-    ]
+    result.add_figures(
+        [
+            Figure(f"{name}: median", "s", typical, Origin.MEASURED, f"discovery clients; {len(runs)} runs"),
+            Figure(f"{name}: last", "s", last, Origin.MEASURED, f"discovery clients; {how}", limit),
+        ]
+    )
 
 
 def _add_slopes(result: Result, cases: list[Case], convergences: list[list[Convergence]]) -> None:
@@ -117,7 +126,7 @@
         by_name[case.name][float(case.limiters)] = [run.last for run in runs]
     for name, points in by_name.items():
         if len(points) >= MIN_GROUPS_FOR_SLOPE:
-            result.slopes.append(regression.line(f"last limiter told: {name}", "s", "limiters", points))
+            result.add_slope(regression.line(f"last limiter told: {name}", "s", "limiters", points))
 
 
 TEST = ScaleTest("in_force", "how long a change of list or configuration takes to the last limiter", run)
--- a/scale/regression.py
+++ b/scale/regression.py
@@ -8,7 +8,7 @@
 from scale.model import Slope
 
 MAX_RESIDUAL_FRACTION = 0.10  # of the largest median; above it the points are not linear
-MIN_SIZES = 4  # fewer sizes cannot tell a curve from a line
+MIN_SIZES = 4  # fewer sizes do not reveal a curve
 
 
 def line(name: str, unit: str, by: str, points: Mapping[float, Iterable[float]]) -> Slope:
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -63,7 +63,7 @@
         self._random = Random(seed)
         self._counter = SimulatedCounter(quota=quota, spread=self.spread, mix=mix)
         self._endpoint_list = ChangingEndpointList(size)
-        # Heap by time and order of scheduling; None stands for the next request of the load.
+        # Heap by time and order of scheduling; None is the next request of the load.
         self._events = list[tuple[float, int, model.Event | None]]()
         self._order = count()
         self._last_request_id = 0
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -17,8 +17,8 @@
     find_exceeded_ceilings,
     find_excessive_deadlines,
     find_foreign_responses,
-    find_lost_requests,
     find_repeated_executions,
+    find_unanswered_requests,
     find_unended_incomplete_requests,
 )
 from soak.violations import Violation
@@ -26,7 +26,7 @@
 Check = Callable[[History], Iterator[Violation]]
 
 CHECKS: tuple[Check, ...] = (
-    find_lost_requests,
+    find_unanswered_requests,
     find_foreign_responses,
     find_repeated_executions,
     find_attempts_at_draining,
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -37,19 +37,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _IncompletePart:
-    """The part of a request within which a client stops; without body bytes it stops within the head."""
+class _StoppingPoint:
+    """The point of a request at which a client stops; without body bytes it is within the head."""
 
     name: str
     body_size: int
     sent_body_bytes: int
 
 
-INCOMPLETE_PARTS = (
-    _IncompletePart("head", 200, 0),
-    _IncompletePart("body", 200, 50),
-    _IncompletePart("body after a fast start", 65_000, 60_000),
-    _IncompletePart("upload", 2_000_000, 1_000_000),
+STOPPING_POINTS = (
+    _StoppingPoint("head", 200, 0),
+    _StoppingPoint("body", 200, 50),
+    _StoppingPoint("body after a fast start", 65_000, 60_000),
+    _StoppingPoint("upload", 2_000_000, 1_000_000),
 )
 
 
@@ -224,10 +224,10 @@
 
     async def _send_incomplete_request(self) -> None:
         """Stop within a request, stay connected, and record when the limiter ends the exchange."""
-        part = self._random.choice(INCOMPLETE_PARTS)
-        request = self._factory.make_incomplete(part.body_size)
+        point = self._random.choice(STOPPING_POINTS)
+        request = self._factory.make_incomplete(point.body_size)
         head = self._factory.format_head(request)
-        sent = head + b"x" * part.sent_body_bytes if part.sent_body_bytes else head[:INCOMPLETE_HEAD_BYTES]
+        sent = head + b"x" * point.sent_body_bytes if point.sent_body_bytes else head[:INCOMPLETE_HEAD_BYTES]
         try:
             connection = await self._connections.connect()
             connection.writer.write(sent)
@@ -237,7 +237,7 @@
         stopped_at = time.monotonic()
         ended_at = await _wait_for_end(connection)
         self._history.incomplete_requests.append(
-            IncompleteRequest(self._limiter, part.name, stopped_at, ended_at)
+            IncompleteRequest(self._limiter, point.name, stopped_at, ended_at)
         )
         connection.abort()
 
--- a/soak/endpoint_checks.py
+++ b/soak/endpoint_checks.py
@@ -25,7 +25,7 @@
 
 SUSPENSION_TIMEOUT_SECONDS = 1.0
 NOTIFIED_FRACTION = 2 / 3  # of an overload, sent by limiters that knew of the restart
-SMALL_BUDGET_REQUESTS = 30  # a smaller budget has a wider statistical tolerance
+FEW_REQUESTS = 30  # below which the statistical tolerance is wider
 
 
 class _Draining(NamedTuple):
@@ -147,7 +147,7 @@
     """
     warm_fraction = INITIAL_CAPACITY_FRACTION + (1 - INITIAL_CAPACITY_FRACTION) * age / WARM_UP_SECONDS
     requests = OVERLOAD_FACTOR * capacity * min(1.0, warm_fraction) * OVERLOAD_WINDOW_SECONDS
-    if requests < SMALL_BUDGET_REQUESTS:
+    if requests < FEW_REQUESTS:
         return requests + 3 * sqrt(requests) + 3
     return requests + 2 * sqrt(requests) + 2
 
--- a/soak/request_checks.py
+++ b/soak/request_checks.py
@@ -33,7 +33,7 @@
     return history.attempts.get(request.id, [])
 
 
-def find_lost_requests(history: History) -> Iterator[Violation]:
+def find_unanswered_requests(history: History) -> Iterator[Violation]:
     """Find requests that were sent completely and got no response, or a late one."""
     for request in history.requests.values():
         if not request.sent_at or request.behaviour is ClientBehaviour.INCOMPLETE_REQUEST:
--- a/tests/test_scale_cli.py
+++ b/tests/test_scale_cli.py
@@ -26,9 +26,9 @@
 
 
 def make_test(value: float, name: str = "made") -> ScaleTest:
-    """A test that finds one figure with a budget of 1."""
+    """Return a test whose result is one figure with a budget of 1."""
     result = ScaleResult([regression.line("cost", "B", "things", {1: [1], 2: [2], 3: [3], 4: [4]})])
-    result.figures.append(Figure(f"{name} cost", "B", value, Origin.MEASURED, "made", 1.0))
+    result.add_figure(Figure(f"{name} cost", "B", value, Origin.MEASURED, "made", 1.0))
     return ScaleTest(name, "made", lambda _size, _budget, _effort: result)
 
 
@@ -65,7 +65,7 @@
         (("nosuch",), "'nosuch'"),
     ],
 )
-def test_bad_input_is_rejected_at_once_by_name(
+def test_invalid_input_is_rejected_with_the_name_of_its_option_before_any_test(
     words: tuple[str, ...], expected: str, tests: list[ScaleTest]
 ) -> None:
     calls = []
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(("value", "code", "verdict"), [(1.0, 0, "ok"), (1.01, 1, "OVER")])
-def test_exceeded_budget_ends_non_zero(
+def test_an_exceeded_budget_gives_a_non_zero_exit_code(
     value: float, code: int, verdict: str, tests: list[ScaleTest], tmp_path: Path
 ) -> None:
     tests.append(make_test(value))
@@ -95,7 +95,7 @@
     ("function", "cause"),
     [("os:abort", "SIGABRT"), ("scale.memory.process:nosuch", "nosuch"), ("sys:exit", "no result")],
 )  # fmt: skip
-def test_broken_run_gives_its_cause_and_none_of_its_figures(
+def test_a_failed_run_reports_its_cause_and_none_of_its_figures(
     function: str, cause: str, tests: list[ScaleTest], tmp_path: Path
 ) -> None:
     tests += [make_broken_test(function), make_test(0.5)]
@@ -123,14 +123,14 @@
     assert invoke().exit_code == code
 
 
-def test_figure_that_is_not_finite_breaks_its_test(tests: list[ScaleTest]) -> None:
+def test_a_figure_that_is_not_finite_fails_its_test(tests: list[ScaleTest]) -> None:
     tests.append(make_test(float("nan")))
     done = invoke()
     assert done.exit_code == ExitCode.BROKEN_RUN
     assert "made cost" not in done.stdout
 
 
-def test_each_test_runs_at_a_tiny_size(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_every_test_runs_at_a_tiny_size(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     path = tmp_path / "results.json"
     done = invoke("state", "messages", "cpu", "--quick", "--json", str(path), *TINY)
     assert done.exit_code == ExitCode.WITHIN_BUDGET, done.output
@@ -144,7 +144,7 @@
         assert all(len(slope["points"]) >= 4 for slope in one["slopes"])
 
 
-def test_command_of_the_readme_lists_the_tests() -> None:
+def test_the_command_lists_the_tests() -> None:
     done = subprocess.run([sys.executable, "-m", "scale", "--list"], cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 0
     assert [line.partition(":")[0] for line in done.stdout.splitlines()] == [test.name for test in TESTS]
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet simulation: its stand-ins, its accounts, and the same result with any number of workers."""
+"""The fleet simulation: its services, its accounts, and equal results with any number of workers."""
 
 from __future__ import annotations
 
@@ -45,17 +45,17 @@
     return reply
 
 
-def test_counter_serves_no_more_than_its_capacity_and_adds_late_calls() -> None:
+def test_the_counter_serves_at_its_capacity_and_adds_calls_that_timed_out() -> None:
     counter = SimulatedCounter(1, 1000.0, seed=1)
-    # Twice its capacity, for 1 s.
+    # Twice the capacity, for 1 s.
     replies = [counter.call(number * 0.0005, 7, 1.0, 60.0) for number in range(2000)]
     times = [reply.answered_at for reply in replies if reply is not None]
     assert len(times) == 2000 and times == sorted(times)
-    assert times[-1] == pytest.approx(2.0, rel=0.05)  # it works off its queue at its own pace
-    assert answered(replies[-1]).total == 2000.0  # calls that were given up are in the total
+    assert times[-1] == pytest.approx(2.0, rel=0.05)  # the queue is served at the capacity
+    assert answered(replies[-1]).total == 2000.0  # the total includes calls that timed out
 
 
-def test_counter_partitions_have_queues_of_their_own() -> None:
+def test_each_partition_of_the_counter_has_its_own_queue() -> None:
     counter = SimulatedCounter(2, 1000.0, seed=1)
     for _ in range(100):
         counter.call(0.0, 2, 1.0, 60.0)
@@ -64,31 +64,31 @@
     assert busy.answered_at > 0.15 and idle.answered_at < 0.004
 
 
-def test_counter_forgets_a_name_its_lifetime_after_it_was_new() -> None:
+def test_a_total_expires_its_lifetime_after_its_first_call() -> None:
     counter = SimulatedCounter(1, 1000.0, seed=1)
     totals = [answered(counter.call(at, 1, 2.0, 5.0)).total for at in (0.0, 4.0, 4.9, 5.1)]
     assert totals == [2.0, 4.0, 6.0, 2.0]
     assert counter.call(6.0, 2, 1.0, 500.0) is not None
-    assert answered(counter.call(67.0, 2, 1.0, 500.0)).total == 1.0  # 60 s at most
+    assert answered(counter.call(67.0, 2, 1.0, 500.0)).total == 1.0  # the maximum lifetime is 60 s
 
 
-def test_counter_answers_nothing_in_an_outage_and_comes_back_empty() -> None:
+def test_the_counter_does_not_reply_in_an_outage_and_is_empty_after_it() -> None:
     counter = SimulatedCounter(1, 1000.0, seed=1, outages=(Interval(1.0, 2.0),))
     counter.call(0.5, 1, 5.0, 60.0)
     assert counter.call(1.5, 1, 5.0, 60.0) is None
     assert answered(counter.call(2.5, 1, 1.0, 60.0)).total == 1.0
 
 
-def test_like_fleets_use_their_part_of_the_counter() -> None:
+def test_like_fleets_use_their_part_of_the_counters_capacity() -> None:
     alone = SimulatedCounter(1, 1000.0, seed=1)
     shared = SimulatedCounter(1, 1000.0, seed=1, like_fleets=20)
     alone_replies = [alone.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
     shared_replies = [shared.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
     assert answered(alone_replies[-1]).answered_at - 1.99 < 0.002
-    assert answered(shared_replies[-1]).answered_at - 1.99 > 0.5  # 2,000 calls a second in all
+    assert answered(shared_replies[-1]).answered_at - 1.99 > 0.5  # 2,000 calls a second in total
 
 
-def test_endpoint_queues_overflows_and_begins_nothing_whose_time_is_over() -> None:
+def test_an_endpoint_queues_rejects_beyond_its_queue_limit_and_skips_attempts_that_timed_out() -> None:
     endpoint = SimulatedEndpoint(boots_at=0.0)
     accepted = parameters.ENDPOINT_CORES + parameters.ENDPOINT_QUEUE_LIMIT
     results = [endpoint.attempt(0.0, 0.1, 10.0) for _ in range(accepted + 1)]
@@ -102,7 +102,7 @@
     assert busy.attempt(0.0, 1.0, 1.5) == (AttemptOutcome.OK, 2.0)
 
 
-def test_endpoint_that_warms_up_is_slow_and_fails_when_more_comes_than_its_multiple() -> None:
+def test_an_endpoint_that_warms_up_is_slow_and_fails_under_more_than_the_overload_multiple() -> None:
     gentle, pushed = SimulatedEndpoint(boots_at=5.0), SimulatedEndpoint(boots_at=5.0)
     outcome, ended_at = gentle.attempt(5.0, 0.1, 2.0)
     assert outcome is AttemptOutcome.OK
@@ -114,20 +114,22 @@
     assert pushed.attempt(60.0, 0.1, 2.0).outcome is AttemptOutcome.UNREACHABLE
 
 
-def test_token_bucket_takes_nothing_for_units_over_the_quota() -> None:
+def test_a_token_bucket_keeps_its_tokens_when_units_exceed_the_quota() -> None:
     bucket = TokenBucket(2.0, 4.0)
     assert [bucket.take(0.0, 3.0), bucket.take(0.0, 3.0), bucket.take(0.5, 2.0)] == [True, False, True]
     assert bucket.fill(10.0) == 4.0
 
 
 def start_request(clients: TenantClients, at: float) -> int:
-    """The id of a new request."""
+    """Start a new request and return its id."""
     _, envelope = clients.start_request(at)
     assert envelope is not None and isinstance(envelope.event, ClientRequest)
     return envelope.event.request_id
 
 
-def test_accounts_count_units_over_quota_ceilings_unjustified_rejections_and_losses() -> None:
+def test_accounts_count_units_over_quota_exceeded_ceilings_rejections_within_quota_and_lost_requests() -> (
+    None
+):
     world = World(Scenario(SMALL_FLEET, FaultSchedule.of(10.0)))
     tenant = next(tenant for tenant in world.tenants if tenant.plan == 1)
     tally = Tally((0.0,))
@@ -146,12 +148,12 @@
     clients.receive(6.0, RequestEnded(requests[1], RequestResult.FAILED, "attempts"))
     assert counts["lost"] == 1
     clients.receive(9.0, RequestEnded(requests[2], RequestResult.REJECTED, "gate"))
-    assert counts["rejected within quota: gate"] == 1  # by then its bucket is full again
+    assert counts["rejected within quota: gate"] == 1  # the bucket is full again
     with pytest.raises(AssertionError, match="second final answer"):
         clients.receive(9.0, RequestServed(requests[0]))
 
 
-def test_run_is_the_same_with_one_worker_and_with_two_and_breaks_no_rule() -> None:
+def test_a_run_is_equal_with_one_worker_and_with_two_and_violates_no_invariant() -> None:
     scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), like_fleets=84)
     one, two = simulate(scenario, 1), simulate(scenario, 2)
     assert one.tally.phases == two.tally.phases
@@ -164,7 +166,7 @@
     assert "calls/s" in format_summary(summary)
 
 
-def test_decisions_come_from_another_checkout_where_one_is_given(tmp_path: Path) -> None:
+def test_decisions_are_imported_from_another_checkout_if_one_is_given(tmp_path: Path) -> None:
     (tmp_path / "quota_gateway").mkdir()
     (tmp_path / "quota_gateway" / "__init__.py").write_text("raise RuntimeError('the other one')")
     scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), package=str(tmp_path))
@@ -182,25 +184,25 @@
     os.kill(process_ids[-1], signal.SIGKILL)
 
 
-def test_killed_worker_ends_the_run_with_its_cause() -> None:
+def test_a_killed_worker_ends_the_run_with_its_cause() -> None:
     with pytest.raises(BrokenRunError, match=r"worker 1.* exit code -9"):
         lockstep.run_workers(work_until_killed, 2, 10.0, kill_last)
 
 
-def test_percentile_counts_requests_that_did_not_wait() -> None:
+def test_a_percentile_includes_requests_that_did_not_wait() -> None:
     waits = {1000: 1, 2000: 1}
     assert percentile(waits.items(), 98, 0.98) == 0.0
     assert percentile(waits.items(), 98, 0.99) == 0.001
     assert percentile(waits.items(), 0, 0.99) == 0.002
 
 
-def test_reduced_fleet_keeps_its_proportions() -> None:
+def test_a_reduced_fleet_keeps_its_proportions() -> None:
     fleet = reduced(Size(), 0.1)
     assert (fleet.limiters, fleet.servers, fleet.tenants, fleet.rate) == (42, 340, 1500, 3600.0)
     assert like_fleets(fleet, Size()) == 10
 
 
-def test_discovery_serves_calls_in_turn_and_each_limiter_watches_in_the_end() -> None:
+def test_discovery_serves_calls_in_turn_and_every_limiter_opens_a_watch() -> None:
     discovery = SimulatedDiscovery(10.0)
     assert [discovery.call(0.0) for _ in range(3)] == pytest.approx([0.1, 0.2, 0.3])
     schedule = FaultSchedule(
@@ -215,13 +217,13 @@
         sum(phase[name] for phase in phases)
         for name in ("discovery calls", "discovery calls timed out", "watches")
     )
-    # At the start, at the return of those killed and once the cut has ended; each call ends once.
+    # Watches open at the start, after the restarts and after the partition; each call ends once.
     assert watches >= SMALL_FLEET.limiters + round(0.7 * SMALL_FLEET.limiters) + 2
     assert timed_out > 0 and calls == timed_out + watches
 
 
 @pytest.mark.parametrize("event_type", ROLES, ids=lambda event_type: event_type.__name__)
-def test_envelopes_stay_the_same_between_workers(event_type: type[Event]) -> None:
+def test_envelopes_are_unchanged_by_encoding_and_decoding(event_type: type[Event]) -> None:
     event = event_type(*range(len(event_type._fields)))
     sent = [Envelope(0.5, source=3, sequence=7, recipient=2, event=event)]
     received = decode(encode(sent))
--- a/tests/test_scale_latency.py
+++ b/tests/test_scale_latency.py
@@ -8,9 +8,9 @@
 QUICK = Effort(runs=1, seed=3, processes=2, quick=True)
 
 
-def test_quick_run_gives_figures_without_budgets() -> None:
+def test_a_quick_run_has_figures_without_budgets() -> None:
     result = TEST.run(Size(), Budget(), QUICK)
     figures = {figure.name: figure for figure in result.figures}
     assert 0 < figures["decision p50"].value < figures["added p50"].value < figures["added p99"].value + 1e-9
     assert figures["waiting for the counter p50"].origin is Origin.DERIVED
-    assert all(figure.budget is None for figure in result.figures)  # a quick run tells nothing of the size
+    assert all(figure.budget is None for figure in result.figures)  # a quick run has no figures at the size
--- a/tests/test_scale_memory.py
+++ b/tests/test_scale_memory.py
@@ -1,4 +1,4 @@
-"""Jobs of the scale test ``state``: a dead peer is the cause of the failure, and the process is measured."""
+"""Jobs of the scale test ``state``: the exit of a peer is the cause of a failure; the process is measured."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from scale.worker import Job, run_job
 
 
-def test_peer_that_dies_ends_the_job_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_peer_that_exits_ends_the_job_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(_channel: socket.socket) -> None:
         raise OSError("no more of it")
 
@@ -21,10 +21,10 @@
     for job in (connections.memory_of_client_connections, connections.memory_of_endpoint_connections):
         with pytest.raises(ConnectionError, match=r"stand-in died.*no more of it"):
             job(4)
-    tracemalloc.stop()  # a job leaves it on for its process, and all the other tests would be slow with it
+    tracemalloc.stop()  # a job does not stop it, and it would slow down all other tests
 
 
-def test_process_memory_is_measured_after_load_and_churn() -> None:
+def test_the_memory_of_a_process_is_measured_after_load_and_churn() -> None:
     size = {"limiters": 3, "servers": 40, "services": 4, "tenants": 40, "rate": 30.0}
     arguments = {"size": size, "full_spread": True, "seed": 1, "load": 5.0, "churn": 60.0}
     memory = ProcessMemory(**run_job(Job("scale.memory.process:measure_process", arguments)))
--- a/tests/test_scale_messages.py
+++ b/tests/test_scale_messages.py
@@ -1,4 +1,4 @@
-"""Jobs of the scale test ``messages``: an error of the stand-in is the cause of the failure."""
+"""Jobs of the scale test ``messages``: an error of the stand-in is the cause of a failure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from scale.messages.health_check_bytes import measure_health_check_bytes
 
 
-def test_stand_in_that_fails_on_a_call_ends_the_job(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stand_in_that_fails_on_a_call_ends_the_job(monkeypatch: pytest.MonkeyPatch) -> None:
     async def fail(*_: object) -> bytes:
         raise ValueError("cannot be read")
 
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the scale tests: a dead one breaks the run with its cause."""
+"""The processes of the scale tests: the exit of one is the cause of a failed run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @async_test
-async def test_dead_stand_in_breaks_the_run_with_its_cause(tmp_path: Path) -> None:
+async def test_a_killed_stand_in_fails_the_run_with_its_cause(tmp_path: Path) -> None:
     setup = Setup(4, EndpointsSpec(), CounterSpec(), 1)
     async with start_stand_ins(tmp_path, setup) as stand_ins:
         os.kill(stand_ins.process.pid, signal.SIGKILL)
--- a/tests/test_scale_propagation.py
+++ b/tests/test_scale_propagation.py
@@ -10,12 +10,12 @@
 QUICK = Effort(runs=1, seed=3, processes=2, quick=True)
 
 
-def test_quick_run_gives_figures_without_budgets() -> None:
+def test_a_quick_run_has_figures_without_budgets() -> None:
     result = TEST.run(Size(), Budget(), QUICK)
     figures = {figure.name: figure.value for figure in result.figures}
     assert 0 < figures["configuration in force, last limiter"] < RELOAD_TIMEOUT_SECONDS
     assert 0 < figures["pushed, 12 limiters: last"] < 1.0
-    # Refused, they call again after a backoff of their own each; the last one is later than the middle one.
+    # Refused clients call again after different backoffs; the last one is later than the median.
     name = "refused, then back, 12 limiters"
     assert figures[f"{name}: median"] < figures[f"{name}: last"] < NOTIFY_TIMEOUT_SECONDS
     assert all(figure.budget is None for figure in result.figures)
--- a/tests/test_scale_regression.py
+++ b/tests/test_scale_regression.py
@@ -7,7 +7,7 @@
 from scale import regression
 
 
-def test_line_goes_through_the_medians() -> None:
+def test_a_line_fits_the_medians() -> None:
     line = regression.line("cost", "B", "things", {n: [3 * n + 7, 3 * n + 7, 1e6] for n in (10, 20, 40, 80)})
     assert [line.slope, line.intercept] == pytest.approx([3.0, 7.0])
     assert line.residual < 1e-9
@@ -15,7 +15,7 @@
     assert [regression.cost_at(line, 40), regression.cost_at(line, 100)] == pytest.approx([127, 307])
 
 
-def test_curve_and_too_few_points_are_flagged() -> None:
+def test_a_curve_and_too_few_points_give_a_warning() -> None:
     assert (
         regression.warning(regression.line("cost", "B", "things", {n: [n * n] for n in (10, 20, 40, 80)}))
         == "no line"
@@ -23,7 +23,7 @@
     assert (
         regression.warning(regression.line("cost", "B", "things", {1: [1], 2: [2], 3: [3]})) == "few points"
     )
-    bad: list[dict[float, list[float]]] = [{1: [1.0]}, {1: [1.0], 2: []}, {}]
-    for points in bad:
+    invalid: list[dict[float, list[float]]] = [{1: [1.0]}, {1: [1.0], 2: []}, {}]
+    for points in invalid:
         with pytest.raises(ValueError, match="two sizes"):
             regression.line("cost", "B", "things", points)
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -1,4 +1,4 @@
-"""The file of results of the scale tests."""
+"""The file with the results of the scale tests."""
 
 from __future__ import annotations
 
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the scale tests keep to the protocol."""
+"""The stand-ins of the scale tests follow the protocol."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return await asyncio.open_connection(*split_address(address))
 
 
-def test_counter_replies_in_order_and_serves_no_more_than_its_rate() -> None:
+def test_the_counter_replies_in_order_and_serves_no_more_than_its_rate() -> None:
     async def main() -> None:
         counter = CounterStandIn(CounterSpec(rate=200.0, shards=2, round_trip=0.0), PreciseTimers())
         reader, writer = await connect(await counter.open())
@@ -31,12 +31,12 @@
         answers = [(await reader.readline()).rstrip() for _ in range(43)]
         assert answers[:4] == [b"ok 2.5", b"ok 2.5", b"ok 5", b"ok 5"]
         assert answers[39:] == [b"ok 50", b"pong", b"error", b"ok 0"]
-        assert time.monotonic() - began >= 40 / 200  # however many shards: the rate is that of all
+        assert time.monotonic() - began >= 40 / 200  # the rate is that of all shards
 
     run(main())
 
 
-def test_counter_with_a_full_queue_rejects_and_adds_nothing() -> None:
+def test_a_counter_with_a_full_queue_rejects_and_adds_nothing() -> None:
     async def main() -> None:
         counter = CounterStandIn(CounterSpec(rate=50.0, round_trip=0.0, queue_limit=3), PreciseTimers())
         reader, writer = await connect(await counter.open())
@@ -51,7 +51,7 @@
     run(main())
 
 
-def test_total_expires_after_its_lifetime() -> None:
+def test_a_total_expires_after_its_lifetime() -> None:
     async def main() -> None:
         counter = CounterStandIn(CounterSpec(round_trip=0.0), PreciseTimers())
         reader, writer = await connect(await counter.open())
@@ -68,7 +68,7 @@
     return (await reader.readexactly(size + 2))[:-2]
 
 
-def test_watch_sends_the_complete_list_then_changes_and_empty_lines() -> None:
+def test_a_watch_sends_the_complete_list_then_changes_and_keep_alives() -> None:
     async def main() -> None:
         discovery = DiscoveryStandIn(make_endpoints(3, ["127.0.0.1:1"]))
         address = await discovery.open()
@@ -81,7 +81,7 @@
         change = json.loads(await read_chunk(reader))
         assert not change["whole"] and change["seq"] == 42
         assert [(row["host"], row["health"]) for row in change["hosts"]] == [("s-00000001", "draining")]
-        assert await read_chunk(reader) == b"\n"  # some 2 s later
+        assert await read_chunk(reader) == b"\n"  # about 2 s later
         late, late_writer = await connect(address)
         late_writer.write(b"GET /v1/servers?follow=1&since=41 HTTP/1.1\r\nHost: x\r\n\r\n")
         await late.readuntil(b"\r\n\r\n")
@@ -95,7 +95,7 @@
     run(main())
 
 
-def test_overbooked_discovery_serves_in_turn_and_a_silent_one_never() -> None:
+def test_overloaded_discovery_serves_in_turn_and_unresponsive_discovery_never() -> None:
     async def main() -> None:
         discovery = DiscoveryStandIn(make_endpoints(3, ["127.0.0.1:1"]), capacity=20.0)
         address = await discovery.open()
@@ -113,7 +113,7 @@
             await asyncio.wait_for(reader.read(1), 0.3)
         discovery.close()
 
-    # On the standard loop: uvloop's timers count whole milliseconds and may fire that much early.
+    # The standard event loop, because the timers of uvloop have whole milliseconds and may fire early.
     asyncio.run(asyncio.wait_for(main(), TIME_LIMIT))
 
 
--- a/tests/test_scale_worker.py
+++ b/tests/test_scale_worker.py
@@ -8,6 +8,6 @@
 from scale.worker import Job, run_job
 
 
-def test_job_without_a_result_breaks_the_run() -> None:
+def test_a_job_without_a_result_fails_the_run() -> None:
     with pytest.raises(BrokenRunError, match="no result"):
         run_job(Job("sys:exit"))
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -123,9 +123,8 @@
     assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
     history.spans.append(Span(FaultKind.COUNTER_DOWN, 0, 7.0, 8.0))
     assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
-    history.spans.append(
-        Span(FaultKind.DISCOVERY_UNRESPONSIVE, 0, 7.0, 8.0)
-    )  # the notification may be late then
+    # Without discovery the limiter may be notified late.
+    history.spans.append(Span(FaultKind.DISCOVERY_UNRESPONSIVE, 0, 7.0, 8.0))
     assert violated_invariants(history) == []
 
 
@@ -145,9 +144,8 @@
         history.requests[request.id] = request
         history.attempts[request.id] = [replace(ATTEMPT, request_id=request.id, incarnation=1)]
     assert violated_invariants(history) == [Invariant.SLOW_START]
-    history.spans.append(
-        Span(FaultKind.DISCOVERY_UNRESPONSIVE, ALL_LIMITERS, 8.5, 9.5)
-    )  # no limiter had to know of the restart
+    # Without discovery no limiter has to know of the restart.
+    history.spans.append(Span(FaultKind.DISCOVERY_UNRESPONSIVE, ALL_LIMITERS, 8.5, 9.5))
     assert violated_invariants(history) == []
 
 
