--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -1,34 +1,34 @@
-"""The decisions of one gateway: one event in, actions out. This module wires the parts together."""
+"""The decisions of one gateway: an event and a time in, actions out. This module connects the parts."""
 
 from collections.abc import Callable
 from random import Random
 from typing import Any
 
 from quota_gateway import model
+from quota_gateway.decisions.account_table import AccountTable
 from quota_gateway.decisions.admission import AdmissionGate, WorkEstimator
 from quota_gateway.decisions.context import Context
-from quota_gateway.decisions.controller import INTERVAL, LoadController
+from quota_gateway.decisions.controller import INTERVAL_SECONDS, LoadController
 from quota_gateway.decisions.counter_budget import CounterBudget
 from quota_gateway.decisions.endpoint_set import EndpointSet
 from quota_gateway.decisions.forwarding import Forwarder
 from quota_gateway.decisions.handover import Handover
 from quota_gateway.decisions.leases import LeaseManager
-from quota_gateway.decisions.load_balancer import LoadBalancer, SlowStart
+from quota_gateway.decisions.load_balancer import LoadBalancer
 from quota_gateway.decisions.outlier_detection import OutlierDetector
-from quota_gateway.decisions.quota import AccountTable
 from quota_gateway.decisions.quota_admission import QuotaAdmission
+from quota_gateway.decisions.slow_start import SlowStart
 from quota_gateway.state import OpenRequest, describe_rejections
 
-LOG_INTERVAL = 10  # ticks between two log lines on rejections
-MIN_INTERVAL = 1e-3  # seconds that an interval is taken to last at least
-UPLOAD_TIMEOUT = 3600.0  # seconds: how long a body takes is its sender's and the sockets' matter
+LOG_INTERVAL_TICKS = 10  # between two log lines on rejections
+MIN_INTERVAL_SECONDS = 1e-3  # assumed, also if the clock was stepped back
 
 
 class Gateway:
-    """All parts of the decisions; they are public for tests and tools, which only read them."""
+    """All parts of the decisions of one gateway. Tests and tools may read the parts, but not change them."""
 
     def __init__(self, settings: model.Settings, seed: int, now: float) -> None:
-        """Raise ``InvalidSettingsError`` for settings that no gateway can run with."""
+        """Create the parts; ``InvalidSettingsError`` for settings that no gateway can run with."""
         settings.validate()
         self.context = context = Context(settings, Random(seed), now)
         self.controller = LoadController(now)
@@ -54,13 +54,13 @@
             model.Request: self._on_request,
             model.AttemptCompleted: self.forwarder.on_attempt_completed,
             model.UploadCompleted: self.forwarder.on_upload_completed,
-            model.ClientDisconnected: lambda _now, event: self.forwarder.forget(event.request_id),
+            model.ClientDisconnected: self.forwarder.on_client_disconnected,
             model.CounterReplied: self.leases.on_reply,
             model.EndpointUpdate: self.endpoints.apply,
             model.HealthChecked: self.endpoints.on_health_check,
             model.TimerFired: self._on_timer,
             model.AdminRequest: self._on_admin_request,
-            model.SuspensionsChanged: lambda now, event: self.endpoints.set_suspended(now, event.endpoints),
+            model.SuspensionsChanged: self.endpoints.on_suspensions_changed,
             model.ProcessCountChanged: self.handover.on_process_count_changed,
             model.HandoverState: self.handover.take_over,
             model.ShutdownStarted: self._on_shutdown,
@@ -68,7 +68,7 @@
         }
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Decide on one event at Unix time ``now``; the actions are to be carried out in their order."""
+        """Return the actions that answer one event at Unix time ``now``, in the order of their execution."""
         self.context.actions.clear()
         self._handlers[type(event)](now, event)
         if not self.timer_token:
@@ -77,7 +77,7 @@
 
     def _set_timer(self) -> None:
         self.timer_token += 1
-        self.context.actions.append(model.SetTimer(INTERVAL, self.timer_token))
+        self.context.actions.append(model.SetTimer(INTERVAL_SECONDS, self.timer_token))
 
     def _on_timer(self, now: float, event: model.TimerFired) -> None:
         if event.token == self.timer_token:
@@ -85,45 +85,51 @@
             self._set_timer()
 
     def _tick(self, now: float) -> None:
-        """Once a second: control the admit rate, and look after endpoints, leases and accounts."""
-        elapsed = max(MIN_INTERVAL, now - self.controller.updated_at)
+        """Do the periodic work of all parts."""
+        elapsed = max(MIN_INTERVAL_SECONDS, now - self.controller.updated_at)
         self.forwarder.expire(now)
         self.controller.update(now, elapsed)
-        if self.timer_token % LOG_INTERVAL == 0 and self.forwarder.rejections:
+        if self.timer_token % LOG_INTERVAL_TICKS == 0 and self.forwarder.rejections:
             self._log_rejections(now)
-        self.slow_start.update(self.endpoints.subset, elapsed)
-        self.endpoints.end_interval(now, elapsed)
-        requests = self.forwarder.requests.values()
-        self.endpoints.forget_removed(state for request in requests for state in request.in_flight.values())
-        self.endpoints.choose_subset(now)
-        self.work.sorted_values = sorted(self.work.recent_values)
+        self._update_endpoints(now, elapsed)
+        self.work.close_interval()
         self.leases.return_unused(now, self.work.mean_units)
         self.accounts.forget_idle(now)
         for account in self.accounts.accounts.values():
             self.leases.report_overdue_usage(now, account)
 
+    def _update_endpoints(self, now: float, elapsed: float) -> None:
+        self.slow_start.close_interval(self.endpoints.subset, elapsed)
+        self.endpoints.close_interval(now, elapsed)
+        self.endpoints.forget_removed(self.forwarder.endpoints_in_flight())
+        self.endpoints.choose_subset(now)
+
     def _log_rejections(self, now: float) -> None:
-        """Write the rejections since the last such line, and the state that explains them."""
-        counts = self.forwarder.rejections, self.outliers.ejections
-        text = describe_rejections(now, *counts, self.endpoints.hash_ring, self.leases.lease_holders.values())
+        """Log the rejections since the last such line, and the state that explains them."""
+        text = describe_rejections(
+            now,
+            self.forwarder.take_rejections(),
+            self.outliers.take_ejections(),
+            self.endpoints.hash_ring,
+            self.leases.lease_holders.values(),
+        )
         text += f"; load {self.controller.load:.2f}, admit rate {self.controller.admit_rate:.0f}/s"
         text += f", completion rate {self.slow_start.completion_rate:.2f}"
-        text += ", counter unavailable" * (now < self.leases.budget.unavailable_until)
+        if now < self.leases.budget.unavailable_until:
+            text += ", counter unavailable"
         self.context.actions.append(model.Log(text))
-        for count in counts:
-            count.clear()
 
     def _on_request(self, now: float, event: model.Request) -> None:
         account = self.accounts.find_or_create(now, event.plan, event.account, event.serving_gateways)
         account.refill(now)
-        self.controller.arrivals += not event.is_retry
+        if not event.is_retry:
+            self.controller.record_arrival()
         request_class = self.context.classes.get(event.request_class)
-        request_class = request_class or model.RequestClass.unknown(event.request_class, event.timeout)
+        if request_class is None:
+            request_class = model.RequestClass.unknown(event.request_class, event.timeout)
         max_attempts = self.context.settings.max_attempts
         request = OpenRequest.begin(now, event, request_class, account, max_attempts)
-        if event.uploading:
-            request.deadline = request.useful_until = now + UPLOAD_TIMEOUT
-        self.forwarder.requests[event.id] = request
+        self.forwarder.add(request)
         self.work.estimate(request)
         if account.plan.ceiling_rate > 0 and account.ceiling_tokens < request.units:
             self.forwarder.finish(request, model.RejectionReason.CEILING)
@@ -133,25 +139,29 @@
             self.forwarder.finish(request, model.RejectionReason.ADMISSION_GATE)
 
     def _on_admin_request(self, now: float, event: model.AdminRequest) -> None:
-        listed_endpoints = self.endpoints.listed()
-        if event.command is model.AdminCommand.STATUS:
-            ok = self.endpoints.has_list and not self.is_shutting_down
-        else:
-            ok = event.command is model.AdminCommand.METRICS or self._suspend(now, event)
-        suspended = self.endpoints.suspended
-        avoided = [s for s in listed_endpoints if s.endpoint.name in suspended or s.ejected_until > now]
-        self.context.actions.append(model.AdminReply(event.id, ok, len(listed_endpoints), len(avoided)))
-
-    def _suspend(self, now: float, event: model.AdminRequest) -> bool:
-        """Suspend or restore; gives whether the endpoint is known. A suspension outlives the list's entry."""
-        suspended = self.endpoints.suspended
-        state = self.endpoints.by_name.get(event.endpoint)
-        if event.endpoint not in suspended and (state is None or state.removed):
+        listed = self.endpoints.listed()
+        ok = self._execute(now, event)
+        reply = model.AdminReply(event.id, ok, len(listed), self.endpoints.count_avoided(now, listed))
+        self.context.actions.append(reply)
+
+    def _execute(self, now: float, event: model.AdminRequest) -> bool:
+        """Execute an operator's command, and return whether it succeeded."""
+        match event.command:
+            case model.AdminCommand.STATUS:
+                return self.endpoints.has_list and not self.is_shutting_down
+            case model.AdminCommand.METRICS:
+                return True
+            case model.AdminCommand.SUSPEND:
+                return self._set_suspended(now, event.endpoint, suspended=True)
+            case model.AdminCommand.RESTORE:
+                return self._set_suspended(now, event.endpoint, suspended=False)
+
+    def _set_suspended(self, now: float, name: str, *, suspended: bool) -> bool:
+        """Suspend or restore an endpoint, and return whether it is known."""
+        if not self.endpoints.is_known(name):
             return False
-        is_suspended = event.command is model.AdminCommand.SUSPEND
-        names = suspended | {event.endpoint} if is_suspended else suspended - {event.endpoint}
-        self.endpoints.set_suspended(now, names)
-        self.context.actions.append(model.RecordSuspension(event.endpoint, is_suspended))
+        self.endpoints.set_suspended(now, name, suspended=suspended)
+        self.context.actions.append(model.RecordSuspension(name, suspended))
         return True
 
     def _on_shutdown(self, now: float, _event: model.ShutdownStarted) -> None:
@@ -159,7 +169,7 @@
         self.leases.shut_down(now)
 
     def _on_settings(self, now: float, event: model.Settings) -> None:
-        """New settings hold for what comes from now on; what is under way keeps its class."""
+        """Apply new settings; open requests keep their class and plan."""
         event.validate()
         self.context.reconfigure(event)
         self.accounts.reconfigure(now)
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -87,7 +87,7 @@
         reader, writer = await limiter.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(http_request())
-        while not any(connection._reading_paused for connection in limiter.pool.streaming_connections):
+        while not any(connection.is_reading_paused() for connection in limiter.pool.streaming_connections):
             await asyncio.sleep(0.01)
         assert sent < total  # the rest waits at the endpoint, not here
         reader._transport.resume_reading()  # type: ignore[attr-defined]
@@ -137,7 +137,7 @@
         await head_received.wait()
         (opened,) = limiter.dispatcher._requests.values()
         assert opened.deadline == math.inf and opened.timer is None  # the client's timeout has not started
-        assert opened.attempts[0].timer is None and not opened.attempts[0].request_written
+        assert opened.attempts[0].expiry_timer is None and not opened.attempts[0].request_written
         writer.write(data[200_000:])
         assert (await read_message(reader))[2] == b"hi"
         assert bodies == [LONG_BODY]
