--- a/quota_gateway/net/client/request_body.py
+++ b/quota_gateway/net/client/request_body.py
@@ -7,7 +7,7 @@
 
 from quota_gateway.net.client.request_parser import BadRequestError
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_STREAMED_BODY
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES
 
 BODY_TIMEOUT_SECONDS = 2.05  # for a complete body, unless it arrives at ``MIN_BODY_BYTES_PER_SECOND``
 SILENCE_TIMEOUT_SECONDS = 2.05  # a client that stops within a body must receive an error within 3 s
@@ -77,14 +77,14 @@
         if self.upload is None:
             self._chunks.append(data)
             return
-        if self.size > MAX_STREAMED_BODY:
+        if self.size > MAX_STREAMED_BODY_BYTES:
             raise BadRequestError(413, "body too large")
         self.upload.write(data)
 
     @property
     def is_too_long_to_collect(self) -> bool:
         """Whether the body must be streamed from now on."""
-        return self.size > MAX_BUFFERED_BODY and self.upload is None
+        return self.size > MAX_BUFFERED_BODY_BYTES and self.upload is None
 
     def start_upload(self, content_length: int | None) -> BodyStream:
         """Stream the body from now on, beginning with the chunks that have been collected."""
@@ -141,7 +141,7 @@
 
     # The source of the upload's stream.
 
-    def set_paused(self, paused: bool) -> None:
+    def set_paused(self, *, paused: bool) -> None:
         """Pause or resume reading the upload as its endpoint accepts it."""
         self._resume_deferred = False
         if self.paused is paused:
@@ -159,7 +159,7 @@
     def on_client_confirmed(self) -> None:
         """Resume an upload whose resumption was deferred until the client proved to be half-closed."""
         if self._resume_deferred:
-            self.set_paused(False)
+            self.set_paused(paused=False)
 
     def abandon(self) -> None:
         """Do nothing: the decisions determine the response to a request without its endpoint."""
--- a/quota_gateway/net/client/request_head.py
+++ b/quota_gateway/net/client/request_head.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.net.client.request_parser import DECIMAL_PATTERN, PARSED_HEADERS, TIMEOUT, BadRequestError
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_HEAD, MAX_STREAMED_BODY, NOT_FORWARDED
+from quota_gateway.net.common.http_common import MAX_HEAD_BYTES, MAX_STREAMED_BODY_BYTES, NOT_FORWARDED
 
 ABSOLUTE_FORM_PATTERN = re.compile(rb"https?://[^/?#]+(?=/)", re.IGNORECASE)
 TARGET_PATTERN = re.compile(rb"[!-~]+")
@@ -82,7 +82,7 @@
             if self.content_length is not None or not DECIMAL_PATTERN.fullmatch(value):
                 raise BadRequestError(400, "content-length is wrong")
             self.content_length = int(value)
-            if self.content_length > MAX_STREAMED_BODY:
+            if self.content_length > MAX_STREAMED_BODY_BYTES:
                 raise BadRequestError(413, "body too large")
         elif key == b"expect":
             self.expects_continue = value.lower() == b"100-continue"
@@ -94,14 +94,14 @@
     def _skip_trailer(self, size: int) -> None:
         """Drop a trailer: only the headers of the head are forwarded."""
         self._trailer_size += size
-        if self._trailer_size > MAX_HEAD:
+        if self._trailer_size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "trailer too large")
 
     def finish(self, method: bytes, http_version: str) -> None:
         """End the head, and check what only the complete head shows."""
         self.method = method
         self.http_version = http_version
-        if self.size > MAX_HEAD:
+        if self.size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "head too large")
         if self._chunked and self.content_length is not None:
             raise BadRequestError(400, "two framings: one of them may hide a request")
@@ -113,7 +113,7 @@
         Parts of the head that were shown before count twice, as the limit on memory need not be exact.
         """
         self.size += size
-        return self.size <= MAX_HEAD
+        return self.size <= MAX_HEAD_BYTES
 
     def normalize_target(self) -> str:
         """Return the target in origin form; a proxy's absolute form (RFC 9112, 3.2.2) is accepted."""
--- a/quota_gateway/net/client/request_reader.py
+++ b/quota_gateway/net/client/request_reader.py
@@ -13,7 +13,7 @@
 from quota_gateway.net.client.request_head import RequestHead
 from quota_gateway.net.client.request_parser import BadRequestError
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES
 
 log = logging.getLogger(__name__)
 
@@ -173,7 +173,7 @@
         self.body.begin()
         if head.expects_continue:
             self._receiver.on_continue_expected()
-        if head.content_length is not None and head.content_length > MAX_BUFFERED_BODY:
+        if head.content_length is not None and head.content_length > MAX_BUFFERED_BODY_BYTES:
             self._start_upload()
 
     def on_body(self, data: bytes) -> None:
--- a/quota_gateway/net/client/transport.py
+++ b/quota_gateway/net/client/transport.py
@@ -6,7 +6,7 @@
 import enum
 
 from quota_gateway.net.common import socket_calls
-from quota_gateway.net.common.http_common import MAX_STREAMED_BODY, STREAM_RECEIVE_BUFFER
+from quota_gateway.net.common.http_common import MAX_STREAMED_BODY_BYTES, STREAM_RECEIVE_BUFFER_BYTES
 from quota_gateway.net.common.socket_calls import PeerState
 
 LINGER_SECONDS = 0.5  # a reset before the client has read its response would destroy the response
@@ -117,12 +117,12 @@
     def limit_receive_buffer(self) -> None:
         """Bound the part of an upload that the system buffers."""
         if self.phase is _OPEN and self._transport is not None:
-            socket_calls.limit_receive_buffer(self._transport, STREAM_RECEIVE_BUFFER)
+            socket_calls.limit_receive_buffer(self._transport, STREAM_RECEIVE_BUFFER_BYTES)
 
     def allow_upload(self) -> None:
         """Allow more time and bytes for the rest of an upload that was rejected before its end."""
         self._linger_seconds = UPLOAD_LINGER_SECONDS
-        self._max_discarded_bytes = MAX_STREAMED_BODY
+        self._max_discarded_bytes = MAX_STREAMED_BODY_BYTES
 
     def discard(self, size: int) -> bool:
         """Count discarded bytes of input; return whether they are within the limit."""
--- a/quota_gateway/net/common/body_stream.py
+++ b/quota_gateway/net/common/body_stream.py
@@ -4,37 +4,41 @@
 
 from typing import Protocol
 
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES
 
 
 class BodySource(Protocol):
     """The connection that a body is read from."""
 
-    def set_paused(self, paused: bool) -> None:
-        """Stop reading, or resume it."""
+    def set_paused(self, *, paused: bool) -> None:
+        """Pause or resume reading."""
 
     def abandon(self) -> None:
-        """Drop the rest of the body: nobody reads it any more."""
+        """Drop the rest of the body, which has no sink any more."""
 
 
 class BodySink(Protocol):
     """The connection that a body is written to.
 
-    It reports by ``BodyStream.set_writable`` whether it takes more.
+    It reports by ``BodyStream.set_writable`` whether it accepts more data.
     """
 
     def write_chunk(self, data: bytes) -> None:
         """Write the next bytes of the body."""
 
     def finish(self) -> None:
-        """End the body: it is complete."""
+        """End the body, which is complete."""
 
     def truncate(self) -> None:
-        """Break the body off: its source failed before the end."""
+        """Break off the body, whose source failed before the end."""
 
 
 class BodyStream:
-    """One body between its source and its sink; without a sink some ``MAX_BUFFERED_BODY`` are buffered."""
+    """One body between its source and its sink.
+
+    Data that the sink does not accept is buffered. The source is paused when the buffer holds
+    ``MAX_BUFFERED_BODY_BYTES``, and while an attached sink accepts nothing.
+    """
 
     __slots__ = (
         "_buffer",
@@ -49,74 +53,78 @@
     )
 
     def __init__(self, source: BodySource, content_length: int | None) -> None:
-        """Create a stream of ``content_length`` bytes, or ``None`` where the source does not say."""
+        """Create a stream of ``content_length`` bytes; None if the source does not know the length."""
         self._source = source
         self._sink: BodySink | None = None
         self._buffer: list[bytes] = []
-        self._buffered_size = 0
+        self._buffered_size = 0  # bytes
         self.content_length = content_length
-        self.writable = False  # whether the sink takes more
-        self.complete = False  # whether the source has delivered everything
-        self.failed = False  # whether the source broke before the end
-        self.consumed = False  # whether a sink has had any of it: then it cannot be sent a second time
+        self.writable = False  # whether the sink accepts more data
+        self.complete = False  # whether the source has delivered the complete body
+        self.failed = False  # whether the source failed before the end
+        self.consumed = False  # whether a sink was attached: the body cannot be sent a second time then
+
+    # Calls of the source.
 
     def write(self, data: bytes) -> None:
-        """Take the next bytes from the source."""
+        """Pass the next bytes from the source to the sink, or buffer them."""
         if self._sink is not None and self.writable:
             return self._sink.write_chunk(data)
         self._buffer.append(data)
         self._buffered_size += len(data)
-        if self._buffered_size >= MAX_BUFFERED_BODY:
-            self._source.set_paused(True)
+        if self._buffered_size >= MAX_BUFFERED_BODY_BYTES:
+            self._source.set_paused(paused=True)
 
     def finish(self) -> None:
-        """Take the end of the body from the source, which may go on with what is behind it."""
+        """End the body; the source may continue to read the input behind it."""
         if not self.complete:
             self.complete = True
-            self._source.set_paused(False)
+            self._source.set_paused(paused=False)
         if self._sink is not None and not self._buffer:
             self._sink.finish()
 
     def fail(self) -> None:
-        """Take note that the source broke before the end of the body."""
+        """Record that the source failed before the end of the body."""
         self.failed = True
         if self._sink is not None:
             self._sink.truncate()
 
-    def attach(self, sink: BodySink, writable: bool) -> None:
-        """Give the body to a sink, from its first byte."""
+    # Calls of the sink.
+
+    def attach(self, sink: BodySink, *, writable: bool) -> None:
+        """Pass the body to a sink, from its first byte."""
         self._sink = sink
         self.consumed = True
-        self.set_writable(writable)
+        self.set_writable(writable=writable)
 
     def detach(self) -> None:
-        """Take the body from its sink."""
+        """Stop passing the body to its sink."""
         self._sink = None
         self.writable = False
 
-    def set_writable(self, writable: bool) -> None:
-        """Take note whether the sink takes more; the source is read only while it does."""
+    def set_writable(self, *, writable: bool) -> None:
+        """Record whether the sink accepts more data; the source is read only while it does."""
         self.writable = writable
         if self._sink is None:
             return
         if self.failed:
             return self._sink.truncate()
         if not writable:
-            if not self.complete:  # else the source is at another body by now
-                self._source.set_paused(True)
+            if not self.complete:  # a source with a complete body may already be reading another one
+                self._source.set_paused(paused=True)
             return
         if self._buffer:
             data = b"".join(self._buffer)
             self._buffer = []
             self._buffered_size = 0
-            self._sink.write_chunk(data)  # which may call set_writable(False) before it returns
+            self._sink.write_chunk(data)  # which may call set_writable(writable=False) before it returns
         if self.complete:
             self._sink.finish()
         elif self.writable:
-            self._source.set_paused(False)
+            self._source.set_paused(paused=False)
 
     def abandon(self) -> None:
-        """Take note that the sink is gone, and stop the source."""
+        """Detach the disconnected sink, and stop the source."""
         self.detach()
         if not self.complete and not self.failed:
             self._source.abandon()
--- a/quota_gateway/net/common/http_common.py
+++ b/quota_gateway/net/common/http_common.py
@@ -1,13 +1,13 @@
-"""What clients' and endpoints' connections have in common of HTTP: size limits, headers and addresses."""
+"""Parts of HTTP that clients' and endpoints' connections share: size limits, headers and addresses."""
 
 from __future__ import annotations
 
-MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body that is buffered completely; a longer one is streamed
-MAX_STREAMED_BODY = 40 * 1024 * 1024  # bytes of a streamed request body
-STREAM_RECEIVE_BUFFER = (
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed
+MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # of a request
+STREAM_RECEIVE_BUFFER_BYTES = (
     128 * 1024
-)  # bytes of a socket's receive buffer for a streamed body: hundreds must fit
-MAX_HEAD = 32 * 1024  # bytes of a request line or status line with its headers
+)  # of a socket that a body is streamed from: hundreds must fit in memory
+MAX_HEAD_BYTES = 32 * 1024  # of a request line or status line with its headers
 MAX_PORT = 65535
 # Headers that belong to one connection and are never forwarded (RFC 9110, 7.6.1), and the framing headers,
 # which are written anew because the body may be framed differently on the next connection.
@@ -20,7 +20,7 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Split ``host:port``; an IPv6 host stands in brackets, which are removed.
+    """Split ``host:port``; the brackets around an IPv6 host are removed.
 
     Raises ``ValueError`` if the text has another form.
     """
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -10,7 +10,7 @@
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.exchange import Clock, Exchange
 from quota_gateway.net.upstream.load_report import parse_load_report
@@ -25,7 +25,8 @@
     limit_receive_buffer,
 )
 
-MAX_RESPONSE_BYTES = MAX_HEAD + 2 * MAX_BUFFERED_BODY  # with interim responses, chunk sizes and trailers
+# With interim responses, chunk sizes and trailers.
+MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 2 * MAX_BUFFERED_BODY_BYTES
 
 
 class ExchangeEvents(Protocol):
@@ -332,7 +333,7 @@
         stream = parser.body_stream
         if stream is not None:
             parser.end_streaming()
-            self._source.set_paused(False)
+            self._source.set_paused(paused=False)
             self._owner.on_streaming_ended(self)
             self._owner.release(self, reusable=reusable)
             return stream.finish()
--- a/quota_gateway/net/upstream/request_writer.py
+++ b/quota_gateway/net/upstream/request_writer.py
@@ -66,7 +66,7 @@
         elif exchange.upload is not None:
             self._last_progress = self._clock()
             self._connection.on_upload_started()
-            exchange.upload.attach(self, not self.is_buffered)
+            exchange.upload.attach(self, writable=not self.is_buffered)
         elif not self.is_buffered:
             self._exchange = None
             self._connection.on_request_written(exchange)
@@ -80,7 +80,7 @@
         self.is_buffered = True
         exchange = self._exchange
         if exchange is not None and exchange.upload is not None and not self._upload_finished:
-            exchange.upload.set_writable(False)
+            exchange.upload.set_writable(writable=False)
 
     def on_buffer_emptied(self) -> None:
         """Resume the upload, or report the request as written where nothing of it remains."""
@@ -90,7 +90,7 @@
             return
         if exchange.upload is not None and not self._upload_finished:
             self._last_progress = self._clock()
-            exchange.upload.set_writable(True)
+            exchange.upload.set_writable(writable=True)
         else:
             self._finish_request(exchange)
 
--- a/quota_gateway/net/upstream/response_parser.py
+++ b/quota_gateway/net/upstream/response_parser.py
@@ -8,7 +8,7 @@
 import httptools
 
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD, NOT_FORWARDED
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, NOT_FORWARDED
 from quota_gateway.net.upstream.response_status import STATUS_OK
 
 FIRST_FINAL_STATUS = 200  # lower status codes are those of interim responses
@@ -53,7 +53,7 @@
     )
 
     def __init__(self, on_large_body: Callable[[], None]) -> None:
-        """``on_large_body`` is called when the body exceeds ``MAX_BUFFERED_BODY``.
+        """``on_large_body`` is called when the body exceeds ``MAX_BUFFERED_BODY_BYTES``.
 
         It may call ``start_streaming``, or raise ``MalformedResponseError``.
         """
@@ -142,8 +142,8 @@
         if self.has_surplus or self._head_complete:  # a trailer, in the latter case
             return
         self._head_size += len(name) + len(value)
-        if self._head_size > MAX_HEAD:
-            raise MalformedResponseError(f"response head over {MAX_HEAD} bytes")
+        if self._head_size > MAX_HEAD_BYTES:
+            raise MalformedResponseError(f"response head over {MAX_HEAD_BYTES} bytes")
         if key == b"content-length":
             self._set_content_length(value)
         elif key == b"transfer-encoding":
@@ -181,7 +181,7 @@
         self._closes_connection = self._closes_connection or self._parser.get_http_version() == "1.0"
         if (
             self.content_length is not None
-            and self.content_length > MAX_BUFFERED_BODY
+            and self.content_length > MAX_BUFFERED_BODY_BYTES
             and status != STATUS_OK
         ):
             raise MalformedResponseError(f"body of {self.content_length} bytes with status {status}")
@@ -195,7 +195,7 @@
             return
         self.body_size += len(body)
         self.body_parts.append(body)
-        if max(self.body_size, self.content_length or 0) > MAX_BUFFERED_BODY:
+        if max(self.body_size, self.content_length or 0) > MAX_BUFFERED_BODY_BYTES:
             self._on_large_body()
 
     def on_message_complete(self) -> None:
--- a/quota_gateway/net/upstream/response_source.py
+++ b/quota_gateway/net/upstream/response_source.py
@@ -41,7 +41,7 @@
         """Whether the response has waited too long for the endpoint."""
         return not self.is_paused and now - self._last_progress > STALL_TIMEOUT_SECONDS
 
-    def set_paused(self, paused: bool) -> None:
+    def set_paused(self, *, paused: bool) -> None:
         """Stop reading, or resume it."""
         transport = self._connection.transport
         if transport is None or transport.is_closing() or paused is self.is_paused:
--- a/quota_gateway/net/upstream/transport_calls.py
+++ b/quota_gateway/net/upstream/transport_calls.py
@@ -9,7 +9,7 @@
 import struct
 import termios
 
-from quota_gateway.net.common.http_common import STREAM_RECEIVE_BUFFER
+from quota_gateway.net.common.http_common import STREAM_RECEIVE_BUFFER_BYTES
 from quota_gateway.net.common.socket_calls import shut_down_sending
 
 NATIVE_INT = struct.Struct("i")  # the result of the FIONREAD call
@@ -37,4 +37,4 @@
     """Limit the operating system's receive buffer for a streamed response."""
     raw_socket = transport.get_extra_info("socket")
     with contextlib.suppress(OSError):  # without the limit only more memory is used
-        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER)
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER_BYTES)
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -217,11 +217,11 @@
         shortage = ExitStack()
         closing_began = asyncio.Event()
 
-        async def close_at_the_limit(drain_time: float | None) -> None:
+        async def close_at_the_limit(drain_seconds: float | None) -> None:
             """Leave no descriptor free in the step that closes."""
             shortage.enter_context(no_free_descriptor())
             closing_began.set()
-            await close(drain_time)
+            await close(drain_seconds)
 
         monkeypatch.setattr(acceptor, "close", close_at_the_limit)
         closing = asyncio.create_task(limiter.listener.close(1000))
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES
 from tests.http_bodies import LONG_BODY, POST_PATH, chunked, read_body, read_head
 from tests.loopback import (
     OK_RESPONSE,
@@ -66,7 +66,7 @@
         assert (await limiter.fetch(http_request().replace(plain, form, 1)))[2] == b"hi"
 
 
-@pytest.mark.parametrize("size", [5, 2 * MAX_BUFFERED_BODY])
+@pytest.mark.parametrize("size", [5, 2 * MAX_BUFFERED_BODY_BYTES])
 @async_test
 async def test_client_that_expects_100_continue_gets_it(size: int) -> None:
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
