--- a/quota_gateway/net/client/request.py
+++ b/quota_gateway/net/client/request.py
@@ -150,12 +150,13 @@
         if not self._may_answer(status):
             return
         connection = self._connection
+        shared = connection.shared
         if self.upload is not None and not self.upload.complete:
             connection.discard_upload()
             self.keep_alive = False
-        connection.shared.open_request_ids.discard(self.request_id)
+        shared.open_request_ids.discard(self.request_id)
         if self.event is not None:
-            connection.shared.metrics.record_request(self.event.request_class, status)
+            shared.metrics.record_request(self.event.request_class, status)
         retry_header = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
         self.response_head = b"".join((STATUS_LINES[status], headers, retry_header))
         self._length_and_body = b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/quota_gateway/net/client/request_intake.py
+++ b/quota_gateway/net/client/request_intake.py
@@ -38,7 +38,7 @@
             return
         if body and head.method != b"POST":
             raise BadRequestError(400, "a body where none belongs")
-        event = shared.parser.parse(head.method, target, head.headers, request.upload is not None)
+        event = shared.parser.parse(head.method, target, head.headers, uploading=request.upload is not None)
         if seconds_unread >= event.timeout:
             # The client has stopped waiting: an attempt would be wasted work.
             request.reject_expired(event)
--- a/quota_gateway/net/client/request_parser.py
+++ b/quota_gateway/net/client/request_parser.py
@@ -4,12 +4,14 @@
 
 import re
 from collections.abc import Callable
+from typing import NamedTuple
 
 from quota_gateway import model
 
-MAX_TIMEOUT_MS = 60_000
-PREVIOUS_CLASSES_TTL = 3.0  # seconds after a reload in which requests of the previous classes are accepted
-ACCOUNT_ID_LIMIT = 2**33  # account ids are below it
+MAX_TIMEOUT_MILLISECONDS = 60_000
+MILLISECONDS_PER_SECOND = 1000
+PREVIOUS_CLASSES_SECONDS = 3.0  # after a reload, in which requests of the previous classes are accepted
+ACCOUNT_ID_LIMIT = 2**33  # exclusive
 
 REQUEST_ID = b"x-request-id"
 PRIORITY_CLASS = b"x-priority-class"
@@ -27,22 +29,27 @@
 
 
 class BadRequestError(Exception):
-    """A request that the gateway answers itself, with the status that names the fault."""
+    """A malformed or invalid request, which the limiter answers itself."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Name the status of the response, and the fault."""
+        """``status`` is that of the response; ``reason`` describes the fault."""
         super().__init__(reason)
         self.status = status
 
 
+class _QuotaHeader(NamedTuple):
+    units: float  # the cost of the request
+    serving_gateways: int  # the number of gateways that serve the account
+
+
 class RequestParser:
-    """Parses requests against the classes, plans and limits of the settings in force."""
+    """Parses requests according to the classes, plans and limits of the settings in force."""
 
     def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
-        """Parse by ``settings``; ``clock`` returns seconds since any start."""
+        """Parse according to ``settings``; ``clock`` returns seconds since any start."""
         self._clock = clock
         self._last_id = 0
-        self._classes = dict[str, bool]()  # by name: whether its method is GET
+        self._classes = dict[str, bool]()  # by name: whether the method is GET
         self._plans = set[str]()
         self._previous_classes = dict[str, bool]()
         self._previous_classes_until = 0.0
@@ -51,10 +58,11 @@
     def reconfigure(self, settings: model.Settings) -> None:
         """Apply new settings.
 
-        Requests of the previous classes are on their way: they are accepted for ``PREVIOUS_CLASSES_TTL``.
+        Requests of the previous classes are accepted for ``PREVIOUS_CLASSES_SECONDS``: some were sent before
+        their clients learned of the new settings.
         """
         self._previous_classes = self._classes
-        self._previous_classes_until = self._clock() + PREVIOUS_CLASSES_TTL
+        self._previous_classes_until = self._clock() + PREVIOUS_CLASSES_SECONDS
         self._classes = {
             request_class.name: request_class.idempotency is model.Idempotency.INHERENT
             for request_class in settings.classes
@@ -64,11 +72,11 @@
         self._max_units = max(1.0, settings.max_units)
 
     def parse(
-        self, method: bytes, target: str, headers: dict[bytes, bytes], uploading: bool = False
+        self, method: bytes, target: str, headers: dict[bytes, bytes], *, uploading: bool = False
     ) -> model.Request:
-        """The request as an event; ``headers`` holds those of ``PARSED_HEADERS`` that were received.
+        """Return the request as an event; ``headers`` contains the received headers of ``PARSED_HEADERS``.
 
-        Raises BadRequestError with the status of the first fault that is found.
+        Raises BadRequestError for the first fault that is found.
         """
         path, _, query = target.partition("?")
         class_name = path[1:].partition("/")[0]
@@ -80,7 +88,7 @@
             raise BadRequestError(400, "unknown class or plan")
         account = _parse_account(query)
         timeout = _parse_timeout(headers[TIMEOUT])
-        units, serving_gateways = self._parse_quota(headers[QUOTA])
+        quota = self._parse_quota(headers[QUOTA])
         self._last_id += 1
         return model.Request(
             id=self._last_id,
@@ -88,8 +96,8 @@
             plan=plan,
             timeout=timeout,
             account=account,
-            units=units,
-            serving_gateways=serving_gateways,
+            units=quota.units,
+            serving_gateways=quota.serving_gateways,
             is_retry=headers.get(RETRIED) == b"1",
             uploading=uploading,
         )
@@ -103,12 +111,11 @@
         for header in REQUIRED_HEADERS:
             if not headers.get(header):
                 raise BadRequestError(400, f"{header.decode()} is missing")
-        # The method follows from the class, and a GET with a body could hide another request in it.
+        # The class determines the method; the body of a GET request could contain another request.
         if (method == b"GET") not in (self._classes.get(class_name), previous.get(class_name)):
             raise BadRequestError(405, "method")
 
-    def _parse_quota(self, text: bytes) -> tuple[float, int]:
-        """The units that the request costs and the number of gateways that serve its account."""
+    def _parse_quota(self, text: bytes) -> _QuotaHeader:
         match = QUOTA_PATTERN.fullmatch(text)
         if match is None:
             raise BadRequestError(400, "x-quota is wrong")
@@ -118,11 +125,11 @@
         in_range = 1 <= serving_gateways <= self._gateway_count and first_gateway < self._gateway_count
         if not 0 < units <= self._max_units or not in_range:
             raise BadRequestError(400, "x-quota is wrong")
-        return units, serving_gateways
+        return _QuotaHeader(units, serving_gateways)
 
 
 def _parse_account(query: str) -> str:
-    # Given twice, the gateway and the endpoint might each charge another account.
+    # Of two accounts, the limiter might charge one and the endpoint the other.
     accounts = [part for part in query.split("&") if part.partition("=")[0].lower() == "account"]
     match = ACCOUNT_PATTERN.fullmatch(accounts[0]) if len(accounts) == 1 else None
     if match is None or int(match[1], 16) >= ACCOUNT_ID_LIMIT:
@@ -131,7 +138,7 @@
 
 
 def _parse_timeout(text: bytes) -> float:
-    """Seconds of a header in milliseconds."""
-    if not DECIMAL_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
+    """Return the seconds of a header in milliseconds."""
+    if not DECIMAL_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MILLISECONDS:
         raise BadRequestError(400, "x-timeout-ms is wrong")
-    return int(text) / 1000
+    return int(text) / MILLISECONDS_PER_SECOND
--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -126,7 +126,8 @@
             self.reader.stop_upload()
             request.reject_malformed(error.status)
             raise
-        self.update_reading()
+        if self.queue:  # otherwise the response has been written, and the reading updated
+            self.update_reading()
 
     def on_upload_completed(self) -> None:
         """Notify the handler that the last request's upload has been received completely."""
