--- /dev/null
+++ b/quota_gateway/net/dispatch/attempt_forwarder.py
@@ -0,0 +1,119 @@
+"""Attempts of open requests: their start, and the reports of how they ended."""
+
+from __future__ import annotations
+
+import logging
+import math
+from collections.abc import Callable
+from functools import partial
+
+from quota_gateway import model
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.invariants import Invariant, InvariantMonitor
+from quota_gateway.net.dispatch.attempt_guard import AttemptGuard, latest_write
+from quota_gateway.net.dispatch.pending_request import PendingRequest
+from quota_gateway.net.dispatch.request_log import describe_request
+from quota_gateway.net.dispatch.request_table import RequestTable
+from quota_gateway.net.upstream.exchange import Exchange
+from quota_gateway.net.upstream.pool import ConnectionPool
+
+log = logging.getLogger(__name__)
+
+
+class AttemptForwarder:
+    """Starts the attempts that the decisions request, and reports the end of each exactly once."""
+
+    def __init__(
+        self,
+        settings: model.Settings,
+        clock: Callable[[], float],
+        pool: ConnectionPool,
+        requests: RequestTable,
+        dispatch: Callable[[model.Event], None],
+        invariants: InvariantMonitor,
+    ) -> None:
+        """``clock`` returns seconds; ``dispatch`` receives the ``AttemptCompleted`` events."""
+        self._clock = clock
+        self._pool = pool
+        self._requests = requests
+        self._dispatch = dispatch
+        self._invariants = invariants
+        self._guard = AttemptGuard(invariants, settings)
+
+    def apply_settings(self, settings: model.Settings) -> None:
+        """Use other settings from now on."""
+        self._guard.apply_settings(settings)
+
+    def forward(self, action: model.Forward) -> None:
+        """Start an attempt, or report it as not sent if the request may have no further attempt."""
+        pending = self._requests.find(action.request_id)
+        if pending is None:  # its client disconnected in this turn of the event loop
+            log.error("dropped an attempt for a request that has ended")
+            return
+        number = len(pending.attempts)
+        now = self._clock()
+        is_allowed = self._guard.may_start(pending, now)
+        attempt = self._new_attempt(action, pending, number, now)
+        pending.add_attempt(attempt)
+        has_attempts = number < min(pending.max_attempts, self._requests.max_attempts)
+        if is_allowed and has_attempts and action.timeout > 0:
+            self._start(attempt, pending)
+        else:
+            self._pool.exchanges.complete(attempt, model.CallStatus.NOT_SENT)
+
+    def cancel(self, action: model.CancelAttempt) -> None:
+        """Cancel one attempt, if it exists."""
+        pending = self._requests.find(action.request_id)
+        if pending is not None and action.attempt < len(pending.attempts):
+            self._pool.exchanges.cancel(pending.attempts[action.attempt])
+
+    def _new_attempt(
+        self, action: model.Forward, pending: PendingRequest, number: int, now: float
+    ) -> Exchange:
+        request = pending.request
+        expires_at = math.inf  # until the upload is complete
+        if pending.deadline < math.inf:
+            expires_at = min(pending.deadline, now + action.timeout)
+        return Exchange(
+            endpoint=action.endpoint,
+            request_head=request.forwarded_head,
+            request_body=request.forwarded_body,
+            expires_at=expires_at,
+            on_complete=partial(self._on_completed, action.request_id, number),
+            on_response_started=partial(self._on_response_started, action.request_id),
+            upload=request.upload,
+            timeout=action.timeout,
+            not_after=min(action.not_after, latest_write(pending)),
+            is_client_connected=request.is_client_connected,
+        )
+
+    def _start(self, attempt: Exchange, pending: PendingRequest) -> None:
+        """Start an attempt; after an unexpected error it is reported as failed."""
+        try:
+            self._pool.start(attempt)
+        except Exception:
+            log.exception("an attempt could not be started")
+            self._invariants.report(Invariant.STARTED_COMPLETELY, describe_request(pending))
+            self._pool.exchanges.fail(attempt)
+
+    def _on_response_started(self, request_id: int, attempt: Exchange, body: BodyStream) -> bool:
+        return self._requests.begin_response(request_id, attempt, body)
+
+    def _on_completed(self, request_id: int, number: int, attempt: Exchange) -> None:
+        """Respond to the client if the attempt succeeded, then notify the decisions."""
+        succeeded = attempt.status is model.CallStatus.OK
+        if succeeded:
+            self._requests.succeed(request_id, attempt)
+        self._dispatch(
+            model.AttemptCompleted(
+                request_id=request_id,
+                attempt=number,
+                endpoint=attempt.endpoint,
+                status=attempt.status,
+                elapsed=attempt.elapsed,
+                request_finished=self._requests.find(request_id) is None,
+                load_report=attempt.load_report,
+                charged_units=attempt.charged_units if succeeded else None,  # only a success settles units
+                may_retry=attempt.upload is None or not attempt.upload.consumed,
+            )
+        )
--- a/quota_gateway/net/dispatch/request_log.py
+++ b/quota_gateway/net/dispatch/request_log.py
@@ -1,26 +1,26 @@
-"""Log lines on single requests: those that took more than one attempt, failed or had a violation.
+"""Log lines on single requests: those with more than one attempt, a failed attempt or a violation.
 
-A request that is served at once, or rejected before its first attempt, writes nothing: the counts tell of it.
+A request that is served by its first attempt, or rejected before it, has no line; it is counted elsewhere.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Sequence
 
 from quota_gateway import model
-from quota_gateway.net.upstream.exchange import Exchange, describe_attempt
+from quota_gateway.net.dispatch.pending_request import PendingRequest
+from quota_gateway.net.upstream.exchange import describe_attempt
 
 log = logging.getLogger(__name__)
 
-MAX_LINES_PER_SECOND = 2  # the others of that second are only counted
+MAX_LINES_PER_SECOND = 2  # further lines of a second are only counted
 
 
-def describe_request(request_id: bytes, event: model.Request, attempts: Sequence[Exchange]) -> str:
-    """A request by its client's id, and its attempts in their order."""
-    steps = [describe_attempt(number, attempt) for number, attempt in enumerate(attempts)]
-    head = f"request {request_id.decode('latin-1')} of class {event.request_class}"
-    return "; ".join([head, *steps])
+def describe_request(pending: PendingRequest) -> str:
+    """Describe a request by its client's id, its class, and its attempts in their order."""
+    steps = [describe_attempt(number, attempt) for number, attempt in enumerate(pending.attempts)]
+    request_id = pending.request.request_id.decode("latin-1")
+    return "; ".join([f"request {request_id} of class {pending.event.request_class}", *steps])
 
 
 class RequestLog:
@@ -29,15 +29,14 @@
     __slots__ = ("_current_second", "_lines_in_second", "_suppressed")
 
     def __init__(self) -> None:
-        """Begin with no line written."""
+        """Begin without lines."""
         self._current_second = 0
         self._lines_in_second = 0
         self._suppressed = 0
 
-    def answered(
-        self, now: float, request_id: bytes, event: model.Request, attempts: Sequence[Exchange], answer: str
-    ) -> None:
-        """A request has ended at ``now`` with ``answer``; log it if its attempts are worth it."""
+    def record_end(self, now: float, pending: PendingRequest, status: int) -> None:
+        """Log a request that ends at ``now`` with the HTTP ``status``, if its attempts are worth a line."""
+        attempts = pending.attempts
         if not attempts or (len(attempts) == 1 and attempts[0].status is model.CallStatus.OK):
             return
         second = int(now)
@@ -50,4 +49,4 @@
             return
         before = f" ({self._suppressed} such requests not logged before)" if self._suppressed else ""
         self._suppressed = 0
-        log.info("%s; answered %s%s", describe_request(request_id, event, attempts), answer, before)
+        log.info("%s; answered %d%s", describe_request(pending), status, before)
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -135,7 +135,7 @@
         data = upload(framing, LONG_BODY)
         writer.write(data[:200_000])
         await head_received.wait()
-        (opened,) = limiter.dispatcher._requests.values()
+        (opened,) = limiter.dispatcher.requests.open_requests()
         assert opened.deadline == math.inf and opened.timer is None  # the client's timeout has not started
         assert opened.attempts[0].expiry_timer is None and not opened.attempts[0].request_written
         writer.write(data[200_000:])
@@ -239,7 +239,7 @@
     client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
     size = 0x10001
     while True:
-        opened = list(limiter.dispatcher._requests.values())
+        opened = list(limiter.dispatcher.requests.open_requests())
         if opened and opened[0].attempts[0].connection:
             break
         await asyncio.sleep(0)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -212,7 +212,9 @@
         reader, writer = await limiter.connect()
         writer.write(http_request() + http_request(Connection="close"))
         first, second = await script.wait_for(model.Request, 2)
-        client_request = limiter.dispatcher._requests[second.id].request
+        pending = limiter.dispatcher.requests.find(second.id)
+        assert pending is not None
+        client_request = pending.request
         client_request.respond(502)
         client_request.respond(504)
         script.decide = on_timer([model.Reject(first.id, 0.1), model.Reject(second.id, 0.1)])
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -361,7 +361,7 @@
         LoopbackLimiter(ScriptedDecisions(decide), {"s1": dial}) as limiter,
     ):
         await served.get()
-        limiter.dispatcher.settings = replace(SETTINGS, load_in_health_check=True)
+        limiter.dispatcher.reconfigure(replace(SETTINGS, load_in_health_check=True))
         limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
         await served.get()
         reader, writer = await limiter.connect()
