--- a/quota_gateway/net/dispatch/attempt_forwarder.py
+++ b/quota_gateway/net/dispatch/attempt_forwarder.py
@@ -54,7 +54,7 @@
         now = self._clock()
         is_allowed = self._guard.may_start(pending, now)
         attempt = self._new_attempt(action, pending, number, now)
-        pending.add_attempt(attempt)
+        pending.attempts.append(attempt)
         has_attempts = number < min(pending.max_attempts, self._requests.max_attempts)
         if is_allowed and has_attempts and action.timeout > 0:
             self._start(attempt, pending)
@@ -111,7 +111,7 @@
                 endpoint=attempt.endpoint,
                 status=attempt.status,
                 elapsed=attempt.elapsed,
-                request_finished=self._requests.find(request_id) is None,
+                request_finished=succeeded or self._requests.find(request_id) is None,
                 load_report=attempt.load_report,
                 charged_units=attempt.charged_units if succeeded else None,  # only a success settles units
                 may_retry=attempt.upload is None or not attempt.upload.consumed,
--- a/quota_gateway/net/dispatch/attempt_guard.py
+++ b/quota_gateway/net/dispatch/attempt_guard.py
@@ -47,6 +47,8 @@
 
 def latest_write(pending: PendingRequest) -> float:
     """Return the time after which a further attempt must not be written, whatever the decisions allow."""
+    if not pending.attempts:
+        return math.inf
     executed = _first_executed(pending)
     request_class = pending.request_class
     if executed is None or request_class is None:
--- a/quota_gateway/net/dispatch/pending_request.py
+++ b/quota_gateway/net/dispatch/pending_request.py
@@ -32,7 +32,7 @@
         self.request_class = request_class
         self.max_attempts = max_attempts
         self.deadline = math.inf  # seconds of the dispatcher's clock
-        self.attempts: list[Exchange] = []
+        self.attempts: list[Exchange] = []  # an attempt's number is its index
         self.timer: asyncio.TimerHandle | None = None  # responds at the deadline if the decisions do not
 
     @property
@@ -45,10 +45,6 @@
         self.deadline = deadline
         self.timer = timer
 
-    def add_attempt(self, attempt: Exchange) -> None:
-        """Append an attempt; its number is its index."""
-        self.attempts.append(attempt)
-
     def detach_attempt(self, attempt: Exchange) -> None:
         """Remove an attempt whose response is being streamed, so that it is not cancelled with the others."""
         self.attempts.remove(attempt)
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -12,7 +12,7 @@
 from quota_gateway.net.common.body_stream import BodyStream
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY, MAX_HEAD
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
-from quota_gateway.net.upstream.exchange import Clock, Exchange
+from quota_gateway.net.upstream.exchange import Clock, Exchange, ExchangeEvents
 from quota_gateway.net.upstream.load_report import parse_load_report
 from quota_gateway.net.upstream.request_writer import RequestWriter
 from quota_gateway.net.upstream.response_parser import MalformedResponseError, ResponseParser
@@ -28,16 +28,6 @@
 MAX_RESPONSE_BYTES = MAX_HEAD + 2 * MAX_BUFFERED_BODY  # with interim responses, chunk sizes and trailers
 
 
-class ExchangeEvents(Protocol):
-    """Receives the progress and the end of exchanges."""
-
-    def record_request_written(self, exchange: Exchange) -> None:
-        """The request of an exchange is written completely."""
-
-    def complete(self, exchange: Exchange, status: CallStatus) -> None:
-        """An exchange has ended."""
-
-
 class ConnectionEvents(Protocol):
     """Receives the events of a connection."""
 
@@ -101,7 +91,7 @@
         self.idle_since: float | None = None  # by the owner's clock; None until its first release
         self.reused_at = 0.0  # by the owner's clock; when it was last taken from the idle connections
         self._parser = ResponseParser(self._on_large_body)
-        self._writer = RequestWriter(self, owner.clock)
+        self._writer = RequestWriter(self, exchanges, owner.clock)
         self._source = ResponseSource(self, owner.clock)
         self._timer = ResponseTimer(self._on_response_overdue)
         self._received_bytes = 0  # since the request
@@ -164,15 +154,9 @@
         """Have the owner watch the upload for stalls."""
         self._owner.on_streaming_started(self)
 
-    def on_request_written(self, exchange: Exchange) -> None:
-        """Report the request as written; its upload is complete."""
-        if exchange.upload is not None:
-            self._owner.on_streaming_ended(self)
-        self._exchanges.record_request_written(exchange)
-
-    def on_write_failed(self, exchange: Exchange) -> None:
-        """End the exchange: nothing of its request was sent."""
-        self._exchanges.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
+    def on_upload_ended(self) -> None:
+        """Stop watching an upload that has been written completely."""
+        self._owner.on_streaming_ended(self)
 
     def on_stream_abandoned(self) -> None:
         """Close: no client reads the rest of a streamed response."""
--- a/quota_gateway/net/upstream/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -21,6 +21,16 @@
         """Drop the exchange and close the connection at once."""
 
 
+class ExchangeEvents(Protocol):
+    """Receives the progress and the end of exchanges."""
+
+    def record_request_written(self, exchange: Exchange) -> None:
+        """The request of an exchange is written completely."""
+
+    def complete(self, exchange: Exchange, status: CallStatus) -> None:
+        """An exchange has ended."""
+
+
 @dataclass(slots=True, eq=False)
 class Exchange:
     """One attempt at a request; ``on_complete`` is called exactly once, with ``status`` set.
@@ -59,16 +69,26 @@
     connection: ExchangeConnection | None = None  # set while a connection carries it
     expiry_timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
 
-    def start(self, now: float) -> None:
-        """Begin at ``now``; for a streamed upload the time of its last byte replaces this one."""
+    def start(self, now: float, on_expired: Callable[[Exchange], None]) -> None:
+        """Begin at ``now``, and call ``on_expired`` at ``expires_at`` unless the exchange completes before.
+
+        The timer is not started for an exchange that has expired already or does not expire yet.
+        """
+        self.started_at = now
+        remaining = self.expires_at - now
+        if 0 < remaining < math.inf:
+            self._start_timer(remaining, on_expired)
+
+    def restart(self, now: float) -> None:
+        """Count the time from ``now`` on, at which a streamed upload has been written completely."""
         self.started_at = now
 
-    def set_expires_at(self, at: float) -> None:
-        """Set the time of expiry of an exchange whose upload is complete."""
+    def set_expiry(self, now: float, at: float, on_expired: Callable[[Exchange], None]) -> None:
+        """Set the time of expiry, ``at``, of an exchange whose upload is complete."""
         self.expires_at = at
+        self._start_timer(max(0.0, at - now), on_expired)
 
-    def start_expiry_timer(self, delay: float, on_expired: Callable[[Exchange], None]) -> None:
-        """Call ``on_expired`` after ``delay`` seconds, unless the exchange completes before."""
+    def _start_timer(self, delay: float, on_expired: Callable[[Exchange], None]) -> None:
         self.expiry_timer = asyncio.get_running_loop().call_later(delay, on_expired, self)
 
     def assign_connection(
--- a/quota_gateway/net/upstream/exchange_control.py
+++ b/quota_gateway/net/upstream/exchange_control.py
@@ -22,8 +22,7 @@
     def set_expiry(self, exchange: Exchange, at: float) -> None:
         """Set the time at which an exchange whose upload is complete times out."""
         if not exchange.completed:
-            exchange.set_expires_at(at)
-            exchange.start_expiry_timer(max(0.0, at - self._clock()), self.expire)
+            exchange.set_expiry(self._clock(), at, self.expire)
 
     def withdraw_unsent(self, exchange: Exchange) -> None:
         """End an exchange that no connection carries yet."""
@@ -53,7 +52,7 @@
         """Mark the request as written; the time of an exchange with an upload starts here."""
         exchange.record_request_written()
         if exchange.upload is not None:
-            exchange.start(self._clock())
+            exchange.restart(self._clock())
         self._metrics.upstream_attempts += not exchange.is_health_check
 
     def log_and_reset(self) -> None:
--- a/quota_gateway/net/upstream/open_connections.py
+++ b/quota_gateway/net/upstream/open_connections.py
@@ -4,11 +4,11 @@
 
 import logging
 
-from quota_gateway.net.upstream.connection import ExchangeEvents, UpstreamConnection
+from quota_gateway.net.upstream.connection import UpstreamConnection
 from quota_gateway.net.upstream.connection_limits import ConnectionLimits
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.endpoint_table import EndpointTable
-from quota_gateway.net.upstream.exchange import Clock
+from quota_gateway.net.upstream.exchange import Clock, ExchangeEvents
 from quota_gateway.net.upstream.idle_connections import IdleConnections
 from quota_gateway.net.upstream.idle_policy import STALE_BREAK_WINDOW_SECONDS, IdlePolicy
 from quota_gateway.net.upstream.stats import ConnectionStats
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-import math
 from collections.abc import Collection
 
 from quota_gateway.model import CallStatus
@@ -54,13 +53,10 @@
     def start(self, exchange: Exchange) -> None:
         """Send a request; ``exchange.on_complete`` is called once, possibly before this returns."""
         now = self._clock()
-        exchange.start(now)
+        exchange.start(now, self.exchanges.expire)
         endpoint = self._endpoints.find_usable(exchange.endpoint)
-        remaining = exchange.expires_at - now
-        if endpoint is None or remaining <= 0:
+        if endpoint is None or exchange.expires_at <= now:
             return self.exchanges.complete(exchange, CallStatus.NOT_SENT)
-        if remaining < math.inf:
-            exchange.start_expiry_timer(remaining, self.exchanges.expire)
         connection = self._connections.idle.take(endpoint, now)
         if connection is not None:
             return self._send(connection, exchange, now)
--- a/quota_gateway/net/upstream/request_writer.py
+++ b/quota_gateway/net/upstream/request_writer.py
@@ -5,7 +5,8 @@
 import asyncio
 from typing import Protocol
 
-from quota_gateway.net.upstream.exchange import Clock, Exchange
+from quota_gateway.model import CallStatus
+from quota_gateway.net.upstream.exchange import Clock, Exchange, ExchangeEvents
 
 STALL_TIMEOUT_SECONDS = 15.0  # a streamed body that makes no progress for this long is abandoned
 
@@ -16,11 +17,8 @@
     def on_upload_started(self) -> None:
         """The head of a request is written, and its streamed body follows."""
 
-    def on_request_written(self, exchange: Exchange) -> None:
-        """The last byte of the request has been passed to the operating system."""
-
-    def on_write_failed(self, exchange: Exchange) -> None:
-        """The transport failed in the write itself: nothing of the request was sent."""
+    def on_upload_ended(self) -> None:
+        """The request is written completely, with its streamed body."""
 
     def abort(self) -> None:
         """Close at once; nothing more is written or read."""
@@ -38,14 +36,16 @@
         "_clock",
         "_connection",
         "_exchange",
+        "_exchanges",
         "_last_progress",
         "_transport",
         "_upload_finished",
         "is_buffered",
     )
 
-    def __init__(self, connection: WriterConnection, clock: Clock) -> None:
+    def __init__(self, connection: WriterConnection, exchanges: ExchangeEvents, clock: Clock) -> None:
         """Create the writer of a connection; ``clock`` returns seconds."""
+        self._exchanges = exchanges
         self._connection = connection
         self._clock = clock
         self._transport: asyncio.Transport | None = None
@@ -60,16 +60,16 @@
         self._exchange = exchange
         self._upload_finished = False
         transport.write(data)
-        if transport.is_closing():
+        if transport.is_closing():  # the write itself failed: nothing of the request was sent
             self._exchange = None
-            self._connection.on_write_failed(exchange)
+            self._exchanges.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
         elif exchange.upload is not None:
             self._last_progress = self._clock()
             self._connection.on_upload_started()
             exchange.upload.attach(self, not self.is_buffered)
         elif not self.is_buffered:
             self._exchange = None
-            self._connection.on_request_written(exchange)
+            self._exchanges.record_request_written(exchange)
 
     def stop(self) -> None:
         """Write nothing more of the present request: its exchange or its connection has ended."""
@@ -100,7 +100,9 @@
 
     def _finish_request(self, exchange: Exchange) -> None:
         self._exchange = None
-        self._connection.on_request_written(exchange)
+        if exchange.upload is not None:
+            self._connection.on_upload_ended()
+        self._exchanges.record_request_written(exchange)
 
     # As the sink of an upload.
 
