--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher over loopback sockets: one answer to each request, deadlines, failures of the decisions."""
+"""The dispatcher over loopback sockets: one response to each request, deadlines, failing decisions."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @async_test
-async def test_known_endpoints_are_the_first_event_and_complete() -> None:
+async def test_initial_endpoints_are_the_first_event_and_a_complete_list() -> None:
     script = ScriptedDecisions(forward_to_s1)
     async with LoopbackLimiter(script, {"s1": "127.0.0.1:1"}):
         assert isinstance(script.events[0], model.EndpointUpdate) and script.events[0].complete
@@ -53,13 +53,13 @@
 
 
 @async_test
-async def test_client_of_silent_decisions_is_answered_before_its_timeout() -> None:
+async def test_client_gets_a_response_before_its_timeout_if_the_decisions_give_none() -> None:
     script = ScriptedDecisions(lambda _event: [])
     async with LoopbackLimiter(script, {}) as limiter:
         started_at = time.monotonic()
         assert " 504 " in (await limiter.fetch(http_request(timeout_ms=300)))[0]
         assert time.monotonic() - started_at > 0.2
-        await script.wait_for(model.ClientDisconnected)  # so that the decisions forget it
+        await script.wait_for(model.ClientDisconnected)  # the decisions remove the request
 
 
 @async_test
@@ -69,18 +69,18 @@
             return [model.Forward(event.id, "s1", 60.0)]
         return forward_to_s1(event)
 
-    silent = ScriptedEndpoint(lambda _number: None)
+    unresponsive = ScriptedEndpoint(lambda _number: None)
     script = ScriptedDecisions(forward_with_long_timeout)
     async with (
-        running_server(silent.handle_connection) as address,
+        running_server(unresponsive.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         assert (
             " 429 " in (await limiter.fetch(http_request(timeout_ms=400)))[0]
-        )  # the decisions' answer to the time-out
+        )  # as the decisions reject after the timeout
         (completed,) = await script.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT and completed.elapsed < 0.4
-        assert int(silent.requests[0][1]["x-timeout-ms"]) < 400
+        assert int(unresponsive.requests[0][1]["x-timeout-ms"]) < 400
 
 
 @async_test
@@ -106,17 +106,17 @@
 
 
 @async_test
-async def test_actions_after_the_answer_are_dropped_and_each_request_has_one_answer() -> None:
-    def answer_and_go_on(event: model.Event) -> list[model.Action]:
+async def test_actions_after_the_response_are_dropped_and_each_request_has_one_response() -> None:
+    def respond_and_continue(event: model.Event) -> list[model.Action]:
         if not isinstance(event, model.Request):
             return []
         return [
             model.Reject(event.id, 0.1), model.Fail(event.id), model.Forward(event.id, "s1", 1.0),
-            model.CancelAttempt(event.id, 0), model.Forward(99, "nobody", 1.0), model.Reject(99, 0.1),
+            model.CancelAttempt(event.id, 0), model.Forward(99, "unknown", 1.0), model.Reject(99, 0.1),
         ]  # fmt: skip
 
     origin = ScriptedEndpoint()
-    script = ScriptedDecisions(answer_and_go_on)
+    script = ScriptedDecisions(respond_and_continue)
     async with (
         running_server(origin.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
@@ -128,20 +128,20 @@
 
 
 @async_test
-async def test_first_success_of_hedged_attempts_answers_and_cancels_the_other() -> None:
+async def test_first_success_of_hedged_attempts_is_the_response_and_cancels_the_other() -> None:
     def hedge(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request):
             return [model.Forward(event.id, "s1", 5.0), model.Forward(event.id, "s2", 5.0)]
         return []
 
-    silent = ScriptedEndpoint(lambda _number: None)
+    unresponsive = ScriptedEndpoint(lambda _number: None)
     responsive = ScriptedEndpoint()
     async with (
-        running_server(silent.handle_connection) as silent_address,
+        running_server(unresponsive.handle_connection) as unresponsive_address,
         running_server(responsive.handle_connection) as responsive_address,
     ):
         script = ScriptedDecisions(hedge)
-        async with LoopbackLimiter(script, {"s1": silent_address, "s2": responsive_address}) as limiter:
+        async with LoopbackLimiter(script, {"s1": unresponsive_address, "s2": responsive_address}) as limiter:
             limiter.dispatcher.reconfigure(replace(SETTINGS, may_hedge=True))
             assert " 200 " in (await limiter.fetch(http_request()))[0]
             completed = await script.wait_for(model.AttemptCompleted, 2)
@@ -151,14 +151,14 @@
 
 
 def forward_twice(event: model.Event) -> list[model.Action]:
-    """Two attempts at once; what fails is rejected."""
+    """Start two attempts of each request at once."""
     if isinstance(event, model.Request):
         return [model.Forward(event.id, "s1", 5.0), model.Forward(event.id, "s1", 5.0)]
     return []
 
 
 @async_test
-async def test_a_second_attempt_beside_the_first_is_a_violation_and_is_not_sent(
+async def test_a_second_attempt_while_the_first_is_in_flight_is_a_violation_and_is_not_sent(
     no_violations: list[Violation],
 ) -> None:
     origin = ScriptedEndpoint()
@@ -176,12 +176,12 @@
 
 
 @async_test
-async def test_an_unsafe_repeat_is_a_violation_and_is_not_sent(
+async def test_an_unsafe_retry_is_a_violation_and_is_not_sent(
     no_violations: list[Violation], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The first attempt of a request that may not be repeated failed, and may have been executed."""
+    """The first attempt of a request that is not idempotent failed, and may have been executed."""
 
-    def repeat(event: model.Event) -> list[model.Action]:
+    def retry_once(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.AttemptCompleted) and event.attempt == 0:
             return [model.Forward(event.request_id, "s1", 5.0)]
         if isinstance(event, model.AttemptCompleted):
@@ -191,20 +191,20 @@
     origin = ScriptedEndpoint(lambda _number: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     async with (
         running_server(origin.handle_connection) as address,
-        LoopbackLimiter(ScriptedDecisions(repeat), {"s1": address}) as limiter,
+        LoopbackLimiter(ScriptedDecisions(retry_once), {"s1": address}) as limiter,
     ):
         for _ in range(2):
             post = http_request("/post?account=00000000b4d65521", b"abc")
             assert " 502 " in (await limiter.fetch(post))[0]
         assert len(origin.requests) == 2
     assert [violation.invariant for violation in no_violations] == [Invariant.REPEATED_SAFELY] * 2
-    assert caplog.text.count("invariant violated: repeated_safely") == 1  # logged once, with what led to it
+    assert caplog.text.count("invariant violated: repeated_safely") == 1  # logged once, with its attempts
     assert "attempt 0 at s1" in no_violations[0].story and "error after" in no_violations[0].story
     no_violations.clear()
 
 
 @async_test
-async def test_a_second_answer_is_a_violation_and_the_first_one_stays(
+async def test_a_second_response_is_a_violation_and_the_first_one_is_kept(
     no_violations: list[Violation],
 ) -> None:
     script = ScriptedDecisions(lambda _event: [])
@@ -260,7 +260,9 @@
 
 @pytest.mark.parametrize("complete", [True, False])
 @async_test
-async def test_draining_endpoint_gets_nothing_even_if_the_decisions_forward_to_it(complete: bool) -> None:
+async def test_draining_endpoint_receives_no_request_even_if_the_decisions_forward_to_it(
+    complete: bool,
+) -> None:
     origin = ScriptedEndpoint()
     script = ScriptedDecisions(forward_to_s1)
     async with (
@@ -277,7 +279,7 @@
 
 
 @async_test
-async def test_health_checks_and_counter_calls_come_back_as_events() -> None:
+async def test_results_of_health_checks_and_counter_calls_are_events() -> None:
     def check_and_count(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.EndpointUpdate):
             return [model.CheckHealth("s1"), model.IncrementCounter(5, 4.0, 1.0)]
@@ -300,17 +302,20 @@
 
 
 @async_test
-async def test_disconnected_client_gets_no_answer_and_no_attempt(caplog: pytest.LogCaptureFixture) -> None:
+async def test_disconnected_client_gets_no_response_and_no_attempt(caplog: pytest.LogCaptureFixture) -> None:
     script = ScriptedDecisions(lambda _event: [])
     async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
         writer.write(http_request())
         (request,) = await script.wait_for(model.Request)
-        writer.transport.abort()  # a half-close would not do: such a client waits for its answer
+        writer.transport.abort()  # after a half-close a client still waits for its response
         await script.wait_for(model.ClientDisconnected)
         assert not limiter.dispatcher.open_requests and not limiter.listener.open_request_ids
-        too_late: list[model.Action] = [model.Reject(request.id, 0.1), model.Forward(request.id, "s1", 1.0)]
-        script.decide = lambda _event: too_late
+        late_actions: list[model.Action] = [
+            model.Reject(request.id, 0.1),
+            model.Forward(request.id, "s1", 1.0),
+        ]
+        script.decide = lambda _event: late_actions
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert not await script.wait_for(model.AttemptCompleted, 0)
         while limiter.listener.connections:
@@ -320,16 +325,16 @@
 
 
 @async_test
-async def test_open_requests_are_answered_when_the_process_ends() -> None:
-    silent = ScriptedEndpoint(lambda _number: None)
+async def test_open_requests_get_a_response_when_the_process_ends() -> None:
+    unresponsive = ScriptedEndpoint(lambda _number: None)
     script = ScriptedDecisions(forward_to_s1)
     async with (
-        running_server(silent.handle_connection) as address,
+        running_server(unresponsive.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         reader, writer = await limiter.connect()
         writer.write(http_request())
-        await silent.request_received.wait()
+        await unresponsive.request_received.wait()
         limiter.listener.start_draining()
         await limiter.listener.close(0.01)
         limiter.dispatcher.abandon_all()
@@ -339,7 +344,7 @@
 
 
 @async_test
-async def test_charged_units_come_with_a_successful_attempt() -> None:
+async def test_charged_units_are_reported_with_a_successful_attempt() -> None:
     response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Units-Charged: 3\r\n\r\nhi"
     origin = ScriptedEndpoint(lambda _number: response)
     script = ScriptedDecisions(forward_to_s1)
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -1,4 +1,4 @@
-"""Fault detection end to end: the real decisions on real sockets, with endpoints and a counter that fail."""
+"""Fault detection end to end: the real decisions on real sockets, with faulty endpoints and counters."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class RealDecisions(ScriptedDecisions):
-    """The decisions themselves, on a clock that a test may put forward."""
+    """The real decisions, on a clock that a test may advance."""
 
     def __init__(self, settings: model.Settings = SETTINGS) -> None:
         self.now = 1000.0
@@ -42,7 +42,7 @@
 
 
 def decisions_in_real_time() -> ScriptedDecisions:
-    """The decisions themselves; endpoints warm up slowly and are overloaded soon."""
+    """Return the real decisions on a real clock; endpoints warm up slowly and are overloaded early."""
     settings = replace(SETTINGS, initial_capacity=0.15, warm_up_time=15.0, overload_multiple=2.5)
     clock = unix_clock()
     gateway = Gateway(settings, 1, clock())
@@ -50,7 +50,7 @@
 
 
 class ResettingEndpoint:
-    """Accepts connections and resets each of them before a byte has passed."""
+    """Accepts connections and resets each of them before any byte is exchanged."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -66,7 +66,7 @@
 
 @contextmanager
 def resetting_endpoint() -> Iterator[tuple[ResettingEndpoint, str]]:
-    """A resetting endpoint and its address."""
+    """Run a resetting endpoint; yield it with its address."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         host, port = listener.getsockname()
@@ -80,14 +80,14 @@
 async def send_requests(
     limiter: LoopbackLimiter, decisions: RealDecisions, number: int, interval: float
 ) -> None:
-    """Send requests one after the other; the clock of the decisions advances before each."""
+    """Send requests in sequence; the clock of the decisions advances before each."""
     for _ in range(number):
         decisions.now += interval
         await limiter.fetch(http_request())
 
 
 @async_test
-async def test_endpoint_that_resets_new_connections_is_not_taken_as_unreachable() -> None:
+async def test_endpoint_that_resets_new_connections_does_not_count_as_unreachable() -> None:
     decisions = RealDecisions(replace(SETTINGS, warm_up_time=60.0))
     with resetting_endpoint() as (endpoint, address):
         async with LoopbackLimiter(decisions, {"s1": address}) as limiter:
@@ -102,23 +102,23 @@
 
 
 class RecoveringEndpoint:
-    """Keeps its first two requests, then breaks connections until it has recovered."""
+    """Does not respond to its first two requests, then breaks connections until it has recovered."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
         self.recovered = False
-        self.silent = ScriptedEndpoint(lambda _number: None)
+        self.unresponsive = ScriptedEndpoint(lambda _number: None)
         self.breaking = ScriptedEndpoint(lambda _number: OK_RESPONSE if self.recovered else b"")
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         self.writers.append(writer)
-        origin = self.silent if len(self.writers) < 3 else self.breaking
+        origin = self.unresponsive if len(self.writers) < 3 else self.breaking
         await origin.handle_connection(reader, writer)
 
-    async def wait_for_silent_requests(self, number: int) -> None:
-        """Wait until so many requests are kept."""
-        while len(self.silent.requests) < number:
+    async def wait_for_pending_requests(self, number: int) -> None:
+        """Wait until ``number`` requests have no response."""
+        while len(self.unresponsive.requests) < number:
             await asyncio.sleep(0)
 
 
@@ -134,9 +134,9 @@
         decisions = RealDecisions(replace(SETTINGS, max_attempts=1))
         async with LoopbackLimiter(decisions, {"s1": one}) as limiter:
             lookup = asyncio.create_task(limiter.fetch(http_request()))
-            await endpoint.wait_for_silent_requests(1)
+            await endpoint.wait_for_pending_requests(1)
             post = asyncio.create_task(limiter.fetch(http_request("/post?account=00000000b4d65521", b"x")))
-            await endpoint.wait_for_silent_requests(2)
+            await endpoint.wait_for_pending_requests(2)
             for writer, task in zip(endpoint.writers, (lookup, post), strict=True):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 await task
@@ -152,7 +152,7 @@
 
 @async_test
 async def test_resets_common_to_all_endpoints_eject_none_of_them() -> None:
-    """Of each endpoint's responses one in eight is a reset, sometimes two in a row; none of them is down."""
+    """One in eight responses of each endpoint is a reset, sometimes two in a row; no endpoint is down."""
 
     def resetting_origin(shift: int) -> ScriptedEndpoint:
         return ScriptedEndpoint(lambda number: b"" if (number + shift) % 16 in (0, 1) else OK_RESPONSE)
@@ -166,11 +166,11 @@
             for _ in range(400):
                 await send_requests(limiter, decisions, number=1, interval=0.05)
                 ejected += sum(server.ejected_until > decisions.now for server in servers)
-    assert ejected < 120  # of 1200; two resets in a row as the only rule give about half
+    assert ejected < 120  # of 1200; a rule of two resets in a row alone would give about half
 
 
 @async_test
-async def test_connections_that_break_together_are_one_failure() -> None:
+async def test_connections_that_break_together_count_as_one_failure() -> None:
     requests_received = asyncio.Semaphore(0)
     break_connections = asyncio.Event()
 
@@ -194,7 +194,7 @@
 
 
 @async_test
-async def test_response_after_a_single_time_out_does_not_start_a_warm_up() -> None:
+async def test_response_after_a_single_timeout_does_not_start_a_warm_up() -> None:
     origin = ScriptedEndpoint(lambda number: OK_RESPONSE if number > 1 else None)
     lookup = model.RequestClass("lookup", 0.1, 1.0, model.Idempotency.INHERENT)
     settings = replace(SETTINGS, classes=(lookup,), warm_up_time=60.0, max_attempts=1)
@@ -205,7 +205,7 @@
     ):
         task = asyncio.create_task(limiter.fetch(http_request()))
         await origin.request_received.wait()
-        decisions.now += 0.5  # nothing came from the endpoint for as long as the request waited
+        decisions.now += 0.5  # the endpoint is unresponsive while the request waits
         assert " 429 " in (await task)[0]
         (completed,) = await decisions.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT
@@ -215,7 +215,7 @@
 
 @async_test
 async def test_malformed_responses_of_all_endpoints_eject_none_of_them() -> None:
-    """Counted as broken connections they made each endpoint unreachable, then warming up for 15 s."""
+    """Counted as broken connections, they would make each endpoint unreachable and then warm up for 15 s."""
     malformed = b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\nhi"
     origin = ScriptedEndpoint(lambda number: malformed if number % 6 == 0 else OK_RESPONSE)
     async with running_server(origin.handle_connection) as address:
@@ -227,7 +227,7 @@
 
 @async_test
 async def test_single_broken_connections_make_no_endpoint_unreachable() -> None:
-    """Each counted as a crash, and the next response as a restart: soon all endpoints were warming up."""
+    """Counted as crashes, with the next response as a restart, they would have all endpoints warm up."""
     origin = ScriptedEndpoint(lambda number: b"" if number % 6 == 0 else OK_RESPONSE)
     async with running_server(origin.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
@@ -237,7 +237,9 @@
 
 
 @async_test
-async def test_rejected_request_fails_without_a_retry_and_is_no_failure_of_the_endpoint() -> None:
+async def test_rejected_request_fails_without_a_retry_and_does_not_count_as_a_failure_of_the_endpoint() -> (
+    None
+):
     rejection = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
     origin = ScriptedEndpoint(lambda number: rejection if number <= 8 else OK_RESPONSE)
     async with running_server(origin.handle_connection) as address:
@@ -251,7 +253,7 @@
 
 
 class BreakingCounter:
-    """A counter that never replies, and breaks its connection when a test wants it."""
+    """A counter that never replies, and breaks its connection when a test requires it."""
 
     def __init__(self) -> None:
         self.connections: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
@@ -266,7 +268,7 @@
     async def break_connection_under(
         self, fetches: list[Awaitable[tuple[str, dict[str, str], bytes]]], advance: Callable[[], None]
     ) -> None:
-        """Break the connection when each request has made its call; ``advance`` moves the clock."""
+        """Break the connection once each request has made its call; ``advance`` advances the clock."""
         writer = await self.connections.get()
         tasks = [asyncio.ensure_future(fetch) for fetch in fetches]
         for _ in tasks:
@@ -279,11 +281,13 @@
 
 
 @async_test
-async def test_counter_calls_that_end_with_one_connection_are_one_sign_of_an_unresponsive_counter() -> None:
-    plans = (model.Plan("basic", rate=1.0, burst=4.0),)  # so little that the counter is called at once
+async def test_counter_calls_that_end_with_one_connection_are_one_indication_of_an_unresponsive_counter() -> (
+    None
+):
+    plans = (model.Plan("basic", rate=1.0, burst=4.0),)  # a quota so small that the counter is called at once
     settings = replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05)
     decisions = RealDecisions(settings)
-    decisions.now += 10.0  # at the start the usage of other gateways may be more than is left
+    decisions.now += 10.0  # at the start the usage of other gateways may exceed the quota
     accounts = count(1)
     counter = BreakingCounter()
 
@@ -307,18 +311,18 @@
             budget = decisions.gateway.leases.budget
             assert budget.unavailable_until < decisions.now  # calls for further accounts are made
             await counter.break_connection_under(fetches(1), advance)
-            assert budget.unavailable_until > decisions.now  # the second time, and no reply in between
+            assert budget.unavailable_until > decisions.now  # the second failure without a reply in between
         client.close()
 
 
-def test_counter_calls_that_time_out_together_are_one_sign_of_overload() -> None:
+def test_counter_calls_that_time_out_together_are_one_indication_of_overload() -> None:
     budget = CounterBudget(100.0, 4, 0.0)
     rate = budget.rate
-    for number in range(8):  # made together behind one queue, they time out one after the other
+    for number in range(8):  # sent together and queued, they time out in sequence
         offset = number * 0.002
         budget.call_ended(100.030 + offset, model.CallStatus.TIMEOUT, 100.0 + offset)
     assert budget.available(100.05) > 0
     assert budget.rate == pytest.approx(0.9 * rate)
-    # Made after them, and no reply since: the counter is unresponsive.
+    # A later call without a reply since: the counter is unresponsive.
     budget.call_ended(100.090, model.CallStatus.TIMEOUT, 100.06)
     assert budget.available(100.1) == 0
