--- a/quota_gateway/net/counter/__init__.py
+++ b/quota_gateway/net/counter/__init__.py
@@ -1,4 +1,4 @@
 """The client of the shared counter: pipelined calls, the standby connection and failover.
 
-It imports only ``common``.
+It owns the calls that have not completed and the connections, and imports only ``common``.
 """
--- a/quota_gateway/net/dispatch/network_actions.py
+++ b/quota_gateway/net/dispatch/network_actions.py
@@ -9,6 +9,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.counter.line_protocol import CallResult
 from quota_gateway.net.upstream.exchange import Exchange
 from quota_gateway.net.upstream.health_check import health_check_event, new_health_check
 from quota_gateway.net.upstream.pool import ConnectionPool
@@ -42,13 +43,13 @@
     def increment_counter(self, action: model.IncrementCounter) -> None:
         """Call the counter; without one the call ends as unreachable."""
         if self._counter is None:
-            self._on_counter_replied(action.counter_id, model.CallStatus.UNREACHABLE, 0.0)
+            self._on_counter_replied(action.counter_id, CallResult(model.CallStatus.UNREACHABLE))
         else:
             on_reply = partial(self._on_counter_replied, action.counter_id)
             self._counter.increment(action.counter_id, action.amount, action.lifetime, on_reply)
 
-    def _on_counter_replied(self, counter_id: int, status: model.CallStatus, total: float) -> None:
-        self._dispatch(model.CounterReplied(counter_id, status, total))
+    def _on_counter_replied(self, counter_id: int, result: CallResult) -> None:
+        self._dispatch(model.CounterReplied(counter_id, result.status, result.total))
 
     def check_health(self, action: model.CheckHealth) -> None:
         """Send a health check to an endpoint."""
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -92,7 +92,7 @@
         client = CounterClient("127.0.0.1", 1, COUNTER_TIMEOUT)  # never started: the calls stay queued
         tracemalloc.start()
         for number in range(count):
-            client.increment(FIRST_COUNTER + number, 1.0, LIFETIME, lambda _status, _total: None)
+            client.increment(FIRST_COUNTER + number, 1.0, LIFETIME, lambda _result: None)
         return MemoryUse(allocated_bytes())
 
     return uvloop.run(main())
--- a/scale/messages/counter_bytes.py
+++ b/scale/messages/counter_bytes.py
@@ -10,6 +10,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.counter.line_protocol import CallResult
 from scale.messages.counting_stand_in import REPLY_TIMEOUT, CountingStandIn
 
 CALLS = 200  # whose bytes are counted
@@ -51,13 +52,13 @@
         self._missing = expected
         self.all_received: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def on_reply(self, status: model.CallStatus, _total: float) -> None:
+    def on_reply(self, result: CallResult) -> None:
         """Count a reply."""
         self._missing -= 1
         if self.all_received.done():
             return
-        if status is not model.CallStatus.OK:
-            self.all_received.set_exception(ConnectionError(f"a call ended as {status.value}"))
+        if result.status is not model.CallStatus.OK:
+            self.all_received.set_exception(ConnectionError(f"a call ended as {result.status.value}"))
         elif not self._missing:
             self.all_received.set_result(None)
 
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The client of the shared counter over loopback sockets: order, time-outs, lost connections, moves."""
+"""The client of the shared counter over loopback sockets: order, timeouts, lost connections, addresses."""
 
 from __future__ import annotations
 
@@ -6,17 +6,20 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from random import Random
+from typing import NamedTuple
 
 import pytest
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.counter import client as counter_client
+from quota_gateway.net.counter import connections as counter_connections
 from quota_gateway.net.counter.client import CounterClient
+from quota_gateway.net.counter.line_protocol import CallResult
 from tests.loopback import async_test, running_server
 
 
 class CounterServer:
-    """A counter whose answers a test writes; ``requests`` are the lines that it has read."""
+    """A counter whose replies are written by a test; ``requests`` are the lines that it has received."""
 
     def __init__(self) -> None:
         self.requests = asyncio.Queue[bytes]()
@@ -29,33 +32,39 @@
             self.requests.put_nowait(request)
 
 
+class ConnectedClient(NamedTuple):
+    """A client, its counter and the counter's side of their connection."""
+
+    server: CounterServer
+    writer: asyncio.StreamWriter
+    client: CounterClient
+
+
 @asynccontextmanager
 async def connected(
     timeout: float,
-) -> AsyncIterator[tuple[CounterServer, asyncio.StreamWriter, CounterClient]]:
-    """A client with an open connection, its server and the server's side of the connection."""
+) -> AsyncIterator[ConnectedClient]:
+    """Run a client with an open connection, and its counter."""
     server = CounterServer()
     async with running_server(server.serve) as address:
         host, port = address.split(":")
         client = CounterClient(host, int(port), timeout)
         client.start()
         try:
-            yield server, await server.connections.get(), client
+            yield ConnectedClient(server, await server.connections.get(), client)
         finally:
             client.close()
 
 
-def increment(
-    client: CounterClient, counter_id: int, amount: float = 1.0
-) -> asyncio.Future[tuple[CallStatus, float]]:
-    """Make a call; the future gets its status and total."""
+def increment(client: CounterClient, counter_id: int, amount: float = 1.0) -> asyncio.Future[CallResult]:
+    """Make a call; return a future of its result."""
     result = asyncio.get_running_loop().create_future()
-    client.increment(counter_id, amount, 4.0, lambda status, total: result.set_result((status, total)))
+    client.increment(counter_id, amount, 4.0, result.set_result)
     return result
 
 
 @async_test
-async def test_calls_are_pipelined_and_answered_in_order() -> None:
+async def test_calls_are_pipelined_and_get_their_replies_in_order() -> None:
     async with connected(10.0) as (server, writer, client):
         results = [
             increment(client, 7, -2.5),
@@ -78,10 +87,12 @@
 
 
 @async_test
-async def test_timed_out_call_keeps_its_place_in_the_pipeline(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_late_reply_to_a_timed_out_call_does_not_complete_the_next(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with connected(0.05) as (server, writer, client):
         # The connection is slow, not unresponsive.
-        monkeypatch.setattr(client, "_fail_over_from_unresponsive", lambda _call: None)
+        monkeypatch.setattr(client.connections, "fail_over_from_unresponsive", lambda _call: None)
         assert await increment(client, 1) == (CallStatus.TIMEOUT, 0.0)
         client.set_timeout(10.0)
         second = increment(client, 2)
@@ -95,7 +106,7 @@
 async def test_unresponsive_connection_is_replaced_by_the_standby() -> None:
     async with connected(0.05) as (server, _unresponsive, client):
         standby = await server.connections.get()  # opened before any call
-        while client._standby is None:
+        while client.connections.standby is None:
             await asyncio.sleep(0.001)
         timed_out = increment(client, 1)
         await server.requests.get()
@@ -109,7 +120,7 @@
 
 
 @async_test
-async def test_standby_is_replaced_when_lost_and_follows_the_address() -> None:
+async def test_standby_is_replaced_when_it_is_lost_or_the_address_changes() -> None:
     async with connected(10.0) as (server, _active, client):
         standby = await server.connections.get()
         standby.transport.abort()
@@ -127,11 +138,11 @@
 
 
 @async_test
-async def test_lost_connection_resets_written_calls_and_spares_unsent_ones() -> None:
+async def test_lost_connection_resets_written_calls_and_keeps_unsent_ones() -> None:
     async with connected(10.0) as (server, writer, client):
         written = increment(client, 1)
         await server.requests.get()
-        connection = client._active
+        connection = client.connections.active
         assert connection is not None
         connection.pause_writing()  # as with a full socket buffer
         partly_written = increment(client, 2)
@@ -141,7 +152,7 @@
         await server.requests.get()
         writer.transport.abort()
         assert (await written)[0] is CallStatus.RESET_AFTER_REQUEST
-        # The last request that was handed over while writing was paused.
+        # The last request that was passed to the transport before writing was paused.
         assert (await partly_written)[0] is CallStatus.UNREACHABLE
         writer = await server.connections.get()  # reconnected at once
         assert (await server.requests.get()).startswith(b"tally 3 ")
@@ -158,7 +169,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "reply",
     [
         b"ok many\r\n",
         b"ok nan\r\n",
@@ -170,13 +181,13 @@
     ],
 )
 @async_test
-async def test_malformed_answer_fails_calls_in_flight_and_a_new_connection_serves(answer: bytes) -> None:
+async def test_malformed_reply_fails_calls_in_flight_and_a_new_connection_is_used(reply: bytes) -> None:
     async with connected(10.0) as (server, writer, client):
         first = increment(client, 1)
         second = increment(client, 2)
         for _ in range(2):
             await server.requests.get()
-        writer.write(answer + b"ok 5\r\n" * answer.endswith(b"\n"))  # must not answer the second call
+        writer.write(reply + b"ok 5\r\n" * reply.endswith(b"\n"))  # no reply to the second call
         assert [await first, await second] == [(CallStatus.MALFORMED, 0.0)] * 2
         third = increment(client, 3)  # sent on the new connection
         writer = await server.connections.get()
@@ -186,17 +197,17 @@
 
 
 @async_test
-async def test_move_connects_before_it_disconnects_and_results_keep_their_order() -> None:
+async def test_old_connection_is_used_until_the_new_address_is_connected_and_results_stay_in_order() -> None:
     new_server = CounterServer()
     async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
         in_flight = increment(client, 7)
         await old_server.requests.get()
         host, port = address.split(":")
         client.set_address(host, int(port))
-        during = increment(client, 8)  # the new connection is not open: the old one still serves
+        during = increment(client, 8)  # the new connection is not open: the old one is still used
         assert (await old_server.requests.get()).startswith(b"tally 8 ")
         new = await new_server.connections.get()
-        while client._active is None or client._active.address[1] != int(port):
+        while (active := client.connections.active) is None or active.address.port != int(port):
             await asyncio.sleep(0.001)
         later = increment(client, 7)
         other = increment(client, 9)
@@ -208,13 +219,13 @@
         old.write(b"ok 1\r\nok 8\r\n")
         results = [await in_flight, await later, await during]
         assert results == [(CallStatus.OK, 1.0), (CallStatus.OK, 2.0), (CallStatus.OK, 8.0)]
-        assert not client._order
-        while client._draining:  # and the old connection closes by itself
+        assert not client.pending_counters
+        while client.connections.draining:  # the old connection closes by itself
             await asyncio.sleep(0.001)
 
 
 @async_test
-async def test_second_move_overtakes_the_first_and_a_dead_address_leaves_the_old_connection_active() -> None:
+async def test_unreachable_address_leaves_the_old_connection_active_and_a_newer_one_replaces_it() -> None:
     new_server = CounterServer()
     async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
         host, port = address.split(":")
@@ -232,16 +243,16 @@
 async def test_idle_connection_is_pinged_and_an_unresponsive_one_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(counter_client, "CHECK_INTERVAL", 0.01)
-    monkeypatch.setattr(counter_client, "PING_INTERVAL", 0.02)
-    monkeypatch.setattr(counter_client, "UNRESPONSIVE_TIMEOUTS", 0.01)
+    monkeypatch.setattr(counter_client, "CHECK_INTERVAL_SECONDS", 0.01)
+    monkeypatch.setattr(counter_connections, "PING_INTERVAL_SECONDS", 0.02)
+    monkeypatch.setattr(counter_client, "MAX_REPLY_TIMEOUTS", 0.01)
     async with connected(10.0) as (server, _, _):
         assert await server.requests.get() == b"ping\r\n"
         await server.connections.get()  # no pong was sent: a new connection
 
 
 @async_test
-async def test_malformed_answers_are_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+async def test_malformed_replies_are_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
         writer.write(b"ok nan\r\n")
@@ -253,7 +264,7 @@
         for counter_id in range(3):
             assert (await increment(client, counter_id))[0] is CallStatus.MALFORMED
         client.close()
-    assert sum("malformed answer of the counter" in record.getMessage() for record in caplog.records) == 1
+    assert sum("malformed reply of the counter" in record.getMessage() for record in caplog.records) == 1
 
 
 @pytest.mark.parametrize(
@@ -265,21 +276,20 @@
     timeout: float, waited: float, closed: bool
 ) -> None:
     async with connected(timeout) as (_, _, client):
-        client.increment(1, 1.0, 10.0, lambda _status, _total: None)
-        while (connection := client._active) is None or not connection.in_flight:
+        client.increment(1, 1.0, 10.0, lambda _result: None)
+        while (connection := client.connections.active) is None or not connection.in_flight:
             await asyncio.sleep(0.001)
-        connection.in_flight[0].sent_at -= waited
-        assert client._check_timer is not None
-        client._check_timer.cancel()
-        client._check()
+        call = connection.in_flight[0]
+        call.mark_sent(call.sent_at - waited)
+        client.check()
         assert connection.usable is not closed
 
 
 @async_test
 async def test_failed_connects_are_retried_with_backoff() -> None:
-    client = CounterClient("127.0.0.1", 1, 0.05, Random(1))  # nobody listens there
+    client = CounterClient("127.0.0.1", 1, 0.05, Random(1))  # no counter listens there
     client.start()
-    connector = client._connector
+    connector = client.connections.connector
     while connector.consecutive_failures < 4:
         await asyncio.sleep(0.01)
     assert connector.next_attempt_at - connector.last_attempt_at >= 0.4
