--- a/quota_gateway/lifecycle/components.py
+++ b/quota_gateway/lifecycle/components.py
@@ -13,6 +13,7 @@
 from quota_gateway.net.common.metrics import Metrics
 from quota_gateway.net.counter.client import CounterClient
 from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.poll_timing import PollTiming
 from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock, unix_offset
 from quota_gateway.net.process_group.group import ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
@@ -72,13 +73,8 @@
 
 
 def _build_discovery_client(timing: Timing, dispatcher: Dispatcher, rng: Random) -> DiscoveryClient:
-    return DiscoveryClient(
-        dispatcher.on_watch_event,
-        client_count=timing.client_count,
-        rng=rng,
-        answer_timeout=timing.answer_timeout,
-        max_poll_interval=timing.max_poll_interval,
-    )
+    poll_timing = PollTiming(timing.client_count, timing.answer_timeout, timing.max_poll_interval)
+    return DiscoveryClient(dispatcher.on_watch_event, poll_timing, rng)
 
 
 def _build_gateway(config: Config, now: float) -> Gateway:
--- a/quota_gateway/net/discovery/client.py
+++ b/quota_gateway/net/discovery/client.py
@@ -6,37 +6,37 @@
 from collections.abc import Callable
 from random import Random
 
-from quota_gateway.net.common.backoff import MAX_POLL_INTERVAL
+from quota_gateway.net.discovery.contact import DiscoveryContact
+from quota_gateway.net.discovery.poll_timing import DEFAULT_POLL_TIMING, PollTiming
 from quota_gateway.net.discovery.watch_event import WatchEvent
-from quota_gateway.net.discovery.watcher import SILENCE_TIMEOUT, DiscoveryContact, EndpointWatcher
+from quota_gateway.net.discovery.watcher import EndpointWatcher
 
 
 class DiscoveryClient:
-    """Follows discovery at the newest address, and at the previous one until the newest has sent an event."""
+    """Follows discovery at the newest address, and at the previous one until the newest has sent an event.
+
+    The tasks of both watches are owned here; events of a cancelled watch are dropped.
+    """
 
     def __init__(
         self,
         on_event: Callable[[WatchEvent], None],
-        client_count: int = 1,
+        timing: PollTiming = DEFAULT_POLL_TIMING,
         rng: Random | None = None,
-        answer_timeout: float = SILENCE_TIMEOUT,
-        max_poll_interval: float = MAX_POLL_INTERVAL,
     ) -> None:
-        """Prepare a client without an address; the parameters are those of ``EndpointWatcher``."""
+        """Create a client without an address; ``rng`` draws the jitter of the polls."""
         self._on_event = on_event
-        self._client_count = client_count
+        self._timing = timing
         self._rng = rng or Random()
-        self._answer_timeout = answer_timeout
-        self._max_poll_interval = max_poll_interval
         self._contact = DiscoveryContact()
         self._address: tuple[str, int] | None = None
         self._established: asyncio.Task[None] | None = None  # the watch that sent the last event
-        self._candidate: asyncio.Task[None] | None = None  # the watch at the newest address, before its first
+        self._candidate: asyncio.Task[None] | None = None  # the watch at the newest address, without an event
 
     def set_address(self, host: str, port: int, since_version: int | None = None) -> None:
         """Follow discovery at another address.
 
-        Without a version discovery sends the complete list: another one need not have the same versions.
+        Without a version discovery sends the complete list: its versions may differ from address to address.
         """
         if (host, port) == self._address:
             return
@@ -48,15 +48,7 @@
             self._deliver(task, event)
 
         watcher = EndpointWatcher(
-            host,
-            port,
-            since_version,
-            deliver,
-            client_count=self._client_count,
-            rng=self._rng,
-            answer_timeout=self._answer_timeout,
-            max_poll_interval=self._max_poll_interval,
-            contact=self._contact,
+            host, port, since_version, deliver, self._timing, rng=self._rng, contact=self._contact
         )
         task = self._candidate = asyncio.get_running_loop().create_task(watcher.follow())
 
@@ -73,5 +65,5 @@
             self._candidate = None
             if previous is not None:
                 previous.cancel()
-        if task is self._established:  # a cancelled watch may still send an event
+        if task is self._established:
             self._on_event(event)
--- a/quota_gateway/net/discovery/watch_event.py
+++ b/quota_gateway/net/discovery/watch_event.py
@@ -14,19 +14,24 @@
     "draining": model.EndpointHealth.DRAINING,
     "gone": model.EndpointHealth.REMOVED,
 }
+MILLISECONDS_PER_SECOND = 1000
+
+
+class MalformedEventError(ValueError):
+    """A message is not an event of the watch."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """An endpoint list, complete or changes only, with the addresses of its endpoints."""
+    """An endpoint list, complete or only its changes, with the addresses of its endpoints."""
 
     version: int
     update: model.EndpointUpdate
-    addresses: dict[str, str]  # ``host:port`` by endpoint name; empty where a removed endpoint has none
+    addresses: dict[str, str]  # ``host:port`` by endpoint name; empty for a removed endpoint without one
 
 
 def parse_watch_event(raw: Any) -> WatchEvent:
-    """Return the event in a decoded message; raises ``ValueError`` where the message is malformed."""
+    """Return the event in a decoded message; raise ``MalformedEventError`` if the message is malformed."""
     try:
         endpoints = []
         addresses = {}
@@ -38,7 +43,7 @@
         update = model.EndpointUpdate(tuple(endpoints), complete=bool(raw.get("whole")))
         return WatchEvent(version, update, addresses)
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise ValueError(f"not an endpoint list: {error!r:.80}") from None
+        raise MalformedEventError(f"not an endpoint list: {error!r:.80}") from None
 
 
 def _parse_host(host: dict[str, Any]) -> tuple[model.Endpoint, str]:
@@ -46,11 +51,11 @@
     health = HEALTH_STATES[host["health"]]
     address = str(host.get("dial") or "")
     if address or health is not model.EndpointHealth.REMOVED:
-        split_address(address)  # raises ValueError where it is malformed
+        split_address(address)  # raises ValueError if it is malformed
     name = str(host["host"])
-    started_at = float(host.get("born_ms") or 0) / 1000
+    started_at = float(host.get("born_ms") or 0) / MILLISECONDS_PER_SECOND
     if not math.isfinite(started_at):
-        raise ValueError("a start that is no time")
+        raise ValueError("born_ms is not finite")
     weight = float(host.get("share") or 1.0)
     cell = int(host.get("block") or 0)
     zone = str(host.get("site") or "")
--- /dev/null
+++ b/quota_gateway/net/discovery/watch_log.py
@@ -0,0 +1,41 @@
+"""Counts of the watch's requests and lines, for one log line."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections import Counter
+from enum import StrEnum
+
+log = logging.getLogger(__name__)
+
+LOG_INTERVAL_SECONDS = 10.0  # the least between two log lines
+
+
+class WatchOutcome(StrEnum):
+    """What is counted; the values are the words in the log line."""
+
+    RECEIVED = "received"  # an event
+    DROPPED = "dropped"  # a malformed line
+    FAILED = "failed"  # a request or the watch that it started
+
+
+class WatchLog:
+    """Counts outcomes since the last log line."""
+
+    __slots__ = ("_counts", "_logged_at")
+
+    def __init__(self) -> None:
+        """Begin without counts."""
+        self._counts = Counter[WatchOutcome]()
+        self._logged_at = 0.0  # seconds of the event loop's clock
+
+    def record(self, outcome: WatchOutcome) -> None:
+        """Count an outcome, and log the counts if the last log line is old enough."""
+        self._counts[outcome] += 1
+        now = asyncio.get_running_loop().time()
+        if now - self._logged_at > LOG_INTERVAL_SECONDS:
+            counts = ", ".join(f"{each.value} {count}" for each, count in sorted(self._counts.items()))
+            log.info("discovery watch: %s", counts)
+            self._counts.clear()
+            self._logged_at = now
--- /dev/null
+++ b/quota_gateway/net/discovery/watch_request.py
@@ -0,0 +1,163 @@
+"""One request for discovery's watch, and the event stream of its response."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+from dataclasses import replace
+from typing import Protocol
+
+import httptools
+
+from quota_gateway.net.discovery.contact import DiscoveryContact
+from quota_gateway.net.discovery.poll_timing import SILENCE_TIMEOUT_SECONDS
+from quota_gateway.net.discovery.watch_event import MalformedEventError, WatchEvent, parse_watch_event
+
+log = logging.getLogger(__name__)
+
+QUEUE_TIMEOUT_SECONDS = 60.0  # for which a request may wait for the head of its response
+MAX_LINE_BYTES = 4 * 1024 * 1024
+READ_BYTES = 65536
+STATUS_OK = 200
+STATUS_TOO_MANY_REQUESTS = 429
+MIN_SERVER_ERROR_STATUS = 500
+
+
+class RequestOwner(Protocol):
+    """Receives the events of a request: the watcher."""
+
+    host: str
+    port: int
+    since_version: int | None  # the version from which a watch resumes; None for the complete list
+    contact: DiscoveryContact
+
+    def on_response_started(self, request: WatchRequest) -> None:
+        """The request has received the head of a successful response: it is the watch now."""
+
+    def on_version_rejected(self) -> None:
+        """Discovery rejected the request, possibly because of the version."""
+
+    def on_ended(self, cause: str) -> None:
+        """The request or its event stream has ended."""
+
+    def on_malformed_line(self, error: Exception) -> None:
+        """A line was dropped."""
+
+    def on_event(self, event: WatchEvent, *, resumable: bool) -> None:
+        """An event was received; ``resumable`` if no line before it was dropped."""
+
+    def permit_restart(self, now: float) -> bool:
+        """Whether the watch may restart for a dropped line."""
+
+
+class WatchRequest:
+    """A request to discovery, from its connect to the end of the event stream.
+
+    The response parser calls the ``on_`` methods.
+    """
+
+    def __init__(self, owner: RequestOwner, response_timeout: float) -> None:
+        """Start the request; connecting may take ``response_timeout`` seconds."""
+        self._owner = owner
+        self._loop = asyncio.get_running_loop()
+        self._buffer = b""  # an incomplete line
+        self._event_lost = False  # a line was malformed
+        self.received_event = False
+        self.started_at = self._loop.time()
+        self.last_line_at = self.started_at
+        self._deadline = self.started_at + response_timeout
+        self._parser = httptools.HttpResponseParser(self)
+        self.task = self._loop.create_task(self._run())
+
+    async def _run(self) -> None:
+        try:
+            await self._follow()
+        except (OSError, httptools.HttpParserError) as error:  # TimeoutError is an OSError
+            cause = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else error
+            self._owner.on_ended(repr(cause))
+        except Exception:
+            log.exception("the watch on discovery failed")
+
+    async def _follow(self) -> None:
+        async with asyncio.timeout_at(self._deadline):
+            reader, writer = await asyncio.open_connection(self._owner.host, self._owner.port)
+        self._deadline = self.started_at + QUEUE_TIMEOUT_SECONDS
+        try:
+            writer.write(self._request())
+            while True:
+                await self._read(reader)
+                self._restart_if_event_lost()
+        finally:
+            writer.transport.abort()
+
+    def _request(self) -> bytes:
+        owner = self._owner
+        since = "" if owner.since_version is None else f"&since={owner.since_version}"
+        host = f"Host: {owner.host}:{owner.port}"
+        return f"GET /v1/servers?follow=1{since} HTTP/1.1\r\n{host}\r\n\r\n".encode()
+
+    async def _read(self, reader: asyncio.StreamReader) -> None:
+        async with asyncio.timeout_at(self._deadline):
+            data = await reader.read(READ_BYTES)
+        if not data:
+            raise ConnectionError("closed by discovery")
+        self._parser.feed_data(data)
+
+    def _restart_if_event_lost(self) -> None:
+        """End a watch in which a line was dropped: it may have held a change that no later line repeats."""
+        if self._event_lost and self._owner.permit_restart(self._loop.time()):
+            raise ConnectionError("an event was lost in a malformed line")
+
+    # Callbacks of httptools. It wraps the errors that they raise, and ``_run`` unwraps them.
+
+    def on_headers_complete(self) -> None:
+        """Handle the head of the response."""
+        status = self._parser.get_status_code()
+        if status != STATUS_OK:
+            # An overloaded discovery is not asked for the complete list, which would increase its load.
+            if status < MIN_SERVER_ERROR_STATUS and status != STATUS_TOO_MANY_REQUESTS:
+                self._owner.on_version_rejected()
+            raise ConnectionError(f"status {status}")
+        self._extend_deadline()
+        self._owner.on_response_started(self)
+
+    def on_body(self, body: bytes) -> None:
+        """Handle a part of the event stream, which may end within a line."""
+        *lines, self._buffer = (self._buffer + body).split(b"\n")
+        for line in lines:
+            self._on_line(line.strip())
+        if len(self._buffer) > MAX_LINE_BYTES:
+            raise ConnectionError(f"a line over {MAX_LINE_BYTES} bytes without an end")
+
+    def on_message_complete(self) -> None:
+        """Handle the end of the response: discovery does not end a watch in normal operation."""
+        raise ConnectionError("the watch was ended")
+
+    def _extend_deadline(self) -> None:
+        self._deadline = self._loop.time() + SILENCE_TIMEOUT_SECONDS
+
+    def _on_line(self, line: bytes) -> None:
+        self._extend_deadline()
+        self.last_line_at = self._loop.time()
+        seconds_since_contact = self._owner.contact.renew(self.last_line_at)
+        if not line:  # a heartbeat
+            return
+        try:
+            event = _parse_line(line)
+        except (ValueError, RecursionError) as error:
+            self._event_lost = True
+            self._owner.on_malformed_line(error)
+        else:
+            self.received_event = True
+            update = replace(event.update, seconds_since_contact=seconds_since_contact)
+            self._owner.on_event(replace(event, update=update), resumable=not self._event_lost)
+
+
+def _parse_line(line: bytes) -> WatchEvent:
+    """Return the event in a line; raise ``ValueError`` or ``RecursionError`` if the line is malformed."""
+    event = parse_watch_event(json.loads(line))
+    if event.update.complete and not event.update.endpoints:
+        # Discovery may have lost its state.
+        raise MalformedEventError("an empty list: the last one is kept")
+    return event
--- a/scale/fleet/endpoint_watch.py
+++ b/scale/fleet/endpoint_watch.py
@@ -6,7 +6,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.common.backoff import poll_delay
-from quota_gateway.net.discovery.watcher import SILENCE_TIMEOUT
+from quota_gateway.net.discovery.poll_timing import SILENCE_TIMEOUT_SECONDS
 from scale.fleet.discovery import EndpointHistory
 from scale.fleet.mailbox import Mailbox
 from scale.fleet.messages import (
@@ -77,7 +77,9 @@
     def schedule_loss(self) -> None:
         """Have a far limiter find out that its watch ended with the partition."""
         if self._calls_discovery and self._world.topology.region(self._zone):
-            self._mailbox.schedule(self._world.schedule.partition.begin + SILENCE_TIMEOUT, WatchLost())
+            self._mailbox.schedule(
+                self._world.schedule.partition.begin + SILENCE_TIMEOUT_SECONDS, WatchLost()
+            )
 
     def reconnect(self, now: float, incarnation: int) -> None:
         """Give up the watch and call discovery anew."""
@@ -99,7 +101,9 @@
             return
         self._call_id = self._mailbox.next_number()
         self._tally.at(now)["discovery calls"] += 1
-        self._mailbox.schedule(now + SILENCE_TIMEOUT, DiscoveryCallTimedOut(incarnation, self._call_id))
+        self._mailbox.schedule(
+            now + SILENCE_TIMEOUT_SECONDS, DiscoveryCallTimedOut(incarnation, self._call_id)
+        )
         if not self._world.faults.partitioned(self._zone, COORDINATION_ZONE, now):
             draw = pair_draw(self._index, COORDINATION_ZONE)
             arrives_at = now + self._world.topology.delay(self._zone, COORDINATION_ZONE, draw)
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -19,6 +19,7 @@
 import uvloop
 
 from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.poll_timing import PollTiming
 from quota_gateway.net.discovery.watch_event import WatchEvent
 from quota_gateway.settings_parser import parse_timing
 from scale.model import BrokenRunError, Effort
@@ -74,10 +75,8 @@
         self._clients = [
             DiscoveryClient(
                 partial(self._on_event, number),
-                timing.client_count,
+                PollTiming(timing.client_count, timing.answer_timeout, timing.max_poll_interval),
                 Random((seed << SEED_SHIFT) + number),
-                timing.answer_timeout,
-                timing.max_poll_interval,
             )
             for number in range(case.limiters)
         ]
--- a/tests/discovery_server.py
+++ b/tests/discovery_server.py
@@ -1,4 +1,4 @@
-"""Servers that act as discovery, on loopback sockets, and the messages that they send."""
+"""Servers that act as discovery on loopback sockets, and their messages."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 import pytest
 
 from quota_gateway.net.common import backoff
-from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery import poll_timing, watch_request
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 OVERLOADED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 def message(seq: int, health: str = "ready", **changes: Any) -> bytes:
-    """A line of the watch, with one host; a complete list where ``seq`` is 1."""
+    """Return a line of the watch, with one host; a complete list if ``seq`` is 1."""
     host = {
         "host": "s1", "dial": "10.1.0.18:7070", "site": "a", "class": "m2", "block": 3,
         "health": health, "share": 1.5, "born_ms": 1_800_000_000_250,
@@ -25,20 +25,20 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """A chunk of a response with chunked transfer encoding."""
+    """Return a chunk of a response with chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 async def read_request_path(reader: asyncio.StreamReader) -> str:
-    """Read the head of a request; its path and query."""
+    """Read the head of a request; return its path and query."""
     head = await reader.readuntil(b"\r\n\r\n")
     return head.decode().split()[1]
 
 
 class ScriptedDiscovery:
-    """Each connection gets the next of the scripts, whose chunks are written one by one.
+    """Writes to each connection the chunks of the next script.
 
-    Then it is closed if ``end`` is set, unless the script was the last one.
+    The connection is closed then if ``end`` is set, unless the script was the last one.
     """
 
     def __init__(self, *scripts: list[bytes], end: bool = True) -> None:
@@ -58,11 +58,11 @@
 
 
 class QueueingDiscovery:
-    """Answers requests one by one, those of clients that have disconnected as well."""
+    """Responds to requests in sequence, also to those of clients that have disconnected."""
 
-    def __init__(self, answers_per_second: float) -> None:
+    def __init__(self, responses_per_second: float) -> None:
         self.open_connections = 0
-        self._interval = 1 / answers_per_second
+        self._interval = 1 / responses_per_second
         self._queue = asyncio.Queue[asyncio.Event]()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -82,7 +82,7 @@
             self.open_connections -= 1
 
     async def process_queue(self) -> None:
-        """Give the requests their turns until cancelled."""
+        """Let the requests have their turns until cancelled."""
         while True:
             turn = await self._queue.get()
             await asyncio.sleep(self._interval)
@@ -90,7 +90,12 @@
 
 
 def scale_times(monkeypatch: pytest.MonkeyPatch, factor: float) -> None:
-    """Multiply the time-outs and delays of the watch, so that a test takes less time."""
-    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", endpoint_watch.SILENCE_TIMEOUT * factor)
-    for name in ("POLL_SPREAD_PER_CLIENT", "MIN_POLL_SPREAD", "MAX_FIRST_POLL_SPREAD"):
+    """Multiply the timeouts and delays of the watch, to shorten a test."""
+    silence_timeout = poll_timing.SILENCE_TIMEOUT_SECONDS * factor
+    monkeypatch.setattr(watch_request, "SILENCE_TIMEOUT_SECONDS", silence_timeout)
+    for name in (
+        "POLL_SPREAD_PER_CLIENT_SECONDS",
+        "MIN_POLL_SPREAD_SECONDS",
+        "MAX_FIRST_POLL_SPREAD_SECONDS",
+    ):
         monkeypatch.setattr(backoff, name, getattr(backoff, name) * factor)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Back-off: how the attempts of a fleet spread, and by when each of them comes."""
+"""Backoff: the spread of a fleet's attempts, and the latest time of each."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import pytest
 
-from quota_gateway.net.common.backoff import MAX_POLL_INTERVAL, poll_delay, reconnect_delay
-from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.common.backoff import MAX_POLL_INTERVAL_SECONDS, poll_delay, reconnect_delay
+from quota_gateway.net.discovery.poll_timing import SILENCE_TIMEOUT_SECONDS
 from quota_gateway.settings_parser import parse_timing
 
 
-def test_reconnects_are_spread_and_grow_rarer() -> None:
+def test_reconnects_are_spread_and_their_delays_grow() -> None:
     assert [reconnect_delay(failures, 1.0) for failures in (1, 2, 3, 4, 5, 5000)] == [
         0.1, 0.2, 0.4, 0.8, 0.8, 0.8,
     ]  # fmt: skip
@@ -23,8 +23,8 @@
 
 
 def test_polls_of_a_fleet_that_lost_discovery_together_do_not_stay_in_phase() -> None:
-    """Forty limiters poll in the same moment and fail. All have to poll within what is left of the 6 s after
-    a return, so that the mean of a second is the least that can be: no second gets twice that."""
+    """Forty limiters poll at the same time and fail. All must poll within the rest of the 6 s after a return,
+    which fixes the mean of polls a second: no second may have more than twice the mean."""
     rngs = [Random(seed) for seed in range(40)]
     first_polls = [poll_delay(40, 0, rng.random()) for rng in rngs]
     max_per_second = max(
@@ -37,7 +37,7 @@
             polled_at + poll_delay(40, failures, rng.random())
             for polled_at, rng in zip(polls, rngs, strict=True)
         ]
-    begin = max(polls) - MAX_POLL_INTERVAL / 2
+    begin = max(polls) - MAX_POLL_INTERVAL_SECONDS / 2
     all_polls = [
         polled_at for rng, first in zip(rngs, polls, strict=True) for polled_at in later_polls(first, rng, 12)
     ]
@@ -45,12 +45,14 @@
         sum(begin + second <= polled_at < begin + second + 1 for polled_at in all_polls)
         for second in range(20)
     ]
-    assert max(polls_by_second) <= 2 * 40 / MAX_POLL_INTERVAL, f"they poll in phase: {polls_by_second}"
+    assert max(polls_by_second) <= 2 * 40 / MAX_POLL_INTERVAL_SECONDS, (
+        f"they poll in phase: {polls_by_second}"
+    )
     assert poll_delay(3, 0, 0.99) <= 0.25 and poll_delay(3, 9, 0.99) <= 1.0
 
 
 def later_polls(first: float, rng: Random, count: int) -> list[float]:
-    """The times of a limiter's polls after many failures."""
+    """Return the times of a limiter's polls after many failures."""
     polls = [first]
     for _ in range(count):
         polls.append(polls[-1] + poll_delay(40, 9, rng.random()))
@@ -58,8 +60,8 @@
 
 
 @pytest.mark.parametrize("client_count", [1, 3, 40, 200, 420, 2000])
-def test_polls_are_close_enough_to_leave_time_for_an_answer_in_six_seconds(client_count: int) -> None:
-    """Whatever is allowed after a failed poll, an update must be known 6 s after a return."""
+def test_polls_leave_time_for_a_response_within_six_seconds(client_count: int) -> None:
+    """An update must be known 6 s after a return, at any delay after a failed poll."""
     timing = parse_timing({"discovery": "ask", "n_instances": client_count})
     for failures in range(1, 40):
         for elapsed in (0.0, 0.5, timing.answer_timeout, timing.max_poll_interval, 30.0):
@@ -69,7 +71,7 @@
             assert interval <= max(4.5, elapsed), "a return just after a poll is found too late"
     assert (
         timing.answer_timeout <= timing.max_poll_interval <= 4.5
-        and timing.max_poll_interval == MAX_POLL_INTERVAL
+        and timing.max_poll_interval == MAX_POLL_INTERVAL_SECONDS
     )
 
 
@@ -79,29 +81,29 @@
     assert parse_timing(raw | {"discovery": "push"}).client_count == parse_timing({}).client_count == 1
 
 
-def test_first_poll_of_a_fleet_of_any_size_leaves_time_for_an_answer() -> None:
-    """An update must be known 6 s after a silence began and 4 s after a move."""
+def test_first_poll_of_a_fleet_of_any_size_leaves_time_for_a_response() -> None:
+    """An update must be known 6 s after discovery becomes unresponsive and 4 s after its address changes."""
     for client_count in (1, 40, 200, 1000):
-        assert endpoint_watch.SILENCE_TIMEOUT + poll_delay(client_count, 0, 1.0) < 5.5
+        assert SILENCE_TIMEOUT_SECONDS + poll_delay(client_count, 0, 1.0) < 5.5
         assert poll_delay(client_count, 0, 1.0) < 2.5
         assert poll_delay(client_count, 9, 1.0) <= 4.5
     timing = parse_timing({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
     assert timing.answer_timeout + timing.max_poll_interval < 1.0, (
-        "a drain leaves 1 s from when the agent knows of it"
+        "a drain must be known 1 s after the agent knows of it"
     )
     assert parse_timing({"discovery": "ask"}).answer_timeout == 3.0
 
 
 class SimulatedFleet:
-    """Limiters that poll one discovery, on a virtual clock: when they poll and when they are answered."""
+    """Limiters that poll one discovery on a virtual clock: when they poll and get a response."""
 
     def __init__(self, client_count: int, seed: int) -> None:
         self.client_count = client_count
         self.rngs = [Random(f"{seed} {number}") for number in range(client_count)]
         self.timing = parse_timing({"discovery": "ask", "n_instances": client_count})
 
-    def answer_delays(self, mode: str, outage: float, answers_per_second: float) -> list[float]:
-        """Seconds from the return until each has the list, with one queue for the polls.
+    def response_delays(self, mode: str, outage: float, responses_per_second: float) -> list[float]:
+        """Return the seconds from the return until each limiter has the list, with one queue for the polls.
 
         ``outage`` is the time in seconds from the loss of discovery until its return.
         """
@@ -109,13 +111,13 @@
         served_at = outage
         delays = list[float]()
         for polled_at in sorted(polls):
-            served_at = max(served_at, polled_at) + 1 / answers_per_second
+            served_at = max(served_at, polled_at) + 1 / responses_per_second
             delays.append(served_at - outage)
         return delays
 
     def _first_poll_after(self, outage: float, mode: str, rng: Random) -> float:
         max_interval = self.timing.max_poll_interval
-        # A poll of a half-open discovery before its return is never answered; a refused one ends at once.
+        # A poll of a half-open discovery before its return never gets a response; a refused one ends at once.
         elapsed = 0.0 if mode == "refused" else self.timing.answer_timeout
         polled_at = poll_delay(self.client_count, 0, rng.random(), max_interval=max_interval)
         failures = 0
@@ -130,11 +132,11 @@
 @pytest.mark.parametrize("mode", ["refused", "half-open"])
 @pytest.mark.parametrize("outage", [1.0, 4.0, 12.0, 60.0])
 @pytest.mark.parametrize("client_count", [24, 200, 420])
-def test_list_comes_within_six_seconds_of_the_return_of_discovery(
+def test_list_is_received_within_six_seconds_of_the_return_of_discovery(
     mode: str, outage: float, client_count: int
 ) -> None:
-    """If discovery can serve the polls at all in 6 s; otherwise no spread of polls would help."""
+    """Discovery is able to respond to all polls in 6 s; otherwise no spread of polls would suffice."""
     fleet = SimulatedFleet(client_count, 7)
-    delays = fleet.answer_delays(mode, outage, answers_per_second=max(8.0, client_count / 4))
+    delays = fleet.response_delays(mode, outage, responses_per_second=max(8.0, client_count / 4))
     late = sum(delay > 6 for delay in delays)
     assert max(delays) <= 6.0, f"{late} of {client_count} late, the last after {max(delays):.1f} s"
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of discovery over loopback sockets: moves to another address."""
+"""The client of discovery over loopback sockets: changes of its address."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from quota_gateway.net.common.http_common import split_address
 from quota_gateway.net.discovery import watcher as endpoint_watch
 from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.poll_timing import PollTiming
 from quota_gateway.net.discovery.watch_event import WatchEvent
 from quota_gateway.settings_parser import parse_timing
 from tests.discovery_server import (
@@ -26,24 +27,24 @@
 
 
 class DelayedDiscovery:
-    """Sends one event to each connection once ``may_answer`` is set."""
+    """Sends one event to each connection once ``may_respond`` is set."""
 
     def __init__(self) -> None:
         self.request_paths = list[str]()
         self.polled = asyncio.Event()
-        self.may_answer = asyncio.Event()
+        self.may_respond = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         self.request_paths.append(await read_request_path(reader))
         self.polled.set()
-        await self.may_answer.wait()
+        await self.may_respond.wait()
         writer.write(RESPONSE_HEAD + chunk(message(3)))
         await asyncio.Event().wait()
 
 
 @async_test
-async def test_move_follows_the_old_address_until_the_new_one_has_sent_an_event() -> None:
+async def test_old_address_is_followed_until_the_new_one_has_sent_an_event() -> None:
     old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], end=False)
     new_discovery = DelayedDiscovery()
     versions = list[int]()
@@ -55,7 +56,7 @@
 
     async with running_server(old_discovery.serve) as old, running_server(new_discovery.serve) as new:
         client = DiscoveryClient(on_event)
-        for address in (old, "127.0.0.1:1", new, new):  # the third overtakes the second
+        for address in (old, "127.0.0.1:1", new, new):  # the third replaces the second
             host, port = address.split(":")
             client.set_address(host, int(port), 41 if address == old else None)
             if address == old:
@@ -64,7 +65,7 @@
         assert client._established is not None and not client._established.cancelled()
         old_watch = client._established
         notified.clear()
-        new_discovery.may_answer.set()
+        new_discovery.may_respond.set()
         await notified.wait()
         assert versions == [57, 3] and new_discovery.request_paths == ["/v1/servers?follow=1"]
         await asyncio.wait([old_watch])
@@ -74,7 +75,7 @@
 
 @pytest.fixture
 def failures(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """The consecutive failures before each poll, as passed to the back-off."""
+    """Record the consecutive failures before each poll, as passed to the backoff."""
     recorded = list[int]()
 
     def recording_poll_delay(client_count: int, consecutive_failures: int, **options: Any) -> float:
@@ -86,10 +87,10 @@
 
 
 @async_test
-async def test_move_after_consecutive_failures_polls_the_new_address_without_their_backoff(
+async def test_new_address_is_polled_without_the_backoff_of_failures_at_the_old_one(
     monkeypatch: pytest.MonkeyPatch, failures: list[int]
 ) -> None:
-    """The new address must be known 4 s after the signal, however long polls of the old one have failed."""
+    """The list must be known 4 s after the signal, however often polls of the old address have failed."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
     loop = asyncio.get_running_loop()
@@ -99,10 +100,8 @@
     async with running_server(discovery.serve) as address:
         client = DiscoveryClient(
             lambda _event: notified.set(),
-            client_count=200,
-            rng=Random(3),
-            answer_timeout=timing.answer_timeout * time_scale,
-            max_poll_interval=timing.max_poll_interval * time_scale,
+            PollTiming(200, timing.answer_timeout * time_scale, timing.max_poll_interval * time_scale),
+            Random(3),
         )
         client.set_address("127.0.0.1", 1, 41)
         while max(failures, default=0) < 3:
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's watch over loopback sockets: chunks, versions, silence, malformed lines, overload."""
+"""The watcher over loopback sockets: chunks, versions, heartbeats, malformed lines, overload."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 from quota_gateway import model
 from quota_gateway.net.common import backoff
 from quota_gateway.net.common.http_common import split_address
-from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery import watch_request
+from quota_gateway.net.discovery.poll_timing import PollTiming
 from quota_gateway.net.discovery.watch_event import WatchEvent
-from quota_gateway.net.discovery.watcher import EndpointWatcher
+from quota_gateway.net.discovery.watcher import MAX_UNANSWERED_REQUESTS, EndpointWatcher
 from quota_gateway.settings_parser import parse_timing
 from tests.discovery_server import (
     OVERLOADED_RESPONSE,
@@ -32,7 +33,7 @@
 
 
 async def follow(discovery: ScriptedDiscovery, count: int, connections: int = 1) -> list[WatchEvent]:
-    """Follow a discovery until there were so many events and so many connections; the events."""
+    """Follow a discovery until there were ``count`` events and ``connections``; return the events."""
     events = list[WatchEvent]()
     enough = asyncio.Event()
 
@@ -53,29 +54,18 @@
     address: str,
     on_event: Callable[[WatchEvent], None],
     *,
-    client_count: int,
+    timing: PollTiming,
     seed: int,
-    answer_timeout: float,
-    max_poll_interval: float,
 ) -> EndpointWatcher:
-    """A watcher with its own times, in seconds, that has version 41."""
+    """Return a watcher that has version 41."""
     host, port = address.split(":")
-    return EndpointWatcher(
-        host,
-        int(port),
-        41,
-        on_event,
-        client_count=client_count,
-        rng=Random(seed),
-        answer_timeout=answer_timeout,
-        max_poll_interval=max_poll_interval,
-    )
+    return EndpointWatcher(host, int(port), 41, on_event, timing, rng=Random(seed))
 
 
 class FleetMember:
     """A watcher that is one of ``FLEET_SIZE``, with its times multiplied by ``time_scale``.
 
-    ``first_event_at`` gets the event loop's time at its first event.
+    The result of ``first_event_at`` is the event loop's time at its first event.
     """
 
     def __init__(self, address: str, seed: int, time_scale: float) -> None:
@@ -85,10 +75,10 @@
         watcher = make_watcher(
             address,
             self._on_event,
-            client_count=FLEET_SIZE,
+            timing=PollTiming(
+                FLEET_SIZE, timing.answer_timeout * time_scale, timing.max_poll_interval * time_scale
+            ),
             seed=seed,
-            answer_timeout=timing.answer_timeout * time_scale,
-            max_poll_interval=timing.max_poll_interval * time_scale,
         )
         self.task = self._loop.create_task(watcher.follow())
 
@@ -98,7 +88,7 @@
 
 
 @async_test
-async def test_chunks_may_end_anywhere() -> None:
+async def test_events_are_parsed_wherever_chunks_end() -> None:
     data = message(42) + b"\n" + message(43, "draining") + message(44, "gone", dial="")
     script = [RESPONSE_HEAD] + [chunk(data[start : start + 11]) for start in range(0, len(data), 11)]
     events = await follow(ScriptedDiscovery(script), 3)
@@ -118,15 +108,15 @@
 
 
 @async_test
-async def test_silent_watch_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.2)
+async def test_watch_without_heartbeats_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(watch_request, "SILENCE_TIMEOUT_SECONDS", 0.2)
     discovery = ScriptedDiscovery([RESPONSE_HEAD], [RESPONSE_HEAD, chunk(message(58))], end=False)
     await follow(discovery, 1, 2)
     assert len(discovery.request_paths) == 2
 
 
 @async_test
-async def test_malformed_lines_are_dropped_and_the_watch_goes_on() -> None:
+async def test_malformed_lines_are_dropped_and_the_watch_continues() -> None:
     malformed = [
         b"not json\n", b"[]\n", b'{"seq":1}\n', b'{"seq":1,"whole":true,"hosts":[3]}\n', b"\xff\n",
         message(9, "upbeat"), message(9, dial="nowhere"), message(9, born_ms="then"),
@@ -154,7 +144,7 @@
 async def test_consecutive_failures_are_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backoff, "MIN_POLL_SPREAD", 0.001)
+    monkeypatch.setattr(backoff, "MIN_POLL_SPREAD_SECONDS", 0.001)
     scripts = [[OVERLOADED_RESPONSE]] * 12
     discovery = ScriptedDiscovery(*scripts, [RESPONSE_HEAD, chunk(message(58))])
     events = await follow(discovery, 1, 13)
@@ -172,7 +162,7 @@
 
 
 @async_test
-async def test_overloaded_discovery_is_not_asked_for_the_complete_list() -> None:
+async def test_overloaded_discovery_receives_no_request_for_the_complete_list() -> None:
     discovery = ScriptedDiscovery([OVERLOADED_RESPONSE], [RESPONSE_HEAD, chunk(message(58))])
     await follow(discovery, 1, 2)
     assert discovery.request_paths[1] == "/v1/servers?follow=1&since=41"
@@ -180,10 +170,10 @@
 
 @pytest.mark.parametrize("start", [b"HTTP/1.1 200 O", RESPONSE_HEAD])
 @async_test
-async def test_incomplete_head_and_incomplete_line_are_silence(
+async def test_incomplete_head_and_incomplete_line_do_not_extend_the_timeout(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.3)
+    monkeypatch.setattr(watch_request, "SILENCE_TIMEOUT_SECONDS", 0.3)
     request_paths = list[str]()
     notified = asyncio.Event()
 
@@ -194,15 +184,15 @@
             await reader.read()
             return
         writer.write(start)
-        while True:  # a trickle until the limiter closes the connection
+        while True:  # a slow stream until the limiter closes the connection
             writer.write(chunk(b"{") if start is RESPONSE_HEAD else b"x")
             await writer.drain()
             await asyncio.sleep(0.02)
 
     async with running_server(serve) as address:
         host, port = address.split(":")
-        watcher = EndpointWatcher(host, int(port), 41, lambda _event: notified.set())
-        watcher.answer_timeout = 0.3
+        timing = PollTiming(response_timeout=0.3)
+        watcher = EndpointWatcher(host, int(port), 41, lambda _event: notified.set(), timing)
         task = asyncio.create_task(watcher.follow())
         await notified.wait()
         task.cancel()
@@ -234,28 +224,28 @@
     assert [event.version for event in events] == [60] and len(discovery.request_paths) == 2
 
 
-async def answer_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Serve a connection as a discovery that is not loaded."""
+async def respond_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Serve a connection as a discovery without load."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(RESPONSE_HEAD + chunk(message(58)))
     await reader.read()
 
 
 @async_test
-async def test_watcher_that_was_refused_for_long_has_the_list_in_time(
+async def test_watcher_has_the_list_in_time_after_a_long_refusal_of_its_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On sockets, in a tenth of the time: nobody listens, then discovery is back at its address."""
+    """On sockets, in a tenth of the time: connections are refused, then discovery returns."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
     loop = asyncio.get_running_loop()
     async with running_server(ScriptedDiscovery().serve) as address:
-        host, port = address.split(":")  # nobody listens there from the end of this block on
+        host, port = address.split(":")  # connections are refused from the end of this block on
     fleet = [FleetMember(address, seed, time_scale) for seed in range(24)]
     await asyncio.sleep(12 * time_scale)
     assert not any(member.first_event_at.done() for member in fleet)
     returned_at = loop.time()
-    server = await asyncio.start_server(answer_at_once, host, int(port))
+    server = await asyncio.start_server(respond_at_once, host, int(port))
     delays = [await member.first_event_at - returned_at for member in fleet]
     for member in fleet:
         member.task.cancel()
@@ -265,13 +255,13 @@
 
 
 @async_test
-async def test_overloaded_discovery_answers_all_in_the_order_of_arrival(
+async def test_all_watchers_get_a_response_of_an_overloaded_discovery_that_responds_in_the_order_of_arrival(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The queue takes eight times the time between requests: who leaves it never gets to its head."""
+    """The queue takes eight times the interval of requests; a client that leaves it gets none."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
-    discovery = QueueingDiscovery(answers_per_second=16.0)
+    discovery = QueueingDiscovery(responses_per_second=16.0)
     async with running_server(discovery.serve) as address:
         queue_task = asyncio.create_task(discovery.process_queue())
         fleet = [FleetMember(address, seed, time_scale) for seed in range(40)]
@@ -282,66 +272,64 @@
 
 
 @async_test
-async def test_unanswered_requests_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_number_of_requests_without_a_response_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     scale_times(monkeypatch, 0.02)
     unanswered = list[int]()
-    discovery = QueueingDiscovery(answers_per_second=1.0)
+    discovery = QueueingDiscovery(responses_per_second=1.0)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        unanswered.append(len(watcher._unanswered))
+        unanswered.append(watcher.unanswered_requests)
         await discovery.serve(reader, writer)
 
     async with running_server(serve) as address:
         watcher = make_watcher(
             address,
             lambda _event: None,
-            client_count=1,
+            timing=PollTiming(client_count=1, response_timeout=0.02, max_interval=0.03),
             seed=1,
-            answer_timeout=0.02,
-            max_poll_interval=0.03,
         )
         task = asyncio.create_task(watcher.follow())
         while len(unanswered) < 12:
             await asyncio.sleep(0.01)
         task.cancel()
-        assert max(unanswered) == endpoint_watch.MAX_UNANSWERED_REQUESTS
+        assert max(unanswered) == MAX_UNANSWERED_REQUESTS
         while discovery.open_connections:  # cancelling the watcher closes all of them
             await asyncio.sleep(0.01)
 
 
 @async_test
-async def test_a_watcher_that_is_cancelled_as_a_request_of_it_is_answered_leaves_no_task(
+async def test_a_watcher_that_is_cancelled_when_a_request_gets_its_response_leaves_no_task(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An earlier request is answered, and its task would live as long as its watch."""
+    """The response is that to an earlier request, whose task would otherwise last as long as its watch."""
     scale_times(monkeypatch, 0.1)
-    answers = asyncio.Event()
+    may_respond = asyncio.Event()
     connected = asyncio.Queue[None]()
 
-    async def answer_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_to_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         connected.put_nowait(None)
         if connected.qsize() == 1:
-            await answers.wait()
+            await may_respond.wait()
             writer.write(RESPONSE_HEAD)
         await asyncio.Event().wait()
 
-    async with running_server(answer_first) as address:
+    async with running_server(respond_to_first) as address:
         host, port = split_address(address)
-        watcher = EndpointWatcher(host, port, None, lambda _event: None, answer_timeout=0.1)
+        watcher = EndpointWatcher(host, port, None, lambda _event: None, PollTiming(response_timeout=0.1))
         following = asyncio.create_task(watcher.follow())
-        on_answered = watcher.on_answered
+        on_response_started = watcher.on_response_started
 
         def cancel_when_answered(answered: Any) -> None:
-            on_answered(answered)
+            on_response_started(answered)
             following.cancel()
 
-        watcher.on_answered = cancel_when_answered  # type: ignore[method-assign]
+        watcher.on_response_started = cancel_when_answered  # type: ignore[method-assign]
         while connected.qsize() < 2:
             await asyncio.sleep(0.01)
-        answers.set()
+        may_respond.set()
         await asyncio.wait([following])
         for _ in range(20):
             await asyncio.sleep(0)
-        left = [task for task in asyncio.all_tasks() if "_WatchRequest" in repr(task)]
+        left = [task for task in asyncio.all_tasks() if "WatchRequest._run" in repr(task)]
         assert left == []
--- a/tests/test_watch_event.py
+++ b/tests/test_watch_event.py
@@ -1,4 +1,4 @@
-"""The parsing of discovery's messages."""
+"""Parsing of discovery's messages."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.discovery.watch_event import parse_watch_event
+from quota_gateway.net.discovery.watch_event import MalformedEventError, parse_watch_event
 from tests.discovery_server import message
 
 
-def test_message_is_parsed_in_full() -> None:
+def test_all_fields_of_a_message_are_parsed() -> None:
     event = parse_watch_event(json.loads(message(1)))
     started_at = 1_800_000_000.25
     assert event.update.endpoints == (
@@ -32,6 +32,6 @@
     ids=["start", "cell", "version", "no number"],
 )
 def test_a_number_out_of_range_is_a_malformed_message(text: str) -> None:
-    """Any other error would end the watch, again and again at the same line."""
-    with pytest.raises(ValueError):
+    """Any other error would end the watch, each time at the same line."""
+    with pytest.raises(MalformedEventError):
         parse_watch_event(json.loads(text))
