--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -369,7 +369,7 @@
         LoopbackLimiter(ScriptedDecisions(decide), {"s1": dial}) as limiter,
     ):
         await served.get()
-        limiter.dispatcher.settings = replace(SETTINGS, load_in_health_check=True)
+        limiter.dispatcher.reconfigure(replace(SETTINGS, load_in_health_check=True))
         limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
         await served.get()
         reader, writer = await limiter.connect()
