--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -135,7 +135,7 @@
         data = upload(framing, LONG_BODY)
         writer.write(data[:200_000])
         await head_received.wait()
-        (opened,) = limiter.dispatcher._requests.values()
+        (opened,) = limiter.dispatcher.requests.open_requests()
         assert opened.deadline == math.inf and opened.timer is None  # the client's timeout has not started
         assert opened.attempts[0].expiry_timer is None and not opened.attempts[0].request_written
         writer.write(data[200_000:])
@@ -164,7 +164,7 @@
     ):
         reader, writer = await limiter.connect()
         writer.write(upload("length", body))
-        while not any(client.reader.body.paused for client in limiter.listener.connections):
+        while not any(client.pipeline.reader.body.paused for client in limiter.listener.connections):
             await asyncio.sleep(0.01)
         resume_reading.set()
         assert (await read_message(reader))[2] == b"hi"
@@ -239,17 +239,17 @@
     client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
     size = 0x10001
     while True:
-        opened = list(limiter.dispatcher._requests.values())
+        opened = list(limiter.dispatcher.requests.open_requests())
         if opened and opened[0].attempts[0].connection:
             break
         await asyncio.sleep(0)
-    while connection.reader.body.paused or connection.reader.body.size < size:
+    while connection.pipeline.reader.body.paused or connection.pipeline.reader.body.size < size:
         await asyncio.sleep(0)
     chunk = b"x" * 8192
-    while not connection.reader.body.paused:  # each chunk is read before the next is sent
+    while not connection.pipeline.reader.body.paused:  # each chunk is read before the next is sent
         client.sendall(b"%x\r\n%b\r\n" % (len(chunk), chunk))
         size += len(chunk)
-        while connection.reader.body.size < size and not connection.reader.body.paused:
+        while connection.pipeline.reader.body.size < size and not connection.pipeline.reader.body.paused:
             await asyncio.sleep(0)
     client.sendall(b"0\r\n\r\n")
     return size
--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -10,6 +10,7 @@
 import pytest
 
 from quota_gateway import model
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES
 from tests.client_helpers import DISCONNECTS
 from tests.loopback import (
     LoopbackLimiter,
@@ -26,6 +27,12 @@
 SLACK = 0.1  # seconds: less than the 0.15 that the specification gives
 
 
+async def hang(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+    """Read requests and respond to none."""
+    while await reader.read(65536):
+        pass
+
+
 @pytest.mark.parametrize("is_first", [True, False])
 @async_test
 async def test_a_request_that_waited_during_a_stall_has_so_much_less_time(is_first: bool) -> None:
@@ -92,7 +99,32 @@
         reader, writer = await asyncio.open_connection(sock=client)
         status, headers, _ = await read_message(reader)
         assert " 503 " in status and "retry-after" in headers
-        assert not origin.requests and not limiter.listener.open_request_ids
+        assert not origin.requests and not limiter.listener.shared.open_request_ids
         writer.write(http_request())
         assert " 200 " in (await read_message(reader))[0]
         writer.close()
+
+
+@async_test
+async def test_the_timeout_of_an_upload_includes_the_stall_in_which_its_last_byte_arrived() -> None:
+    script = ScriptedDecisions(forward_to_s1)
+    body = b"x" * (MAX_BUFFERED_BODY_BYTES + 1)
+    timeout = 0.8
+    async with (
+        running_server(hang) as address,
+        LoopbackLimiter(script, {"s1": address}) as limiter,
+    ):
+        client = socket.create_connection(limiter.address)
+        client.setblocking(False)
+        reader, writer = await asyncio.open_connection(sock=client)
+        request = http_request("/post?account=00000000b4d65521", body, timeout_ms=int(timeout * 1000))
+        writer.write(request[:-1])
+        await script.wait_for(model.Request)
+        await writer.drain()
+        await asyncio.sleep(0.3)  # the process was not stalled before, and has read all other bytes
+        client.send(request[-1:])
+        time.sleep(STALL)
+        resumed_at = time.monotonic()
+        assert " 429 " in (await read_message(reader))[0]  # the attempt has timed out
+        assert time.monotonic() - resumed_at <= timeout - STALL + SLACK
+        writer.close()
