--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -1,4 +1,4 @@
-"""Three gateways that serve one customer, on one simulated clock, with one counter."""
+"""A simulated fleet of three gateways that serve one customer and share a counter and a clock."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 GATEWAYS = 3
 PLAN = model.Plan("small", rate=20.0, burst=40.0, over_quota_cost=0.5)
-COUNTER_DELAY = 0.004  # seconds until the counter replies
-ATTEMPT_TIME = 0.05  # seconds that an attempt is said to have taken
+COUNTER_DELAY_SECONDS = 0.004  # until the counter replies
+ATTEMPT_SECONDS = 0.05  # reported duration of an attempt
 
 
 class FleetTimer(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 class CounterReply(NamedTuple):
-    """A reply of the counter on its way to a gateway."""
+    """A reply of the counter that a gateway has not received yet."""
 
     due_at: float
     gateway: int
@@ -34,16 +34,16 @@
 
 
 class QuotaFleet:
-    """The gateways of one customer; attempts end at once, the counter replies after a delay."""
+    """The gateways of one customer; attempts complete at once, the counter replies after a delay."""
 
     def __init__(self, seed: int = 1) -> None:
-        """Start all gateways."""
+        """Start all gateways with an endpoint list each."""
         self.now = 100.0
         self.rng = Random(seed)
-        self.gateways = [self.start_gateway(gateway) for gateway in range(GATEWAYS)]
+        self.gateways = [self.start_gateway(index) for index in range(GATEWAYS)]
         self.counter_total = 0.0  # units
         self.counter_calls = 0
-        self.counter_delay = COUNTER_DELAY
+        self.counter_delay = COUNTER_DELAY_SECONDS
         self.counter_status = model.CallStatus.OK
         self.timers: list[FleetTimer] = []
         self.counter_replies: list[CounterReply] = []
@@ -53,15 +53,15 @@
         for gateway in range(GATEWAYS):
             self.feed(gateway, endpoint_list("s0", "s1", "s2"))
 
-    def start_gateway(self, gateway: int) -> Gateway:
-        """A fresh gateway in this place."""
+    def start_gateway(self, index: int) -> Gateway:
+        """Return a new gateway with this index."""
         settings = make_settings(
-            gateway_count=GATEWAYS, plans=(PLAN,), counter_timeout=0.03, gateway_index=gateway
+            gateway_count=GATEWAYS, plans=(PLAN,), counter_timeout=0.03, gateway_index=index
         )
-        return Gateway(settings, gateway, self.now)
+        return Gateway(settings, seed=index, now=self.now)
 
     def feed(self, gateway: int, event: model.Event) -> None:
-        """Have a gateway decide on an event, and carry out its actions."""
+        """Have a gateway handle an event, and execute its actions."""
         for action in self.gateways[gateway].handle(self.now, event):
             if isinstance(action, model.SetTimer):
                 self.timers.append(FleetTimer(self.now + action.delay, gateway, action.token))
@@ -83,14 +83,14 @@
             attempt=0,
             endpoint=action.endpoint,
             status=model.CallStatus.OK,
-            elapsed=ATTEMPT_TIME,
+            elapsed=ATTEMPT_SECONDS,
             request_finished=True,
             load_report={},
         )
         self.feed(gateway, completed)
 
     def send_request(self, gateway: int, units: float = 1.0) -> bool:
-        """Send a request of the customer, which is decided at once; gives whether it was forwarded."""
+        """Send a request of the customer, and return whether it was forwarded."""
         self.requests += 1
         decisions = self.gateways[gateway]
         admitted_before = decisions.controller.admitted
@@ -104,14 +104,14 @@
             serving_gateways=GATEWAYS,
         )
         self.feed(gateway, request)
-        assert self.requests not in decisions.forwarder.requests, "the request waits"
+        assert self.requests not in decisions.forwarder.requests, "the request is still open"
         is_forwarded = decisions.controller.admitted > admitted_before
         self.granted_units[gateway] += units * is_forwarded
         self.rejections[gateway] += not is_forwarded
         return is_forwarded
 
     def advance_to(self, time: float) -> None:
-        """Move the clock, delivering the counter's replies and firing timers."""
+        """Advance the clock, deliver the counter's replies and fire timers."""
         while due := self._due_steps(time):
             step = min(due, key=lambda step: (step.due_at, step.gateway))
             self.now = max(self.now, step.due_at)
@@ -128,7 +128,7 @@
         return [step for step in steps if step.due_at <= time]
 
     def send_poisson_traffic(self, seconds: float, rates: Sequence[float]) -> None:
-        """Poisson arrivals of one unit each, at these rates by gateway."""
+        """Send requests of one unit as Poisson arrivals at these rates per second, by gateway."""
         until = self.now + seconds
         total_rate = sum(rates)
         while (arrival := self.now + self.rng.expovariate(total_rate)) < until:
@@ -138,12 +138,12 @@
         self.advance_to(until)
 
     def account(self, gateway: int = 0) -> Account:
-        """The customer's account at a gateway."""
+        """Return the customer's account at a gateway."""
         (account,) = self.gateways[gateway].accounts.accounts.values()
         return account
 
     def all_accounts(self) -> list[Account]:
-        """The customer's accounts at all gateways that have met it."""
+        """Return the customer's accounts at all gateways that have received a request of it."""
         return [account for gateway in self.gateways for account in gateway.accounts.accounts.values()]
 
     @property
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -8,7 +8,7 @@
 from quota_gateway.decisions import counter_budget
 from quota_gateway.decisions.leases import MAX_LEASE_SECONDS
 from quota_gateway.state import Account, PendingCall
-from tests.quota_fleet import COUNTER_DELAY, PLAN, QuotaFleet
+from tests.quota_fleet import COUNTER_DELAY_SECONDS, PLAN, QuotaFleet
 from tests.simulation import (
     AttemptKey,
     GatewaySimulation,
@@ -143,7 +143,7 @@
     fleet.send_poisson_traffic(15.0, EVEN_RATES)
     assert 0.7 * PLAN.rate < (fleet.total_granted - granted_before) / 15.0 < 1.3 * PLAN.rate
     fleet.counter_status = model.CallStatus.OK
-    fleet.counter_delay = COUNTER_DELAY
+    fleet.counter_delay = COUNTER_DELAY_SECONDS
     fleet.send_poisson_traffic(3.0, EVEN_RATES)
     granted_before = fleet.total_granted
     fleet.send_poisson_traffic(20.0, EVEN_RATES)
