--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -13,20 +13,20 @@
 ENDPOINTS = ("s0", "s1", "s2", "s3")
 CEILING_RATE = 4.0  # units a second
 CEILING_BURST = 12.0  # units
-TIME_STEPS = (0.001, 0.02, 0.1)  # seconds between two requests
-SKEWED_GATEWAYS = (0, 0, 0, 0, 1, 2)  # the first one gets most requests
-RESTART_STEP = 120  # at which a gateway dies and another, which knows nothing, takes its place
+INTERVALS_SECONDS = (0.001, 0.02, 0.1)  # between two requests
+SKEWED_GATEWAYS = (0, 0, 0, 0, 1, 2)  # the first gateway receives most requests
+RESTART_STEP = 120  # at which a gateway without state replaces the first one
 
 
 def start_gateway(settings: model.Settings, seed: int, now: float = 100.0) -> GatewaySimulation:
-    """A fresh gateway with its endpoint list."""
+    """Start a gateway and send it the endpoint list."""
     simulation = GatewaySimulation(settings, seed, now)
     simulation.feed(endpoint_list(*ENDPOINTS))
     return simulation
 
 
 def send_one_request(simulation: GatewaySimulation, rng: Random, request_id: int) -> float:
-    """Send a request of one or two units; gives the units that were forwarded."""
+    """Send a request of one or two units, and return the forwarded units."""
     simulation.complete_attempts()
     if rng.random() < 0.3:
         status = rng.choice((model.CallStatus.OK, model.CallStatus.UNREACHABLE))
@@ -48,7 +48,7 @@
     tokens = CEILING_BURST
     total_forwarded = 0.0
     for step in range(250):
-        elapsed = rng.choice(TIME_STEPS)
+        elapsed = rng.choice(INTERVALS_SECONDS)
         refilled_at = now
         now += elapsed
         gateway = rng.choice(SKEWED_GATEWAYS)
@@ -62,12 +62,12 @@
     assert total_forwarded > 0
 
 
-def test_requests_near_the_quota_do_not_draw_on_the_ceiling_together() -> None:
-    """None waits for the counter: what is granted at once is off the ceiling at once, leased or not."""
+def test_a_granted_request_is_charged_to_the_ceiling_before_the_next_one_is_decided() -> None:
+    """Leased units are charged to the ceiling as well, and no request waits for the counter."""
     plan = model.Plan("capped", 1.0, 0.5, 9.0, ceiling_rate=2.0, ceiling_burst=30.0)
     simulation = GatewaySimulation(make_settings(plans=(plan,)))
     simulation.feed(endpoint_list("s0", "s1"))
-    simulation.advance_to(simulation.now + 10)  # this gateway's share of the ceiling holds 6.7 units
+    simulation.advance_to(simulation.now + 10)  # this gateway's part of the ceiling has 6.7 units
     for request_id in range(3):
         simulation.feed(make_request(request_id, "read", "capped", "acct", 3.0, 3.2))
     assert len(simulation.forwarded) == 2
@@ -75,4 +75,5 @@
     (counter_id,) = simulation.counter_totals
     simulation.gateway.accounts.by_counter_id[counter_id].leased = 9.0
     simulation.feed(make_request(3, "read", "capped", "acct", 3.0, 3.2))
-    assert len(simulation.forwarded) == 2 and simulation.outcomes[3] is Outcome.REJECTED
+    assert len(simulation.forwarded) == 2
+    assert simulation.outcomes[3] is Outcome.REJECTED
--- a/tests/test_counter_budget.py
+++ b/tests/test_counter_budget.py
@@ -1,4 +1,4 @@
-"""The budget of counter calls: its rate after slow, lost and good answers, and outages of the counter."""
+"""The budget of counter calls: its rate after quick, queued and lost replies, and outages of the counter."""
 
 from __future__ import annotations
 
@@ -8,48 +8,52 @@
 from quota_gateway.decisions.counter_budget import CounterBudget
 from tests.simulation import GatewaySimulation, make_request, make_settings, start_simulation
 
-FLEET = 40  # gateways
+GATEWAYS = 40
 START = 100.0  # Unix time
+TIMEOUT_SECONDS = 0.03
+QUICK_REPLY_SECONDS = 0.006
+QUEUED_REPLY_SECONDS = 0.025
 
 
-def test_rate_grows_while_answers_are_quick_and_shrinks_before_any_is_lost() -> None:
-    budget = CounterBudget(START, FLEET, 0.0, timeout=0.03)
+def test_rate_grows_with_quick_replies_and_shrinks_with_queued_ones() -> None:
+    budget = CounterBudget(START, GATEWAYS, 0.0, timeout=TIMEOUT_SECONDS)
     now = START
     start_rate = budget.rate
     for _ in range(40):
         now += 1 / budget.rate
-        budget.call_ended(now, model.CallStatus.OK, now - 0.006)
+        budget.call_ended(now, model.CallStatus.OK, now - QUICK_REPLY_SECONDS)
     quick_rate = budget.rate
-    assert quick_rate > 1.3 * start_rate  # a busy gateway takes what the others leave
-    for _ in range(20):  # a queue at the counter: late, but none is lost yet
+    assert quick_rate > 1.3 * start_rate  # a busy gateway uses the calls that others do not make
+    for _ in range(20):  # no call is lost yet
         now += 1 / budget.rate
-        budget.call_ended(now, model.CallStatus.OK, now - 0.025)
-    assert budget.rate < 0.6 * quick_rate and budget.available(now) > 0
+        budget.call_ended(now, model.CallStatus.OK, now - QUEUED_REPLY_SECONDS)
+    assert budget.rate < 0.6 * quick_rate
+    assert budget.available(now) > 0
 
 
-def test_rate_grows_with_time_and_not_with_each_answer() -> None:
+def test_growth_of_the_rate_is_limited_by_time_and_not_by_replies() -> None:
     budget = CounterBudget(START, 4, 0.0)
     start_rate = budget.rate
     now = START
-    for _ in range(150):  # two seconds of answers
+    for _ in range(150):  # two seconds of replies
         now += 1 / start_rate
         budget.call_ended(now, model.CallStatus.OK, now - 0.01)
     assert start_rate < budget.rate < start_rate + 15
 
 
-def test_small_rate_shrinks_as_well_when_calls_are_often_lost() -> None:
-    """One in five is lost: at the even share of forty the increases must not outrun the decreases."""
-    budget = CounterBudget(START, FLEET, 0.0, timeout=0.03)
+def test_a_small_rate_shrinks_when_one_call_in_five_is_lost() -> None:
+    """The increases after the other calls do not make up for the decreases."""
+    budget = CounterBudget(START, GATEWAYS, 0.0, timeout=TIMEOUT_SECONDS)
     now = START
     start_rate = budget.rate
     for call in range(200):
         now += 1 / budget.rate
         status = model.CallStatus.TIMEOUT if call % 5 == 0 else model.CallStatus.OK
-        budget.call_ended(now, status, now - 0.006)
+        budget.call_ended(now, status, now - QUICK_REPLY_SECONDS)
     assert budget.rate < 0.5 * start_rate
 
 
-def test_calls_become_few_when_the_counter_is_overloaded(simulation: GatewaySimulation) -> None:
+def test_calls_become_rare_while_the_counter_is_overloaded(simulation: GatewaySimulation) -> None:
     calls = 0
     calls_by_second: list[int] = []
     for request_id in range(2000):
@@ -84,31 +88,32 @@
             calls += len(simulation.counter_calls)
             simulation.reply_to_counter_calls(model.CallStatus.OVERLOADED)
             simulation.complete_attempts()
-    assert calls < 100 * 5 * 1.7  # for 300 gateways 510 calls a second
+    assert calls < 100 * 5 * 1.7  # 100 of 300 gateways, 5 s, 1.7 calls per gateway and second
 
 
-def test_longer_outage_is_tested_less_often() -> None:
-    budget = CounterBudget(START, FLEET, 0.5)
-    outages: list[float] = []  # seconds
+def test_pauses_between_calls_grow_during_an_outage() -> None:
+    budget = CounterBudget(START, GATEWAYS, 0.5)
+    pauses: list[float] = []  # seconds
     now = 101.0
     for _ in range(6):
         budget.call_ended(now, model.CallStatus.TIMEOUT, now, 0.5)
-        outages.append(budget.unavailable_until - now)
+        pauses.append(budget.unavailable_until - now)
         now = max(now, budget.unavailable_until) + 0.1
-    assert outages[1:] == sorted(outages[1:]) and outages[1] < outages[-1] <= 2.0
+    assert pauses[1:] == sorted(pauses[1:])
+    assert pauses[1] < pauses[-1] <= 2.0
 
 
-def test_gateways_that_saw_one_outage_do_not_come_back_all_at_once() -> None:
-    rngs = [Random(seed) for seed in range(FLEET)]
-    budgets = [CounterBudget(START, FLEET, rng.random()) for rng in rngs]
-    outage_ends: list[float] = []
+def test_gateways_that_noticed_an_outage_together_call_again_at_different_times() -> None:
+    rngs = [Random(seed) for seed in range(GATEWAYS)]
+    budgets = [CounterBudget(START, GATEWAYS, rng.random()) for rng in rngs]
+    outage_ends: list[float] = []  # Unix times
     for budget, rng in zip(budgets, rngs, strict=True):
         for now in (101.0, 102.0):
             budget.available(now)
             budget.call_ended(now, model.CallStatus.TIMEOUT, now - 0.01, rng.random())
         outage_ends.append(budget.unavailable_until)
         assert budget.available(budget.unavailable_until - 1e-6) == 0
-        assert budget.available(budget.unavailable_until) <= 1, "it saved up calls during the outage"
+        assert budget.available(budget.unavailable_until) <= 1, "calls were saved during the outage"
     window_starts = [102.4 + step * 0.1 for step in range(12)]
     ends_by_window = [sum(start <= end < start + 0.1 for end in outage_ends) for start in window_starts]
     assert max(ends_by_window) <= 10
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Quota units leased ahead of need: no request waits for the counter, no unit is used twice or lost."""
+"""Units leased ahead of demand: no request waits for the counter, no unit is granted twice or lost."""
 
 from __future__ import annotations
 
@@ -24,62 +24,65 @@
 
 @pytest.fixture
 def fleet() -> QuotaFleet:
-    """Three gateways that have not met their customer yet."""
+    """Three gateways without a request of their customer so far."""
     return QuotaFleet()
 
 
 def reported_usage(account: Account) -> float:
-    """Units that the counter is told of, now or by the calls that are under way."""
+    """Return the units of the pending calls and those that the next call reports."""
     return account.unreported_usage + sum(call.amount for call in account.pending_calls)
 
 
 def count(simulation: GatewaySimulation, outcome: Outcome) -> int:
-    """Requests that ended so."""
+    """Return the number of requests with this outcome."""
     return sum(ended is outcome for ended in simulation.outcomes.values())
 
 
-def test_requests_during_a_counter_call_wait_for_none_and_share_the_next_call() -> None:
+def test_requests_during_a_counter_call_are_decided_at_once_and_reported_by_the_next_call() -> None:
     plans = (model.Plan("small", rate=2.0, burst=6.0),)
     simulation = start_simulation(settings=make_settings(plans=plans))
     simulation.feed(make_request(0, "read", "small", "acct"))
     (counter_id,) = {call.counter_id for call in simulation.counter_calls}
-    simulation.counter_totals[counter_id] = 4.0  # the others have used four of the six units
+    simulation.counter_totals[counter_id] = 4.0  # the other gateways have used four of the six units
     simulation.reply_to_counter_calls()
     simulation.complete_attempts()
-    simulation.now += 1.0  # three are left, and the others may have used them
+    simulation.now += 1.0  # three units are left, which the other gateways may have used
     for request_id in range(1, 6):
         simulation.feed(make_request(request_id, "read", "small", "acct"))
         is_forwarded = AttemptKey(request_id, 0) in simulation.in_flight
-        assert request_id in simulation.outcomes or is_forwarded, "the request waits"
-    # One is forwarded; the others' usual use would leave no more. The reply shows what is there.
-    assert len(simulation.forwarded) == 2 and count(simulation, Outcome.REJECTED) == 4
-    assert len(simulation.counter_calls) == 2  # one reports the first and leases, one what came after
+        assert request_id in simulation.outcomes or is_forwarded, "the request has no decision"
+    # One is forwarded: with the expected usage of the other gateways the bucket has no more.
+    assert len(simulation.forwarded) == 2
+    assert count(simulation, Outcome.REJECTED) == 4
+    assert len(simulation.counter_calls) == 2  # the second one reports the usage during the first
     simulation.reply_to_counter_calls()
     for request_id in range(6, 10):
         simulation.feed(make_request(request_id, "read", "small", "acct"))
         simulation.reply_to_counter_calls()
-    # The last unit is split between lease and bucket here, and serves nobody until more is leased.
-    assert len(simulation.forwarded) == 3 and count(simulation, Outcome.REJECTED) == 7
+    # The last unit is split between lease and bucket, and neither part covers a request.
+    assert len(simulation.forwarded) == 3
+    assert count(simulation, Outcome.REJECTED) == 7
     simulation.complete_attempts()
-    for _ in range(8):  # nothing more is asked for here: what was leased goes back
+    for _ in range(8):  # without demand the lease is returned
         simulation.advance_to(simulation.now + 1.0)
         simulation.reply_to_counter_calls()
-    # Of what went back: with a full bucket the counter need not be told.
+    # A part of the returned lease stays unreported while the bucket is full.
     unreported = simulation.gateway.accounts.by_counter_id[counter_id].unreported_usage
     total = simulation.counter_totals[counter_id]
-    assert total + unreported == pytest.approx(7.0) and abs(unreported) < 0.05
+    assert total + unreported == pytest.approx(7.0)
+    assert abs(unreported) < 0.05
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize(
     "rates", [[30.0, 9.0, 1.0], [14.0, 14.0, 12.0], [40.0, 0.0, 0.0], [60.0, 40.0, 20.0]]
 )
-def test_over_the_quota_no_request_waits_and_nearly_the_whole_quota_is_granted(
+def test_under_demand_above_the_quota_nearly_the_whole_quota_is_granted(
     rates: list[float], seed: int
 ) -> None:
-    """Two to six times the quota, even and uneven: what is granted is the quota, at whichever gateway."""
+    """The demand is two to six times the quota, spread evenly or unevenly over the gateways."""
     fleet = QuotaFleet(seed=seed)
-    fleet.send_poisson_traffic(4.0, rates)  # the bucket is emptied
+    fleet.send_poisson_traffic(4.0, rates)  # empties the bucket
     granted_before = fleet.total_granted
     fleet.send_poisson_traffic(30.0, rates)
     granted_rate = (fleet.total_granted - granted_before) / 30.0
@@ -87,27 +90,27 @@
 
 
 @pytest.mark.parametrize(("call_rate", "calls_per_request"), [(300.0, 0.35), (6.0, 0.2)])
-def test_lease_covers_as_many_requests_as_the_rate_of_counter_calls_requires(
+def test_a_lower_rate_of_counter_calls_leads_to_larger_leases(
     call_rate: float, calls_per_request: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_budget, "MAX_CALLS_PER_SECOND", call_rate)
     fleet = QuotaFleet()
-    fleet.send_poisson_traffic(30.0, [18.0, 0.0, 0.0])  # near the quota, and within it
+    fleet.send_poisson_traffic(30.0, [18.0, 0.0, 0.0])  # close to the quota, but within it
     assert fleet.counter_calls < calls_per_request * fleet.requests
     assert fleet.rejections[0] <= 0.05 * fleet.requests
     account = fleet.account()
     reported = fleet.counter_total + account.unreported_usage
     most = PLAN.rate * 30.0 + PLAN.burst
-    # All that is used or leased; and at most what a full bucket could not hold, which is reported as used.
+    # The counter has all granted and leased units, and at most the overflow of a full bucket in addition.
     assert fleet.granted_units[0] + account.leased - 2.0 <= reported <= most + 2.0
 
 
-def test_unused_lease_is_returned_once_the_demand_has_gone(fleet: QuotaFleet) -> None:
+def test_unused_lease_is_returned_after_the_demand_has_ended(fleet: QuotaFleet) -> None:
     fleet.send_poisson_traffic(6.0, [30.0, 0.0, 0.0])
     assert fleet.leased_units > 0 or fleet.account().lease_requested > 0
     fleet.advance_to(fleet.now + 3 * MAX_LEASE_SECONDS)
     assert fleet.leased_units == 0
-    fleet.send_poisson_traffic(0.5, [0.0, 30.0, 0.0])  # and another gateway has it
+    fleet.send_poisson_traffic(0.5, [0.0, 30.0, 0.0])  # another gateway can use the returned units
     assert fleet.granted_units[1] > 10
 
 
@@ -118,7 +121,7 @@
         assert fleet.leased_units <= PLAN.burst
 
 
-def test_lease_holder_that_dies_costs_the_others_its_lease_once() -> None:
+def test_the_lease_of_a_gateway_that_exits_without_return_is_lost_once() -> None:
     fleet = QuotaFleet(seed=3)
     fleet.send_poisson_traffic(10.0, EVEN_RATES)
     lost_units = fleet.leased_units
@@ -133,12 +136,12 @@
     assert fleet.total_granted - granted_before < 1.15 * PLAN.rate * 20.0 + PLAN.burst
 
 
-def test_unreachable_counter_leaves_the_leases_and_the_even_share() -> None:
+def test_while_the_counter_is_unreachable_leases_and_even_shares_are_granted() -> None:
     fleet = QuotaFleet(seed=5)
     fleet.send_poisson_traffic(10.0, EVEN_RATES)
     fleet.counter_status = model.CallStatus.UNREACHABLE
     fleet.counter_delay = 0.0
-    fleet.send_poisson_traffic(1.0, EVEN_RATES)  # it is noticed
+    fleet.send_poisson_traffic(1.0, EVEN_RATES)  # the gateways detect the outage
     granted_before = fleet.total_granted
     fleet.send_poisson_traffic(15.0, EVEN_RATES)
     assert 0.7 * PLAN.rate < (fleet.total_granted - granted_before) / 15.0 < 1.3 * PLAN.rate
@@ -150,11 +153,11 @@
     assert 0.85 * PLAN.rate < (fleet.total_granted - granted_before) / 20.0 < 1.12 * PLAN.rate
 
 
-def test_counter_that_restarts_empty_is_told_of_the_leases(fleet: QuotaFleet) -> None:
-    """Or what is returned later would take off what others have used."""
+def test_leases_are_reported_again_after_the_counter_restarts_empty(fleet: QuotaFleet) -> None:
+    """Otherwise their return would cancel usage of other gateways."""
     fleet.send_poisson_traffic(10.0, [18.0, 0.0, 0.0])
     account = fleet.account()
-    account.leased += 12.0  # whatever it was: this much is leased
+    account.leased += 12.0  # at least 12 units are leased
     account.tokens -= 12.0
     fleet.counter_total = 0.0
     granted_before = fleet.granted_units[0]
@@ -166,7 +169,7 @@
 
 
 def prepare_lease_call(fleet: QuotaFleet, tokens: float, call: PendingCall) -> Account:
-    """Run some traffic, then set the account as if only this call were under way."""
+    """Run some traffic, then set the account up as if this call were the only pending one."""
     fleet.send_poisson_traffic(3.0, [18.0, 0.0, 0.0])
     fleet.advance_to(fleet.now + 0.1)
     account = fleet.account()
@@ -194,27 +197,28 @@
 def test_only_units_that_the_counter_may_have_counted_are_leased(
     fleet: QuotaFleet, status: model.CallStatus, is_granted: bool
 ) -> None:
-    """What may have been counted is taken for counted: reported once, it is used once at most."""
+    """Units that may have been counted are treated as counted, so that none is granted twice."""
     call = PendingCall(amount=6.0, lease=5.0, made_at=0.0)  # one unit used, five leased ahead
     account = prepare_lease_call(fleet, tokens=7.0, call=call)
     fleet.feed(0, model.CounterReplied(account.counter_id, status))
-    assert account.leased == (5.0 if is_granted else 0.0) and account.lease_requested == 0.0
+    assert account.leased == (5.0 if is_granted else 0.0)
+    assert account.lease_requested == 0.0
     assert account.tokens == pytest.approx(7.0 if is_granted else 12.0)
     assert reported_usage(account) == pytest.approx(0.0 if is_granted else 1.0)
 
 
-def test_lease_is_cut_where_the_bucket_held_less_than_was_requested(fleet: QuotaFleet) -> None:
+def test_the_part_of_a_lease_that_the_bucket_does_not_cover_is_returned(fleet: QuotaFleet) -> None:
     call = PendingCall(amount=8.0, lease=8.0, made_at=0.0)
     account = prepare_lease_call(fleet, tokens=2.0, call=call)
-    used_by_others = 7.0  # of the ten units that the bucket had
-    total = (account.counter_total or 0.0) + 8.0 + used_by_others
+    remote_usage = 7.0  # of the ten units in the bucket
+    total = (account.counter_total or 0.0) + 8.0 + remote_usage
     fleet.feed(0, model.CounterReplied(account.counter_id, model.CallStatus.OK, total))
     assert account.leased == pytest.approx(3.0)
     assert account.tokens == 0.0
     assert reported_usage(account) == pytest.approx(-5.0)
 
 
-def test_gateway_returns_its_leases_at_once_when_it_shuts_down(fleet: QuotaFleet) -> None:
+def test_a_gateway_returns_its_leases_immediately_when_its_shutdown_starts(fleet: QuotaFleet) -> None:
     fleet.send_poisson_traffic(6.0, [30.0, 0.0, 0.0])
     account = fleet.account()
     account.leased += 4.0
