--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -95,7 +95,7 @@
         return filled >= self.plan.ceiling_burst
 
     def demand_rate(self, now: float) -> float:
-        """Return the requested units per second."""
+        """Return the average of the requested units per second."""
         return self.demand * exp((self.demand_at - now) / DEMAND_WINDOW_SECONDS)
 
     def record_demand(self, now: float, units: float) -> None:
@@ -143,7 +143,7 @@
         return self._export(handed_over)
 
     def _export(self, ceiling_tokens: float) -> AccountHandover:
-        # The other process learns of usage that is still unreported as usage of other gateways.
+        # The tokens as the counter knows them: its totals will show the other process the usage reported later.
         pending_amount = sum(call.amount for call in self.pending_calls)
         return AccountHandover(
             plan=self.plan.name,
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -21,8 +21,8 @@
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
 from tests.simulation import GatewaySimulation, endpoint_list, make_request, make_settings
 
-STEP = 0.05  # seconds
-IDLE_STEP = 170  # no requests after it, so that the tokens below the ceiling are half full at the join
+STEP_SECONDS = 0.05
+IDLE_STEP = 170  # no requests from here until the join, so that the ceiling's bucket is half full then
 JOIN_STEP = 200  # a second process of the first gateway starts
 SHUTDOWN_STEP = 800  # the old process of the first gateway ends
 ENDPOINTS = ("s0", "s1", "s2", "s3")
@@ -33,7 +33,7 @@
 
 
 def handover_state(simulation: GatewaySimulation) -> model.HandoverState:
-    """What a process hands over when another one joins."""
+    """Return the state that a process hands over when another one joins."""
     actions = simulation.feed(model.ProcessCountChanged(2))
     (handover,) = (action for action in actions if isinstance(action, model.HandOver))
     return handover.state
@@ -46,13 +46,13 @@
     successor.feed(endpoint_list(*ENDPOINTS))
     successor.feed(model.ProcessCountChanged(2))
     state = handover_state(predecessor)
-    for _ in range(2):  # a second time it changes nothing
+    for _ in range(2):  # the second handover must not change anything
         successor.feed(state)
     return successor
 
 
 def send_burst(simulation: GatewaySimulation, first_id: int) -> int:
-    """How many of nine requests at once are forwarded, while the counter is unreachable."""
+    """Send nine requests at once without a counter, and return the number of forwarded ones."""
     simulation.reply_to_counter_calls(model.CallStatus.UNREACHABLE)
     forwarded_before = len(simulation.forwarded)
     for request_id in range(first_id, first_id + 9):
@@ -60,7 +60,7 @@
     return len(simulation.forwarded) - forwarded_before
 
 
-def test_two_processes_of_a_limiter_stay_below_the_ceiling() -> None:
+def test_a_ceiling_holds_while_a_second_process_of_one_limiter_runs() -> None:
     settings = make_settings(plans=(CAPPED_PLAN,))
     simulations = [GatewaySimulation(settings, seed) for seed in range(3)]
     for simulation in simulations:
@@ -69,8 +69,8 @@
     now = 100.0
     total = 0
     for step in range(1200):
-        now += STEP
-        tokens = min(CEILING_BURST, tokens + CEILING_RATE * STEP)
+        now += STEP_SECONDS
+        tokens = min(CEILING_BURST, tokens + CEILING_RATE * STEP_SECONDS)
         if step == JOIN_STEP:
             simulations.append(start_successor(simulations[0], settings, now))
         if step == SHUTDOWN_STEP:
@@ -98,7 +98,7 @@
     assert endpoints >= 32
 
 
-def test_the_remainder_of_a_ceiling_is_split_and_never_copied() -> None:
+def test_the_tokens_of_a_ceiling_are_split_with_a_joining_process_and_never_copied() -> None:
     plan = model.Plan("capped", 1.0, 3.0, 9.0, ceiling_rate=4.0, ceiling_burst=12.0)
     old = Account(100.0, plan, "acct", 3, started_at=0.0, max_units=4.0)
     new = Account(100.0, plan, "acct", 3, started_at=100.0, max_units=4.0, process_count=2)
@@ -110,13 +110,13 @@
 
 
 @pytest.mark.parametrize("stalled", [0.5, 1.5, 3.0, 10.0])
-def test_a_process_that_stood_still_while_another_joined_has_its_part_of_the_ceiling(
+def test_a_process_that_stalled_while_another_joined_keeps_its_part_of_the_ceiling_only(
     stalled: float,
 ) -> None:
-    """Since its last look the other one may have filled its own part; together they have what there is."""
+    """The other process may have refilled its part since the last poll of the stalled one."""
     plan = model.Plan("capped", 1.0, 30.0, 90.0, ceiling_rate=CEILING_RATE, ceiling_burst=CEILING_BURST)
     old = Account(100.0, plan, "acct", 1, started_at=0.0, max_units=4.0)
-    old.ceiling_tokens = 0.0  # used up when it stops
+    old.ceiling_tokens = 0.0  # empty when the process stalls
     new = Account(100.0, plan, "acct", 1, started_at=100.0, max_units=4.0, process_count=2)
     now = 100.0 + stalled
     new.take_over(now, old.set_process_count(now, 2, alone_until=100.0))
@@ -136,7 +136,7 @@
     old.feed(model.AdminRequest(1, model.AdminCommand.SUSPEND, "s1"))
     old.feed(
         model.AdminRequest(2, model.AdminCommand.RESTORE, "s1")
-    )  # warms up, which the list does not tell
+    )  # begins a slow start that the endpoint list does not show
     new.now = old.now
     new.gateway = Gateway(make_settings(), 3, old.now)
     new.feed(endpoint_list("s0", "s1"))
