--- a/quota_gateway/lifecycle/components.py
+++ b/quota_gateway/lifecycle/components.py
@@ -11,10 +11,11 @@
 from quota_gateway.net.admin.listener import AdminListener
 from quota_gateway.net.client.listener import ClientListener
 from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.common.unix_clock import unix_clock, unix_offset
 from quota_gateway.net.counter.client import CounterClient
 from quota_gateway.net.discovery.client import DiscoveryClient
 from quota_gateway.net.discovery.poll_timing import PollTiming
-from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock, unix_offset
+from quota_gateway.net.dispatch.dispatcher import Dispatcher
 from quota_gateway.net.process_group.group import ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import Timing
--- a/quota_gateway/net/counter/line_protocol.py
+++ b/quota_gateway/net/counter/line_protocol.py
@@ -8,8 +8,9 @@
 from quota_gateway.model import CallStatus
 
 PING_REQUEST = b"ping\r\n"
-MIN_LIFETIME_MILLISECONDS = 1  # the counter accepts no shorter lifetime
-MAX_LIFETIME_MILLISECONDS = 60_000  # and no longer one
+# The lifetimes that the counter accepts.
+MIN_LIFETIME_MILLISECONDS = 1
+MAX_LIFETIME_MILLISECONDS = 60_000
 MAX_REPLY_BYTES = 64
 TOTAL_REPLY = re.compile(rb"ok ([+-]?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,2})?)")
 PARTIAL_TOTAL_REPLY = re.compile(rb"ok [-+.0-9eE]*\r?")
--- a/quota_gateway/net/discovery/watch_log.py
+++ b/quota_gateway/net/discovery/watch_log.py
@@ -13,7 +13,7 @@
 
 
 class WatchOutcome(StrEnum):
-    """What is counted; the values are the words in the log line."""
+    """Outcome of a line or request; the values are the words in the log line."""
 
     RECEIVED = "received"  # an event
     DROPPED = "dropped"  # a malformed line
--- a/quota_gateway/net/discovery/watch_request.py
+++ b/quota_gateway/net/discovery/watch_request.py
@@ -105,7 +105,7 @@
         self._parser.feed_data(data)
 
     def _restart_if_event_lost(self) -> None:
-        """End a watch in which a line was dropped: it may have held a change that no later line repeats."""
+        """End a watch in which a line was dropped: no later line repeats the changes in it."""
         if self._event_lost and self._owner.permit_restart(self._loop.time()):
             raise ConnectionError("an event was lost in a malformed line")
 
@@ -115,7 +115,7 @@
         """Handle the head of the response."""
         status = self._parser.get_status_code()
         if status != STATUS_OK:
-            # An overloaded discovery is not asked for the complete list, which would increase its load.
+            # An overloaded discovery gets no request for the complete list, which would increase its load.
             if status < MIN_SERVER_ERROR_STATUS and status != STATUS_TOO_MANY_REQUESTS:
                 self._owner.on_version_rejected()
             raise ConnectionError(f"status {status}")
--- a/quota_gateway/net/dispatch/admin_calls.py
+++ b/quota_gateway/net/dispatch/admin_calls.py
@@ -32,7 +32,7 @@
         self._metrics = metrics
         self._requests = requests
         self._process_group = process_group
-        self._is_next_refused = False
+        self._fails_next = False
         self._calls: dict[int, _AdminCall] = {}
         self._last_id = 0
 
@@ -42,9 +42,9 @@
         self._calls[self._last_id] = _AdminCall(command, on_reply)
         return self._last_id
 
-    def refuse_next(self) -> None:
+    def fail_next(self) -> None:
         """Have the next reply report failure: the suspension that it would confirm was not recorded."""
-        self._is_next_refused = True
+        self._fails_next = True
 
     def fail(self, call_id: int) -> None:
         """Reply in place of the decisions, which have failed."""
@@ -53,11 +53,11 @@
     def reply(self, action: model.AdminReply) -> None:
         """Reply as the decisions say, with the metrics if the command requests them."""
         call = self._calls.pop(action.request_id)
-        is_refused = self._is_next_refused
-        self._is_next_refused = False
+        has_failed = self._fails_next
+        self._fails_next = False
         if action.ok and call.command in SUSPENSION_COMMANDS:
             deadline = asyncio.get_running_loop().time() + SAVE_TIMEOUT_SECONDS
-            self._reply_when_saved(call, is_refused=is_refused, deadline=deadline)
+            self._reply_when_saved(call, has_failed=has_failed, deadline=deadline)
             return
         text = self._render_metrics(action) if call.command is model.AdminCommand.METRICS else ""
         call.on_reply(action.ok, text)
@@ -67,15 +67,15 @@
         metrics.in_progress = self._requests.received_count + metrics.streaming_responses
         return metrics.render(action.known_endpoints, action.avoided_endpoints)
 
-    def _reply_when_saved(self, call: _AdminCall, *, is_refused: bool, deadline: float) -> None:
+    def _reply_when_saved(self, call: _AdminCall, *, has_failed: bool, deadline: float) -> None:
         """Reply once the suspension is recorded, or with a failure at the deadline.
 
         A reply of success applies to all processes of this limiter, later ones included.
         """
         is_saved = self._process_group.suspensions_saved
         loop = asyncio.get_running_loop()
-        if is_refused or is_saved or loop.time() >= deadline:
-            call.on_reply(is_saved and not is_refused, "")
+        if has_failed or is_saved or loop.time() >= deadline:
+            call.on_reply(is_saved and not has_failed, "")
         else:
-            retry = partial(self._reply_when_saved, call, is_refused=is_refused, deadline=deadline)
+            retry = partial(self._reply_when_saved, call, has_failed=has_failed, deadline=deadline)
             loop.call_later(SAVE_POLL_INTERVAL_SECONDS, retry)
--- a/quota_gateway/net/dispatch/attempt_guard.py
+++ b/quota_gateway/net/dispatch/attempt_guard.py
@@ -17,12 +17,12 @@
 
 
 class AttemptGuard:
-    """Refuses attempts that would break an invariant, which the decisions never request without a fault."""
+    """Rejects attempts that would break an invariant; without a fault the decisions request none."""
 
     __slots__ = ("_may_hedge", "_monitor")
 
     def __init__(self, monitor: InvariantMonitor, settings: model.Settings) -> None:
-        """``monitor`` counts the refused attempts."""
+        """``monitor`` counts the rejected attempts."""
         self._monitor = monitor
         self.apply_settings(settings)
 
@@ -35,12 +35,12 @@
         if not pending.attempts:
             return True
         if not self._may_hedge and not all(attempt.completed for attempt in pending.attempts):
-            return self._refuse(Invariant.ONE_ATTEMPT_AT_A_TIME, pending)
+            return self._reject(Invariant.ONE_ATTEMPT_AT_A_TIME, pending)
         if not _is_safe_to_repeat(pending, now):
-            return self._refuse(Invariant.REPEATED_SAFELY, pending)
+            return self._reject(Invariant.REPEATED_SAFELY, pending)
         return True
 
-    def _refuse(self, invariant: Invariant, pending: PendingRequest) -> bool:
+    def _reject(self, invariant: Invariant, pending: PendingRequest) -> bool:
         self._monitor.report(invariant, describe_request(pending))
         return False
 
--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -7,7 +7,6 @@
 
 import asyncio
 import logging
-import time
 from collections import deque
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -35,21 +34,6 @@
 TIMER_RETRY_DELAY_SECONDS = 1.0  # until a timer fires again on which the decisions have failed
 
 
-def unix_offset() -> float:
-    """Return Unix time less the time of the monotonic clock, in seconds."""
-    return time.time() - time.monotonic()
-
-
-def unix_clock(offset: float | None = None) -> Callable[[], float]:
-    """Return a clock of Unix time, in seconds, that is not affected by steps of the wall clock.
-
-    Unix time is needed since endpoints report their start in it. ``offset`` is that of ``unix_offset``; by
-    default it is determined now.
-    """
-    fixed_offset = unix_offset() if offset is None else offset
-    return lambda: fixed_offset + time.monotonic()
-
-
 class Decisions(Protocol):
     """Responds to events with actions: ``decisions.gateway.Gateway``."""
 
--- a/quota_gateway/net/dispatch/process_group_events.py
+++ b/quota_gateway/net/dispatch/process_group_events.py
@@ -52,7 +52,7 @@
         log.info("endpoint %s: %s", action.endpoint, "suspended" if action.suspended else "restored")
         suspensions = self._process_group.set_suspended(action.endpoint, action.suspended)
         if (action.endpoint in suspensions) is not action.suspended:  # the limit of suspensions is reached
-            self._admin_calls.refuse_next()
+            self._admin_calls.fail_next()
         self._pool.exclude(suspensions)
         # Another process may have recorded further suspensions in the meantime.
         self._dispatch(model.SuspensionsChanged(suspensions))
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -154,7 +154,7 @@
         remaining = exchange.expires_at - now
         violated = find_send_violation(connection, exchange)
         if violated is not None:
-            return self._refuse(violated, connection, exchange)
+            return self._reject(violated, connection, exchange)
         is_late = remaining <= 0 or now > exchange.not_after
         # The client is polled last, because that may withdraw this exchange.
         if is_late or not self._connections.is_usable(connection) or exchange.has_lost_client():
@@ -164,7 +164,7 @@
         timeout_header = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(timeout * 1000))
         connection.send(exchange, exchange.request_head + timeout_header + exchange.request_body)
 
-    def _refuse(self, violated: Invariant, connection: UpstreamConnection, exchange: Exchange) -> None:
+    def _reject(self, violated: Invariant, connection: UpstreamConnection, exchange: Exchange) -> None:
         """Do not send an exchange that would break an invariant."""
         report_send_violation(self._invariants, violated, connection, exchange)
         if violated is Invariant.SENT_WHILE_OPEN:
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -13,7 +13,8 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.listener import ClientListener
-from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.common.unix_clock import unix_clock
+from quota_gateway.net.dispatch.dispatcher import Dispatcher
 from quota_gateway.net.upstream.exchange import Exchange
 from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import parse_settings
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -12,9 +12,9 @@
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.client.request_parser import RequestParser
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.counter.client import CounterClient
 from quota_gateway.net.discovery.watch_event import parse_watch_event
-from quota_gateway.net.dispatch.dispatcher import unix_clock
 from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import parse_settings
 from scale.memory.allocation import MemoryUse, allocated_bytes
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -10,8 +10,8 @@
 import uvloop
 
 from quota_gateway import model
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.discovery.watch_event import parse_watch_event
-from quota_gateway.net.dispatch.dispatcher import unix_clock
 from quota_gateway.net.upstream.pool import ConnectionPool
 from scale import load_profile
 from scale.memory.allocation import resident_bytes
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -8,7 +8,8 @@
 import uvloop
 
 from quota_gateway import model
-from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.common.unix_clock import unix_clock
+from quota_gateway.net.dispatch.dispatcher import Dispatcher
 from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import parse_settings
 from scale.messages.counting_stand_in import REPLY_TIMEOUT_SECONDS, CountingStandIn
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,9 +16,10 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.listener import ClientListener
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.counter.client import CounterClient
 from quota_gateway.net.discovery.watch_event import WatchEvent
-from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.dispatch.dispatcher import Dispatcher
 from quota_gateway.net.upstream.pool import ConnectionPool
 
 TIME_LIMIT = 20.0  # seconds; generous: only a hang takes this long
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -3,28 +3,13 @@
 from __future__ import annotations
 
 import asyncio
-import functools
-from collections.abc import Callable, Coroutine
-from typing import Any, ParamSpec
 
-from quota_gateway.net.dispatch.dispatcher import unix_clock
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.upstream.exchange import Exchange
 from quota_gateway.net.upstream.pool import ConnectionPool
-from tests.loopback import run
 
 ENDPOINT = "s1"
 REQUEST_HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
-Parameters = ParamSpec("Parameters")
-
-
-def async_test(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
-    """Run a test on an event loop of its own, within the time limit of the loopback tests."""
-
-    @functools.wraps(test)
-    def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
-        run(test(*args, **kwargs))
-
-    return run_test
 
 
 def empty_response(status: str, extra_headers: str = "") -> bytes:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -12,8 +12,8 @@
 from quota_gateway.net.upstream import idle_connections
 from quota_gateway.net.upstream.connection_limits import MAX_CONNECTIONS_PER_ENDPOINT
 from quota_gateway.net.upstream.pool import ConnectionPool
-from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
-from tests.pool_harness import ENDPOINT, PoolHarness, async_test
+from tests.loopback import OK_RESPONSE, ScriptedEndpoint, async_test, read_message, running_server
+from tests.pool_harness import ENDPOINT, PoolHarness
 
 OTHER_RESPONSE = OK_RESPONSE.replace(b"hi", b"no")
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -10,7 +10,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.common.invariants import Invariant, Violation
-from quota_gateway.net.dispatch.dispatcher import unix_clock
+from quota_gateway.net.common.unix_clock import unix_clock
 from tests.client_helpers import on_timer
 from tests.loopback import (
     OK_RESPONSE,
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -15,8 +15,8 @@
 from quota_gateway import model
 from quota_gateway.decisions.counter_budget import CounterBudget
 from quota_gateway.decisions.gateway import Gateway
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.counter.client import CounterClient
-from quota_gateway.net.dispatch.dispatcher import unix_clock
 from tests.loopback import (
     OK_RESPONSE,
     SETTINGS,
--- a/tests/test_idle_policy.py
+++ b/tests/test_idle_policy.py
@@ -9,8 +9,8 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net.upstream import idle_connections
 from quota_gateway.net.upstream.exchange import Exchange
-from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
-from tests.pool_harness import PoolHarness, async_test
+from tests.loopback import OK_RESPONSE, ScriptedEndpoint, async_test, read_message, running_server
+from tests.pool_harness import PoolHarness
 
 
 async def break_on_reuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -5,8 +5,8 @@
 import pytest
 
 from quota_gateway.net.upstream.load_report import parse_load_report
-from tests.loopback import ScriptedEndpoint, running_server
-from tests.pool_harness import PoolHarness, async_test, empty_response
+from tests.loopback import ScriptedEndpoint, async_test, running_server
+from tests.pool_harness import PoolHarness, empty_response
 
 
 def test_a_load_report_gives_numbers_by_name() -> None:
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -24,11 +24,12 @@
     LoopbackLimiter,
     ScriptedDecisions,
     ScriptedEndpoint,
+    async_test,
     forward_to_s1,
     http_request,
     running_server,
 )
-from tests.pool_harness import PoolHarness, async_test
+from tests.pool_harness import PoolHarness
 
 
 class UnexpectedError(Exception):
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -9,8 +9,8 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net.upstream import idle_connections, response_timer
 from quota_gateway.net.upstream.exchange import Exchange
-from tests.loopback import OK_RESPONSE, ScriptedEndpoint, read_message, running_server
-from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, async_test, empty_response
+from tests.loopback import OK_RESPONSE, ScriptedEndpoint, async_test, read_message, running_server
+from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, empty_response
 
 HUGE_BODY = b"x" * 32_000_000  # more than the sockets' buffers hold
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -24,9 +24,10 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.admin.listener import AdminListener
 from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.discovery.watch_event import WatchEvent
 from quota_gateway.net.discovery.watcher import EndpointWatcher
-from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.dispatch.dispatcher import Dispatcher
 from quota_gateway.net.process_group.group import ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import Timing, check_reloaded_settings, parse_settings, parse_timing
