--- a/scale/fleet/limiter.py
+++ b/scale/fleet/limiter.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 from random import Random
-from typing import Any
+from typing import Any, ClassVar
 
 from scale.fleet.discovery import EndpointHistory
 from scale.fleet.endpoint_watch import EndpointWatch
@@ -56,7 +56,7 @@
 
     def receive(self, envelope: Envelope) -> None:
         """Handle a message or timer."""
-        _HANDLERS[type(envelope.event)](self, envelope.time, envelope.event)
+        self._HANDLERS[type(envelope.event)](self, envelope.time, envelope.event)
 
     def warming_up_endpoints(self) -> int:
         """Return the number of endpoints of the subset that the limiter considers to be warming up."""
@@ -128,19 +128,18 @@
             if update is not None:
                 self._process.update_endpoints(now, update)
 
-
-_HANDLERS: dict[type[Any], Callable[[Limiter, float, Any], None]] = {
-    ClientRequest: Limiter._on_client_request,
-    AttemptEnded: Limiter._on_process_message,
-    TimerDue: Limiter._on_process_message,
-    CounterAnswered: Limiter._on_process_message,
-    HealthChecked: Limiter._on_process_message,
-    LimiterStarted: Limiter._on_started,
-    LimiterKilled: Limiter._on_killed,
-    EndpointsChanged: Limiter._on_endpoints_changed,
-    EndpointFailed: Limiter._on_endpoint_failed,
-    WatchLost: Limiter._on_watch_lost,
-    DiscoveryCallDue: Limiter._on_discovery_call_due,
-    DiscoveryCallTimedOut: Limiter._on_discovery_call_timed_out,
-    WatchOpened: Limiter._on_watch_opened,
-}
+    _HANDLERS: ClassVar[dict[type[Any], Callable[[Limiter, float, Any], None]]] = {
+        ClientRequest: _on_client_request,
+        AttemptEnded: _on_process_message,
+        TimerDue: _on_process_message,
+        CounterAnswered: _on_process_message,
+        HealthChecked: _on_process_message,
+        LimiterStarted: _on_started,
+        LimiterKilled: _on_killed,
+        EndpointsChanged: _on_endpoints_changed,
+        EndpointFailed: _on_endpoint_failed,
+        WatchLost: _on_watch_lost,
+        DiscoveryCallDue: _on_discovery_call_due,
+        DiscoveryCallTimedOut: _on_discovery_call_timed_out,
+        WatchOpened: _on_watch_opened,
+    }
--- a/scale/fleet/limiter_network.py
+++ b/scale/fleet/limiter_network.py
@@ -123,7 +123,7 @@
         call_id = self._mailbox.next_number()
         partitioned = self._faults.partitioned(self._zone, COORDINATION_ZONE, now)
         times_out_at = now + COUNTER_TIMEOUT
-        failure = self._counter_failure(now, partitioned)
+        failure = self._counter_failure(now, partitioned=partitioned)
         failed = CounterAnswered(incarnation, call_id, failure, total=0.0, arrived_at=times_out_at)
         self._mailbox.schedule(times_out_at, failed)
         if not partitioned:
@@ -139,7 +139,7 @@
             self._mailbox.send(self._index, arrives_at, message)
         return call_id
 
-    def _counter_failure(self, now: float, partitioned: bool) -> CounterOutcome:
+    def _counter_failure(self, now: float, *, partitioned: bool) -> CounterOutcome:
         """Return the outcome of a call without a reply in time."""
         unreachable_after = _COUNTER_TIMEOUTS_UNTIL_UNREACHABLE * COUNTER_TIMEOUT
         if partitioned and now - self._schedule.partition.begin > unreachable_after:
--- a/scale/fleet/limiter_process.py
+++ b/scale/fleet/limiter_process.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, ClassVar
 
 from quota_gateway import model
 from scale.fleet.discovery import endpoint_index, endpoint_name
@@ -44,6 +44,9 @@
 _KILLED = "killed"  # reason of the failed requests
 
 
+_Handler = Callable[["LimiterProcess", float, Any], None]
+
+
 class LimiterProcess:
     """Translates messages into events of the decisions, and their actions into messages."""
 
@@ -102,7 +105,7 @@
 
     def receive(self, now: float, message: ProcessMessage) -> None:
         """Handle a message to this incarnation."""
-        _MESSAGE_HANDLERS[type(message)](self, now, message)
+        self._MESSAGE_HANDLERS[type(message)](self, now, message)
 
     def update_endpoints(self, now: float, update: model.EndpointUpdate) -> None:
         """Apply the endpoint list or a change of it."""
@@ -121,7 +124,7 @@
     def _decide(self, now: float, event: model.Event) -> None:
         """Let the decisions handle an event, and execute their actions."""
         for action in self._gateway.handle(now, event):
-            handler = _ACTION_HANDLERS.get(type(action))
+            handler = self._ACTION_HANDLERS.get(type(action))
             if handler is not None:
                 handler(self, now, action)
 
@@ -211,19 +214,17 @@
     def _notify_client(self, now: float, request: OpenRequest, event: RequestServed | RequestEnded) -> None:
         self._mailbox.send(request.client_request.tenant, now, event)
 
-
-_Handler = Callable[[LimiterProcess, float, Any], None]
-_MESSAGE_HANDLERS: dict[type[ProcessMessage], _Handler] = {
-    AttemptEnded: LimiterProcess._on_attempt_ended,
-    TimerDue: LimiterProcess._on_timer_due,
-    CounterAnswered: LimiterProcess._on_counter_answered,
-    HealthChecked: LimiterProcess._on_health_checked,
-}
-_ACTION_HANDLERS: dict[type[model.Action], _Handler] = {
-    model.Forward: LimiterProcess._forward,
-    model.SetTimer: LimiterProcess._set_timer,
-    model.IncrementCounter: LimiterProcess._increment_counter,
-    model.Reject: LimiterProcess._reject,
-    model.Fail: LimiterProcess._fail,
-    model.CheckHealth: LimiterProcess._check_health,
-}
+    _MESSAGE_HANDLERS: ClassVar[dict[type[ProcessMessage], _Handler]] = {
+        AttemptEnded: _on_attempt_ended,
+        TimerDue: _on_timer_due,
+        CounterAnswered: _on_counter_answered,
+        HealthChecked: _on_health_checked,
+    }
+    _ACTION_HANDLERS: ClassVar[dict[type[model.Action], _Handler]] = {
+        model.Forward: _forward,
+        model.SetTimer: _set_timer,
+        model.IncrementCounter: _increment_counter,
+        model.Reject: _reject,
+        model.Fail: _fail,
+        model.CheckHealth: _check_health,
+    }
--- a/scale/latency/measurement.py
+++ b/scale/latency/measurement.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 from statistics import median
 from tempfile import TemporaryDirectory
+from typing import Any
 
 from scale.http_client import HttpClient
 from scale.latency.cells import Cell
@@ -126,18 +127,10 @@
     setup = Setup(cell.servers, cell.endpoints, counter, effort.seed)
     stand_ins = await stack.enter_async_context(start_stand_ins(directory, setup))
     number = 1 if effort.quick else LIMITERS
-    if cell.direct:
-        limiters = list[Limiter]()
-        addresses = stand_ins.addresses.endpoints[:number]
-    else:
-        settings = limiter_settings(size, cell.rate, quotas=cell.quotas)
-        known = make_endpoints(cell.servers, stand_ins.addresses.endpoints)
-        configs = [
-            limiter_config(
-                index, settings, stand_ins.addresses, known, seed=effort.seed + index, with_counter=True
-            )
-            for index in range(number)
-        ]
+    limiters = list[Limiter]()
+    addresses = stand_ins.addresses.endpoints[:number]
+    if not cell.direct:
+        configs = _limiter_configs(cell, size, effort, stand_ins, number)
         limiters = await stack.enter_async_context(start_limiters(directory, configs))
         addresses = [limiter.address for limiter in limiters]
     clients = [HttpClient(address) for address in addresses]
@@ -149,6 +142,19 @@
     return _CellProcesses(stand_ins, limiters, load)
 
 
+def _limiter_configs(
+    cell: Cell, size: Size, effort: Effort, stand_ins: StandIns, number: int
+) -> list[dict[str, Any]]:
+    settings = limiter_settings(size, cell.rate, quotas=cell.quotas)
+    known = make_endpoints(cell.servers, stand_ins.addresses.endpoints)
+    return [
+        limiter_config(
+            index, settings, stand_ins.addresses, known, seed=effort.seed + index, with_counter=True
+        )
+        for index in range(number)
+    ]
+
+
 async def _run_window(processes: _CellProcesses, cell: Cell) -> Window:
     waited_before = processes.core_wait()
     started_at = time.monotonic()
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -252,12 +252,14 @@
     for rolling_restart in (False, True):
         for description, call_rate in call_rates.items():
             result.add_figure(
-                _traffic_figure(traffic, description, call_rate, rolling_restart, budget.control_bytes)
+                _traffic_figure(
+                    traffic, description, call_rate, budget.control_bytes, rolling_restart=rolling_restart
+                )
             )
 
 
 def _traffic_figure(
-    traffic: ControlTraffic, description: str, call_rate: float, rolling_restart: bool, budget: float
+    traffic: ControlTraffic, description: str, call_rate: float, budget: float, *, rolling_restart: bool
 ) -> Figure:
     change_rate = load_profile.list_change_rate(rolling_restart=rolling_restart)
     changes = change_rate * traffic.change
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -9,7 +9,7 @@
 from heapq import heappop, heappush
 from itertools import count
 from random import Random
-from typing import Any
+from typing import Any, ClassVar, NamedTuple
 
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
@@ -37,6 +37,14 @@
 VIRTUAL_START_SECONDS = 1000.0
 
 
+class _ScheduledEvent(NamedTuple):
+    """An event with its virtual time; ``order`` keeps events of the same time in the order of scheduling."""
+
+    at: float
+    order: int
+    event: model.Event | None  # None: the next request of the load
+
+
 class SimulatedLimiter:
     """One limiter of the fleet under its part of the load.
 
@@ -63,8 +71,7 @@
         self._random = Random(seed)
         self._counter = SimulatedCounter(quota=quota, spread=self.spread, mix=mix)
         self._endpoint_list = ChangingEndpointList(size)
-        # Heap by time and order of scheduling; None is the next request of the load.
-        self._events = list[tuple[float, int, model.Event | None]]()
+        self._events = list[_ScheduledEvent]()  # heap
         self._order = count()
         self._last_request_id = 0
         self._attempts = dict[int, int]()  # started so far, by request
@@ -84,7 +91,7 @@
     def run(self, seconds: float) -> None:
         """Let virtual time pass."""
         until = self._now + seconds
-        while self._events and self._events[0][0] <= until:
+        while self._events and self._events[0].at <= until:
             self._now, _, event = heappop(self._events)
             if event is None:
                 event = self._make_request(self._draw_tenant())
@@ -100,7 +107,7 @@
         elif isinstance(event, model.AttemptCompleted) and event.request_finished:
             self._attempts.pop(event.request_id, None)
         for action in actions:
-            handler = _ACTION_HANDLERS.get(type(action))
+            handler = self._ACTION_HANDLERS.get(type(action))
             if handler is not None:
                 handler(self, action)
 
@@ -147,7 +154,7 @@
         return self._counter.table_bytes() + sys.getsizeof(self._events)
 
     def _schedule(self, delay: float, event: model.Event | None) -> None:
-        heappush(self._events, (self._now + delay, next(self._order), event))
+        heappush(self._events, _ScheduledEvent(self._now + delay, next(self._order), event))
 
     def _draw_tenant(self) -> int:
         """Draw a tenant by its demand.
@@ -207,12 +214,11 @@
     def _set_timer(self, action: model.SetTimer) -> None:
         self._schedule(action.delay, model.TimerFired(action.token))
 
-
-_ACTION_HANDLERS: dict[type[model.Action], Callable[[SimulatedLimiter, Any], None]] = {
-    model.Forward: SimulatedLimiter._forward,
-    model.Reject: SimulatedLimiter._end_request,
-    model.Fail: SimulatedLimiter._end_request,
-    model.IncrementCounter: SimulatedLimiter._increment_counter,
-    model.CheckHealth: SimulatedLimiter._check_health,
-    model.SetTimer: SimulatedLimiter._set_timer,
-}
+    _ACTION_HANDLERS: ClassVar[dict[type[model.Action], Callable[[SimulatedLimiter, Any], None]]] = {
+        model.Forward: _forward,
+        model.Reject: _end_request,
+        model.Fail: _end_request,
+        model.IncrementCounter: _increment_counter,
+        model.CheckHealth: _check_health,
+        model.SetTimer: _set_timer,
+    }
--- a/scale/stand_ins/timers.py
+++ b/scale/stand_ins/timers.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 from itertools import count
+from typing import NamedTuple
 
 LIBC = ctypes.CDLL(None, use_errno=True)
 TFD_TIMER_ABSTIME = 1  # timerfd_settime: expire at this time, not after it
@@ -17,6 +18,14 @@
 NANOSECONDS_PER_SECOND = 1e9
 
 
+class _Timer(NamedTuple):
+    """A callback with its time; ``order`` keeps timers of the same time in the order of their creation."""
+
+    at: float  # seconds of ``time.monotonic``
+    order: int
+    callback: Callable[[], None]
+
+
 class PreciseTimers:
     """Timers with a resolution of about 0.1 ms; those of the event loop have whole milliseconds.
 
@@ -25,7 +34,7 @@
 
     def __init__(self) -> None:
         """Create timers for the running event loop. Raise ``OSError`` without timerfd."""
-        self._due = list[tuple[float, int, Callable[[], None]]]()
+        self._due = list[_Timer]()  # heap
         self._order = count()
         self._armed_for = 0.0  # seconds of ``time.monotonic``; 0: not armed
         self._descriptor: int = LIBC.timerfd_create(time.CLOCK_MONOTONIC, os.O_NONBLOCK | os.O_CLOEXEC)
@@ -35,7 +44,7 @@
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
         """Call ``callback`` when ``time.monotonic`` reaches ``when``."""
-        heappush(self._due, (when, next(self._order), callback))
+        heappush(self._due, _Timer(when, next(self._order), callback))
         self._arm()
 
     def close(self) -> None:
@@ -44,8 +53,8 @@
         os.close(self._descriptor)
 
     def _arm(self) -> None:
-        if self._due and self._due[0][0] != self._armed_for:
-            self._armed_for = self._due[0][0]
+        if self._due and self._due[0].at != self._armed_for:
+            self._armed_for = self._due[0].at
             seconds = int(self._armed_for)
             nanoseconds = max(1, int((self._armed_for - seconds) * NANOSECONDS_PER_SECOND))
             expiration = (ctypes.c_long * 4)(0, 0, seconds, nanoseconds)  # struct itimerspec: no interval
@@ -54,8 +63,7 @@
     def _fire(self) -> None:
         with contextlib.suppress(BlockingIOError):  # armed again after it had expired
             os.read(self._descriptor, TIMERFD_READ_BYTES)
-        while self._due and self._due[0][0] <= time.monotonic():
-            _, _, callback = heappop(self._due)
-            callback()
+        while self._due and self._due[0].at <= time.monotonic():
+            heappop(self._due).callback()
         self._armed_for = 0.0
         self._arm()
--- a/soak/limiter.py
+++ b/soak/limiter.py
@@ -63,13 +63,8 @@
         self._library = library
         self._started_processes = 0
         self._exit_watches = set[asyncio.Task[None]]()
-        self._listening_socket: socket.socket | None = None
-        if accept_queue_held:
-            self._listening_socket = socket.create_server((LOOPBACK, 0), backlog=LISTEN_BACKLOG)
-            self._listening_socket.set_inheritable(True)
-            self.port = self._listening_socket.getsockname()[1]
-        else:
-            self.port = free_port()
+        self._listening_socket = _create_inheritable_listener() if accept_queue_held else None
+        self.port = _port_of(self._listening_socket) if self._listening_socket else free_port()
 
     @property
     def current_process(self) -> LimiterProcess | None:
@@ -215,3 +210,14 @@
             self._listening_socket.close()
         self.discovery.close()
         self.counter.close()
+
+
+def _create_inheritable_listener() -> socket.socket:
+    listener = socket.create_server((LOOPBACK, 0), backlog=LISTEN_BACKLOG)
+    listener.set_inheritable(True)
+    return listener
+
+
+def _port_of(listener: socket.socket) -> int:
+    port: int = listener.getsockname()[1]
+    return port
--- a/soak/request_trace.py
+++ b/soak/request_trace.py
@@ -17,8 +17,8 @@
     request = history.requests.get(violation.request_id)
     if request is not None:
         lines.append(_format_request(history, request))
-    for attempt in history.attempts.get(violation.request_id, []):
-        lines.append(_format_attempt(history, attempt))
+    attempts = history.attempts.get(violation.request_id, [])
+    lines += [_format_attempt(history, attempt) for attempt in attempts]
     lines += _log_lines(history, violation)
     lines += _event_lines(history, violation)
     return "\n".join(lines)
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -50,7 +50,8 @@
     # Twice the capacity, for 1 s.
     replies = [counter.call(number * 0.0005, 7, 1.0, 60.0) for number in range(2000)]
     times = [reply.answered_at for reply in replies if reply is not None]
-    assert len(times) == 2000 and times == sorted(times)
+    assert len(times) == 2000
+    assert times == sorted(times)
     assert times[-1] == pytest.approx(2.0, rel=0.05)  # the queue is served at the capacity
     assert answered(replies[-1]).total == 2000.0  # the total includes calls that timed out
 
@@ -61,7 +62,8 @@
         counter.call(0.0, 2, 1.0, 60.0)
     busy = answered(counter.call(0.0, 4, 1.0, 60.0))
     idle = answered(counter.call(0.0, 3, 1.0, 60.0))
-    assert busy.answered_at > 0.15 and idle.answered_at < 0.004
+    assert busy.answered_at > 0.15
+    assert idle.answered_at < 0.004
 
 
 def test_a_total_expires_its_lifetime_after_its_first_call() -> None:
@@ -110,7 +112,8 @@
     bearable = parameters.OVERLOAD_MULTIPLE * parameters.ENDPOINT_CORES * parameters.INITIAL_CAPACITY
     outcomes = [pushed.attempt(5.0 + number * 0.001, 0.1, 2.0).outcome for number in range(20)]
     assert outcomes.index(AttemptOutcome.UNREACHABLE) == int(bearable / 0.1)
-    assert pushed.failed and not gentle.failed
+    assert pushed.failed
+    assert not gentle.failed
     assert pushed.attempt(60.0, 0.1, 2.0).outcome is AttemptOutcome.UNREACHABLE
 
 
@@ -123,7 +126,8 @@
 def start_request(clients: TenantClients, at: float) -> int:
     """Start a new request and return its id."""
     _, envelope = clients.start_request(at)
-    assert envelope is not None and isinstance(envelope.event, ClientRequest)
+    assert envelope is not None
+    assert isinstance(envelope.event, ClientRequest)
     return envelope.event.request_id
 
 
@@ -144,7 +148,8 @@
     assert counts["units sent"] > account.ceiling.burst
     assert counts["ceilings exceeded"] > 0
     clients.receive(2.1, RequestServed(requests[0]))
-    assert counts["lost"] == 0 and counts["within latency objective"] == 1
+    assert counts["lost"] == 0
+    assert counts["within latency objective"] == 1
     clients.receive(6.0, RequestEnded(requests[1], RequestResult.FAILED, "attempts"))
     assert counts["lost"] == 1
     clients.receive(9.0, RequestEnded(requests[2], RequestResult.REJECTED, "gate"))
@@ -157,10 +162,12 @@
     scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), like_fleets=84)
     one, two = simulate(scenario, 1), simulate(scenario, 2)
     assert one.tally.phases == two.tally.phases
-    assert one.tally.seconds == two.tally.seconds and one.tally.waits == two.tally.waits
+    assert one.tally.seconds == two.tally.seconds
+    assert one.tally.waits == two.tally.waits
     summary = summarize(scenario, two)
     total = summary["over all"]
-    assert total["lost"] == total["ceilings passed"] == 0 and 0.5 < total["service"] <= 1.0
+    assert total["lost"] == total["ceilings passed"] == 0
+    assert 0.5 < total["service"] <= 1.0
     assert summary["phases"]["restart"]["ended"]["failed: killed"] > 0
     assert summary["phases"]["cut"]["attempts"]["unreachable"] > 0
     assert "calls/s" in format_summary(summary)
@@ -219,7 +226,8 @@
     )
     # Watches open at the start, after the restarts and after the partition; each call ends once.
     assert watches >= SMALL_FLEET.limiters + round(0.7 * SMALL_FLEET.limiters) + 2
-    assert timed_out > 0 and calls == timed_out + watches
+    assert timed_out > 0
+    assert calls == timed_out + watches
 
 
 @pytest.mark.parametrize("event_type", ROLES, ids=lambda event_type: event_type.__name__)
@@ -227,4 +235,5 @@
     event = event_type(*range(len(event_type._fields)))
     sent = [Envelope(0.5, source=3, sequence=7, recipient=2, event=event)]
     received = decode(encode(sent))
-    assert received == sent and type(received[0].event) is event_type
+    assert received == sent
+    assert type(received[0].event) is event_type
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -43,7 +43,8 @@
         writer.write(b"tally 7 1 4000\r\n" * 10)
         answers = [(await reader.readline()).rstrip() for _ in range(10)]
         busy = answers.count(b"busy")
-        assert busy >= 6 and answers[0] == b"ok 1"
+        assert busy >= 6
+        assert answers[0] == b"ok 1"
         await asyncio.sleep(0.1)
         writer.write(b"tally 7 1 4000\r\n")
         assert await reader.readline() == b"ok %d\r\n" % (10 - busy + 1)
@@ -76,10 +77,13 @@
         writer.write(b"GET /v1/servers?follow=1 HTTP/1.1\r\nHost: x\r\n\r\n")
         assert b" 200 " in (await reader.readuntil(b"\r\n\r\n"))
         complete = json.loads(await read_chunk(reader))
-        assert complete["whole"] and complete["seq"] == 41 and len(complete["hosts"]) == 3
+        assert complete["whole"]
+        assert complete["seq"] == 41
+        assert len(complete["hosts"]) == 3
         discovery.drain("s-00000001")
         change = json.loads(await read_chunk(reader))
-        assert not change["whole"] and change["seq"] == 42
+        assert not change["whole"]
+        assert change["seq"] == 42
         assert [(row["host"], row["health"]) for row in change["hosts"]] == [("s-00000001", "draining")]
         assert await read_chunk(reader) == b"\n"  # about 2 s later
         late, late_writer = await connect(address)
--- a/tests/test_soak_scenario.py
+++ b/tests/test_soak_scenario.py
@@ -95,7 +95,8 @@
 ) -> None:
     assert main(arguments) == ExitCode.NO_VERDICT
     captured = capsys.readouterr()
-    assert captured.err.startswith("soak: ") and captured.out == ""
+    assert captured.err.startswith("soak: ")
+    assert captured.out == ""
 
 
 def test_the_list_names_every_kind_of_fault(capsys: pytest.CaptureFixture[str]) -> None:
