--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -139,7 +139,7 @@
     idle_timeout = ENDPOINT_IDLE_TIMEOUT_FACTOR * EXCHANGE_TIMEOUT_SECONDS
     pool = ConnectionPool(unix_clock(), EXCHANGE_TIMEOUT_SECONDS, idle_timeout, count + SPARE_CONNECTIONS)
     for number in range(0, count, CONNECTIONS_PER_ENDPOINT):
-        pool.update_endpoint(f"s-{number}", address, True)
+        pool.update_endpoint(f"s-{number}", address, available=True)
     exchanges = _Exchanges(count)
     resident_before = start_tracing()
     _start_exchanges(pool, count, exchanges)
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -45,7 +45,7 @@
     tracemalloc.start()
     event = parse_watch_event(json.loads(text))
     for endpoint in event.update.endpoints:
-        pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], True)
+        pool.update_endpoint(endpoint.name, event.addresses[endpoint.name], available=True)
     gateway.handle(0.0, event.update)
     del event, endpoint
     memory = MemoryUse(allocated_bytes())
@@ -94,9 +94,7 @@
     client = CounterClient("127.0.0.1", 1, COUNTER_TIMEOUT_SECONDS)
     tracemalloc.start()
     for number in range(count):
-        client.increment(
-            FIRST_COUNTER_ID + number, 1.0, COUNTER_LIFETIME_SECONDS, lambda _status, _total: None
-        )
+        client.increment(FIRST_COUNTER_ID + number, 1.0, COUNTER_LIFETIME_SECONDS, lambda _result: None)
     return MemoryUse(allocated_bytes())
 
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -192,7 +192,7 @@
             (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status is model.CallStatus.NOT_SENT
         assert " 429 " in (await read_message(reader))[0]
-        assert limiter.pool._endpoints.open_connections == 0
+        assert limiter.pool.open_connections == 0
         script.decide = forward_to_s1
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         writer.close()
@@ -203,7 +203,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Connections are accepted once there are descriptors again, and closing does not fail."""
-    monkeypatch.setattr(listener, "DESCRIPTOR_WAIT", 10.0)  # a slow machine must not make it late
+    monkeypatch.setattr(listener, "DESCRIPTOR_WAIT_SECONDS", 10.0)  # a slow machine must not make it late
 
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         acceptor = limiter.listener._acceptor
@@ -217,11 +217,11 @@
         shortage = ExitStack()
         closing_began = asyncio.Event()
 
-        async def close_at_the_limit(drain_time: float | None) -> None:
+        async def close_at_the_limit(drain_seconds: float | None) -> None:
             """Leave no descriptor free in the step that closes."""
             shortage.enter_context(no_free_descriptor())
             closing_began.set()
-            await close(drain_time)
+            await close(drain_seconds)
 
         monkeypatch.setattr(acceptor, "close", close_at_the_limit)
         closing = asyncio.create_task(limiter.listener.close(1000))
