--- a/quota_gateway/net/client/request.py
+++ b/quota_gateway/net/client/request.py
@@ -31,7 +31,7 @@
     def on_client_disconnected(self, request: ClientRequest) -> None:
         """The client of an unanswered request has disconnected."""
 
-    def on_client_maybe_gone(self, request: ClientRequest) -> None:
+    def on_client_maybe_disconnected(self, request: ClientRequest) -> None:
         """The client of an unanswered request ended its sending side and may have disconnected."""
 
 
--- a/quota_gateway/net/client/request_intake.py
+++ b/quota_gateway/net/client/request_intake.py
@@ -73,7 +73,7 @@
 
     def withdraw(self, request: ClientRequest) -> None:
         """Withdraw the unsent attempts of an unanswered request whose client may have disconnected."""
-        self._handler.on_client_maybe_gone(request)
+        self._handler.on_client_maybe_disconnected(request)
 
 
 def _with_time_left(event: model.Request, seconds_unread: float) -> model.Request:
--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -194,7 +194,7 @@
 
     def on_client_reset(self) -> None:
         """Abort the connection of a client that has disconnected."""
-        self._closer.abort(CloseReason.CLIENT_GONE)
+        self._closer.abort(CloseReason.CLIENT_DISCONNECTED)
 
     def on_confirmation_needed(self) -> None:
         """Send an interim response where HTTP allows one."""
--- a/quota_gateway/net/client/stats.py
+++ b/quota_gateway/net/client/stats.py
@@ -17,7 +17,7 @@
     IDLE = "closed idle"
     EVICTED = "evicted for a new one"
     OUT_OF_CONNECTIONS = "aborted: all connections are busy"
-    CLIENT_GONE = "aborted: the client has gone"
+    CLIENT_DISCONNECTED = "aborted: the client has gone"
     STALLED = "aborted: the client takes nothing"
     TRUNCATED = "aborted: its response broke off"
     TOO_MUCH_INPUT = "aborted: too much input behind an error"
--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -174,7 +174,7 @@
         if event is not None and self._requests.close(event.id) is not None:
             self.dispatch(model.ClientDisconnected(event.id))
 
-    def on_client_maybe_gone(self, request: ClientRequest) -> None:
+    def on_client_maybe_disconnected(self, request: ClientRequest) -> None:
         """The client may have gone: no attempt begins any more."""
         if request.event is not None:
             self._requests.stop_forwarding(request.event.id)
--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -1,17 +1,26 @@
-"""Helpers for the tests of client connections: scripted decisions, and clients that leave."""
+"""Helpers for the tests of client connections: scripted decisions, responses, and clients that disconnect."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 import struct
-from collections.abc import Callable
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
 
 from quota_gateway import model
-from tests.loopback import LoopbackLimiter, ScriptedDecisions, forward_to_s1, http_request, read_message
+from tests.loopback import (
+    ConnectionHandler,
+    LoopbackLimiter,
+    ScriptedDecisions,
+    forward_to_s1,
+    http_request,
+    read_message,
+    running_server,
+)
 
 POST = http_request("/post?account=00000000b4d65521", b"xy")
-LATE = 0.11  # seconds after a disconnect from which on no attempt may begin
+LATE_SECONDS = 0.11  # after a disconnect no attempt may begin later than 0.1 s
 
 
 def reject(event: model.Event) -> list[model.Action]:
@@ -19,22 +28,47 @@
     return [model.Reject(event.id, 0.25)] if isinstance(event, model.Request) else []
 
 
+def take_no_action(_event: model.Event) -> list[model.Action]:
+    """Decisions that leave every request waiting, as for a reply of the counter."""
+    return []
+
+
 def on_timer(actions: list[model.Action]) -> Callable[[model.Event], list[model.Action]]:
     """Decisions that take ``actions`` when a timer fires, and forward every request."""
     return lambda event: actions if isinstance(event, model.TimerFired) else forward_to_s1(event)
 
 
-async def has_ended(reader: asyncio.StreamReader) -> bool:
-    """Read to the end of a connection: nothing may come before it."""
+def execute(limiter: LoopbackLimiter, actions: list[model.Action]) -> None:
+    """Let the decisions take ``actions`` now, and forward every later request."""
+    limiter.decisions.decide = on_timer(actions)
+    limiter.dispatcher.dispatch(model.TimerFired(1))
+
+
+@asynccontextmanager
+async def limiter_with_endpoint(
+    serve: ConnectionHandler, script: ScriptedDecisions | None = None
+) -> AsyncIterator[LoopbackLimiter]:
+    """Run a limiter whose only endpoint is ``s1``; without a script it forwards every request to it."""
+    decisions = script or ScriptedDecisions(forward_to_s1)
+    async with (
+        running_server(serve) as address,
+        LoopbackLimiter(decisions, {"s1": address}) as limiter,
+    ):
+        yield limiter
+
+
+async def ends_without_data(reader: asyncio.StreamReader) -> bool:
+    """Read a connection to its end; return whether no data preceded it."""
     try:
         return await reader.read() == b""
     except ConnectionResetError:
         return True
 
 
-async def read_final(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """The final response behind the interim one that a half-closed client gets."""
-    assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
+async def read_final_response(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+    """Read the interim response that a half-closed client receives, and return the final response."""
+    interim_response = await reader.readuntil(b"\r\n\r\n")
+    assert interim_response.startswith(b"HTTP/1.1 100 ")
     return await read_message(reader)
 
 
@@ -48,14 +82,15 @@
 
 
 async def assert_rejected(request_bytes: bytes, status: int) -> None:
-    """Bad input is answered and closes its connection; another client's is unaffected."""
+    """Assert that malformed input is answered and closes its connection, and affects no other client."""
     script = ScriptedDecisions(reject)
     async with LoopbackLimiter(script, {}) as limiter:
         other_reader, other = await limiter.connect()
         reader, writer = await limiter.connect()
-        writer.write(request_bytes + http_request())  # nothing behind it is parsed as a request
-        first, headers, _ = await read_message(reader)
-        assert int(first.split()[1]) == status and headers["connection"] == "close"
+        writer.write(request_bytes + http_request())  # no input behind the malformed request is parsed
+        status_line, headers, _ = await read_message(reader)
+        assert int(status_line.split()[1]) == status
+        assert headers["connection"] == "close"
         assert await reader.read() == b""
         assert not [event for event in script.events if isinstance(event, model.Request)]
         other.write(http_request())
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -17,7 +17,7 @@
     "error", [errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO]
 )
 @async_test
-async def test_a_failing_accept_costs_no_client_and_does_not_end_accepting(
+async def test_failing_accept_loses_no_connection_and_does_not_end_accepting(
     error: int, tmp_path: Path, faults: ProcessFaults
 ) -> None:
     """The first accepts behind a connection fail, at the clients' address and at the operators'."""
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -11,7 +11,15 @@
 import pytest
 
 from quota_gateway import model
-from tests.client_helpers import DISCONNECTS, LATE, on_timer, read_final
+from tests.client_helpers import (
+    DISCONNECTS,
+    LATE_SECONDS,
+    execute,
+    limiter_with_endpoint,
+    read_final_response,
+    reject,
+    take_no_action,
+)
 from tests.http_bodies import LONG_BODY, chunked, read_body, read_head, upload, upload_head
 from tests.loopback import (
     OK_RESPONSE,
@@ -22,7 +30,6 @@
     forward_to_s1,
     http_request,
     read_message,
-    running_server,
 )
 
 LONG_RESPONSES = [
@@ -41,7 +48,7 @@
 async def test_long_response_passes_unchanged_in_every_framing(response: bytes) -> None:
     reuses_connection = b"ength" in response[:40] or b"hunked" in response[:40]
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nX-Units-Charged: 3\r\n" + response)
         if reuses_connection:
@@ -50,11 +57,12 @@
         await writer.drain()
 
     script = ScriptedDecisions(forward_to_s1)
-    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
+    async with limiter_with_endpoint(serve, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request())
         status, headers = await read_head(reader)
-        assert " 200 " in status and await read_body(reader, headers) == LONG_BODY
+        assert " 200 " in status
+        assert await read_body(reader, headers) == LONG_BODY
         (completed,) = await script.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.OK
         assert completed.request_finished
@@ -66,11 +74,11 @@
 
 
 @async_test
-async def test_client_that_does_not_read_stops_its_endpoint() -> None:
+async def test_response_is_not_read_while_the_client_does_not_accept_it() -> None:
     sent = 0
     total = 64 * len(LONG_BODY)
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal sent
         await read_message(reader)
         writer.transport.set_write_buffer_limits(high=0)
@@ -80,35 +88,33 @@
             await writer.drain()
             sent += len(LONG_BODY)
 
-    async with (
-        running_server(talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(serve) as limiter:
         reader, writer = await limiter.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(http_request())
         while not any(connection.is_reading_paused() for connection in limiter.pool.streaming_connections):
             await asyncio.sleep(0.01)
-        assert sent < total  # the rest waits at the endpoint, not here
+        assert sent < total  # the endpoint could not write the rest
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         _, headers = await read_head(reader)
         received = 0
         while received < int(headers["content-length"]):
             received += len(await reader.read(1 << 20))
-        assert received == total and not limiter.pool.streaming_connections
+        assert received == total
+        assert not limiter.pool.streaming_connections
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 9000000", b"Transfer-Encoding: chunked"])
 @async_test
-async def test_long_response_that_breaks_off_ends_the_client_connection_early(framing: bytes) -> None:
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def test_truncated_long_response_ends_the_client_connection_early(framing: bytes) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         size = b"%x\r\n" % 900_000 if b"chunked" in framing else b""
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (framing, size) + LONG_BODY[:800_000])
         await writer.drain()
 
     script = ScriptedDecisions(forward_to_s1)
-    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
+    async with limiter_with_endpoint(serve, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request())
         _, headers = await read_head(reader)
@@ -123,21 +129,23 @@
     bodies: list[bytes] = []
     head_received = asyncio.Event()
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         _, headers = await read_head(reader)
         head_received.set()
         bodies.append(await read_body(reader, headers))
         writer.write(OK_RESPONSE)
 
     script = ScriptedDecisions(forward_to_s1)
-    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
+    async with limiter_with_endpoint(serve, script) as limiter:
         reader, writer = await limiter.connect()
         data = upload(framing, LONG_BODY)
         writer.write(data[:200_000])
         await head_received.wait()
         (opened,) = limiter.dispatcher._requests.values()
-        assert opened.deadline == math.inf and opened.timer is None  # the client's timeout has not started
-        assert opened.attempts[0].expiry_timer is None and not opened.attempts[0].request_written
+        assert opened.deadline == math.inf
+        assert opened.timer is None  # the client's timeout has not started
+        assert opened.attempts[0].expiry_timer is None
+        assert not opened.attempts[0].request_written
         writer.write(data[200_000:])
         assert (await read_message(reader))[2] == b"hi"
         assert bodies == [LONG_BODY]
@@ -146,11 +154,11 @@
 
 
 @async_test
-async def test_endpoint_that_does_not_read_stops_its_client() -> None:
+async def test_upload_is_not_read_while_the_endpoint_does_not_accept_it() -> None:
     resume_reading = asyncio.Event()
     body = LONG_BODY * 8
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         await resume_reading.wait()
         reader._transport.resume_reading()  # type: ignore[attr-defined]
@@ -158,10 +166,7 @@
         assert await read_body(reader, headers) == body
         writer.write(OK_RESPONSE)
 
-    async with (
-        running_server(talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(serve) as limiter:
         reader, writer = await limiter.connect()
         writer.write(upload("length", body))
         while not any(client.pipeline.reader.body.paused for client in limiter.listener.connections):
@@ -172,17 +177,16 @@
 
 @async_test
 async def test_rejected_long_request_is_answered_before_its_body_is_complete() -> None:
-    def reject(event: model.Event) -> list[model.Action]:
-        return [model.Reject(event.id, 0.25)] if isinstance(event, model.Request) else []
-
     script = ScriptedDecisions(reject)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         data = upload("length", LONG_BODY)
         writer.write(data[:100_000])
         status, headers, _ = await read_message(reader)
-        assert " 429 " in status and headers["connection"] == "close" and headers["retry-after"] == "0.250"
-        writer.write(data[100_000:] + http_request())  # what follows is read and dropped, and is no request
+        assert " 429 " in status
+        assert headers["connection"] == "close"
+        assert headers["retry-after"] == "0.250"
+        writer.write(data[100_000:] + http_request())  # the rest is discarded and not parsed
         await writer.drain()
         assert await reader.read() == b""
         assert sum(isinstance(event, model.Request) for event in script.events) == 1
@@ -193,7 +197,7 @@
     head_received = asyncio.Event()
     truncated = asyncio.Event()
 
-    async def talk(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         await read_head(reader)
         head_received.set()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -201,7 +205,7 @@
         truncated.set()
 
     script = ScriptedDecisions(forward_to_s1)
-    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
+    async with limiter_with_endpoint(serve, script) as limiter:
         _, writer = await limiter.connect()
         writer.write(upload("length", LONG_BODY)[:300_000])
         await head_received.wait()
@@ -217,7 +221,7 @@
         self.resume = asyncio.Event()
         self.body_size: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         await self.resume.wait()
@@ -259,14 +263,11 @@
 @async_test
 async def test_upload_with_an_unread_end_is_truncated_when_its_client_disconnects(disconnect: Any) -> None:
     endpoint = PausedEndpoint()
-    async with (
-        running_server(endpoint.talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(endpoint.serve) as limiter:
         client = socket.create_connection(limiter.address)
         await upload_until_backpressure(client, limiter)
         disconnect(client)
-        time.sleep(LATE)
+        time.sleep(LATE_SECONDS)
         endpoint.resume.set()
         assert await endpoint.body_size == 0
 
@@ -274,51 +275,45 @@
 @async_test
 async def test_upload_with_an_unread_end_is_answered_when_its_client_half_closes() -> None:
     endpoint = PausedEndpoint()
-    async with (
-        running_server(endpoint.talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(endpoint.serve) as limiter:
         client = socket.create_connection(limiter.address)
         size = await upload_until_backpressure(client, limiter)
         client.shutdown(socket.SHUT_WR)
-        time.sleep(LATE)
+        time.sleep(LATE_SECONDS)
         endpoint.resume.set()
         assert await endpoint.body_size == size
         client.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=client)
-        assert (await read_final(reader))[2] == b"hi"
+        assert (await read_final_response(reader))[2] == b"hi"
         writer.close()
 
 
 @async_test
 async def test_partly_forwarded_request_may_not_be_retried() -> None:
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_head(reader)
         writer.transport.abort()
 
     script = ScriptedDecisions(forward_to_s1)
-    async with running_server(talk) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
+    async with limiter_with_endpoint(serve, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(upload("length", LONG_BODY)[:300_000])
         assert " 429 " in (await read_message(reader))[0]
         (completed,) = await script.wait_for(model.AttemptCompleted)
-        assert completed.status is model.CallStatus.RESET_BEFORE_REQUEST and not completed.may_retry
+        assert completed.status is model.CallStatus.RESET_BEFORE_REQUEST
+        assert not completed.may_retry
 
 
 @async_test
-async def test_the_request_behind_an_upload_that_was_complete_before_an_endpoint_took_it_is_read() -> None:
-    script = ScriptedDecisions(lambda _event: [])
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+async def test_request_behind_an_upload_that_was_complete_before_its_attempt_is_read() -> None:
+    script = ScriptedDecisions(take_no_action)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(upload("length", b"x" * 70_000))
         await script.wait_for(model.UploadCompleted)
         (waiting,) = await script.wait_for(model.Request)
-        script.decide = on_timer(forward_to_s1(waiting))
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, forward_to_s1(waiting))
         assert " 200 " in (await read_message(reader))[0]
         writer.write(http_request())
         assert " 200 " in (await read_message(reader))[0]
@@ -326,7 +321,7 @@
 
 
 @async_test
-async def test_an_upload_without_time_at_an_endpoint_gets_its_answer() -> None:
+async def test_upload_whose_attempt_has_no_time_left_is_answered() -> None:
     def forward_without_time(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request):
             return [model.Forward(event.id, "s1", 0.0)]
@@ -334,11 +329,9 @@
             return [model.Reject(event.request_id, 0.1)]
         return []
 
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_without_time), {"s1": address}) as limiter,
-    ):
+    endpoint = ScriptedEndpoint()
+    script = ScriptedDecisions(forward_without_time)
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(upload("length", b"x" * 70_000))
         assert " 429 " in (await read_message(reader))[0]
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -8,7 +8,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.upstream import idle_connections
-from tests.client_helpers import reject
+from tests.client_helpers import limiter_with_endpoint, reject
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -17,7 +17,6 @@
     forward_to_s1,
     http_request,
     read_message,
-    running_server,
 )
 
 
@@ -25,18 +24,18 @@
 async def test_request_and_response_pass_through_unchanged() -> None:
     body = bytes(range(256)) * 256  # all of the 64 KiB that a body may have
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
-    origin = ScriptedEndpoint(lambda _n: reply)
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    endpoint = ScriptedEndpoint(lambda _n: reply)
+    async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         path = "/post?x=%20y&account=00000000b4d65521"
         status, headers, answer = await limiter.fetch(
             http_request(path, body, X_Priority_Class="post", X_Request_ID="9b1f03aa5c7e2d41")
         )
-        assert status == "HTTP/1.1 200 OK" and answer == body and headers["content-type"] == "a/b"
-        first, sent, received = origin.requests[0]
-        assert first == f"POST {path} HTTP/1.1" and received == body
+        assert status == "HTTP/1.1 200 OK"
+        assert answer == body
+        assert headers["content-type"] == "a/b"
+        first, sent, received = endpoint.requests[0]
+        assert first == f"POST {path} HTTP/1.1"
+        assert received == body
         assert sent["x-request-id"] == "9b1f03aa5c7e2d41"
         assert 0 < int(sent["x-timeout-ms"]) <= 5000
 
@@ -45,7 +44,8 @@
 async def test_rejection_is_immediate_and_carries_retry_after() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         status, headers, _ = await limiter.fetch(http_request())
-        assert status.startswith("HTTP/1.1 429") and float(headers["retry-after"]) == 0.25
+        assert status.startswith("HTTP/1.1 429")
+        assert float(headers["retry-after"]) == 0.25
 
 
 @async_test
@@ -77,20 +77,18 @@
 
 @async_test
 async def test_client_disconnect_cancels_its_attempt() -> None:
-    origin = ScriptedEndpoint(lambda _n: None)
+    endpoint = ScriptedEndpoint(lambda _n: None)
     script = ScriptedDecisions(forward_to_s1)
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         _, writer = await limiter.connect()
         writer.write(http_request())
-        await origin.request_received.wait()
+        await endpoint.request_received.wait()
         writer.close()
         await script.wait_for(model.ClientDisconnected)
         (outcome,) = await script.wait_for(model.AttemptCompleted)
-        assert outcome.status is model.CallStatus.CANCELLED and outcome.request_finished
-        await origin.disconnected.wait()  # a cancelled attempt closes its connection
+        assert outcome.status is model.CallStatus.CANCELLED
+        assert outcome.request_finished
+        await endpoint.disconnected.wait()  # a cancelled attempt closes its connection
 
 
 @async_test
@@ -105,17 +103,16 @@
 
 
 @async_test
-async def test_client_that_does_not_read_is_not_read_from(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_that_does_not_read_its_responses_is_not_read_from(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # One connection to the endpoint serves them all.
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
 
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
-    origin = ScriptedEndpoint(lambda _n: large)
+    endpoint = ScriptedEndpoint(lambda _n: large)
     script = ScriptedDecisions(forward_to_s1)
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         reader, writer = await limiter.connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         sent = 0
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -17,7 +17,15 @@
 from quota_gateway.net.client.request import ClientRequest
 from quota_gateway.net.client.response_queue import MAX_PIPELINED_REQUESTS
 from quota_gateway.net.upstream import connector, idle_connections
-from tests.client_helpers import DISCONNECTS, LATE, on_timer, read_final
+from tests.client_helpers import (
+    DISCONNECTS,
+    LATE_SECONDS,
+    execute,
+    limiter_with_endpoint,
+    on_timer,
+    read_final_response,
+    take_no_action,
+)
 from tests.loopback import (
     OK_RESPONSE,
     LoopbackLimiter,
@@ -27,74 +35,69 @@
     forward_to_s1,
     http_request,
     read_message,
-    running_server,
 )
 
 
-def watch_maybe_gone(limiter: LoopbackLimiter) -> asyncio.Event:
-    """Set when the dispatcher is notified that a client may have gone."""
+def watch_maybe_disconnected(limiter: LoopbackLimiter) -> asyncio.Event:
+    """Set when the dispatcher is notified that a client may have disconnected."""
     notified = asyncio.Event()
-    notify = limiter.dispatcher.on_client_maybe_gone
+    notify = limiter.dispatcher.on_client_maybe_disconnected
 
     def notify_and_set(request: ClientRequest) -> None:
         notify(request)
         notified.set()
 
-    limiter.dispatcher.on_client_maybe_gone = notify_and_set  # type: ignore[method-assign]
+    limiter.dispatcher.on_client_maybe_disconnected = notify_and_set  # type: ignore[method-assign]
     return notified
 
 
 @async_test
-async def test_half_closed_client_gets_the_response_in_flight() -> None:
+async def test_half_closed_client_receives_the_response_to_an_attempt_in_flight() -> None:
     release = asyncio.Event()
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         await release.wait()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         await reader.read()
 
-    async with (
-        running_server(talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
-        maybe_gone = watch_maybe_gone(limiter)
+    async with limiter_with_endpoint(serve) as limiter:
+        maybe_disconnected = watch_maybe_disconnected(limiter)
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=15000))
         writer.write_eof()
-        await maybe_gone.wait()
+        await maybe_disconnected.wait()
         release.set()
-        status, headers, body = await read_final(reader)
-        assert " 200 " in status and body == b"hi" and headers["connection"] == "close"
+        status, headers, body = await read_final_response(reader)
+        assert " 200 " in status
+        assert body == b"hi"
+        assert headers["connection"] == "close"
         assert await reader.read() == b""
 
 
 @async_test
-async def test_nothing_more_is_forwarded_for_a_half_closed_client_and_it_is_rejected_at_once() -> None:
-    script = ScriptedDecisions(lambda _event: [])
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
-        maybe_gone = watch_maybe_gone(limiter)
+async def test_waiting_request_of_a_half_closed_client_is_rejected_at_once_and_not_forwarded() -> None:
+    script = ScriptedDecisions(take_no_action)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
+        maybe_disconnected = watch_maybe_disconnected(limiter)
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=15000))
         (event,) = await script.wait_for(model.Request)  # it waits, as for the counter
         writer.write_eof()
-        await maybe_gone.wait()
-        script.decide = on_timer(forward_to_s1(event))
-        limiter.dispatcher.dispatch(model.TimerFired(1))
-        status, _, _ = await read_final(reader)
-        assert " 429 " in status and not origin.requests
+        await maybe_disconnected.wait()
+        execute(limiter, forward_to_s1(event))
+        status, _, _ = await read_final_response(reader)
+        assert " 429 " in status
+        assert not endpoint.requests
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
-async def test_disconnect_is_noticed_while_requests_wait(close_client: Any, request_count: int) -> None:
+async def test_disconnect_is_detected_while_requests_wait(close_client: Any, request_count: int) -> None:
     """With a full pipeline its input is not read, and only a poll shows that it has gone."""
-    script = ScriptedDecisions(lambda _event: [])
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         client = socket.create_connection(limiter.address)
         for _ in range(request_count):
@@ -106,12 +109,12 @@
 
 
 @async_test
-async def test_half_closed_client_whose_input_is_not_read_gets_one_interim_response(
+async def test_half_closed_client_whose_input_is_not_read_receives_one_interim_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listener, "SCAN_INTERVAL_SECONDS", 0.01)
 
-    script = ScriptedDecisions(lambda _event: [])
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         polls = asyncio.Queue[None]()
         poll = ClientLiveness.poll
@@ -128,12 +131,10 @@
         writer.write_eof()
         for _ in range(20):
             await polls.get()
-        script.decide = lambda _event: [model.Fail(event.id) for event in events]
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, [model.Fail(event.id) for event in events])
         answers = await reader.read()
-        assert (
-            answers.count(b"HTTP/1.1 100 ") == 1 and answers.count(b"HTTP/1.1 502 ") == MAX_PIPELINED_REQUESTS
-        )
+        assert answers.count(b"HTTP/1.1 100 ") == 1
+        assert answers.count(b"HTTP/1.1 502 ") == MAX_PIPELINED_REQUESTS
 
 
 def close_with_unread_input(client: socket.socket) -> None:
@@ -149,7 +150,7 @@
     No timer and no callback of the event loop has shown the disconnect then.
     """
     close_client(client)
-    time.sleep(LATE)
+    time.sleep(LATE_SECONDS)
 
 
 async def keep_endpoint_connection(limiter: LoopbackLimiter, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -163,74 +164,62 @@
 
 
 async def assert_only_the_next_is_forwarded(
-    limiter: LoopbackLimiter, origin: ScriptedEndpoint, already_forwarded: int = 0
+    limiter: LoopbackLimiter, endpoint: ScriptedEndpoint, already_forwarded: int = 0
 ) -> None:
     """Nothing but ``already_forwarded`` requests went out before the one that is sent now."""
     limiter.decisions.decide = forward_to_s1
     request = http_request()
     assert " 200 " in (await limiter.fetch(request))[0]
-    assert len(origin.requests) == already_forwarded + 1
-    assert origin.requests[-1][1]["x-request-id"].encode() in request
+    assert len(endpoint.requests) == already_forwarded + 1
+    assert endpoint.requests[-1][1]["x-request-id"].encode() in request
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
-async def test_no_attempt_begins_for_a_client_that_left_while_its_requests_waited(
+async def test_no_attempt_begins_for_a_client_that_disconnected_while_its_requests_waited(
     close_client: Any, request_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They wait, as for the counter; with a full pipeline its input is not read either."""
-    script = ScriptedDecisions(lambda _event: [])
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    script = ScriptedDecisions(take_no_action)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         await keep_endpoint_connection(limiter, monkeypatch)
         client = socket.create_connection(limiter.address)
         for _ in range(request_count):
             client.sendall(http_request(timeout_ms=60000))
         events = await script.wait_for(model.Request, request_count)
-        script.decide = on_timer([action for event in events for action in forward_to_s1(event)])
         disconnect(client, close_client)
-        limiter.dispatcher.dispatch(model.TimerFired(1))
-        await assert_only_the_next_is_forwarded(limiter, origin, 1)
+        execute(limiter, [action for event in events for action in forward_to_s1(event)])
+        await assert_only_the_next_is_forwarded(limiter, endpoint, 1)
         assert not limiter.dispatcher.open_requests
 
 
 @async_test
-async def test_no_attempt_begins_for_a_client_that_left_a_response_unread(
+async def test_no_attempt_begins_for_a_client_that_closed_with_an_unread_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    script = ScriptedDecisions(lambda _event: [])
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    script = ScriptedDecisions(take_no_action)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         await keep_endpoint_connection(limiter, monkeypatch)
         client = socket.create_connection(limiter.address)
         client.sendall(http_request(timeout_ms=60000) + http_request(timeout_ms=60000))
         first, second = await script.wait_for(model.Request, 2)
-        script.decide = on_timer([model.Reject(first.id, 0.1)])
-        limiter.dispatcher.dispatch(model.TimerFired(1))
-        script.decide = on_timer(forward_to_s1(second))
+        execute(limiter, [model.Reject(first.id, 0.1)])
         disconnect(client, close_with_unread_input)
-        limiter.dispatcher.dispatch(model.TimerFired(1))
-        await assert_only_the_next_is_forwarded(limiter, origin, 1)
+        execute(limiter, forward_to_s1(second))
+        await assert_only_the_next_is_forwarded(limiter, endpoint, 1)
 
 
 @async_test
-async def test_no_attempt_begins_where_the_end_was_read_and_its_confirmation_is_late(
+async def test_no_attempt_begins_for_a_client_whose_confirmation_as_half_closed_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An interim response is sent to it, and what follows is not looked up in time."""
-    script = ScriptedDecisions(lambda _event: [])
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    script = ScriptedDecisions(take_no_action)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         await keep_endpoint_connection(limiter, monkeypatch)
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=60000))
@@ -239,13 +228,12 @@
         writer.write_eof()
         while not client.pipeline.liveness.input_ended:
             await asyncio.sleep(0)
-        time.sleep(LATE)
-        script.decide = on_timer(forward_to_s1(event))
-        limiter.dispatcher.dispatch(model.TimerFired(1))
-        status, _, _ = await read_final(reader)
+        time.sleep(LATE_SECONDS)
+        execute(limiter, forward_to_s1(event))
+        status, _, _ = await read_final_response(reader)
         assert " 429 " in status
         writer.close()
-        await assert_only_the_next_is_forwarded(limiter, origin, 1)
+        await assert_only_the_next_is_forwarded(limiter, endpoint, 1)
 
 
 @async_test
@@ -256,12 +244,9 @@
         client_liveness, "PRESENCE_GRACE_SECONDS", 10.0
     )  # a slow machine must not make it late
 
-    script = ScriptedDecisions(lambda _event: [])
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    script = ScriptedDecisions(take_no_action)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=60000))
         (event,) = await script.wait_for(model.Request)
@@ -273,14 +258,15 @@
         # The connect waits for the event loop, and the confirmation would come between.
         monkeypatch.setattr(client_liveness, "RESET_WAIT_SECONDS", 10.0)
         limiter.dispatcher.dispatch(model.TimerFired(1))
-        status, _, body = await read_final(reader)
-        assert " 200 " in status and body == b"hi"
+        status, _, body = await read_final_response(reader)
+        assert " 200 " in status
+        assert body == b"hi"
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
-async def test_no_retry_begins_for_a_client_that_left_during_the_attempt_before(
+async def test_no_retry_begins_for_a_client_that_disconnected_during_the_previous_attempt(
     close_client: Any, request_count: int
 ) -> None:
     clients = list[socket.socket]()
@@ -300,28 +286,26 @@
         return forward_to_s1(event)
 
     script = ScriptedDecisions(retry_errors)
-    origin = ScriptedEndpoint(fail_first)
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    endpoint = ScriptedEndpoint(fail_first)
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         client = socket.create_connection(limiter.address)
         clients.append(client)
         client.sendall(b"".join(http_request(timeout_ms=60000) for _ in range(request_count)))
         outcomes = await script.wait_for(model.AttemptCompleted, 2)
-        assert outcomes[0].status is model.CallStatus.ERROR and not clients
+        assert outcomes[0].status is model.CallStatus.ERROR
+        assert not clients
         while limiter.dispatcher.open_requests:
             await asyncio.sleep(0)
-        origin.response_for = lambda _n: OK_RESPONSE
+        endpoint.response_for = lambda _n: OK_RESPONSE
         script.decide = forward_to_s1
         assert " 200 " in (await limiter.fetch(http_request()))[0]  # behind whatever else was forwarded
-        ids = [headers["x-request-id"] for _, headers, _ in origin.requests]
+        ids = [headers["x-request-id"] for _, headers, _ in endpoint.requests]
         assert len(ids) == len(set(ids)) <= request_count + 1
 
 
 @pytest.mark.parametrize("close_client", DISCONNECTS)
 @async_test
-async def test_no_attempt_begins_for_a_client_that_left_during_the_connect(
+async def test_no_attempt_begins_for_a_client_that_disconnected_during_the_connect(
     close_client: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clients = list[socket.socket]()
@@ -347,15 +331,12 @@
             return getattr(asyncio, name)
 
     script = ScriptedDecisions(forward_to_s1)
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         monkeypatch.setattr(connector, "asyncio", Asyncio())
         client = socket.create_connection(limiter.address)
         clients.append(client)
         client.sendall(http_request(timeout_ms=60000))
         (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status in (model.CallStatus.NOT_SENT, model.CallStatus.CANCELLED)
-        await assert_only_the_next_is_forwarded(limiter, origin)
+        await assert_only_the_next_is_forwarded(limiter, endpoint)
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -9,7 +9,7 @@
 from quota_gateway import model
 from quota_gateway.net.client import connection as client_connection
 from quota_gateway.net.client import listener, request_body, request_reader
-from tests.client_helpers import POST, on_timer, reject
+from tests.client_helpers import POST, execute, limiter_with_endpoint, reject, take_no_action
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -17,7 +17,6 @@
     forward_to_s1,
     http_request,
     read_message,
-    running_server,
 )
 
 
@@ -36,8 +35,8 @@
 )
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
-async def test_silent_and_half_sent_requests_time_out(sent: bytes, status: str) -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_idle_connections_close_and_incomplete_requests_time_out(sent: bytes, status: str) -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         patient, writer = await limiter.connect()
         writer.write(http_request())
@@ -46,16 +45,17 @@
         other.write(sent)
         answer = (await silent.read()).decode()
         assert (status in answer.splitlines()[0]) if status else answer == ""
-        script.decide = lambda _event: [model.Reject(request.id, 0.1)]
         # An open request keeps its connection however long it takes.
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, [model.Reject(request.id, 0.1)])
         assert " 429 " in (await read_message(patient))[0]
         assert await patient.read() == b""  # and an idle one is closed after a while
 
 
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
-async def test_body_in_steady_flow_may_take_longer_but_not_forever(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_body_at_a_steady_rate_may_take_longer_but_not_without_limit(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(request_body, "MIN_BODY_BYTES_PER_SECOND", 10)
 
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
@@ -131,7 +131,7 @@
     ids=["fast body", "upload", "head behind a request", "body behind a request"],
 )
 @async_test
-async def test_a_client_that_stops_in_the_middle_of_a_request_and_stays_gets_an_error(
+async def test_client_that_stops_sending_within_a_request_receives_an_error(
     sent: bytes, requests_before: int
 ) -> None:
     """However fast it began, and whether or not an earlier request of it waits for its answer."""
@@ -145,18 +145,14 @@
             pass
 
     script = ScriptedDecisions(forward_uploads)
-    async with (
-        running_server(take_all) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(take_all, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(sent)
         async with asyncio.timeout(3.0):
             while not any(client.pipeline.reader.is_stopped for client in limiter.listener.connections):
                 await asyncio.sleep(0.01)
         for event in (await script.wait_for(model.Request, requests_before))[:requests_before]:
-            script.decide = on_timer([model.Reject(event.id, 0.1)])
-            limiter.dispatcher.dispatch(model.TimerFired(1))
+            execute(limiter, [model.Reject(event.id, 0.1)])
             assert " 429 " in (await read_message(reader))[0]
         assert " 408 " in (await read_message(reader))[0]
         writer.close()
@@ -164,8 +160,8 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
-async def test_a_rejected_upload_behind_a_request_does_not_end_the_scan_for_others() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_rejected_upload_behind_a_waiting_request_does_not_stop_the_timeouts_of_other_clients() -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         unknown = HUGE_POST.replace(b"/post?", b"/none?") + b"x" * 100_000
@@ -175,8 +171,7 @@
         silent, other = await limiter.connect()
         other.write(b"GET /loo")
         assert " 408 " in (await read_message(silent))[0]
-        script.decide = on_timer([model.Reject(waiting.id, 0.1)])
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, [model.Reject(waiting.id, 0.1)])
         assert " 429 " in (await read_message(reader))[0]
         assert " 404 " in (await read_message(reader))[0]
         writer.close()
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -9,12 +9,12 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.transport import ClientTransport
-from tests.client_helpers import reject
+from tests.client_helpers import execute, reject, take_no_action
 from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
 
 @async_test
-async def test_little_of_a_rejected_huge_body_is_discarded() -> None:
+async def test_rejected_body_is_discarded_only_up_to_a_limit() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         _, writer = await limiter.connect()
         writer.write(
@@ -30,7 +30,7 @@
 
 
 @async_test
-async def test_end_of_an_idle_connection_is_sent_in_the_step_that_finds_it_idle(
+async def test_end_of_an_idle_connection_is_sent_in_the_step_that_finds_no_unread_input(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request between look and end meets an orderly end, as one that crosses it, and no reset."""
@@ -52,16 +52,15 @@
 
 
 @async_test
-async def test_input_that_crosses_a_closing_response_does_not_eat_it() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_input_that_crosses_a_closing_response_does_not_destroy_the_response() -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         client = socket.create_connection(limiter.address)
         client.sendall(http_request())
         (event,) = await script.wait_for(model.Request)
         limiter.listener.start_draining()
         client.sendall(b"x" * 1000)  # unread when the response is written and the connection closed
-        script.decide = lambda _event: [model.Reject(event.id, 0.1)]
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, [model.Reject(event.id, 0.1)])
         reader, writer = await asyncio.open_connection(sock=client)
         assert " 429 " in (await read_message(reader))[0]
         assert await reader.read() == b""
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -7,7 +7,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.connection import ClientConnection
-from tests.client_helpers import has_ended, on_timer, reject
+from tests.client_helpers import ends_without_data, execute, reject, take_no_action
 from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
 
@@ -16,15 +16,15 @@
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         first, _ = await limiter.connect()
         later = [await limiter.connect() for _ in range(64)]
-        assert await has_ended(first)
+        assert await ends_without_data(first)
         reader, writer = later[-1]
         writer.write(http_request())
         assert "429" in (await read_message(reader))[0]
 
 
 @async_test
-async def test_silent_connections_are_evicted_first_and_busy_ones_stay() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_connections_that_never_sent_data_are_evicted_first_and_busy_ones_are_not() -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         busy, writer = await limiter.connect()
         writer.write(http_request())
@@ -41,13 +41,12 @@
             await limiter.connect() for _ in range(63)
         ]  # all silent ones and the half-read one are evicted
         for reader, _ in silent:
-            assert await has_ended(reader)
+            assert await ends_without_data(reader)
         for _, silent_writer in more:  # now these send, and only the usual one is idle for longer
             silent_writer.write(b"GET /lo")
         usual_writer.write(http_request())
         assert " 429 " in (await read_message(usual))[0]
-        script.decide = lambda _event: [model.Fail(request.id)]
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, [model.Fail(request.id)])
         assert " 502 " in (await read_message(busy))[0]
 
 
@@ -62,7 +61,7 @@
             writer.write(http_request())
             _, headers, _ = await read_message(reader)
             if "connection" in headers:
-                assert await has_ended(reader)
+                assert await ends_without_data(reader)
                 closed += 1
         assert closed == 28  # half of the connections are kept; later ones close behind their response
         for writer in open_writers[:2]:
@@ -92,7 +91,7 @@
 @async_test
 async def test_idle_clients_beyond_a_lower_limit_are_closed_and_busy_ones_are_served() -> None:
     """Another process shares the descriptors from now on: together they have no more than one had."""
-    script = ScriptedDecisions(lambda _event: [])
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         busy_reader, busy = await limiter.connect()
         busy.write(http_request())
@@ -106,8 +105,7 @@
         await asyncio.sleep(0.05)
         assert len(limiter.listener.connections) == 8  # and no more than that were closed
         assert sum(reader.at_eof() for reader, _ in silent) == 13
-        script.decide = on_timer([model.Reject(request.id, 0.1)])
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, [model.Reject(request.id, 0.1)])
         assert " 429 " in (await read_message(busy_reader))[0]
         for _, writer in silent:
             writer.close()
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -18,7 +18,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.client import listener
-from tests.client_helpers import on_timer, reject
+from tests.client_helpers import limiter_with_endpoint, on_timer, reject, take_no_action
 from tests.gateway_process import Program, config, free_port, started
 from tests.loopback import (
     LoopbackLimiter,
@@ -130,7 +130,7 @@
 
 
 @async_test
-async def test_idle_clients_at_the_limit_hinder_neither_discovery_nor_the_counter_nor_requests(
+async def test_idle_clients_at_the_limit_obstruct_neither_discovery_nor_the_counter_nor_requests(
     tmp_path: Path,
 ) -> None:
     """Far more clients than the limit allows connect; a few among them send requests throughout."""
@@ -155,7 +155,8 @@
                 await assert_served(connect_sending(program))
                 max_descriptors = max(max_descriptors, open_descriptors(program))
                 assert asyncio.get_running_loop().time() < returned_at + LIST_WITHIN
-            assert program.process.returncode is None and max_descriptors < DESCRIPTORS
+            assert program.process.returncode is None
+            assert max_descriptors < DESCRIPTORS
             assert len(silent) > 5 * DESCRIPTORS // 2
             peers.close()
             for client in silent:
@@ -176,13 +177,10 @@
 
 
 @async_test
-async def test_lack_of_descriptors_is_no_fault_of_the_endpoint() -> None:
-    script = ScriptedDecisions(lambda _event: [])
-    origin = ScriptedEndpoint()
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(script, {"s1": address}) as limiter,
-    ):
+async def test_lack_of_descriptors_does_not_count_as_a_fault_of_the_endpoint() -> None:
+    script = ScriptedDecisions(take_no_action)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request())
         (event,) = await script.wait_for(model.Request)
@@ -199,7 +197,7 @@
 
 
 @async_test
-async def test_accept_queue_of_a_closing_listener_outlasts_a_lack_of_descriptors(
+async def test_closing_listener_accepts_its_queue_after_a_lack_of_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Connections are accepted once there are descriptors again, and closing does not fail."""
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -7,16 +7,13 @@
 import pytest
 
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES
+from tests.client_helpers import limiter_with_endpoint
 from tests.http_bodies import LONG_BODY, POST_PATH, chunked, read_body, read_head
 from tests.loopback import (
     OK_RESPONSE,
-    LoopbackLimiter,
-    ScriptedDecisions,
     async_test,
-    forward_to_s1,
     http_request,
     read_message,
-    running_server,
 )
 
 
@@ -25,7 +22,7 @@
 )
 @async_test
 async def test_short_response_in_every_framing(framing: bytes) -> None:
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         body = chunked(b"hello", 2) if b"chunked" in framing else b"hello"
         writer.write(
@@ -33,12 +30,10 @@
         )
         await writer.drain()
 
-    async with (
-        running_server(talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(serve) as limiter:
         status, _, body = await limiter.fetch(http_request())
-        assert " 200 " in status and body == b"hello"
+        assert " 200 " in status
+        assert body == b"hello"
 
 
 FINAL_CHUNK_AND_TRAILER = b"0\r\nX-Plan: none\r\n\r\n"
@@ -53,31 +48,26 @@
 
 @pytest.mark.parametrize(("plain", "form"), REQUEST_FORMS)
 @async_test
-async def test_every_form_of_a_request_is_read(plain: bytes, form: bytes) -> None:
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def test_every_valid_form_of_a_request_is_forwarded(plain: bytes, form: bytes) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first_line, _ = await read_head(reader)
         assert first_line == "GET /lookup?account=00000000b4d65521 HTTP/1.1"
         writer.write(OK_RESPONSE)
 
-    async with (
-        running_server(talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(serve) as limiter:
         assert (await limiter.fetch(http_request().replace(plain, form, 1)))[2] == b"hi"
 
 
 @pytest.mark.parametrize("size", [5, 2 * MAX_BUFFERED_BODY_BYTES])
 @async_test
-async def test_client_that_expects_100_continue_gets_it(size: int) -> None:
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def test_client_that_expects_100_continue_receives_it(size: int) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         _, headers = await read_head(reader)
-        assert await read_body(reader, headers) == LONG_BODY[:size] and "expect" not in headers
+        assert await read_body(reader, headers) == LONG_BODY[:size]
+        assert "expect" not in headers
         writer.write(OK_RESPONSE)
 
-    async with (
-        running_server(talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(serve) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request(POST_PATH, b"x", Content_Length=str(size), Expect="100-continue")[:-1])
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -9,7 +9,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.client import request_reader
-from tests.client_helpers import reject
+from tests.client_helpers import execute, limiter_with_endpoint, reject, take_no_action
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -18,7 +18,6 @@
     forward_to_s1,
     http_request,
     read_message,
-    running_server,
 )
 
 
@@ -32,8 +31,8 @@
 
 
 @async_test
-async def test_draining_answers_accepted_requests_and_closes_behind_them() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_draining_listener_answers_accepted_requests_and_closes_their_connections() -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         idle, _ = await limiter.connect()
@@ -42,11 +41,11 @@
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(10))
         assert await idle.read() == b""
-        script.decide = lambda _event: [model.Fail(first.id), model.Reject(second.id, 0.1)]
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, [model.Fail(first.id), model.Reject(second.id, 0.1)])
         assert "502" in (await read_message(reader))[0]
         status, headers, _ = await read_message(reader)
-        assert "429" in status and headers["connection"] == "close"
+        assert "429" in status
+        assert headers["connection"] == "close"
         await closing
 
 
@@ -69,17 +68,14 @@
 async def test_connection_closes_behind_a_streamed_response_that_ends_while_draining() -> None:
     finish = asyncio.Event()
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"x" * 90_000)
         await finish.wait()
         writer.write(b"x" * 10_000)
         await reader.read()
 
-    async with (
-        running_server(talk) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(serve) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request())
         head = await reader.readuntil(b"\r\n\r\n")  # begun before the drain: it promises to stay open
@@ -111,12 +107,9 @@
 
 
 @async_test
-async def test_request_that_completes_at_the_very_end_is_rejected_and_not_dropped() -> None:
-    origin = ScriptedEndpoint(lambda _n: None)
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+async def test_request_that_completes_after_all_were_abandoned_is_rejected_and_not_dropped() -> None:
+    endpoint = ScriptedEndpoint(lambda _n: None)
+    async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         reader, writer = await limiter.connect()
         request = http_request()
         writer.write(request[:-2])
@@ -129,15 +122,16 @@
         writer.write(request[-2:])
         status, headers, _ = await read_message(reader)
         assert " 503 " in status
-        assert headers["connection"] == "close" and headers["retry-after"] == "0.100"
-        assert not origin.requests
+        assert headers["connection"] == "close"
+        assert headers["retry-after"] == "0.100"
+        assert not endpoint.requests
         writer.close()
         await closing
 
 
 @async_test
-async def test_request_that_was_never_forwarded_is_rejected_at_the_end_and_not_failed() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_abandoned_request_that_was_never_forwarded_is_rejected_and_not_failed() -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request())
@@ -145,4 +139,5 @@
         limiter.listener.start_draining()
         limiter.dispatcher.abandon_all()
         status, headers, _ = await read_message(reader)
-        assert " 503 " in status and "retry-after" in headers
+        assert " 503 " in status
+        assert "retry-after" in headers
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -46,7 +46,7 @@
         (http_request(X_Quota="units=1,spread=0,first=1"), 400),
     ],
 )
-def test_wrong_target_or_headers_are_rejected_and_affect_no_other_client(
+def test_invalid_target_or_headers_are_rejected_and_affect_no_other_client(
     request_bytes: bytes, status: int
 ) -> None:
     run(assert_rejected(request_bytes, status))
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -8,28 +8,23 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.response_queue import MAX_PIPELINED_REQUESTS
-from tests.client_helpers import POST, assert_rejected, reject
+from tests.client_helpers import POST, assert_rejected, limiter_with_endpoint, reject, take_no_action
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
     ScriptedEndpoint,
     async_test,
-    forward_to_s1,
     http_request,
     read_message,
     run,
-    running_server,
 )
 
 
 @async_test
 async def test_large_body_may_arrive_in_many_reads() -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     body = b"x" * 60_000
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         reader, writer = await limiter.connect()
         request = http_request("/post?account=00000000b4d65521", body)
         for start in range(0, len(request), 4096):
@@ -37,7 +32,7 @@
             await writer.drain()
             await asyncio.sleep(0.001)  # so that each part is a read of its own
         assert " 200 " in (await read_message(reader))[0]
-        assert origin.requests[0][2] == body
+        assert endpoint.requests[0][2] == body
 
 
 @pytest.mark.parametrize(
@@ -83,7 +78,7 @@
 
 @async_test
 async def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request(X_Request_ID="00000000000000ab"))
@@ -99,8 +94,8 @@
 
 
 @async_test
-async def test_hundreds_of_requests_in_one_read_are_bounded() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_pipeline_limit_holds_for_hundreds_of_requests_in_one_read() -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
         writer.write(b"".join(http_request() for _ in range(200)))
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -9,7 +9,7 @@
 )
 
 
-def test_while_the_event_loop_runs_nothing_has_waited_longer_than_a_turn() -> None:
+def test_input_has_waited_at_most_one_heartbeat_while_the_event_loop_runs() -> None:
     stalls = StallDetector(100.0)
     now = 100.0
     for _ in range(30):
@@ -20,14 +20,15 @@
     assert not stalls.is_after_stall(now)
 
 
-def test_after_the_start_what_is_read_may_have_waited_for_it() -> None:
+def test_input_may_have_waited_for_the_start_of_the_process() -> None:
     stalls = StallDetector(100.0)
     stalls.mark(100.1)
-    assert stalls.is_after_stall(100.1) and stalls.unread_since(100.1) < 50.0
+    assert stalls.is_after_stall(100.1)
+    assert stalls.unread_since(100.1) < 50.0
     assert not stalls.is_after_stall(100.0 + AFTERMATH_SECONDS)
 
 
-def test_a_stall_behind_another_one_does_not_hide_it() -> None:
+def test_second_stall_does_not_hide_the_first_one() -> None:
     """Not all that waited for the end of the first one is read before the second one begins."""
     stalls = StallDetector(0.0)
     for step in range(1, 51):
