--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -9,6 +9,7 @@
 from contextlib import asynccontextmanager
 
 from quota_gateway import model
+from quota_gateway.net.client.connection import ClientConnection
 from tests.loopback import (
     ConnectionHandler,
     LoopbackLimiter,
@@ -57,6 +58,13 @@
         yield limiter
 
 
+async def wait_for_connections(limiter: LoopbackLimiter, count: int = 1) -> list[ClientConnection]:
+    """Wait until the limiter has accepted this number of connections; return them, oldest first."""
+    while len(limiter.listener.connections) < count:
+        await asyncio.sleep(0)
+    return list(limiter.listener.connections)
+
+
 async def ends_without_data(reader: asyncio.StreamReader) -> bool:
     """Read a connection to its end; return whether no data preceded it."""
     try:
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -19,6 +19,7 @@
     read_final_response,
     reject,
     take_no_action,
+    wait_for_connections,
 )
 from tests.http_bodies import LONG_BODY, chunked, read_body, read_head, upload, upload_head
 from tests.loopback import (
@@ -237,9 +238,7 @@
 async def upload_until_backpressure(client: socket.socket, limiter: LoopbackLimiter) -> int:
     """Send a body until its end alone is unread at the limiter; returns the size of the body."""
     client.sendall(upload_head("chunked", 0, ttl=60_000))
-    while not limiter.listener.connections:
-        await asyncio.sleep(0)
-    (connection,) = limiter.listener.connections
+    (connection,) = await wait_for_connections(limiter)
     client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
     size = 0x10001
     while True:
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs of idle and slow clients."""
+"""Timeouts of idle and slow clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,14 @@
 from quota_gateway import model
 from quota_gateway.net.client import connection as client_connection
 from quota_gateway.net.client import listener, request_body, request_reader
-from tests.client_helpers import POST, execute, limiter_with_endpoint, reject, take_no_action
+from tests.client_helpers import (
+    POST,
+    execute,
+    limiter_with_endpoint,
+    reject,
+    take_no_action,
+    wait_for_connections,
+)
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -22,7 +29,7 @@
 
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Time out in tenths of a second."""
+    """Shorten the timeouts to tenths of a second."""
     monkeypatch.setattr(listener, "SCAN_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(request_body, "BODY_TIMEOUT_SECONDS", 0.1)
@@ -38,72 +45,73 @@
 async def test_idle_connections_close_and_incomplete_requests_time_out(sent: bytes, status: str) -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
-        patient, writer = await limiter.connect()
-        writer.write(http_request())
+        waiting_reader, waiting_writer = await limiter.connect()
+        waiting_writer.write(http_request())
         (request,) = await script.wait_for(model.Request)
-        silent, other = await limiter.connect()
-        other.write(sent)
-        answer = (await silent.read()).decode()
-        assert (status in answer.splitlines()[0]) if status else answer == ""
-        # An open request keeps its connection however long it takes.
+        reader, writer = await limiter.connect()
+        writer.write(sent)
+        response = (await reader.read()).decode()
+        assert (status in response.splitlines()[0]) if status else response == ""
+        # A connection with an open request has no timeout.
         execute(limiter, [model.Reject(request.id, 0.1)])
-        assert " 429 " in (await read_message(patient))[0]
-        assert await patient.read() == b""  # and an idle one is closed after a while
+        assert " 429 " in (await read_message(waiting_reader))[0]
+        assert await waiting_reader.read() == b""  # closed after the idle timeout
 
 
+@pytest.mark.parametrize(("size", "status"), [(20, " 429 "), (100, " 408 ")])
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
 async def test_body_at_a_steady_rate_may_take_longer_but_not_without_limit(
-    monkeypatch: pytest.MonkeyPatch,
+    size: int, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(request_body, "MIN_BODY_BYTES_PER_SECOND", 10)
 
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
-        for size, status in ((20, " 429 "), (100, " 408 ")):
-            reader, writer = await limiter.connect()
-            request = http_request("/post?account=00000000b4d65521", b"x" * size)
-            writer.write(request[:-size])
-            answer = asyncio.create_task(read_message(reader))
-            for _ in range(size):
-                if answer.done():
-                    break
-                writer.write(b"x")
-                await asyncio.sleep(0.01)
-            assert status in (await answer)[0]
-
-
+        reader, writer = await limiter.connect()
+        request = http_request("/post?account=00000000b4d65521", b"x" * size)
+        writer.write(request[:-size])
+        response = asyncio.create_task(read_message(reader))
+        for _ in range(size):
+            if response.done():
+                break
+            writer.write(b"x")
+            await asyncio.sleep(0.01)
+        assert status in (await response)[0]
+
+
+@pytest.mark.parametrize(("sent_bytes", "times_out"), [(0, True), (40_000, False)])
 @async_test
-async def test_missing_body_behind_a_late_head_times_out_from_the_connect() -> None:
+async def test_missing_body_behind_a_late_head_times_out_from_the_connect(
+    sent_bytes: int, times_out: bool
+) -> None:
+    """A body that arrives at more than the least rate keeps its own timeout."""
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
-        for sent, times_out in ((0, True), (40_000, False)):  # one that flows keeps its time
-            reader, writer = await limiter.connect()
-            request = http_request("/post?account=00000000b4d65521", b"x" * 60_000)
-            writer.write(request[: len(request) - 60_000 + sent])
-            while not limiter.listener.connections:
-                await asyncio.sleep(0)
-            while list(limiter.listener.connections)[-1].pipeline.reader.body.size < sent:
-                await asyncio.sleep(0)
-            client = list(limiter.listener.connections)[-1]
-            while client.pipeline.reader.phase is not request_reader.ReaderPhase.BODY:
-                await asyncio.sleep(0)
-            began_at = client.pipeline.reader.body._started_at - 2.3  # the head took so long
-            client.pipeline.reader._began_at = began_at
-            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS - 0.1)
-            assert not client.pipeline.reader.is_stopped
-            client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS + 0.1)
-            assert client.pipeline.reader.is_stopped is times_out
-            if times_out:
-                assert " 408 " in (await read_message(reader))[0]
-            writer.close()
+        reader, writer = await limiter.connect()
+        request = http_request("/post?account=00000000b4d65521", b"x" * 60_000)
+        writer.write(request[: len(request) - 60_000 + sent_bytes])
+        (client,) = await wait_for_connections(limiter)
+        request_state = client.pipeline.reader
+        while request_state.body.size < sent_bytes:
+            await asyncio.sleep(0)
+        while request_state.phase is not request_reader.ReaderPhase.BODY:
+            await asyncio.sleep(0)
+        head_seconds = 2.3
+        began_at = request_state.body._started_at - head_seconds
+        request_state._began_at = began_at
+        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS - 0.1)
+        assert not request_state.is_stopped
+        client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS + 0.1)
+        assert request_state.is_stopped is times_out
+        if times_out:
+            assert " 408 " in (await read_message(reader))[0]
+        writer.close()
 
 
 @async_test
 async def test_late_and_slow_first_request_times_out_from_the_connect() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         _, writer = await limiter.connect()
-        while not limiter.listener.connections:
-            await asyncio.sleep(0.001)
-        (client,) = limiter.listener.connections
+        (client,) = await wait_for_connections(limiter)
         began_at = client.pipeline.queue.active_at - 1.9
         client.pipeline.queue.active_at = began_at
         writer.write(b"GET /lookup")
@@ -134,18 +142,18 @@
 async def test_client_that_stops_sending_within_a_request_receives_an_error(
     sent: bytes, requests_before: int
 ) -> None:
-    """However fast it began, and whether or not an earlier request of it waits for its answer."""
+    """The earlier rate does not matter, nor whether an earlier request waits for its response."""
 
     def forward_uploads(event: model.Event) -> list[model.Action]:
         is_upload = isinstance(event, model.Request) and event.uploading
         return forward_to_s1(event) if is_upload else []
 
-    async def take_all(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+    async def read_all(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         while await reader.read(65536):
             pass
 
     script = ScriptedDecisions(forward_uploads)
-    async with limiter_with_endpoint(take_all, script) as limiter:
+    async with limiter_with_endpoint(read_all, script) as limiter:
         reader, writer = await limiter.connect()
         writer.write(sent)
         async with asyncio.timeout(3.0):
@@ -164,15 +172,15 @@
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
-        unknown = HUGE_POST.replace(b"/post?", b"/none?") + b"x" * 100_000
-        writer.write(http_request() + unknown)
+        upload_to_unknown_path = HUGE_POST.replace(b"/post?", b"/none?") + b"x" * 100_000
+        writer.write(http_request() + upload_to_unknown_path)
         (waiting,) = await script.wait_for(model.Request)
         await asyncio.sleep(3 * request_body.BODY_TIMEOUT_SECONDS)
-        silent, other = await limiter.connect()
-        other.write(b"GET /loo")
-        assert " 408 " in (await read_message(silent))[0]
+        other_reader, other_writer = await limiter.connect()
+        other_writer.write(b"GET /loo")
+        assert " 408 " in (await read_message(other_reader))[0]
         execute(limiter, [model.Reject(waiting.id, 0.1)])
         assert " 429 " in (await read_message(reader))[0]
         assert " 404 " in (await read_message(reader))[0]
         writer.close()
-        other.close()
+        other_writer.close()
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""Closing of client connections: neither a response nor a request that crosses the close is lost."""
+"""Closing of client connections: neither responses nor requests that cross the close are lost."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.transport import ClientTransport
-from tests.client_helpers import execute, reject, take_no_action
+from tests.client_helpers import execute, reject, take_no_action, wait_for_connections
 from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
 
@@ -26,26 +26,25 @@
                 writer.write(b"x" * 65536)
                 await writer.drain()
                 sent += 65536
-        assert sent < 20_000_000  # what the sockets' buffers took
+        assert sent < 20_000_000  # the buffers of the sockets
 
 
 @async_test
 async def test_end_of_an_idle_connection_is_sent_in_the_step_that_finds_no_unread_input(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request between look and end meets an orderly end, as one that crosses it, and no reset."""
+    """A request that arrives between the check and the close receives an orderly end and no reset."""
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         client = socket.create_connection(limiter.address)
         has_unread_input = ClientTransport.has_unread_input.fget  # type: ignore[attr-defined]
 
-        def send_after_look(self: ClientTransport) -> bool:
+        def send_after_check(self: ClientTransport) -> bool:
             unread: bool = has_unread_input(self)
             client.sendall(http_request())
             return unread
 
-        while not limiter.listener.connections:
-            await asyncio.sleep(0)
-        monkeypatch.setattr(ClientTransport, "has_unread_input", property(send_after_look))
+        await wait_for_connections(limiter)
+        monkeypatch.setattr(ClientTransport, "has_unread_input", property(send_after_check))
         await limiter.listener.close(1000)
         client.settimeout(10)
         assert client.recv(10) == b""
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit of client connections: who is evicted, and when responses close their connections."""
+"""The limit of client connections: which are evicted, and when responses close their connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.connection import ClientConnection
-from tests.client_helpers import ends_without_data, execute, reject, take_no_action
+from tests.client_helpers import ends_without_data, execute, reject, take_no_action, wait_for_connections
 from tests.loopback import LoopbackLimiter, ScriptedDecisions, async_test, http_request, read_message
 
 
@@ -26,28 +26,27 @@
 async def test_connections_that_never_sent_data_are_evicted_first_and_busy_ones_are_not() -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
-        busy, writer = await limiter.connect()
-        writer.write(http_request())
+        busy_reader, busy_writer = await limiter.connect()
+        busy_writer.write(http_request())
         (request,) = await script.wait_for(model.Request)
         script.decide = reject
-        usual, usual_writer = await limiter.connect()
-        usual_writer.write(http_request())
-        await read_message(usual)
-        _, half_writer = await limiter.connect()
-        half_writer.write(b"GET /lo")
+        idle_reader, idle_writer = await limiter.connect()
+        idle_writer.write(http_request())
+        await read_message(idle_reader)
+        _, partial_writer = await limiter.connect()
+        partial_writer.write(b"GET /lo")
         await limiter.fetch(b"GET /healthz HTTP/1.1\r\n\r\n")
-        silent = [await limiter.connect() for _ in range(61)]
-        more = [
-            await limiter.connect() for _ in range(63)
-        ]  # all silent ones and the half-read one are evicted
-        for reader, _ in silent:
+        without_data = [await limiter.connect() for _ in range(61)]
+        # These evict all connections without data and the one with a partial request.
+        later_clients = [await limiter.connect() for _ in range(63)]
+        for reader, _ in without_data:
             assert await ends_without_data(reader)
-        for _, silent_writer in more:  # now these send, and only the usual one is idle for longer
-            silent_writer.write(b"GET /lo")
-        usual_writer.write(http_request())
-        assert " 429 " in (await read_message(usual))[0]
+        for _, writer in later_clients:
+            writer.write(b"GET /lo")
+        idle_writer.write(http_request())
+        assert " 429 " in (await read_message(idle_reader))[0]
         execute(limiter, [model.Fail(request.id)])
-        assert " 502 " in (await read_message(busy))[0]
+        assert " 502 " in (await read_message(busy_reader))[0]
 
 
 @async_test
@@ -63,7 +62,7 @@
             if "connection" in headers:
                 assert await ends_without_data(reader)
                 closed += 1
-        assert closed == 28  # half of the connections are kept; later ones close behind their response
+        assert closed == 28  # half of the limit of 64 stays open; other connections close with their response
         for writer in open_writers[:2]:
             writer.close()
         while limiter.listener.shared.active_connections > 30:
@@ -77,10 +76,9 @@
 async def test_connection_with_an_unread_request_is_not_evicted() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         clients = [socket.create_connection(limiter.address) for _ in range(3)]
-        while len(limiter.listener.connections) < 3:
-            await asyncio.sleep(0)
+        await wait_for_connections(limiter, 3)
         limiter.listener.set_max_connections(3)
-        clients[0].sendall(http_request())  # silent for longest, and unread when the next one connects
+        clients[0].sendall(http_request())  # never sent data for longest, and unread at the next connect
         limiter.listener.on_connected(ClientConnection(limiter.listener))
         first, _ = await asyncio.open_connection(sock=clients[0])
         second, _ = await asyncio.open_connection(sock=clients[1])
@@ -90,22 +88,21 @@
 
 @async_test
 async def test_idle_clients_beyond_a_lower_limit_are_closed_and_busy_ones_are_served() -> None:
-    """Another process shares the descriptors from now on: together they have no more than one had."""
+    """From then on another process shares the descriptors of the limiter."""
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         busy_reader, busy = await limiter.connect()
         busy.write(http_request())
         (request,) = await script.wait_for(model.Request)
-        silent = [await limiter.connect() for _ in range(20)]
-        while len(limiter.listener.connections) < 21:
-            await asyncio.sleep(0)
+        idle_clients = [await limiter.connect() for _ in range(20)]
+        await wait_for_connections(limiter, 21)
         limiter.listener.set_max_connections(8)
         while len(limiter.listener.connections) > 8:
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.05)
-        assert len(limiter.listener.connections) == 8  # and no more than that were closed
-        assert sum(reader.at_eof() for reader, _ in silent) == 13
+        assert len(limiter.listener.connections) == 8  # no further connection was closed
+        assert sum(reader.at_eof() for reader, _ in idle_clients) == 13
         execute(limiter, [model.Reject(request.id, 0.1)])
         assert " 429 " in (await read_message(busy_reader))[0]
-        for _, writer in silent:
+        for _, writer in idle_clients:
             writer.close()
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""Lack of descriptors: idle clients fill them, or the process has none left, on real sockets."""
+"""Lack of descriptors: idle clients use them up, or the process has none left, on real sockets."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
     running_server,
 )
 
-LIST_WITHIN = 6.0  # seconds from discovery's return until the limiter must use its list
-DESCRIPTORS = 256  # the smallest limit that the specification names
+LIST_DEADLINE_SECONDS = 6.0  # from the return of discovery until the limiter must use its endpoint list
+MIN_DESCRIPTORS = 256  # the smallest limit in the specification
 
 
-def connect_silent(program: Program, count: int) -> list[socket.socket]:
-    """Clients that connect at once and send nothing."""
+def connect_without_sending(program: Program, count: int) -> list[socket.socket]:
+    """Return clients that have begun to connect and send nothing."""
     host, port = program._listen.split(":")
     clients = list[socket.socket]()
     for _ in range(count):
@@ -48,7 +48,7 @@
 
 
 def connect_sending(program: Program) -> socket.socket:
-    """A client that connects and sends a request."""
+    """Return a client that has connected and sent a request."""
     host, port = program._listen.split(":")
     client = socket.create_connection((host, int(port)))
     client.sendall(http_request())
@@ -56,19 +56,19 @@
 
 
 async def assert_served(client: socket.socket) -> None:
-    """Read the response to a request that was sent."""
+    """Assert that the request of a client receives its response."""
     reader, writer = await asyncio.open_connection(sock=client)
     assert " 200 " in (await read_message(reader))[0]
     writer.close()
 
 
 def open_descriptors(program: Program) -> int:
-    """The descriptors that the limiter's process has open."""
+    """Return the number of open descriptors of the limiter's process."""
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
 class ReturningPeers:
-    """Discovery and the counter, which are away at first; an endpoint list leads to ``endpoint``."""
+    """Discovery and the counter, which are unreachable at first; the endpoint list contains ``endpoint``."""
 
     def __init__(self, endpoint: str) -> None:
         self._endpoint = endpoint
@@ -87,12 +87,12 @@
         await reader.read()
 
     async def accept_counter(self, reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-        """Take the counter's connection, and answer nothing."""
+        """Accept a connection to the counter, and send no reply."""
         self.counter_reached.set()
         await reader.read()
 
     async def start(self) -> None:
-        """Come back."""
+        """Start to listen."""
         discovery_port, counter_port = self.ports
         self._servers = [
             await asyncio.start_server(self.serve_list, "127.0.0.1", discovery_port),
@@ -100,72 +100,74 @@
         ]
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         for server in self._servers:
             server.close()
 
 
 def limited_config(endpoint: str, peers: ReturningPeers) -> dict[str, Any]:
-    """A configuration with the least descriptors, and quotas that reject nothing."""
+    """Return a configuration with the fewest descriptors, and quotas that reject no request."""
     discovery_port, counter_port = peers.ports
     raw = config(endpoint, f"127.0.0.1:{discovery_port}") | {"counter": f"127.0.0.1:{counter_port}"}
-    raw["limits"] = {"sockets": DESCRIPTORS}
+    raw["limits"] = {"sockets": MIN_DESCRIPTORS}
     raw["settings"] = raw["settings"] | {"specifics": {"has_counter": False, "count_wait_s": 0.05}}
     raw["settings"]["tariffs"] = [{"name": "basic", "quota_rate": 1e5, "store_size": 1e5}]
     return raw
 
 
-async def crowd_in_one_step(program: Program) -> list[socket.socket]:
-    """Twice the clients of the limit, and senders among them, wait when the process runs again."""
-    resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
+async def connect_clients_in_one_step(program: Program) -> list[socket.socket]:
+    """Connect twice as many clients as the limit, some with a request, while the process is suspended."""
+    resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, MIN_DESCRIPTORS))
     program.process.send_signal(signal.SIGSTOP)
-    silent = list[socket.socket]()
-    senders = list[socket.socket]()
+    idle_clients = list[socket.socket]()
+    sending_clients = list[socket.socket]()
     for _ in range(20):
-        silent += connect_silent(program, DESCRIPTORS // 10)
-        senders.append(connect_sending(program))
+        idle_clients += connect_without_sending(program, MIN_DESCRIPTORS // 10)
+        sending_clients.append(connect_sending(program))
     program.process.send_signal(signal.SIGCONT)
-    await asyncio.gather(*map(assert_served, senders))
-    return silent
+    await asyncio.gather(*map(assert_served, sending_clients))
+    return idle_clients
 
 
 @async_test
 async def test_idle_clients_at_the_limit_obstruct_neither_discovery_nor_the_counter_nor_requests(
     tmp_path: Path,
 ) -> None:
-    """Far more clients than the limit allows connect; a few among them send requests throughout."""
-    known = ScriptedEndpoint()
-    listed = ScriptedEndpoint()
+    """Many more clients than the limit connect, and a few of them send requests throughout."""
+    known_endpoint = ScriptedEndpoint()
+    listed_endpoint = ScriptedEndpoint()
     async with (
-        running_server(known.handle_connection) as known_address,
-        running_server(listed.handle_connection) as listed_address,
+        running_server(known_endpoint.handle_connection) as known_address,
+        running_server(listed_endpoint.handle_connection) as listed_address,
     ):
         peers = ReturningPeers(listed_address)
         async with started(limited_config(known_address, peers), tmp_path) as program:
-            silent = await crowd_in_one_step(program)
+            idle_clients = await connect_clients_in_one_step(program)
             max_descriptors = 0
             for _ in range(10):
-                silent += connect_silent(program, DESCRIPTORS // 5)
+                idle_clients += connect_without_sending(program, MIN_DESCRIPTORS // 5)
                 await asyncio.gather(*(assert_served(connect_sending(program)) for _ in range(4)))
                 max_descriptors = max(max_descriptors, open_descriptors(program))
             await peers.start()
             returned_at = asyncio.get_running_loop().time()
-            while not (peers.list_sent.is_set() and peers.counter_reached.is_set() and listed.requests):
-                silent += connect_silent(program, 5)
+            while not (
+                peers.list_sent.is_set() and peers.counter_reached.is_set() and listed_endpoint.requests
+            ):
+                idle_clients += connect_without_sending(program, 5)
                 await assert_served(connect_sending(program))
                 max_descriptors = max(max_descriptors, open_descriptors(program))
-                assert asyncio.get_running_loop().time() < returned_at + LIST_WITHIN
+                assert asyncio.get_running_loop().time() < returned_at + LIST_DEADLINE_SECONDS
             assert program.process.returncode is None
-            assert max_descriptors < DESCRIPTORS
-            assert len(silent) > 5 * DESCRIPTORS // 2
+            assert max_descriptors < MIN_DESCRIPTORS
+            assert len(idle_clients) > 5 * MIN_DESCRIPTORS // 2
             peers.close()
-            for client in silent:
+            for client in idle_clients:
                 client.close()
 
 
 @contextmanager
 def no_free_descriptor() -> Iterator[None]:
-    """Let this process open nothing more, as under a leak or a limit below the one configured."""
+    """Prevent this process from opening descriptors, as under a leak or a limit below the configured one."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     lowest_free = os.dup(0)  # the lowest number that is not in use
     os.close(lowest_free)
@@ -200,13 +202,14 @@
 async def test_closing_listener_accepts_its_queue_after_a_lack_of_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Connections are accepted once there are descriptors again, and closing does not fail."""
-    monkeypatch.setattr(listener, "DESCRIPTOR_WAIT_SECONDS", 10.0)  # a slow machine must not make it late
+    """Its connections are accepted when descriptors are available again, and closing does not fail."""
+    monkeypatch.setattr(listener, "DESCRIPTOR_WAIT_SECONDS", 10.0)  # more than a slow machine needs
 
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         acceptor = limiter.listener._acceptor
         assert acceptor is not None
-        asyncio.get_running_loop().remove_reader(acceptor._listening)  # it has not seen them when it closes
+        # The connections are still in the accept queue when the listener closes.
+        asyncio.get_running_loop().remove_reader(acceptor._listening)
         clients = [socket.create_connection(limiter.address) for _ in range(3)]
         for client in clients:
             client.sendall(http_request())
@@ -216,7 +219,7 @@
         closing_began = asyncio.Event()
 
         async def close_at_the_limit(drain_seconds: float | None) -> None:
-            """Leave no descriptor free in the step that closes."""
+            """Use up the descriptors in the step that closes."""
             shortage.enter_context(no_free_descriptor())
             closing_began.set()
             await close(drain_seconds)
