--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -1,4 +1,4 @@
-"""Calls that fail for a moment while a limiter starts and serves: it goes on accepting."""
+"""Calls of accept that fail for a short time: the limiter continues to accept."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 async def test_failing_accept_loses_no_connection_and_does_not_end_accepting(
     error: int, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    """The first accepts behind a connection fail, at the clients' address and at the operators'."""
+    """The first calls fail, both at the clients' address and at the admin address."""
     port = free_port()
     async with (
         running_server(ScriptedEndpoint().handle_connection) as endpoint,
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -1,4 +1,4 @@
-"""Clients that leave or half-close: real sockets, each crossing forced by the client's own step."""
+"""Clients that disconnect or half-close, over real sockets; no test depends on how fast the machine is."""
 
 from __future__ import annotations
 
@@ -22,7 +22,6 @@
     LATE_SECONDS,
     execute,
     limiter_with_endpoint,
-    on_timer,
     read_final_response,
     take_no_action,
 )
@@ -39,7 +38,7 @@
 
 
 def watch_maybe_disconnected(limiter: LoopbackLimiter) -> asyncio.Event:
-    """Set when the dispatcher is notified that a client may have disconnected."""
+    """Return an event that is set when the dispatcher is notified of a possible disconnect."""
     notified = asyncio.Event()
     notify = limiter.dispatcher.on_client_maybe_disconnected
 
@@ -58,7 +57,7 @@
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         await release.wait()
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+        writer.write(OK_RESPONSE)
         await reader.read()
 
     async with limiter_with_endpoint(serve) as limiter:
@@ -96,7 +95,7 @@
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_disconnect_is_detected_while_requests_wait(close_client: Any, request_count: int) -> None:
-    """With a full pipeline its input is not read, and only a poll shows that it has gone."""
+    """With a full pipeline its input is not read, and only a poll shows the disconnect."""
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         client = socket.create_connection(limiter.address)
@@ -132,20 +131,20 @@
         for _ in range(20):
             await polls.get()
         execute(limiter, [model.Fail(event.id) for event in events])
-        answers = await reader.read()
-        assert answers.count(b"HTTP/1.1 100 ") == 1
-        assert answers.count(b"HTTP/1.1 502 ") == MAX_PIPELINED_REQUESTS
+        responses = await reader.read()
+        assert responses.count(b"HTTP/1.1 100 ") == 1
+        assert responses.count(b"HTTP/1.1 502 ") == MAX_PIPELINED_REQUESTS
 
 
 def close_with_unread_input(client: socket.socket) -> None:
-    """Close with unread input, which makes a reset of it."""
+    """Close with unread input, which resets the connection."""
     client.setblocking(True)
     assert client.recv(1, socket.MSG_PEEK)
     client.close()
 
 
 def disconnect(client: socket.socket, close_client: Callable[[socket.socket], None]) -> None:
-    """The client leaves, and the event loop does not run until an attempt would be too late.
+    """Disconnect, and keep the event loop from running until an attempt would be too late.
 
     No timer and no callback of the event loop has shown the disconnect then.
     """
@@ -156,17 +155,17 @@
 async def keep_endpoint_connection(limiter: LoopbackLimiter, monkeypatch: pytest.MonkeyPatch) -> None:
     """Keep an endpoint connection idle, so that the next attempt is written in the step of its decision."""
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
-    answer = limiter.decisions.decide
+    decide = limiter.decisions.decide
     limiter.decisions.decide = forward_to_s1
     assert " 200 " in (await limiter.fetch(http_request()))[0]
-    limiter.decisions.decide = answer
+    limiter.decisions.decide = decide
     limiter.decisions.events.clear()
 
 
 async def assert_only_the_next_is_forwarded(
     limiter: LoopbackLimiter, endpoint: ScriptedEndpoint, already_forwarded: int = 0
 ) -> None:
-    """Nothing but ``already_forwarded`` requests went out before the one that is sent now."""
+    """Assert that the endpoint receives a new request behind ``already_forwarded`` ones and no others."""
     limiter.decisions.decide = forward_to_s1
     request = http_request()
     assert " 200 " in (await limiter.fetch(request))[0]
@@ -180,7 +179,7 @@
 async def test_no_attempt_begins_for_a_client_that_disconnected_while_its_requests_waited(
     close_client: Any, request_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They wait, as for the counter; with a full pipeline its input is not read either."""
+    """Its requests wait as for the counter; with a full pipeline its input is not read either."""
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
@@ -216,7 +215,7 @@
 async def test_no_attempt_begins_for_a_client_whose_confirmation_as_half_closed_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An interim response is sent to it, and what follows is not looked up in time."""
+    """The end of its input was read and an interim response sent, but the result is not checked in time."""
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
@@ -240,9 +239,7 @@
 async def test_request_of_a_client_that_has_just_half_closed_is_still_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(
-        client_liveness, "PRESENCE_GRACE_SECONDS", 10.0
-    )  # a slow machine must not make it late
+    monkeypatch.setattr(client_liveness, "PRESENCE_GRACE_SECONDS", 10.0)  # more than a slow machine needs
 
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
@@ -254,10 +251,9 @@
         writer.write_eof()
         while not client.pipeline.liveness.input_ended:
             await asyncio.sleep(0)
-        script.decide = on_timer(forward_to_s1(event))
-        # The connect waits for the event loop, and the confirmation would come between.
+        # The confirmation could otherwise finish while the attempt waits for its connection.
         monkeypatch.setattr(client_liveness, "RESET_WAIT_SECONDS", 10.0)
-        limiter.dispatcher.dispatch(model.TimerFired(1))
+        execute(limiter, forward_to_s1(event))
         status, _, body = await read_final_response(reader)
         assert " 200 " in status
         assert body == b"hi"
@@ -298,7 +294,9 @@
             await asyncio.sleep(0)
         endpoint.response_for = lambda _n: OK_RESPONSE
         script.decide = forward_to_s1
-        assert " 200 " in (await limiter.fetch(http_request()))[0]  # behind whatever else was forwarded
+        assert (
+            " 200 " in (await limiter.fetch(http_request()))[0]
+        )  # received behind all other forwarded requests
         ids = [headers["x-request-id"] for _, headers, _ in endpoint.requests]
         assert len(ids) == len(set(ids)) <= request_count + 1
 
@@ -311,7 +309,7 @@
     clients = list[socket.socket]()
 
     class SlowLoop:
-        """An event loop that returns connections when the client has left."""
+        """An event loop whose connects complete after the client has disconnected."""
 
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio.get_running_loop(), name)
@@ -323,7 +321,7 @@
             return connected
 
     class Asyncio:
-        """The asyncio module with that event loop."""
+        """The asyncio module with this event loop."""
 
         get_running_loop = SlowLoop
 
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -1,4 +1,4 @@
-"""Every form and framing of requests and responses, over loopback sockets."""
+"""All valid forms and framings of requests and responses, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 FINAL_CHUNK_AND_TRAILER = b"0\r\nX-Plan: none\r\n\r\n"
-REQUEST_FORMS = [  # what is replaced in a plain request, and by what
+REQUEST_FORMS = [  # a part of a plain request, and its replacement
     (b"GET /lookup", b"GET http://origin.svc/lookup"),
     (b"GET /lookup", b"\r\nGET /lookup"),
     (b"X-Plan: basic", b"x-PLAN:\tbasic \t"),
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Target and headers of requests: the event they become, and the faults that are rejected."""
+"""Target and headers of requests: the resulting event, and the faults that are rejected."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         (event,) = await script.wait_for(model.Request)
         assert (event.request_class, event.plan, event.account) == ("lookup", "basic", "00000000b4d65521")
         assert (event.units, event.serving_gateways, event.is_retry) == (1.0, 2, True)
-        assert 0.4 < event.timeout < 0.48  # a margin stays for the way back
+        assert 0.4 < event.timeout < 0.48  # without the margin for returning the response
 
 
 @pytest.mark.parametrize(
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Framing, sizes and hand-over of requests that are read from a connection."""
+"""Framing, sizes and pipelining of the requests that are read from a connection."""
 
 from __future__ import annotations
 
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""Since when what is read may have waited."""
+"""The earliest time at which input may have arrived, with and without stalls of the process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     for _ in range(30):
         now += HEARTBEAT_INTERVAL_SECONDS
         stalls.mark(now)
-    stalls.mark(now)  # a second mark of the same turn
+    stalls.mark(now)  # a second mark of the same iteration
     assert stalls.unread_since(now) == now - HEARTBEAT_INTERVAL_SECONDS
     assert not stalls.is_after_stall(now)
 
@@ -29,11 +29,11 @@
 
 
 def test_second_stall_does_not_hide_the_first_one() -> None:
-    """Not all that waited for the end of the first one is read before the second one begins."""
+    """Input that arrived during the first one may still be unread when the second one begins."""
     stalls = StallDetector(0.0)
     for step in range(1, 51):
         stalls.mark(0.1 * step)
-    stalls.mark(8.0)  # it stood still from 5.0 on
+    stalls.mark(8.0)  # the stall began at 5.0
     stalls.mark(8.5)
     assert stalls.unread_since(8.5) == 5.0
     stalls.mark(8.6)
