--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -294,9 +294,8 @@
             await asyncio.sleep(0)
         endpoint.response_for = lambda _n: OK_RESPONSE
         script.decide = forward_to_s1
-        assert (
-            " 200 " in (await limiter.fetch(http_request()))[0]
-        )  # received behind all other forwarded requests
+        # The endpoint receives this request behind all others that were forwarded.
+        assert " 200 " in (await limiter.fetch(http_request()))[0]
         ids = [headers["x-request-id"] for _, headers, _ in endpoint.requests]
         assert len(ids) == len(set(ids)) <= request_count + 1
 
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -72,8 +72,8 @@
 async def test_chunked_body_over_the_limit_is_rejected() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         head = http_request(Transfer_Encoding="chunked")
-        first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
-        assert " 413 " in first
+        status_line, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
+        assert " 413 " in status_line
 
 
 @async_test
@@ -87,9 +87,8 @@
         script.decide = lambda event: reject(event) or [model.Fail(request.id)]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert " 502 " in (await read_message(reader))[0]
-        assert (
-            " 429 " in (await limiter.fetch(http_request(X_Request_ID="00000000000000ab")))[0]
-        )  # free again
+        status_line, _, _ = await limiter.fetch(http_request(X_Request_ID="00000000000000ab"))
+        assert " 429 " in status_line  # the id is available again
         assert not limiter.listener.shared.open_request_ids
 
 
@@ -100,8 +99,8 @@
         _, writer = await limiter.connect()
         writer.write(b"".join(http_request() for _ in range(200)))
         await script.wait_for(model.Request, MAX_PIPELINED_REQUESTS)
-        reader, other = await limiter.connect()
+        other_reader, other_writer = await limiter.connect()
         script.decide = reject
-        other.write(http_request())
-        assert " 429 " in (await read_message(reader))[0]
+        other_writer.write(http_request())
+        assert " 429 " in (await read_message(other_reader))[0]
         assert len(await script.wait_for(model.Request)) == MAX_PIPELINED_REQUESTS + 1
