--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -171,7 +171,7 @@
         if event is not None and self.requests.close(event.id) is not None:
             self.dispatch(model.ClientDisconnected(event.id))
 
-    def on_client_maybe_gone(self, request: ClientRequest) -> None:
+    def on_client_maybe_disconnected(self, request: ClientRequest) -> None:
         """Start no further attempt for a client that may have disconnected."""
         if request.event is not None:
             self.requests.stop_forwarding(request.event.id)
