--- a/quota_gateway/lifecycle/startup.py
+++ b/quota_gateway/lifecycle/startup.py
@@ -57,9 +57,7 @@
     limits = connection_limits(max_descriptors, change.process_count)
     components.listener.set_max_connections(limits.clients)
     components.pool.set_max_connections(limits.endpoints)
-    components.dispatcher.on_process_group_changed(
-        change.process_count, change.suspended_endpoints, change.seconds_unknown
-    )
+    components.dispatcher.on_process_group_changed(change)
 
 
 async def _listen(components: Components, config: Config, environment: Environment) -> None:
--- a/quota_gateway/net/admin/listener.py
+++ b/quota_gateway/net/admin/listener.py
@@ -10,7 +10,7 @@
 import asyncio
 import logging
 from collections.abc import Callable
-from typing import Protocol, cast
+from typing import NamedTuple, Protocol, cast
 
 from quota_gateway import model
 from quota_gateway.net.common.acceptor import Acceptor, create_listening_socket
@@ -30,8 +30,15 @@
 FAILURE_REPLY = "FAILURE\n"
 END_OF_METRICS = "EOT\n"
 
-# Called with whether the command succeeded, and with the text of the metrics for METRICS.
-ReplyCallback = Callable[[bool, str], None]
+
+class CommandReply(NamedTuple):
+    """The reply to a command."""
+
+    succeeded: bool
+    metrics: str = ""  # the text of the metrics, for METRICS
+
+
+ReplyCallback = Callable[[CommandReply], None]
 
 
 class AdminHandler(Protocol):
@@ -71,7 +78,7 @@
         command_text, newline, _ = (self._command_text + data).partition(b"\n")
         self._command_text = command_text[: MAX_COMMAND_BYTES + 1]
         if len(self._command_text) > MAX_COMMAND_BYTES:
-            self._reply(False)
+            self._reply(CommandReply(succeeded=False))
         elif newline:
             self._execute()
 
@@ -87,25 +94,25 @@
         command = COMMANDS.get(name)
         argument_count = 1 if command in COMMANDS_WITH_ENDPOINT else 0
         if command is None or len(arguments) != argument_count or not all(arguments):
-            self._reply(False)
+            self._reply(CommandReply(succeeded=False))
             return
         endpoint = arguments[0].decode("utf-8", "replace") if arguments else ""
         self._listener.handler.on_admin_command(command, endpoint, self._reply)
 
     def _on_timeout(self) -> None:
         if not self._is_input_complete:
-            self._reply(False)
+            self._reply(CommandReply(succeeded=False))
 
-    def _reply(self, succeeded: bool, metrics: str = "") -> None:
+    def _reply(self, reply: CommandReply) -> None:
         self._is_input_complete = True
         if self._transport is None or self._transport.is_closing():
             return
         if self._timer is not None:
             self._timer.cancel()
-        if not succeeded:
+        if not reply.succeeded:
             text = FAILURE_REPLY
-        elif metrics:
-            text = metrics + END_OF_METRICS
+        elif reply.metrics:
+            text = reply.metrics + END_OF_METRICS
         else:
             text = SUCCESS_REPLY
         self._transport.write(text.encode())
--- a/quota_gateway/net/client/request.py
+++ b/quota_gateway/net/client/request.py
@@ -188,7 +188,7 @@
             stream.abandon()
             return
         self._connection.shared.open_request_ids.discard(self.request_id)
-        self._connection.shared.metrics.streaming_responses += 1
+        self._connection.shared.metrics.record_streaming_started()
         self.response_stream = stream
         self._chunked = stream.content_length is None and not self.is_http_1_0
         if stream.content_length is not None:
@@ -257,7 +257,7 @@
     def _end_stream(self, status: int) -> None:
         metrics = self._connection.shared.metrics
         self.response_stream = None
-        metrics.streaming_responses -= 1
+        metrics.record_streaming_ended()
         if self.event is not None:
             metrics.record_request(self.event.request_class, status)
 
@@ -266,5 +266,5 @@
         stream = self.response_stream
         if stream is not None:
             self.response_stream = None
-            self._connection.shared.metrics.streaming_responses -= 1
+            self._connection.shared.metrics.record_streaming_ended()
             stream.abandon()
--- a/quota_gateway/net/common/metrics.py
+++ b/quota_gateway/net/common/metrics.py
@@ -26,12 +26,11 @@
     def __init__(self, classes: Iterable[str] = ()) -> None:
         """Show the request classes of these names from the start."""
         self._requests_by_class = dict[str, _RequestCounts]()
-        self.upstream_attempts = 0
+        self.streaming_responses = 0  # accepted requests whose response body is being streamed
+        self._upstream_attempts = 0
         self._reloads = 0
         self._reload_errors = 0
-        self.in_progress = 0  # accepted requests without a complete response
         self.invariants = InvariantMonitor()
-        self.streaming_responses = 0  # of those in progress
         self.register_classes(classes)
 
     def register_classes(self, classes: Iterable[str]) -> None:
@@ -55,6 +54,18 @@
         else:
             counts.bad_gateway += 1
 
+    def record_attempt(self) -> None:
+        """Count an attempt whose request has been written completely."""
+        self._upstream_attempts += 1
+
+    def record_streaming_started(self) -> None:
+        """Count a response whose body is streamed from now on."""
+        self.streaming_responses += 1
+
+    def record_streaming_ended(self) -> None:
+        """Count the end of a streamed response."""
+        self.streaming_responses -= 1
+
     def record_reload(self, *, succeeded: bool) -> None:
         """Count a configuration reload that was applied, or rejected."""
         if succeeded:
@@ -62,16 +73,19 @@
         else:
             self._reload_errors += 1
 
-    def render(self, known_endpoints: int, avoided_endpoints: int) -> str:
-        """Return the reply to METRICS without its last line, with the names of the wire format."""
+    def render(self, *, open_requests: int, known_endpoints: int, avoided_endpoints: int) -> str:
+        """Return the reply to METRICS without its last line, with the names of the wire format.
+
+        ``open_requests`` are those that have been received completely and have no final response yet.
+        """
         lines = list[str]()
         for request_class, counts in self._requests_by_class.items():
             prefix = f"app.handled.{request_class}"
             lines.append(f"{prefix}.passed={counts.passed}")
             lines.append(f"{prefix}.dropped={counts.dropped}")
             lines.append(f"{prefix}.bad_gateway={counts.bad_gateway}")
-        lines.append(f"app.upstream_tries={self.upstream_attempts}")
-        lines.append(f"app.in_progress={self.in_progress}")
+        lines.append(f"app.upstream_tries={self._upstream_attempts}")
+        lines.append(f"app.in_progress={open_requests + self.streaming_responses}")
         lines.append(f"app.known_servers={known_endpoints}")
         lines.append(f"app.skipped_servers={avoided_endpoints}")
         lines.append(f"app.loads={self._reloads}")
--- a/quota_gateway/net/dispatch/admin_calls.py
+++ b/quota_gateway/net/dispatch/admin_calls.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from quota_gateway import model
-from quota_gateway.net.admin.listener import ReplyCallback
+from quota_gateway.net.admin.listener import CommandReply, ReplyCallback
 from quota_gateway.net.common.metrics import Metrics
 from quota_gateway.net.dispatch.request_table import RequestTable
 from quota_gateway.net.process_group.group import ProcessGroup
@@ -48,7 +48,7 @@
 
     def fail(self, call_id: int) -> None:
         """Reply in place of the decisions, which have failed."""
-        self._calls.pop(call_id).on_reply(False, "")
+        self._calls.pop(call_id).on_reply(CommandReply(succeeded=False))
 
     def reply(self, action: model.AdminReply) -> None:
         """Reply as the decisions say, with the metrics if the command requests them."""
@@ -60,12 +60,14 @@
             self._reply_when_saved(call, has_failed=has_failed, deadline=deadline)
             return
         text = self._render_metrics(action) if call.command is model.AdminCommand.METRICS else ""
-        call.on_reply(action.ok, text)
+        call.on_reply(CommandReply(action.ok, text))
 
     def _render_metrics(self, action: model.AdminReply) -> str:
-        metrics = self._metrics
-        metrics.in_progress = self._requests.received_count + metrics.streaming_responses
-        return metrics.render(action.known_endpoints, action.avoided_endpoints)
+        return self._metrics.render(
+            open_requests=self._requests.received_count,
+            known_endpoints=action.known_endpoints,
+            avoided_endpoints=action.avoided_endpoints,
+        )
 
     def _reply_when_saved(self, call: _AdminCall, *, has_failed: bool, deadline: float) -> None:
         """Reply once the suspension is recorded, or with a failure at the deadline.
@@ -75,7 +77,7 @@
         is_saved = self._process_group.suspensions_saved
         loop = asyncio.get_running_loop()
         if has_failed or is_saved or loop.time() >= deadline:
-            call.on_reply(is_saved and not has_failed, "")
+            call.on_reply(CommandReply(is_saved and not has_failed))
         else:
             retry = partial(self._reply_when_saved, call, has_failed=has_failed, deadline=deadline)
             loop.call_later(SAVE_POLL_INTERVAL_SECONDS, retry)
--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -26,7 +26,7 @@
     STATUS_SHUTTING_DOWN,
     RequestTable,
 )
-from quota_gateway.net.process_group.group import ProcessGroup
+from quota_gateway.net.process_group.group import GroupChange, ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
@@ -180,11 +180,9 @@
         """Dispatch an operator's command; ``endpoint`` is empty where it names none."""
         self.dispatch(model.AdminRequest(self._admin_calls.add(command, on_reply), command, endpoint))
 
-    def on_process_group_changed(
-        self, process_count: int, suspensions: frozenset[str], seconds_unknown: float
-    ) -> None:
+    def on_process_group_changed(self, change: GroupChange) -> None:
         """Dispatch a change of the number of processes or of the suspended endpoints."""
-        self._group_events.on_changed(process_count, suspensions, seconds_unknown)
+        self._group_events.on_changed(change)
 
     def on_handover(self, state: model.HandoverState) -> None:
         """Dispatch the state that another process of this limiter handed over."""
--- a/quota_gateway/net/dispatch/process_group_events.py
+++ b/quota_gateway/net/dispatch/process_group_events.py
@@ -7,7 +7,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.dispatch.admin_calls import AdminCalls
-from quota_gateway.net.process_group.group import ProcessGroup
+from quota_gateway.net.process_group.group import GroupChange, ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
@@ -29,16 +29,13 @@
         self._admin_calls = admin_calls
         self._dispatch = dispatch
 
-    def on_changed(self, process_count: int, suspensions: frozenset[str], seconds_unknown: float) -> None:
-        """The number of processes or the suspended endpoints have changed.
-
-        The group was not polled in the ``seconds_unknown`` before.
-        """
-        names = sorted(suspensions) or "none"
-        log.info("processes of this limiter: %d; suspended endpoints: %s", process_count, names)
-        self._dispatch(model.ProcessCountChanged(process_count, seconds_unknown))
-        self._pool.exclude(suspensions)
-        self._dispatch(model.SuspensionsChanged(suspensions))
+    def on_changed(self, change: GroupChange) -> None:
+        """Dispatch a change of the number of processes or of the suspended endpoints."""
+        names = sorted(change.suspended_endpoints) or "none"
+        log.info("processes of this limiter: %d; suspended endpoints: %s", change.process_count, names)
+        self._dispatch(model.ProcessCountChanged(change.process_count, change.seconds_unknown))
+        self._pool.exclude(change.suspended_endpoints)
+        self._dispatch(model.SuspensionsChanged(change.suspended_endpoints))
 
     def on_handover(self, state: model.HandoverState) -> None:
         """Another process of this limiter handed over its state."""
--- a/quota_gateway/net/upstream/exchange_control.py
+++ b/quota_gateway/net/upstream/exchange_control.py
@@ -53,7 +53,8 @@
         exchange.record_request_written()
         if exchange.upload is not None:
             exchange.restart(self._clock())
-        self._metrics.upstream_attempts += not exchange.is_health_check
+        if not exchange.is_health_check:
+            self._metrics.record_attempt()
 
     def log_and_reset(self) -> None:
         """Log how exchanges have ended since the last call."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -35,7 +35,7 @@
     def on_admin_command(
         self, command: model.AdminCommand, endpoint: str, reply: admin.ReplyCallback
     ) -> None:
-        reply(True, f"{command.value} {endpoint}\n")
+        reply(admin.CommandReply(succeeded=True, metrics=f"{command.value} {endpoint}\n"))
 
 
 @asynccontextmanager
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -20,7 +20,7 @@
 
 
 def rendered(metrics: Metrics) -> dict[str, int]:
-    return parse_metrics(metrics.render(known_endpoints=3, avoided_endpoints=1) + "EOT\n")
+    return parse_metrics(metrics.render(open_requests=0, known_endpoints=3, avoided_endpoints=1) + "EOT\n")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -192,8 +192,10 @@
     for status in (200, 429, 503, 502, 504, 400):
         metrics.record_request("lookup", status)
     metrics.record_request("post", 429)
-    metrics.upstream_attempts = 11
-    metrics.streaming_responses = 4
+    for _ in range(11):
+        metrics.record_attempt()
+    for _ in range(4):
+        metrics.record_streaming_started()
     for succeeded in (*[True] * 6, *[False] * 7):
         metrics.record_reload(succeeded=succeeded)
     upstream = ConnectionPool(clock, 0.25, 30.0, 64)
