--- a/quota_gateway/decisions/account_table.py
+++ b/quota_gateway/decisions/account_table.py
@@ -40,7 +40,7 @@
             self.by_counter_id[account.counter_id] = account
         return account
 
-    def forget_idle(self, now: float) -> None:
+    def remove_idle(self, now: float) -> None:
         """Remove accounts without recent requests and open attempts."""
         for key, account in list(self.accounts.items()):
             is_idle = now - account.updated_at > IDLE_ACCOUNT_SECONDS and not account.open_attempts
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -94,7 +94,7 @@
         self._update_endpoints(now, elapsed)
         self.work.close_interval()
         self.leases.return_unused(now, self.work.mean_units)
-        self.accounts.forget_idle(now)
+        self.accounts.remove_idle(now)
         for account in self.accounts.accounts.values():
             self.leases.report_overdue_usage(now, account)
 
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -16,7 +16,7 @@
 )
 
 TAKE_OVER_SECONDS = 5.0  # time after its start in which a process takes over state
-MAX_ACCOUNTS = 4000  # in a handover; the accounts that were created last are kept
+MAX_ACCOUNTS = 4000  # most accounts in a handover; those that were created last are included
 
 
 @dataclass(slots=True, eq=False)
--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -25,10 +25,10 @@
 MIN_UNITS = 1e-9  # smaller amounts are rounding errors of float sums
 
 
-def lease_size(now: float, account: Account, horizon: float) -> float:
+def _lease_size(now: float, account: Account, horizon: float) -> float:
     """Return the units to lease for the demand of ``horizon`` seconds, limited to this gateway's share.
 
-    The share is proportional to demand: an even share would leave the shares of idle gateways unused.
+    The share is proportional to demand: an even share would waste the shares of idle gateways.
     """
     demand = account.demand_rate(now)
     available = max(0.0, account.tokens - account.expected_remote_usage(now))
@@ -80,7 +80,7 @@
         min_leased = RENEWAL_FRACTION * horizon * account.demand_rate(now)
         if account.leased > min_leased or self.budget.available(now) < 1:
             return
-        units = lease_size(now, account, horizon)
+        units = _lease_size(now, account, horizon)
         if units > 0 or now - account.last_call_at > REFRESH_SECONDS:
             lease = max(0.0, units)
             self.lease_holders[account.counter_id] = account
--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -143,7 +143,7 @@
         return self._export(handed_over)
 
     def _export(self, ceiling_tokens: float) -> AccountHandover:
-        # The tokens as the counter knows them: its totals will show the other process the usage reported later.
+        # The tokens as the counter knows them: its totals show the other process the usage reported later.
         pending_amount = sum(call.amount for call in self.pending_calls)
         return AccountHandover(
             plan=self.plan.name,
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import hypothesis
 import pytest
 from hypothesis import strategies as st
@@ -25,37 +27,45 @@
     return account.tokens + account.unreported_usage + sum(call.amount for call in account.pending_calls)
 
 
-def take_units(account: Account, transition: str, units: float) -> None:
-    """Apply a transition that moves units between the bucket, the usage and the lease."""
-    if transition == "charge":
-        account.charge(min(units, max(0.0, account.tokens)), is_reported=True)
-    elif transition == "reserve":
-        account.reserve(units)
-    elif transition == "correct":
-        account.correct_charge(-units)
-    elif transition == "charge lease":
-        account.charge_lease(min(units, account.leased))
-    elif transition == "return lease":
-        account.return_lease(min(units, account.leased))
-    elif transition == "report":
-        account.begin_counter_call(NOW, lease=0.0)
-    elif not account.lease_requested:
+def charge(account: Account, units: float) -> None:
+    account.charge(min(units, max(0.0, account.tokens)), is_reported=True)
+
+
+def refund(account: Account, units: float) -> None:
+    account.correct_charge(-units)
+
+
+def charge_lease(account: Account, units: float) -> None:
+    account.charge_lease(min(units, account.leased))
+
+
+def return_lease(account: Account, units: float) -> None:
+    account.return_lease(min(units, account.leased))
+
+
+def report_usage(account: Account, _units: float) -> None:
+    account.begin_counter_call(NOW, lease=0.0)
+
+
+def request_lease(account: Account, units: float) -> None:
+    if not account.lease_requested:
         account.reserve_lease(units)
         account.begin_counter_call(NOW, lease=units)
 
 
-TRANSITIONS = ("charge", "reserve", "correct", "charge lease", "return lease", "report", "request lease")
+# Transitions that move units between the bucket, the unreported usage, the pending calls and the lease.
+TRANSITIONS = (charge, Account.reserve, refund, charge_lease, return_lease, report_usage, request_lease)
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(st.lists(st.tuples(st.sampled_from(TRANSITIONS), AMOUNTS), max_size=30))
 def test_transitions_of_one_gateway_keep_the_content_that_the_counter_knows(
-    steps: list[tuple[str, float]],
+    steps: list[tuple[Callable[[Account, float], None], float]],
 ) -> None:
     account = start_account()
     account.leased = 5.0
     for transition, units in steps:
-        take_units(account, transition, units)
+        transition(account, units)
         assert known_content(account) == pytest.approx(PLAN.burst)
         assert account.lease_requested == sum(call.lease for call in account.pending_calls)
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -38,6 +38,21 @@
     return sum(ended is outcome for ended in simulation.outcomes.values())
 
 
+def send_without_counter_replies(simulation: GatewaySimulation, request_ids: range) -> None:
+    """Send requests of one customer, each of which must be decided at once."""
+    for request_id in request_ids:
+        simulation.feed(make_request(request_id, "read", "small", "acct"))
+        is_forwarded = AttemptKey(request_id, 0) in simulation.in_flight
+        assert request_id in simulation.outcomes or is_forwarded, "the request has no decision"
+
+
+def advance_without_demand(simulation: GatewaySimulation, seconds: int) -> None:
+    """Advance the clock in steps of a second, so that the lease is returned."""
+    for _ in range(seconds):
+        simulation.advance_to(simulation.now + 1.0)
+        simulation.reply_to_counter_calls()
+
+
 def test_requests_during_a_counter_call_are_decided_at_once_and_reported_by_the_next_call() -> None:
     plans = (model.Plan("small", rate=2.0, burst=6.0),)
     simulation = start_simulation(settings=make_settings(plans=plans))
@@ -47,10 +62,7 @@
     simulation.reply_to_counter_calls()
     simulation.complete_attempts()
     simulation.now += 1.0  # three units are left, which the other gateways may have used
-    for request_id in range(1, 6):
-        simulation.feed(make_request(request_id, "read", "small", "acct"))
-        is_forwarded = AttemptKey(request_id, 0) in simulation.in_flight
-        assert request_id in simulation.outcomes or is_forwarded, "the request has no decision"
+    send_without_counter_replies(simulation, range(1, 6))
     # One is forwarded: with the expected usage of the other gateways the bucket has no more.
     assert len(simulation.forwarded) == 2
     assert count(simulation, Outcome.REJECTED) == 4
@@ -63,9 +75,7 @@
     assert len(simulation.forwarded) == 3
     assert count(simulation, Outcome.REJECTED) == 7
     simulation.complete_attempts()
-    for _ in range(8):  # without demand the lease is returned
-        simulation.advance_to(simulation.now + 1.0)
-        simulation.reply_to_counter_calls()
+    advance_without_demand(simulation, seconds=8)
     # A part of the returned lease stays unreported while the bucket is full.
     unreported = simulation.gateway.accounts.by_counter_id[counter_id].unreported_usage
     total = simulation.counter_totals[counter_id]
@@ -100,9 +110,9 @@
     assert fleet.rejections[0] <= 0.05 * fleet.requests
     account = fleet.account()
     reported = fleet.counter_total + account.unreported_usage
-    most = PLAN.rate * 30.0 + PLAN.burst
+    quota = PLAN.rate * 30.0 + PLAN.burst
     # The counter has all granted and leased units, and at most the overflow of a full bucket in addition.
-    assert fleet.granted_units[0] + account.leased - 2.0 <= reported <= most + 2.0
+    assert fleet.granted_units[0] + account.leased - 2.0 <= reported <= quota + 2.0
 
 
 def test_unused_lease_is_returned_after_the_demand_has_ended(fleet: QuotaFleet) -> None:
