--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -12,14 +12,13 @@
 COUNT_LIFETIME_SECONDS = 60.0  # the counter forgets a total that was not incremented for this time
 MIN_LEASE_SECONDS = 0.5  # least demand that a lease covers
 MAX_LEASE_SECONDS = 3.0  # most demand that a lease covers: a lease is lost with its gateway
-LEASED_FRACTION = 0.5  # largest part of this gateway's share of the bucket that is leased
+LEASE_CALLS_FRACTION = 0.5  # part of the counter budget's rate that extensions of leases use at most
+LEASED_FRACTION = 0.5  # part of this gateway's share of the bucket that is leased at most
 RENEWAL_FRACTION = 0.5  # of the demand that a lease covers; a smaller remainder is renewed
 RETURN_FACTOR = 2.0  # a lease above this multiple of the largest useful one is cut to it
 REFRESH_SECONDS = 0.5  # interval of the calls that check a bucket that is believed to be empty
 EAGER_REPORT_FRACTION = 0.3  # unreported usage above this fraction of the local share is reported immediately
-BACKLOG_FRACTION = (
-    0.25  # unreported usage above this fraction of the burst is reported after a successful call
-)
+BACKLOG_FRACTION = 0.25  # unreported usage above this fraction of the burst is reported after a reply
 IDLE_SECONDS_TO_REPORT = 1.0  # unreported usage is overdue this long after the last call
 IDLE_REPORT_FRACTION = 0.7  # overdue usage is reported while the bucket is below this fraction of the burst
 MIN_UNITS = 1e-9  # smaller amounts are rounding errors of float sums
@@ -89,7 +88,7 @@
 
     def _lease_horizon(self) -> float:
         """Return the seconds of demand that a lease covers: with many lease holders, calls are rare."""
-        call_interval = 2 * len(self.lease_holders) / self.budget.rate
+        call_interval = len(self.lease_holders) / (LEASE_CALLS_FRACTION * self.budget.rate)
         return min(MAX_LEASE_SECONDS, max(MIN_LEASE_SECONDS, call_interval))
 
     def on_reply(self, now: float, event: CounterReplied) -> None:
--- a/quota_gateway/state/global_bucket.py
+++ b/quota_gateway/state/global_bucket.py
@@ -6,6 +6,7 @@
 
 from quota_gateway.model import MAY_BE_COUNTED, CallStatus, Plan
 
+SPARSE_SHARE_UNITS = 2  # an account is sparse if the even share of the burst is smaller
 # Fraction of their even shares that the other gateways are assumed to use before the counter's first reply.
 INITIAL_REMOTE_USAGE_FRACTION = 0.3
 REMOTE_USAGE_WINDOW_SECONDS = 3.0  # averaging window of the remote usage rate
@@ -68,7 +69,7 @@
         self.serving_gateways = max(1, serving_gateways)
         self.set_plan(plan)
         self.updated_at = now  # time of the last refill
-        self.tokens = plan.burst + plan.rate * (now - started_at)  # cut by the counter's first total
+        self.tokens = plan.burst + plan.rate * (now - started_at)  # limited by the counter's first total
         self.unreported_usage = 0.0
         self.pending_calls: list[PendingCall] = []  # in the order of their replies
         self.last_call_at = now
@@ -83,7 +84,7 @@
     def set_plan(self, plan: Plan) -> None:
         """Apply the terms of a plan; the next refill limits the bucket to them."""
         self.plan = plan
-        self.is_sparse = plan.burst < 2 * self.serving_gateways  # the even share is less than two units
+        self.is_sparse = plan.burst < SPARSE_SHARE_UNITS * self.serving_gateways
 
     def expected_remote_usage(self, now: float) -> float:
         """Return the expected usage of the other gateways since the counter's last total."""
--- a/tests/test_counter_budget.py
+++ b/tests/test_counter_budget.py
@@ -103,6 +103,16 @@
     assert pauses[1] < pauses[-1] <= 2.0
 
 
+def test_a_reply_between_two_lost_calls_shows_that_there_is_no_outage() -> None:
+    budget = CounterBudget(START, GATEWAYS, 0.5)
+    budget.call_ended(START + 1.0, model.CallStatus.TIMEOUT, START + 1.0)
+    budget.call_ended(START + 2.0, model.CallStatus.OK, START + 2.0)
+    budget.call_ended(START + 3.0, model.CallStatus.TIMEOUT, START + 3.0)
+    assert budget.unavailable_until == 0.0
+    budget.call_ended(START + 4.0, model.CallStatus.TIMEOUT, START + 4.0)
+    assert budget.unavailable_until > START + 4.0
+
+
 def test_gateways_that_noticed_an_outage_together_call_again_at_different_times() -> None:
     rngs = [Random(seed) for seed in range(GATEWAYS)]
     budgets = [CounterBudget(START, GATEWAYS, rng.random()) for rng in rngs]
