--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the codec of the handover file; its bytes are held by ``test_wire_formats.py``."""
+"""The codec of the handover file; ``test_wire_formats.py`` checks the bytes of the format."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
 
 
 def document() -> dict[str, Any]:
+    """Return the decoded JSON of a valid file."""
     decoded: dict[str, Any] = json.loads(encode_handover(STATE, 0.0))
     return decoded
 
@@ -58,7 +59,9 @@
         (b'{"servers": [], "accounts": [], "bases": {"read": null}}', "file.bases.read", "a finite number"),
     ],
 )
-def test_a_malformed_file_is_named_with_its_place(data: bytes, location: str, expected: str) -> None:
+def test_the_error_of_a_malformed_file_states_location_and_expected_value(
+    data: bytes, location: str, expected: str
+) -> None:
     with pytest.raises(HandoverFormatError) as caught:
         decode_handover(data, 0.0)
     assert caught.value.location == location
@@ -67,7 +70,7 @@
 
 
 @pytest.mark.parametrize("value", [True, "3", None, [], float("nan"), float("inf")])
-def test_a_value_that_is_no_finite_number_is_named_with_its_place(value: object) -> None:
+def test_the_error_of_a_value_that_is_no_finite_number_states_its_location(value: object) -> None:
     raw = document()
     raw["servers"][0]["born"] = value
     with pytest.raises(HandoverFormatError) as caught:
@@ -77,24 +80,25 @@
     assert caught.value.expected == "a finite number"
 
 
-def test_times_are_brought_to_the_clock_of_the_process_that_reads() -> None:
-    """The wall clock was stepped an hour forward between the starts of the two processes."""
+def test_times_are_converted_to_the_clock_of_the_reading_process() -> None:
+    """The wall clock was set forward by an hour between the starts of the two processes."""
     warming = model.EndpointHandover("s0", 1.5, 100.0, 3, 1.0, 1.1, 0.2)
     text = encode_handover(replace(STATE, endpoints=(warming,)), clock_offset=50.0)
     state = decode_handover(text.encode(), clock_offset=3650.0)
     assert state.endpoints[0].warming_since == 3700.0
-    assert state.endpoints[0].started_at == 1.5  # as discovery tells it to both
+    assert state.endpoints[0].started_at == 1.5  # given by discovery, the same for both processes
     assert state.accounts[0].last_synchronised == 3607.0
 
 
-def test_the_file_of_an_older_process_has_no_clock() -> None:
+def test_times_of_a_file_without_a_clock_are_not_converted() -> None:
+    """Processes of earlier versions write no clock."""
     raw = document()
     del raw["clock"]
     assert decode_handover(json.dumps(raw).encode(), clock_offset=3600.0) == STATE
 
 
 def changed(**members: Any) -> bytes:
-    """A file with other values."""
+    """Return a file with some values replaced."""
     return json.dumps(document() | members).encode()
 
 
@@ -108,7 +112,7 @@
         pytest.param(b"[" * 100_000, id="nested too deep"),
     ],
 )
-def test_whatever_a_file_holds_it_is_a_format_error(data: bytes) -> None:
-    """Anything else would end the polling of the other processes."""
+def test_any_malformed_file_raises_a_format_error(data: bytes) -> None:
+    """Another exception would end the poll task of the process group."""
     with pytest.raises(HandoverFormatError):
         decode_handover(data, 0.0)
