--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -41,7 +41,7 @@
         """Return the endpoint for the next attempt; None if no endpoint may be given it."""
         subset = self.endpoints.subset
         warm = [state for state in subset if state.warming_since is None]
-        warm_limit = self.context.target_residence_time * sum(state.work_rate for state in warm)
+        warm_limit = self.context.target_residence_time * sum([state.work_rate for state in warm])
         unreserved = 1 - PRIORITY_FRACTION * (1 - request.priority_percentile)
         subset_limit = self._subset_limit(warm_limit) * unreserved
         unresponsive = self._unresponsive(now)
@@ -99,9 +99,8 @@
         # Without a measured load all requests are admitted, and the work rates are not yet known.
         if self.gate.controller.integral is None:
             return False
-        usable = [state for state in warm if state not in unresponsive and state.ejected_until <= now]
-        own_work = OWN_WORK_FRACTION * request.work
-        return sum(state.work_in_flight for state in usable) + own_work > limit
+        work_in_flight = [s.work_in_flight for s in warm if s not in unresponsive and s.ejected_until <= now]
+        return sum(work_in_flight) + OWN_WORK_FRACTION * request.work > limit
 
     def _candidates(self, request: OpenRequest) -> list[EndpointState]:
         """Return the endpoints where another attempt does no harm: if possible, those not attempted yet."""
--- a/quota_gateway/decisions/outlier_detection.py
+++ b/quota_gateway/decisions/outlier_detection.py
@@ -32,7 +32,7 @@
     def record(self, now: float, state: EndpointState, event: model.AttemptCompleted) -> None:
         """Record how an attempt ended, and eject the endpoint if it is an outlier."""
         peers = self.endpoints.subset or [state]
-        usual_rate = sorted(peer.failure_rate for peer in peers)[len(peers) // 2]
+        usual_rate = sorted([peer.failure_rate for peer in peers])[len(peers) // 2]
         down_cause = self._down_cause(now, state, event, usual_rate)
         is_down = down_cause is not None
         is_failure = is_down or event.status in CONNECTION_LOST or event.status is CallStatus.ERROR
