--- a/scale/stand_ins/timers.py
+++ b/scale/stand_ins/timers.py
@@ -1,4 +1,4 @@
-"""Timers that are more exact than the event loop's."""
+"""Timers with a higher resolution than those of the event loop."""
 
 from __future__ import annotations
 
@@ -10,22 +10,31 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 from itertools import count
+from typing import NamedTuple
 
 LIBC = ctypes.CDLL(None, use_errno=True)
 TFD_TIMER_ABSTIME = 1  # timerfd_settime: expire at this time, not after it
 TIMERFD_READ_BYTES = 8  # of the count of expirations
+NANOSECONDS_PER_SECOND = 1e9
+
+
+class _Timer(NamedTuple):
+    """A callback with its time; ``order`` keeps timers of the same time in the order of their creation."""
+
+    at: float  # seconds of ``time.monotonic``
+    order: int
+    callback: Callable[[], None]
 
 
 class PreciseTimers:
-    """Timers exact to some 0.1 ms: the loop's count whole milliseconds, as long as a call to the counter.
+    """Timers with a resolution of about 0.1 ms; those of the event loop have whole milliseconds.
 
-    Linux only (timerfd). A loop that polled before a due time was as exact, but on a crowded machine it used
-    up the processor time that it then needed.
+    They need Linux (timerfd).
     """
 
     def __init__(self) -> None:
-        """For the running event loop; ``OSError`` where the system has no timerfd."""
-        self._due = list[tuple[float, int, Callable[[], None]]]()
+        """Create timers for the running event loop. Raise ``OSError`` without timerfd."""
+        self._due = list[_Timer]()  # heap
         self._order = count()
         self._armed_for = 0.0  # seconds of ``time.monotonic``; 0: not armed
         self._descriptor: int = LIBC.timerfd_create(time.CLOCK_MONOTONIC, os.O_NONBLOCK | os.O_CLOEXEC)
@@ -35,27 +44,26 @@
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
         """Call ``callback`` when ``time.monotonic`` reaches ``when``."""
-        heappush(self._due, (when, next(self._order), callback))
+        heappush(self._due, _Timer(when, next(self._order), callback))
         self._arm()
 
     def close(self) -> None:
-        """Forget what is due."""
+        """Discard all timers."""
         asyncio.get_running_loop().remove_reader(self._descriptor)
         os.close(self._descriptor)
 
     def _arm(self) -> None:
-        if self._due and self._due[0][0] != self._armed_for:
-            self._armed_for = self._due[0][0]
+        if self._due and self._due[0].at != self._armed_for:
+            self._armed_for = self._due[0].at
             seconds = int(self._armed_for)
-            nanoseconds = max(1, int((self._armed_for - seconds) * 1e9))
+            nanoseconds = max(1, int((self._armed_for - seconds) * NANOSECONDS_PER_SECOND))
             expiration = (ctypes.c_long * 4)(0, 0, seconds, nanoseconds)  # struct itimerspec: no interval
             LIBC.timerfd_settime(self._descriptor, TFD_TIMER_ABSTIME, expiration, None)
 
     def _fire(self) -> None:
-        with contextlib.suppress(BlockingIOError):  # armed again since it expired
+        with contextlib.suppress(BlockingIOError):  # armed again after it had expired
             os.read(self._descriptor, TIMERFD_READ_BYTES)
-        while self._due and self._due[0][0] <= time.monotonic():
-            _, _, callback = heappop(self._due)
-            callback()
+        while self._due and self._due[0].at <= time.monotonic():
+            heappop(self._due).callback()
         self._armed_for = 0.0
         self._arm()
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -1,39 +1,24 @@
-"""A connection pool with one endpoint, for the tests of the pool and of what it is made of."""
+"""A connection pool with one endpoint, for the tests of the pool and its parts."""
 
 from __future__ import annotations
 
 import asyncio
-import functools
-from collections.abc import Callable, Coroutine
-from typing import Any, ParamSpec
 
-from quota_gateway.net.dispatch.dispatcher import unix_clock
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.upstream.exchange import Exchange
 from quota_gateway.net.upstream.pool import ConnectionPool
-from tests.loopback import run
 
 ENDPOINT = "s1"
 REQUEST_HEAD = b"GET /lookup HTTP/1.1\r\nHost: x\r\n"
-Parameters = ParamSpec("Parameters")
-
-
-def async_test(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
-    """Run a test on an event loop of its own, within the time limit of the loopback tests."""
-
-    @functools.wraps(test)
-    def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
-        run(test(*args, **kwargs))
-
-    return run_test
 
 
 def empty_response(status: str, extra_headers: str = "") -> bytes:
-    """A response without a body."""
+    """Return a response without a body."""
     return f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra_headers}\r\n".encode()
 
 
 class PoolHarness:
-    """A pool that knows ``ENDPOINT``, and exchanges to wait for; closed at the end of ``async with``."""
+    """A pool with the endpoint ``ENDPOINT``, closed at the end of ``async with``."""
 
     def __init__(
         self,
@@ -42,9 +27,10 @@
         max_connections: int = 200,
         connect_timeout: float = 5.0,
     ) -> None:
-        self.clock = unix_clock()
+        self._running_clock = unix_clock()
+        self._stopped_at: float | None = None
         self.pool = ConnectionPool(self.clock, connect_timeout, idle_timeout, max_connections)
-        self.pool.update_endpoint(ENDPOINT, address, True)
+        self.pool.update_endpoint(ENDPOINT, address, available=True)
 
     async def __aenter__(self) -> PoolHarness:
         return self
@@ -52,14 +38,18 @@
     async def __aexit__(self, *_: object) -> None:
         self.pool.close()
 
+    def clock(self) -> float:
+        """Return the time of the pool's clock, in seconds."""
+        return self._running_clock() if self._stopped_at is None else self._stopped_at
+
     def set_clock(self, now: float) -> None:
         """Stop the pool's clock at a time."""
-        self.clock = self.pool.clock = lambda: now
+        self._stopped_at = now
 
     def start(
         self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b""
     ) -> tuple[Exchange, asyncio.Future[Exchange]]:
-        """Start an exchange; the future has it when it is complete."""
+        """Start an exchange; return it with a future that has it once it is complete."""
         future = asyncio.get_running_loop().create_future()
         head = REQUEST_HEAD
         if body:
@@ -69,6 +59,6 @@
         return exchange, future
 
     async def fetch(self, timeout: float = 10.0, endpoint: str = ENDPOINT) -> Exchange:
-        """One exchange, when it is complete."""
+        """Return an exchange that is complete."""
         _, completed = self.start(timeout, endpoint)
         return await completed
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Framing, sizes and hand-over of requests that are read from a connection."""
+"""Framing, sizes and pipelining of the requests that are read from a connection."""
 
 from __future__ import annotations
 
@@ -7,29 +7,24 @@
 import pytest
 
 from quota_gateway import model
-from quota_gateway.net.client.request_reader import MAX_PIPELINE
-from tests.client_helpers import POST, assert_rejected, reject
+from quota_gateway.net.client.response_queue import MAX_PIPELINED_REQUESTS
+from tests.client_helpers import POST, assert_rejected, limiter_with_endpoint, reject, take_no_action
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
     ScriptedEndpoint,
     async_test,
-    forward_to_s1,
     http_request,
     read_message,
     run,
-    running_server,
 )
 
 
 @async_test
 async def test_large_body_may_arrive_in_many_reads() -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     body = b"x" * 60_000
-    async with (
-        running_server(origin.handle_connection) as address,
-        LoopbackLimiter(ScriptedDecisions(forward_to_s1), {"s1": address}) as limiter,
-    ):
+    async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         reader, writer = await limiter.connect()
         request = http_request("/post?account=00000000b4d65521", body)
         for start in range(0, len(request), 4096):
@@ -37,7 +32,7 @@
             await writer.drain()
             await asyncio.sleep(0.001)  # so that each part is a read of its own
         assert " 200 " in (await read_message(reader))[0]
-        assert origin.requests[0][2] == body
+        assert endpoint.requests[0][2] == body
 
 
 @pytest.mark.parametrize(
@@ -77,13 +72,13 @@
 async def test_chunked_body_over_the_limit_is_rejected() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         head = http_request(Transfer_Encoding="chunked")
-        first, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
-        assert " 413 " in first
+        status_line, _, _ = await limiter.fetch(head + b"10001\r\n" + b"x" * 0x10001)
+        assert " 413 " in status_line
 
 
 @async_test
 async def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request(X_Request_ID="00000000000000ab"))
@@ -92,21 +87,20 @@
         script.decide = lambda event: reject(event) or [model.Fail(request.id)]
         limiter.dispatcher.dispatch(model.TimerFired(1))
         assert " 502 " in (await read_message(reader))[0]
-        assert (
-            " 429 " in (await limiter.fetch(http_request(X_Request_ID="00000000000000ab")))[0]
-        )  # free again
-        assert not limiter.listener.open_request_ids
+        status_line, _, _ = await limiter.fetch(http_request(X_Request_ID="00000000000000ab"))
+        assert " 429 " in status_line  # the id is available again
+        assert not limiter.listener.shared.open_request_ids
 
 
 @async_test
-async def test_hundreds_of_requests_in_one_read_are_bounded() -> None:
-    script = ScriptedDecisions(lambda _event: [])
+async def test_pipeline_limit_holds_for_hundreds_of_requests_in_one_read() -> None:
+    script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
         writer.write(b"".join(http_request() for _ in range(200)))
-        await script.wait_for(model.Request, MAX_PIPELINE)
-        reader, other = await limiter.connect()
+        await script.wait_for(model.Request, MAX_PIPELINED_REQUESTS)
+        other_reader, other_writer = await limiter.connect()
         script.decide = reject
-        other.write(http_request())
-        assert " 429 " in (await read_message(reader))[0]
-        assert len(await script.wait_for(model.Request)) == MAX_PIPELINE + 1
+        other_writer.write(http_request())
+        assert " 429 " in (await read_message(other_reader))[0]
+        assert len(await script.wait_for(model.Request)) == MAX_PIPELINED_REQUESTS + 1
