--- a/quota_gateway/decisions/counter_budget.py
+++ b/quota_gateway/decisions/counter_budget.py
@@ -4,7 +4,7 @@
 reply, and shrinks when replies are delayed by a queue at the counter or calls are lost.
 """
 
-from quota_gateway.model import COUNTER_ANSWERED, CallStatus
+from quota_gateway.model import COUNTER_REPLIES, CallStatus
 
 MAX_CALLS_PER_SECOND = 300.0  # limit of one gateway, and initial limit of all gateways together
 MIN_RATE_PERCENT = 2  # of the even share of the initial limit
@@ -70,7 +70,7 @@
             self._increase_rate()
         else:
             self._record_congestion(now, status, made_at)
-        if status not in COUNTER_ANSWERED and self.failures > 1:
+        if status not in COUNTER_REPLIES and self.failures > 1:
             self._begin_outage(now, draw)
 
     def _record_latency(self, latency: float) -> None:
@@ -86,7 +86,7 @@
         is_new = made_at >= self.last_congestion
         self.last_congestion = now
         if is_new and status is not CallStatus.MALFORMED:
-            self.failures += status not in COUNTER_ANSWERED
+            self.failures += status not in COUNTER_REPLIES
             self.rate = max(self.min_rate, self._decrease_factor(status) * self.rate)
 
     @staticmethod
--- a/quota_gateway/model/__init__.py
+++ b/quota_gateway/model/__init__.py
@@ -48,7 +48,7 @@
 )
 from quota_gateway.model.status import (
     CONNECTION_LOST,
-    COUNTER_ANSWERED,
+    COUNTER_REPLIES,
     MAY_BE_COUNTED,
     NEVER_STARTED,
     NO_EVIDENCE,
@@ -60,7 +60,7 @@
 
 __all__ = [
     "CONNECTION_LOST",
-    "COUNTER_ANSWERED",
+    "COUNTER_REPLIES",
     "MAY_BE_COUNTED",
     "NEVER_STARTED",
     "NO_EVIDENCE",
--- a/quota_gateway/model/status.py
+++ b/quota_gateway/model/status.py
@@ -42,7 +42,7 @@
 # The status does not show whether the endpoint fails.
 NO_EVIDENCE = (CallStatus.CANCELLED, CallStatus.NOT_SENT, CallStatus.OVERLOADED, CallStatus.REJECTED)
 # The counter replied, successfully or not.
-COUNTER_ANSWERED = (CallStatus.OK, CallStatus.OVERLOADED, CallStatus.MALFORMED)
+COUNTER_REPLIES = (CallStatus.OK, CallStatus.OVERLOADED, CallStatus.MALFORMED)
 # The endpoint has not started to execute the request.
 NEVER_STARTED = (CallStatus.UNREACHABLE, CallStatus.RESET_BEFORE_REQUEST)
 # The counter may have added the amount of the call.
