--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -81,12 +81,12 @@
         return notifications
 
     def _removal(self) -> ListChange:
-        """Return the removal of the endpoints of the lost zone."""
+        """Return the removal of the endpoints of the failed zone."""
         schedule = self._world.schedule
         removed = tuple(
             self._endpoint(index, model.EndpointHealth.REMOVED)
             for index in range(self._world.size.servers)
-            if self._world.topology.zone(index) == schedule.lost_zone
+            if self._world.topology.zone(index) == schedule.failed_zone
         )
         return ListChange(schedule.zone_outage.begin, removed)
 
--- a/scale/fleet/endpoint_watch.py
+++ b/scale/fleet/endpoint_watch.py
@@ -15,8 +15,8 @@
     DiscoveryCallTimedOut,
     EndpointFailed,
     EndpointsChanged,
-    WatchLost,
     WatchOpened,
+    WatchTimedOut,
 )
 from scale.fleet.scenario import World
 from scale.fleet.tally import Tally
@@ -81,7 +81,7 @@
         """Schedule the time at which a far limiter detects that the partition has ended its watch."""
         if self._calls_discovery and self._world.topology.region(self._zone):
             self._mailbox.schedule(
-                self._world.schedule.partition.begin + SILENCE_TIMEOUT_SECONDS, WatchLost()
+                self._world.schedule.partition.begin + SILENCE_TIMEOUT_SECONDS, WatchTimedOut()
             )
 
     def reconnect(self, now: float, incarnation: int) -> None:
--- a/scale/fleet/faults.py
+++ b/scale/fleet/faults.py
@@ -41,12 +41,12 @@
     """The times of the faults, in virtual seconds from the start."""
 
     end: float  # of the run
-    calm_from: float  # begin of the phase without faults, after the start
+    fault_free_from: float  # begin of the phase without faults, after the start
     zone_outage: Interval
     restart_at: float
     partition: Interval
     restarted_fraction: float = 0.7  # of the limiters, which are killed together
-    lost_zone: int = 1
+    failed_zone: int = 1
     counter_outages: tuple[Interval, ...] = ()  # after which the counter is empty
     counter_slowdowns: tuple[Slowdown, ...] = ()
 
@@ -60,7 +60,7 @@
         scale = min(1.0, seconds / FULL_LENGTH_SECONDS)
         return FaultSchedule(
             end=warm_up + seconds,
-            calm_from=warm_up + 2 * scale,
+            fault_free_from=warm_up + 2 * scale,
             zone_outage=Interval(warm_up + 8 * scale, warm_up + 13 * scale),
             restart_at=warm_up + 27 * scale,
             partition=Interval(warm_up + 41 * scale, warm_up + 101 * scale),
@@ -70,7 +70,7 @@
         """Return the phases of the run in order."""
         return (
             Phase("start", 0.0),
-            Phase("calm", self.calm_from),
+            Phase("calm", self.fault_free_from),
             Phase("zone lost", self.zone_outage.begin),
             Phase("zone back", self.zone_outage.end),
             Phase("restart", self.restart_at),
@@ -101,15 +101,15 @@
         return begin <= at < end and self._topology.region(one) != self._topology.region(other)
 
     def boots_at(self, endpoint: int) -> float:
-        """Return the time of the restart of an endpoint of the lost zone; 0 for the others."""
+        """Return the time of the restart of an endpoint of the failed zone; 0 for the others."""
         zone = self._topology.zone(endpoint)
-        if zone != self.schedule.lost_zone:
+        if zone != self.schedule.failed_zone:
             return 0.0
-        group = self._topology.rank_in_zone(endpoint) % BOOT_GROUPS
+        group = self._topology.position_in_zone(endpoint) % BOOT_GROUPS
         return self.schedule.zone_outage.end + BOOT_GROUP_INTERVAL * group
 
     def endpoint_down(self, endpoint: int, at: float) -> bool:
-        """Whether the endpoint is down because of the loss of its zone."""
+        """Whether the endpoint is down because its zone has failed."""
         return self.schedule.zone_outage.begin <= at < self.boots_at(endpoint)
 
     def limiter_down(self, limiter: int, at: float) -> bool:
--- a/scale/fleet/limiter.py
+++ b/scale/fleet/limiter.py
@@ -24,8 +24,8 @@
     LimiterKilled,
     LimiterStarted,
     TimerDue,
-    WatchLost,
     WatchOpened,
+    WatchTimedOut,
 )
 from scale.fleet.parameters import CLIENT_START
 from scale.fleet.scenario import World
@@ -110,7 +110,7 @@
         if update is not None and self._process is not None:
             self._process.update_endpoints(now, update)
 
-    def _on_watch_lost(self, now: float, _: WatchLost) -> None:
+    def _on_watch_timed_out(self, now: float, _: WatchTimedOut) -> None:
         if self._process is not None:
             self._watch.reconnect(now, self._incarnation)
 
@@ -138,7 +138,7 @@
         LimiterKilled: _on_killed,
         EndpointsChanged: _on_endpoints_changed,
         EndpointFailed: _on_endpoint_failed,
-        WatchLost: _on_watch_lost,
+        WatchTimedOut: _on_watch_timed_out,
         DiscoveryCallDue: _on_discovery_call_due,
         DiscoveryCallTimedOut: _on_discovery_call_timed_out,
         WatchOpened: _on_watch_opened,
--- a/scale/fleet/lockstep.py
+++ b/scale/fleet/lockstep.py
@@ -21,13 +21,13 @@
 _EXIT_TIMEOUT_SECONDS = 5.0  # for a worker whose pipe is closed
 
 
-class PeerLostError(Exception):
+class PeerExitedError(Exception):
     """Another worker has exited, which is the cause of the failure."""
 
 
 class _Status(Enum):
     DONE = "done"
-    PEER_LOST = "peer lost"
+    PEER_EXITED = "peer exited"
     FAILED = "failed"
 
 
@@ -116,8 +116,8 @@
 ) -> None:
     try:
         outcome = _Outcome(_Status.DONE, work(index, count, _exchange(index, links), task))
-    except PeerLostError as error:
-        outcome = _Outcome(_Status.PEER_LOST, str(error))
+    except PeerExitedError as error:
+        outcome = _Outcome(_Status.PEER_EXITED, str(error))
     except BaseException:
         outcome = _Outcome(_Status.FAILED, traceback.format_exc())
     outcomes.send(outcome)
@@ -143,7 +143,7 @@
                     links[peer].send(outboxes[peer])
                     received += inbox
         except (EOFError, OSError) as error:
-            raise PeerLostError(f"connection to another worker lost: {error!r}") from None
+            raise PeerExitedError(f"connection to another worker lost: {error!r}") from None
         return received + outboxes[index]
 
     return exchange
--- a/scale/fleet/messages.py
+++ b/scale/fleet/messages.py
@@ -6,7 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from enum import Enum, auto
+from heapq import heappop
 from typing import TYPE_CHECKING, NamedTuple, get_args
 
 from scale.model import Size
@@ -122,7 +124,7 @@
     """The limiter's process is killed."""
 
 
-class WatchLost(NamedTuple):
+class WatchTimedOut(NamedTuple):
     """The watch of the endpoint list is unresponsive."""
 
 
@@ -217,7 +219,7 @@
     | EndpointFailed
     | LimiterStarted
     | LimiterKilled
-    | WatchLost
+    | WatchTimedOut
     | DiscoveryCallDue
     | DiscoveryCallTimedOut
     | WatchOpened
@@ -245,6 +247,12 @@
     event: Event
 
 
+def pop_before(heap: list[Envelope], time: float) -> Iterator[Envelope]:
+    """Remove the envelopes that arrive before a time from a heap, in order; more may be added meanwhile."""
+    while heap and heap[0].time < time:
+        yield heappop(heap)
+
+
 class SourceNumbers:
     """The numbers of the senders of a fleet; a limiter has its index."""
 
--- a/scale/fleet/services.py
+++ b/scale/fleet/services.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from heapq import heappop, heappush
+from heapq import heappush
 
 from quota_gateway import model
 from scale.fleet.counter import SimulatedCounter
@@ -28,6 +28,7 @@
     LimiterEvent,
     SourceNumbers,
     WatchOpened,
+    pop_before,
 )
 from scale.fleet.parameters import NOTIFICATION_DELAY
 from scale.fleet.router import Router
@@ -62,9 +63,7 @@
 
     def serve_until(self, start: float) -> None:
         """Handle the calls that arrived before the window that begins at ``start``."""
-        inbox = self.inbox
-        while inbox and inbox[0].time < start:
-            envelope = heappop(inbox)
+        for envelope in pop_before(self.inbox, start):
             call = envelope.event
             assert isinstance(call, CounterCall)
             self._serve(envelope.time, start, envelope.source, call)
@@ -108,9 +107,7 @@
 
     def serve_until(self, start: float) -> None:
         """Handle the calls that arrived before the window that begins at ``start``."""
-        inbox = self.inbox
-        while inbox and inbox[0].time < start:
-            envelope = heappop(inbox)
+        for envelope in pop_before(self.inbox, start):
             call = envelope.event
             assert isinstance(call, DiscoveryCall)
             self._serve(envelope.time, start, envelope.source, call)
@@ -153,9 +150,7 @@
 
     def serve_until(self, start: float, end: float) -> None:
         """Handle the messages that arrived before the window; responses arrive after its end."""
-        inbox = self.inbox
-        while inbox and inbox[0].time < start:
-            envelope = heappop(inbox)
+        for envelope in pop_before(self.inbox, start):
             index = envelope.recipient
             if self._faults.endpoint_down(index, envelope.time):
                 continue
--- a/scale/fleet/summary.py
+++ b/scale/fleet/summary.py
@@ -14,7 +14,7 @@
 from scale.fleet.simulation import SimulationResult
 from scale.fleet.tally import ALL_EVENTS, CONTROL_EVENTS, Tally
 
-RECOVERY_TOLERANCE = 0.02  # by which the service after a recovery may be below that of the calm phase
+RECOVERY_TOLERANCE = 0.02  # by which the recovered service may be below that without faults
 RECOVERY_SECONDS = 3  # for which the service has to stay recovered
 _MICROSECONDS_PER_SECOND = 1e6
 _NANOSECONDS_PER_SECOND = 1e9
@@ -198,11 +198,11 @@
 
 def _recovery(tally: Tally, schedule: FaultSchedule, fault_end: float, until: float) -> float:
     """Return the seconds from a fault's end until the service has recovered; infinite after ``until``."""
-    calm = range(math.ceil(schedule.calm_from), int(schedule.zone_outage.begin))
-    calm_service = _service(tally, calm)
+    fault_free = range(math.ceil(schedule.fault_free_from), int(schedule.zone_outage.begin))
+    fault_free_service = _service(tally, fault_free)
     for second in range(math.ceil(fault_end), int(until) - RECOVERY_SECONDS + 1):
         service = _service(tally, range(second, second + RECOVERY_SECONDS))
-        if service >= calm_service - RECOVERY_TOLERANCE:
+        if service >= fault_free_service - RECOVERY_TOLERANCE:
             return max(0.0, second - fault_end)
     return math.inf
 
--- a/scale/fleet/topology.py
+++ b/scale/fleet/topology.py
@@ -29,9 +29,9 @@
 
     def cell(self, endpoint: int) -> int:
         """Return the cell of an endpoint, a group of endpoints of one zone."""
-        return self.rank_in_zone(endpoint) // CELL_SIZE
+        return self.position_in_zone(endpoint) // CELL_SIZE
 
-    def rank_in_zone(self, endpoint: int) -> int:
+    def position_in_zone(self, endpoint: int) -> int:
         """Return the number of endpoints of the same zone with a lower index."""
         return endpoint // self._zones
 
--- a/scale/fleet/worker.py
+++ b/scale/fleet/worker.py
@@ -18,7 +18,7 @@
 from scale.fleet.limiter import Limiter
 from scale.fleet.lockstep import Exchange
 from scale.fleet.mailbox import Mailbox
-from scale.fleet.messages import ROLES, Envelope, Event, Role
+from scale.fleet.messages import ROLES, Envelope, Event, Role, pop_before
 from scale.fleet.parameters import REQUEST_KINDS
 from scale.fleet.router import Router
 from scale.fleet.scenario import World
@@ -109,19 +109,13 @@
     def _run_clients(self, start: float, end: float) -> None:
         if self._workload is None:
             return
-        events = self._client_events
-        arrived = list[Envelope]()
-        while events and events[0].time < start:
-            arrived.append(heappop(events))
-        self._workload.receive(arrived)
+        self._workload.receive(pop_before(self._client_events, start))
         # After the end of the run no requests are sent, and the open ones complete.
         self._workload.send_until(min(self._world.schedule.end, end + WINDOW_SECONDS), self._router.send)
 
     def _run_limiters(self, end: float) -> None:
-        events = self._limiter_events
         limiters = self._limiters
-        while events and events[0].time < end:
-            envelope = heappop(events)
+        for envelope in pop_before(self._limiter_events, end):
             limiters[envelope.recipient].receive(envelope)
 
     def _end_second(self) -> None:
--- a/scale/fleet/workload.py
+++ b/scale/fleet/workload.py
@@ -69,9 +69,9 @@
     def count_unanswered(self, end: float) -> None:
         """Count the requests as lost that have no response although their timeout has ended."""
         for clients in self._clients.values():
-            lost = sum(request.due_at + ANSWER_GRACE < end for request in clients.pending.values())
-            if lost:
-                self._tally.at(end)["lost"] += lost
+            unanswered = sum(request.due_at + ANSWER_GRACE < end for request in clients.pending.values())
+            if unanswered:
+                self._tally.at(end)["lost"] += unanswered
 
     def _schedule_retry(self, now: float, clients: TenantClients, request: PendingRequest) -> None:
         at = clients.retry_at(now, request)
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -214,7 +214,7 @@
     assert [discovery.call(0.0) for _ in range(3)] == pytest.approx([0.1, 0.2, 0.3])
     schedule = FaultSchedule(
         end=28.0,
-        calm_from=1.0,
+        fault_free_from=1.0,
         zone_outage=Interval(2.0, 3.0),
         restart_at=4.0,
         partition=Interval(13.0, 18.0),
