--- a/scale/fleet/accounting.py
+++ b/scale/fleet/accounting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from scale.fleet.messages import RequestEnded, RequestResult
-from scale.fleet.parameters import ANSWER_GRACE, MAX_UNITS, REQUEST_KINDS
+from scale.fleet.parameters import MAX_UNITS, REQUEST_KINDS, RESPONSE_GRACE_SECONDS
 from scale.fleet.tally import Tally
 from scale.fleet.tenants import PlanTerms
 from scale.fleet.token_bucket import TokenBucket
@@ -103,7 +103,7 @@
 
     def record_final_answer(self, at: float, request: PendingRequest) -> None:
         """Count a final response of any kind; it is lost if it arrives too late."""
-        self._tally.at(at)["lost"] += at > request.due_at + ANSWER_GRACE
+        self._tally.at(at)["lost"] += at > request.due_at + RESPONSE_GRACE_SECONDS
 
     def record_served(self, at: float, request: PendingRequest) -> None:
         """Count a served request; its value counts if it is in time and within the quota."""
--- a/scale/fleet/clients.py
+++ b/scale/fleet/clients.py
@@ -17,17 +17,17 @@
     SourceNumbers,
 )
 from scale.fleet.parameters import (
-    BURST_INTERVAL,
-    BURST_LENGTH,
-    BURST_RATE,
-    CLIENT_RETRY_DELAY,
+    BURST_INTERVAL_SECONDS,
+    BURST_RATE_FACTOR,
+    BURST_SECONDS,
+    CLIENT_RETRY_DELAY_SECONDS,
     CLIENT_RETRY_PROBABILITY,
-    CLIENT_START,
-    LIMITER_ROTATION,
+    CLIENT_START_SECONDS,
+    LIMITER_ROTATION_SECONDS,
     MAX_UNITS,
     MEAN_UNITS,
     REQUEST_KINDS,
-    WORK_VARIATION,
+    WORK_LOGNORMAL_MU_SIGMA,
     WRONG_ESTIMATE_PROBABILITY,
 )
 from scale.fleet.scenario import World
@@ -61,12 +61,12 @@
         self._last_request_id = tenant.index << _REQUEST_ID_BITS
         self._sequence = 0
         self._rng = Random(f"{world.seed} tenant {tenant.index}")
-        self._rotation_interval = self._rng.uniform(*LIMITER_ROTATION)
+        self._rotation_interval = self._rng.uniform(*LIMITER_ROTATION_SECONDS)
         self._rate = tenant.rate  # requests a second
         self._bursting = False
         self._rate_changes_at = math.inf
         if tenant.bursty:
-            self._rate_changes_at = CLIENT_START + self._rng.expovariate(1 / BURST_INTERVAL)
+            self._rate_changes_at = CLIENT_START_SECONDS + self._rng.expovariate(1 / BURST_INTERVAL_SECONDS)
 
     def next_request_after(self, now: float) -> float:
         """Return the time of the next new request."""
@@ -92,7 +92,7 @@
         """Return the time of the retry; None if the client does not retry."""
         if request.is_retry or self._rng.random() >= CLIENT_RETRY_PROBABILITY:
             return None
-        return now + self._rng.uniform(*CLIENT_RETRY_DELAY)
+        return now + self._rng.uniform(*CLIENT_RETRY_DELAY_SECONDS)
 
     def receive(self, at: float, event: ClientEvent) -> PendingRequest | None:
         """Count a limiter's event on a request; return the request if its client may retry it."""
@@ -114,11 +114,11 @@
         """Start or end a burst."""
         now = self._rate_changes_at
         self._bursting = not self._bursting
-        burst_rate = self._rng.uniform(*BURST_RATE) * self._plan.rate / MEAN_UNITS
+        burst_rate = self._rng.uniform(*BURST_RATE_FACTOR) * self._plan.rate / MEAN_UNITS
         self._rate = burst_rate if self._bursting else self.tenant.rate
-        length = self._rng.uniform(*BURST_LENGTH)
+        length = self._rng.uniform(*BURST_SECONDS)
         if not self._bursting:
-            length = max(length, self._rng.expovariate(1 / BURST_INTERVAL))
+            length = max(length, self._rng.expovariate(1 / BURST_INTERVAL_SECONDS))
         self._rate_changes_at = now + length
 
     def _draw_request(self, now: float) -> PendingRequest:
@@ -144,7 +144,7 @@
         kind = REQUEST_KINDS[request.kind]
         timeout = kind.deadline * self._rng.uniform(_MIN_TIMEOUT_FRACTION, 1.0)
         expected_work = kind.work * self._world.work_scale * request.true_units / MEAN_UNITS
-        work = expected_work * self._rng.lognormvariate(*WORK_VARIATION)
+        work = expected_work * self._rng.lognormvariate(*WORK_LOGNORMAL_MU_SIGMA)
         request.start_attempt(limiter, due_at=now + timeout)
         if limiter == _NO_LIMITER:
             counts["failed: no living limiter"] += 1
--- a/scale/fleet/command.py
+++ b/scale/fleet/command.py
@@ -11,7 +11,7 @@
 import click
 
 from scale.fleet.faults import FaultSchedule, Interval, Slowdown
-from scale.fleet.parameters import COUNTER_CAPACITY, COUNTER_PARTITIONS
+from scale.fleet.parameters import COUNTER_CALLS_PER_SECOND, COUNTER_PARTITIONS
 from scale.fleet.scale_test import SHORT_RUN_SECONDS, WARM_UP_SECONDS, like_fleets
 from scale.fleet.scenario import Scenario
 from scale.fleet.simulation import simulate
@@ -36,7 +36,10 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--processes", default=4, show_default=True)
 @click.option(
-    "--calls", default=COUNTER_CAPACITY, show_default=True, help="Counter calls a second of all partitions."
+    "--calls",
+    default=COUNTER_CALLS_PER_SECOND,
+    show_default=True,
+    help="Counter calls a second of all partitions.",
 )
 @click.option("--parts", default=COUNTER_PARTITIONS, show_default=True, help="Partitions of the counter.")
 @click.option("--crowd", default=0, help="Fleets of this size that share the counter; 0: 420 / limiters.")
--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from quota_gateway import model
-from scale.fleet.parameters import NOTIFICATION_DELAY
+from scale.fleet.parameters import NOTIFICATION_DELAY_SECONDS
 from scale.fleet.scenario import World
 from scale.fleet.topology import COORDINATION_ZONE
 
@@ -74,9 +74,9 @@
         latest = 0.0
         notifications = list[Notification]()
         for number, change in enumerate(self.changes, 1):
-            latest = max(latest, change.at + rng.uniform(*NOTIFICATION_DELAY))
+            latest = max(latest, change.at + rng.uniform(*NOTIFICATION_DELAY_SECONDS))
             if world.faults.partitioned(zone, COORDINATION_ZONE, latest):
-                latest = world.schedule.partition.end + rng.uniform(*NOTIFICATION_DELAY)
+                latest = world.schedule.partition.end + rng.uniform(*NOTIFICATION_DELAY_SECONDS)
             notifications.append(Notification(latest, number))
         return notifications
 
--- a/scale/fleet/endpoint.py
+++ b/scale/fleet/endpoint.py
@@ -14,10 +14,10 @@
 from scale.fleet.parameters import (
     ENDPOINT_CORES,
     ENDPOINT_QUEUE_LIMIT,
-    INITIAL_CAPACITY,
-    OVERLOAD_MULTIPLE,
-    OVERLOAD_WINDOW,
-    WARM_UP_TIME,
+    ENDPOINT_WARM_UP_SECONDS,
+    INITIAL_CAPACITY_FRACTION,
+    OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_SECONDS,
 )
 
 
@@ -80,7 +80,11 @@
 
     def _capacity(self, at: float) -> float:
         """Return the present capacity as a fraction of the full one."""
-        return min(1.0, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * (at - self._started_at) / WARM_UP_TIME)
+        return min(
+            1.0,
+            INITIAL_CAPACITY_FRACTION
+            + (1 - INITIAL_CAPACITY_FRACTION) * (at - self._started_at) / ENDPOINT_WARM_UP_SECONDS,
+        )
 
     def _overloaded_by(self, at: float, work: float) -> bool:
         """Return whether the endpoint is warming up and fails under this work."""
@@ -89,8 +93,8 @@
             return False
         self._arrivals.append(_Arrival(at, work))
         self._recent_work += work
-        while self._arrivals[0].at <= at - OVERLOAD_WINDOW:
+        while self._arrivals[0].at <= at - OVERLOAD_WINDOW_SECONDS:
             self._recent_work -= self._arrivals.popleft().work
-        allowed = OVERLOAD_MULTIPLE * ENDPOINT_CORES * capacity * OVERLOAD_WINDOW
+        allowed = OVERLOAD_FACTOR * ENDPOINT_CORES * capacity * OVERLOAD_WINDOW_SECONDS
         self.failed = self._recent_work > allowed
         return self.failed
--- a/scale/fleet/faults.py
+++ b/scale/fleet/faults.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import NamedTuple
 
-from scale.fleet.parameters import BOOT_GROUP_INTERVAL, BOOT_GROUPS, FAILOVER_TIME, RESTART_TIME
+from scale.fleet.parameters import BOOT_GROUP_INTERVAL_SECONDS, BOOT_GROUPS, FAILOVER_SECONDS, RESTART_SECONDS
 from scale.fleet.topology import Topology
 from scale.model import Size
 
@@ -92,8 +92,8 @@
         restarted = round(schedule.restarted_fraction * size.limiters)
         for limiter in rng.sample(range(size.limiters), restarted):
             self.killed_at[limiter] = schedule.restart_at
-            self.restarted_at[limiter] = schedule.restart_at + rng.uniform(*RESTART_TIME)
-            self._failed_over_at[limiter] = schedule.restart_at + rng.uniform(*FAILOVER_TIME)
+            self.restarted_at[limiter] = schedule.restart_at + rng.uniform(*RESTART_SECONDS)
+            self._failed_over_at[limiter] = schedule.restart_at + rng.uniform(*FAILOVER_SECONDS)
 
     def partitioned(self, one: int, other: int, at: float) -> bool:
         """Whether a partition separates the two zones."""
@@ -106,7 +106,7 @@
         if zone != self.schedule.failed_zone:
             return 0.0
         group = self._topology.position_in_zone(endpoint) % BOOT_GROUPS
-        return self.schedule.zone_outage.end + BOOT_GROUP_INTERVAL * group
+        return self.schedule.zone_outage.end + BOOT_GROUP_INTERVAL_SECONDS * group
 
     def endpoint_down(self, endpoint: int, at: float) -> bool:
         """Whether the endpoint is down because its zone has failed."""
--- a/scale/fleet/limiter.py
+++ b/scale/fleet/limiter.py
@@ -27,7 +27,7 @@
     WatchOpened,
     WatchTimedOut,
 )
-from scale.fleet.parameters import CLIENT_START
+from scale.fleet.parameters import CLIENT_START_SECONDS
 from scale.fleet.scenario import World
 from scale.fleet.tally import Tally
 
@@ -65,7 +65,7 @@
     def _schedule_lifetime(self, history: EndpointHistory) -> None:
         """Schedule the start, a kill with its restart, and the notifications of the agent."""
         faults = self._world.faults
-        self._mailbox.schedule(self._rng.random() * CLIENT_START, LimiterStarted())
+        self._mailbox.schedule(self._rng.random() * CLIENT_START_SECONDS, LimiterStarted())
         if faults.killed_at[self._index] < math.inf:
             self._mailbox.schedule(faults.killed_at[self._index], LimiterKilled())
             self._mailbox.schedule(faults.restarted_at[self._index], LimiterStarted())
--- a/scale/fleet/limiter_network.py
+++ b/scale/fleet/limiter_network.py
@@ -17,7 +17,11 @@
     HealthChecked,
     RequestForwarded,
 )
-from scale.fleet.parameters import CONNECT_TIMEOUT, CONNECTION_LIFETIME_AFTER_LOSS, COUNTER_TIMEOUT
+from scale.fleet.parameters import (
+    CONNECT_TIMEOUT_SECONDS,
+    CONNECTION_LIFETIME_AFTER_FAILURE_SECONDS,
+    COUNTER_TIMEOUT_SECONDS,
+)
 from scale.fleet.scenario import World
 from scale.fleet.topology import COORDINATION_ZONE, pair_draw
 
@@ -104,9 +108,9 @@
                 self._mailbox.send(client_request.tenant, now, forwarded)
             message = Attempt(incarnation, request_id, attempt, client_request.work, timeout)
             self._mailbox.send(endpoint, now + self._delay(endpoint), message)
-        elif self._connections_are_closed(endpoint, now) and timeout > CONNECT_TIMEOUT:
+        elif self._connections_are_closed(endpoint, now) and timeout > CONNECT_TIMEOUT_SECONDS:
             unreachable = AttemptEnded(incarnation, request_id, attempt, AttemptOutcome.UNREACHABLE)
-            self._mailbox.schedule(now + CONNECT_TIMEOUT, unreachable)
+            self._mailbox.schedule(now + CONNECT_TIMEOUT_SECONDS, unreachable)
 
     def check_health(self, now: float, incarnation: int, check: model.CheckHealth) -> None:
         """Send a health check."""
@@ -116,13 +120,13 @@
             self._mailbox.send(endpoint, now + self._delay(endpoint), message)
         else:
             failed = HealthChecked(incarnation, endpoint, AttemptOutcome.UNREACHABLE, now)
-            self._mailbox.schedule(now + CONNECT_TIMEOUT, failed)
+            self._mailbox.schedule(now + CONNECT_TIMEOUT_SECONDS, failed)
 
     def call_counter(self, now: float, incarnation: int, increment: model.IncrementCounter) -> int:
         """Send a call to the counter and return its id; ``CounterAnswered`` follows in any case."""
         call_id = self._mailbox.next_number()
         partitioned = self._faults.partitioned(self._zone, COORDINATION_ZONE, now)
-        times_out_at = now + COUNTER_TIMEOUT
+        times_out_at = now + COUNTER_TIMEOUT_SECONDS
         failure = self._counter_failure(now, partitioned=partitioned)
         failed = CounterAnswered(incarnation, call_id, failure, total=0.0, arrived_at=times_out_at)
         self._mailbox.schedule(times_out_at, failed)
@@ -141,7 +145,7 @@
 
     def _counter_failure(self, now: float, *, partitioned: bool) -> CounterOutcome:
         """Return the outcome of a call without a reply in time."""
-        unreachable_after = _COUNTER_TIMEOUTS_UNTIL_UNREACHABLE * COUNTER_TIMEOUT
+        unreachable_after = _COUNTER_TIMEOUTS_UNTIL_UNREACHABLE * COUNTER_TIMEOUT_SECONDS
         if partitioned and now - self._schedule.partition.begin > unreachable_after:
             return CounterOutcome.UNREACHABLE
         return CounterOutcome.TIMED_OUT
@@ -157,7 +161,7 @@
             unreachable_since = self._schedule.zone_outage.begin
         else:
             unreachable_since = self._schedule.partition.begin
-        return now - unreachable_since > CONNECTION_LIFETIME_AFTER_LOSS
+        return now - unreachable_since > CONNECTION_LIFETIME_AFTER_FAILURE_SECONDS
 
     def _delay(self, endpoint: int) -> float:
         draw = pair_draw(self._index, endpoint)
--- a/scale/fleet/limiter_settings.py
+++ b/scale/fleet/limiter_settings.py
@@ -5,15 +5,15 @@
 from quota_gateway import model
 from scale.fleet.discovery import zone_name
 from scale.fleet.parameters import (
-    COUNTER_TIMEOUT,
-    INITIAL_CAPACITY,
+    COUNTER_TIMEOUT_SECONDS,
+    ENDPOINT_WARM_UP_SECONDS,
+    INITIAL_CAPACITY_FRACTION,
     MAX_ATTEMPTS,
-    MAX_RETRY_AFTER,
+    MAX_RETRY_AFTER_SECONDS,
     MAX_UNITS,
-    OVERLOAD_MULTIPLE,
-    OVERLOAD_WINDOW,
+    OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_SECONDS,
     REQUEST_KINDS,
-    WARM_UP_TIME,
     RequestKind,
 )
 from scale.fleet.scenario import World
@@ -33,13 +33,13 @@
         max_attempts=MAX_ATTEMPTS,
         may_check_health=True,
         has_counter=True,
-        counter_timeout=COUNTER_TIMEOUT,
+        counter_timeout=COUNTER_TIMEOUT_SECONDS,
         max_units=float(MAX_UNITS),
-        max_retry_after=MAX_RETRY_AFTER,
-        initial_capacity=INITIAL_CAPACITY,
-        warm_up_time=WARM_UP_TIME,
-        overload_multiple=OVERLOAD_MULTIPLE,
-        overload_window=OVERLOAD_WINDOW,
+        max_retry_after=MAX_RETRY_AFTER_SECONDS,
+        initial_capacity=INITIAL_CAPACITY_FRACTION,
+        warm_up_time=ENDPOINT_WARM_UP_SECONDS,
+        overload_multiple=OVERLOAD_FACTOR,
+        overload_window=OVERLOAD_WINDOW_SECONDS,
     )
 
 
--- a/scale/fleet/parameters.py
+++ b/scale/fleet/parameters.py
@@ -7,52 +7,52 @@
 
 from dataclasses import dataclass
 
-# Limiters: timeouts in seconds, as in the real one.
-COUNTER_TIMEOUT = 0.03
-CONNECT_TIMEOUT = 0.25
+# Limiters, with the timeouts of the real one.
+COUNTER_TIMEOUT_SECONDS = 0.03
+CONNECT_TIMEOUT_SECONDS = 0.25
 MAX_ATTEMPTS = 4  # of a request
-MAX_RETRY_AFTER = 1.0  # seconds
+MAX_RETRY_AFTER_SECONDS = 1.0
 # Assumed: seconds after the failure of a machine during which attempts use open connections and get no
 # response; later attempts fail to connect. Single connections are not modelled.
-CONNECTION_LIFETIME_AFTER_LOSS = 1.0
+CONNECTION_LIFETIME_AFTER_FAILURE_SECONDS = 1.0
 
 # Endpoints. Two cores in place of the operators' three, which would be used to a third by the stated work. So
 # the work of a class stays within the stated range, and a small factor gives the utilization.
 ENDPOINT_CORES = 2
 ENDPOINT_QUEUE_LIMIT = 40  # requests that may wait at an endpoint (assumed)
 TARGET_UTILIZATION = 0.5  # fraction of the endpoints' capacity for the usage within the quotas
-INITIAL_CAPACITY = 0.3  # fraction of the full capacity after a start
-WARM_UP_TIME = 12.0  # seconds from a start to the full capacity
-OVERLOAD_MULTIPLE = 2.5  # of the present capacity; an endpoint that is warming up fails beyond it
-OVERLOAD_WINDOW = 1.0  # seconds over which the arriving work is added up
+INITIAL_CAPACITY_FRACTION = 0.3  # fraction of the full capacity after a start
+ENDPOINT_WARM_UP_SECONDS = 12.0  # from a start to the full capacity
+OVERLOAD_FACTOR = 2.5  # of the present capacity; an endpoint that is warming up fails beyond it
+OVERLOAD_WINDOW_SECONDS = 1.0  # over which the arriving work is added up
 BOOT_GROUPS = 3  # of the endpoints of a returning zone (assumed)
-BOOT_GROUP_INTERVAL = 1.0  # seconds between two groups (assumed)
+BOOT_GROUP_INTERVAL_SECONDS = 1.0  # between two groups (assumed)
 CELL_SIZE = 4  # endpoints of one zone in a cell
 
-# One-way delays in seconds: the range of all pairs.
-SAME_ZONE_DELAY = (0.0001, 0.00033)
-OTHER_ZONE_DELAY = (0.0014, 0.0026)
+# One-way delays: the range of all pairs.
+SAME_ZONE_DELAY_SECONDS = (0.0001, 0.00033)
+OTHER_ZONE_DELAY_SECONDS = (0.0014, 0.0026)
 # Assumed: with 15 ms one way or more every call of the far region to the counter would time out.
-OTHER_REGION_DELAY = (0.008, 0.010)
+OTHER_REGION_DELAY_SECONDS = (0.008, 0.010)
 
-# Faults, as ranges in seconds.
-NOTIFICATION_DELAY = (0.65, 4.8)  # from a change to the notification of a limiter
-RESTART_TIME = (1.4, 8.0)  # from the kill of a limiter to its restart
-FAILOVER_TIME = (1.2, 3.7)  # from the kill of a limiter until no requests are sent to it
+# Faults, as ranges.
+NOTIFICATION_DELAY_SECONDS = (0.65, 4.8)  # from a change to the notification of a limiter
+RESTART_SECONDS = (1.4, 8.0)  # from the kill of a limiter to its restart
+FAILOVER_SECONDS = (1.2, 3.7)  # from the kill of a limiter until no requests are sent to it
 
 # Clients.
-CLIENT_START = 1.0  # seconds; the limiters start before, at different times, so that their timers differ
-CLIENT_RETRY_DELAY = (0.03, 0.24)  # seconds before the only retry of a client
+CLIENT_START_SECONDS = 1.0  # the limiters start before, at different times, so that their timers differ
+CLIENT_RETRY_DELAY_SECONDS = (0.03, 0.24)  # before the only retry of a client
 CLIENT_RETRY_PROBABILITY = 0.5
-ANSWER_GRACE = 0.05  # seconds after the deadline within which a final response is in time
+RESPONSE_GRACE_SECONDS = 0.05  # after the deadline within which a final response is in time
 MEAN_UNITS = 2.5
 MAX_UNITS = 4  # a request has 1 to 4 units, uniform
 WRONG_ESTIMATE_PROBABILITY = 0.3  # of a request whose charged units differ from its estimate
-WORK_VARIATION = (-0.08, 0.4)  # mu and sigma of the logarithm of a request's work over its expected work
-BURST_RATE = (2.0, 7.9)  # multiple of the quota
-BURST_LENGTH = (0.61, 3.7)  # seconds
-BURST_INTERVAL = 40.0  # mean seconds between two bursts of a tenant
-LIMITER_ROTATION = (8.1, 23.0)  # seconds until a tenant prefers another limiter of its set
+WORK_LOGNORMAL_MU_SIGMA = (-0.08, 0.4)  # of the logarithm of a request's work over its expected work
+BURST_RATE_FACTOR = (2.0, 7.9)  # on the quota
+BURST_SECONDS = (0.61, 3.7)
+BURST_INTERVAL_SECONDS = 40.0  # mean time between two bursts of a tenant
+LIMITER_ROTATION_SECONDS = (8.1, 23.0)  # until a tenant prefers another limiter of its set
 
 # Tenants.
 VOLUME_PLAN_FRACTION = 0.11
@@ -62,7 +62,7 @@
 QUOTA_UTILIZATION = 0.5  # offered units divided by the sum of the quotas, which it scales to the rate
 
 # The shared counter: the guaranteed rate.
-COUNTER_CAPACITY = 930.0  # calls a second
+COUNTER_CALLS_PER_SECOND = 930.0
 COUNTER_PARTITIONS = 1
 
 
--- a/scale/fleet/scenario.py
+++ b/scale/fleet/scenario.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from scale.fleet.faults import Faults, FaultSchedule
-from scale.fleet.parameters import COUNTER_CAPACITY, COUNTER_PARTITIONS
+from scale.fleet.parameters import COUNTER_CALLS_PER_SECOND, COUNTER_PARTITIONS
 from scale.fleet.tenants import Population
 from scale.fleet.topology import Topology
 from scale.model import Size
@@ -20,7 +20,7 @@
     size: Size
     schedule: FaultSchedule
     seed: int = 1
-    counter_capacity: float = COUNTER_CAPACITY  # calls a second of all partitions
+    counter_capacity: float = COUNTER_CALLS_PER_SECOND  # calls a second of all partitions
     counter_partitions: int = COUNTER_PARTITIONS
     like_fleets: int = 1  # number of fleets of this size that share the counter
     package: str = ""  # the checkout whose decisions are simulated; empty: this one
--- a/scale/fleet/services.py
+++ b/scale/fleet/services.py
@@ -30,7 +30,7 @@
     WatchOpened,
     pop_before,
 )
-from scale.fleet.parameters import NOTIFICATION_DELAY
+from scale.fleet.parameters import NOTIFICATION_DELAY_SECONDS
 from scale.fleet.router import Router
 from scale.fleet.scenario import World
 from scale.fleet.tally import Tally
@@ -120,7 +120,7 @@
         zone = topology.zone(limiter)
         if self._world.faults.partitioned(zone, COORDINATION_ZONE, answered_at):
             return
-        min_delay, _ = NOTIFICATION_DELAY
+        min_delay, _ = NOTIFICATION_DELAY_SECONDS
         known_changes = sum(change.at + min_delay <= answered_at for change in self._history.changes)
         delay = topology.delay(zone, COORDINATION_ZONE, pair_draw(limiter, COORDINATION_ZONE))
         event = WatchOpened(call.incarnation, call.call_id, known_changes)
@@ -196,7 +196,7 @@
         self._tally.at(at)["endpoints failed"] += 1
         initial = self._history.initial[index]
         removed = model.Endpoint(initial.name, model.EndpointHealth.REMOVED, initial.zone, initial.cell)
-        shortest, longest = NOTIFICATION_DELAY
+        shortest, longest = NOTIFICATION_DELAY_SECONDS
         partition = self._world.schedule.partition
         for limiter in range(self._world.size.limiters):
             notified_at = at + shortest + pair_draw(limiter, index) * (longest - shortest)
--- a/scale/fleet/summary.py
+++ b/scale/fleet/summary.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from scale.fleet.faults import FaultSchedule
-from scale.fleet.parameters import ENDPOINT_CORES, NOTIFICATION_DELAY
+from scale.fleet.parameters import ENDPOINT_CORES, NOTIFICATION_DELAY_SECONDS
 from scale.fleet.scenario import Scenario, World
 from scale.fleet.simulation import SimulationResult
 from scale.fleet.tally import ALL_EVENTS, CONTROL_EVENTS, Tally
@@ -214,7 +214,9 @@
     limiters do not count.
     """
     returned_at = schedule.zone_outage.end
-    for second in range(math.ceil(returned_at + NOTIFICATION_DELAY[1]), int(schedule.partition.begin)):
+    for second in range(
+        math.ceil(returned_at + NOTIFICATION_DELAY_SECONDS[1]), int(schedule.partition.begin)
+    ):
         if not tally.seconds[second]["endpoints warming up"]:
             return second + 1 - returned_at
     return math.inf
--- a/scale/fleet/topology.py
+++ b/scale/fleet/topology.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from scale.fleet.parameters import CELL_SIZE, OTHER_REGION_DELAY, OTHER_ZONE_DELAY, SAME_ZONE_DELAY
+from scale.fleet.parameters import (
+    CELL_SIZE,
+    OTHER_REGION_DELAY_SECONDS,
+    OTHER_ZONE_DELAY_SECONDS,
+    SAME_ZONE_DELAY_SECONDS,
+)
 
 COORDINATION_ZONE = 0  # where the counter and discovery run
 _PAIR_DRAWS = 997  # number of different delays in a range
@@ -38,11 +43,11 @@
     def delay(self, one: int, other: int, draw: float) -> float:
         """Return the one-way delay between two zones in seconds; ``draw``, 0 to 1, selects from the range."""
         if one == other:
-            low, high = SAME_ZONE_DELAY
+            low, high = SAME_ZONE_DELAY_SECONDS
         elif self.region(one) == self.region(other):
-            low, high = OTHER_ZONE_DELAY
+            low, high = OTHER_ZONE_DELAY_SECONDS
         else:
-            low, high = OTHER_REGION_DELAY
+            low, high = OTHER_REGION_DELAY_SECONDS
         return low + draw * (high - low)
 
 
--- a/scale/fleet/workload.py
+++ b/scale/fleet/workload.py
@@ -10,7 +10,7 @@
 from scale.fleet.clients import TenantClients
 from scale.fleet.mailbox import Send
 from scale.fleet.messages import ClientEvent, Envelope
-from scale.fleet.parameters import ANSWER_GRACE, CLIENT_START
+from scale.fleet.parameters import CLIENT_START_SECONDS, RESPONSE_GRACE_SECONDS
 from scale.fleet.scenario import World
 from scale.fleet.tally import Tally
 
@@ -34,7 +34,7 @@
         self._tally = tally
         self._clients = {tenant: TenantClients(world.tenants[tenant], world, tally) for tenant in tenants}
         self._due = [
-            _DueRequest(clients.next_request_after(CLIENT_START), tenant, 0, None)
+            _DueRequest(clients.next_request_after(CLIENT_START_SECONDS), tenant, 0, None)
             for tenant, clients in self._clients.items()
         ]
         heapify(self._due)
@@ -69,7 +69,9 @@
     def count_unanswered(self, end: float) -> None:
         """Count the requests as lost that have no response although their timeout has ended."""
         for clients in self._clients.values():
-            unanswered = sum(request.due_at + ANSWER_GRACE < end for request in clients.pending.values())
+            unanswered = sum(
+                request.due_at + RESPONSE_GRACE_SECONDS < end for request in clients.pending.values()
+            )
             if unanswered:
                 self._tally.at(end)["lost"] += unanswered
 
--- a/scale/latency/decisions.py
+++ b/scale/latency/decisions.py
@@ -15,7 +15,7 @@
 from quota_gateway.settings_parser import parse_settings
 from scale.latency.percentiles import Percentiles, percentiles
 from scale.latency.workload import (
-    CLIENT_TIMEOUT,
+    CLIENT_TIMEOUT_SECONDS,
     limiter_settings,
     plan_of,
     poisson_schedule,
@@ -117,4 +117,6 @@
 def _request(number: int, tenant: int, tenants: int, serving_gateways: int) -> model.Request:
     plan = plan_of(tenant, tenants)
     account = f"{tenant:016x}"
-    return model.Request(number, "read", plan, CLIENT_TIMEOUT, account, serving_gateways=serving_gateways)
+    return model.Request(
+        number, "read", plan, CLIENT_TIMEOUT_SECONDS, account, serving_gateways=serving_gateways
+    )
--- a/scale/latency/load.py
+++ b/scale/latency/load.py
@@ -12,7 +12,7 @@
 
 from scale.http_client import HttpClient, Response, encode_request
 from scale.latency.cells import Cell
-from scale.latency.workload import CLIENT_TIMEOUT, plan_of, poisson_schedule, tenants_per_limiter
+from scale.latency.workload import CLIENT_TIMEOUT_SECONDS, plan_of, poisson_schedule, tenants_per_limiter
 from scale.model import BrokenRunError, Size
 from scale.stand_ins.timers import PreciseTimers
 
@@ -83,12 +83,12 @@
         for number, client in enumerate(self._clients):
             self._schedule(window, number, client, begin, seconds)
         await asyncio.sleep(begin - time.monotonic() + seconds + SETTLE_SECONDS)
-        deadline = time.monotonic() + CLIENT_TIMEOUT
+        deadline = time.monotonic() + CLIENT_TIMEOUT_SECONDS
         while window.pending and time.monotonic() < deadline:
             await asyncio.sleep(POLL_SECONDS)
         if window.pending:
             raise BrokenRunError(
-                f"{self._cell.name}: {window.pending} requests had no answer in {CLIENT_TIMEOUT} s"
+                f"{self._cell.name}: {window.pending} requests had no answer in {CLIENT_TIMEOUT_SECONDS} s"
             )
         return window
 
@@ -102,7 +102,7 @@
                 request_id=f"{number:04x}{next(self._ids):012x}",
                 path=f"/read?account={arrival.tenant:016x}",
                 plan=plan,
-                timeout=CLIENT_TIMEOUT,
+                timeout=CLIENT_TIMEOUT_SECONDS,
                 serving_gateways=self._size.spread,
             )
             due = begin + arrival.at
--- a/scale/latency/workload.py
+++ b/scale/latency/workload.py
@@ -14,7 +14,7 @@
 # Demand of a tenant divided by its quota, by the name of its plan.
 DEMAND = {"far": 0.1, "near": 0.92, "over": 1.5}
 BURST_SECONDS = 2.0  # of the quota, which the bucket holds
-CLIENT_TIMEOUT = 2.0  # seconds
+CLIENT_TIMEOUT_SECONDS = 2.0
 MIN_TENANTS = 10
 
 
--- a/scale/propagation/real_limiters.py
+++ b/scale/propagation/real_limiters.py
@@ -29,7 +29,7 @@
 MAX_QUICK_RUNS = 2
 PORTS = 4  # of the endpoints; the endpoints of one port drain together
 REQUEST_INTERVAL_SECONDS = 0.01  # between a response and the next request
-CLIENT_TIMEOUT = 2.0  # seconds
+CLIENT_TIMEOUT_SECONDS = 2.0
 SERVING_GATEWAYS = 3
 ACCOUNTS = 50  # used at one limiter
 ACCOUNT_RANGE = 64  # account numbers reserved for one limiter
@@ -105,7 +105,7 @@
             request_id=f"{self._number:04x}{next(self._ids):012x}",
             path=f"/read?account={account:016x}",
             plan=plan,
-            timeout=CLIENT_TIMEOUT,
+            timeout=CLIENT_TIMEOUT_SECONDS,
             serving_gateways=SERVING_GATEWAYS,
         )
 
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -108,8 +108,8 @@
     gentle, pushed = SimulatedEndpoint(boots_at=5.0), SimulatedEndpoint(boots_at=5.0)
     outcome, ended_at = gentle.attempt(5.0, 0.1, 2.0)
     assert outcome is AttemptOutcome.OK
-    assert ended_at == pytest.approx(5.0 + 0.1 / parameters.INITIAL_CAPACITY)
-    bearable = parameters.OVERLOAD_MULTIPLE * parameters.ENDPOINT_CORES * parameters.INITIAL_CAPACITY
+    assert ended_at == pytest.approx(5.0 + 0.1 / parameters.INITIAL_CAPACITY_FRACTION)
+    bearable = parameters.OVERLOAD_FACTOR * parameters.ENDPOINT_CORES * parameters.INITIAL_CAPACITY_FRACTION
     outcomes = [pushed.attempt(5.0 + number * 0.001, 0.1, 2.0).outcome for number in range(20)]
     assert outcomes.index(AttemptOutcome.UNREACHABLE) == int(bearable / 0.1)
     assert pushed.failed
