--- a/scale/fleet/endpoint.py
+++ b/scale/fleet/endpoint.py
@@ -80,11 +80,9 @@
 
     def _capacity(self, at: float) -> float:
         """Return the present capacity as a fraction of the full one."""
-        return min(
-            1.0,
-            INITIAL_CAPACITY_FRACTION
-            + (1 - INITIAL_CAPACITY_FRACTION) * (at - self._started_at) / ENDPOINT_WARM_UP_SECONDS,
-        )
+        age = at - self._started_at
+        gained = (1 - INITIAL_CAPACITY_FRACTION) * age / ENDPOINT_WARM_UP_SECONDS
+        return min(1.0, INITIAL_CAPACITY_FRACTION + gained)
 
     def _overloaded_by(self, at: float, work: float) -> bool:
         """Return whether the endpoint is warming up and fails under this work."""
--- a/scale/fleet/parameters.py
+++ b/scale/fleet/parameters.py
@@ -12,8 +12,8 @@
 CONNECT_TIMEOUT_SECONDS = 0.25
 MAX_ATTEMPTS = 4  # of a request
 MAX_RETRY_AFTER_SECONDS = 1.0
-# Assumed: seconds after the failure of a machine during which attempts use open connections and get no
-# response; later attempts fail to connect. Single connections are not modelled.
+# Assumed: the time after the failure of a machine in which attempts use open connections and get no response;
+# later attempts fail to connect. Single connections are not modelled.
 CONNECTION_LIFETIME_AFTER_FAILURE_SECONDS = 1.0
 
 # Endpoints. Two cores in place of the operators' three, which would be used to a third by the stated work. So
@@ -21,7 +21,7 @@
 ENDPOINT_CORES = 2
 ENDPOINT_QUEUE_LIMIT = 40  # requests that may wait at an endpoint (assumed)
 TARGET_UTILIZATION = 0.5  # fraction of the endpoints' capacity for the usage within the quotas
-INITIAL_CAPACITY_FRACTION = 0.3  # fraction of the full capacity after a start
+INITIAL_CAPACITY_FRACTION = 0.3  # of the full capacity, after a start
 ENDPOINT_WARM_UP_SECONDS = 12.0  # from a start to the full capacity
 OVERLOAD_FACTOR = 2.5  # of the present capacity; an endpoint that is warming up fails beyond it
 OVERLOAD_WINDOW_SECONDS = 1.0  # over which the arriving work is added up
