--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -24,9 +24,10 @@
 from quota_gateway.decisions.gateway import Gateway
 from quota_gateway.net.admin.listener import AdminListener
 from quota_gateway.net.common.metrics import Metrics
+from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.discovery.watch_event import WatchEvent
 from quota_gateway.net.discovery.watcher import EndpointWatcher
-from quota_gateway.net.dispatch.dispatcher import Dispatcher, unix_clock
+from quota_gateway.net.dispatch.dispatcher import Dispatcher
 from quota_gateway.net.process_group.group import ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
 from quota_gateway.settings_parser import Timing, check_reloaded_settings, parse_settings, parse_timing
@@ -191,8 +192,10 @@
     for status in (200, 429, 503, 502, 504, 400):
         metrics.record_request("lookup", status)
     metrics.record_request("post", 429)
-    metrics.upstream_attempts = 11
-    metrics.streaming_responses = 4
+    for _ in range(11):
+        metrics.record_attempt()
+    for _ in range(4):
+        metrics.record_streaming_started()
     for succeeded in (*[True] * 6, *[False] * 7):
         metrics.record_reload(succeeded=succeeded)
     upstream = ConnectionPool(clock, 0.25, 30.0, 64)
