--- a/quota_gateway/net/client/connection.py
+++ b/quota_gateway/net/client/connection.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol, cast
 
-from quota_gateway.net.client.eviction import EvictionPriority, EvictionRank
+from quota_gateway.net.client.eviction import EvictionOrder, EvictionPriority
 from quota_gateway.net.client.request_intake import RequestIntake
 from quota_gateway.net.client.request_pipeline import RequestPipeline
 from quota_gateway.net.client.shared_state import SharedState
@@ -63,7 +63,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Unregister, and end the requests without a response."""
-        self.transport.on_lost()
+        self.transport.on_closed()
         self._shared.stats.record_end(self._close_reason)
         if self._has_sent_data:
             self._shared.remove_active_connection()
@@ -102,7 +102,7 @@
         ):
             self._close_idle(CloseReason.IDLE)
 
-    def eviction_rank(self) -> EvictionRank | None:
+    def eviction_order(self) -> EvictionOrder | None:
         """Return the place in the order of eviction; None if the connection must not be evicted."""
         if self.transport.is_lingering:
             priority = EvictionPriority.LINGERING
@@ -114,7 +114,7 @@
             priority = EvictionPriority.PARTIAL_REQUEST
         else:
             priority = EvictionPriority.IDLE
-        return EvictionRank(priority, self.pipeline.queue.active_at)
+        return EvictionOrder(priority, self.pipeline.queue.active_at)
 
     def evict(self) -> bool:
         """Close or reset unless a request, or the rest of one, is unread; return whether that was done."""
--- a/quota_gateway/net/client/eviction.py
+++ b/quota_gateway/net/client/eviction.py
@@ -15,8 +15,8 @@
     IDLE = 3
 
 
-class EvictionRank(NamedTuple):
-    """The place of a connection in the order of eviction; the lowest rank is evicted first."""
+class EvictionOrder(NamedTuple):
+    """The place of a connection in the order of eviction; the lowest is evicted first."""
 
     priority: EvictionPriority
-    phase_started_at: float  # seconds of the event loop's clock
+    active_at: float  # seconds of the event loop's clock
--- a/quota_gateway/net/client/listener.py
+++ b/quota_gateway/net/client/listener.py
@@ -9,7 +9,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.connection import ClientConnection
-from quota_gateway.net.client.eviction import EvictionRank
+from quota_gateway.net.client.eviction import EvictionOrder
 from quota_gateway.net.client.request import RequestHandler
 from quota_gateway.net.client.request_intake import RequestIntake
 from quota_gateway.net.client.shared_state import SharedState
@@ -88,12 +88,12 @@
 
     def _eviction_candidates(self) -> list[ClientConnection]:
         """Return the connections that may be evicted, in the order of eviction."""
-        ranks = dict[ClientConnection, EvictionRank]()
+        orders = dict[ClientConnection, EvictionOrder]()
         for connection in self.connections:
-            rank = connection.eviction_rank()
-            if rank is not None:
-                ranks[connection] = rank
-        return sorted(ranks, key=ranks.__getitem__)
+            order = connection.eviction_order()
+            if order is not None:
+                orders[connection] = order
+        return sorted(orders, key=orders.__getitem__)
 
     def _scan(self) -> None:
         """Check the timeouts of all connections, now and every ``SCAN_INTERVAL_SECONDS``."""
--- a/quota_gateway/net/client/liveness.py
+++ b/quota_gateway/net/client/liveness.py
@@ -94,7 +94,7 @@
         """Record that the input had not ended at a time of the clock."""
         self._last_seen_at = at
 
-    def has_left(self) -> bool:
+    def is_possibly_disconnected(self) -> bool:
         """Whether the client is known to have disconnected, or may have and is not confirmed half-closed.
 
         A client that was not seen recently is polled.
--- a/quota_gateway/net/client/request_intake.py
+++ b/quota_gateway/net/client/request_intake.py
@@ -48,14 +48,14 @@
         if request_id in shared.open_request_ids:
             raise BadRequestError(409, "the request id is in use")
         shared.open_request_ids.add(request_id)
-        event = _with_time_left(event, seconds_unread) if seconds_unread else event
+        event = _with_remaining_timeout(event, seconds_unread) if seconds_unread else event
         request.accept(event, request_id, head.forwarded(body, request.upload), body)
         self._handler.on_request(request)
 
     def complete_upload(self, request: ClientRequest, seconds_unread: float) -> None:
         """Notify the handler that the upload of an accepted request has been received completely."""
         if request.response_head is None and request.event is not None:
-            request.update_event(_with_time_left(request.event, seconds_unread))
+            request.update_event(_with_remaining_timeout(request.event, seconds_unread))
             self._handler.on_upload_completed(request)
 
     def disconnect(self, request: ClientRequest) -> None:
@@ -76,6 +76,6 @@
         self._handler.on_client_maybe_disconnected(request)
 
 
-def _with_time_left(event: model.Request, seconds_unread: float) -> model.Request:
+def _with_remaining_timeout(event: model.Request, seconds_unread: float) -> model.Request:
     """Return the request with the time that its client still waits."""
     return replace(event, timeout=max(MIN_TIMEOUT_SECONDS, event.timeout - seconds_unread))
--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -97,12 +97,12 @@
         self._received_after = self.shared.stalls.unread_since(now)
         self.reader.feed(data)
 
-    def on_request_begun(self, *, is_first: bool) -> float:
+    def on_request_started(self, *, is_first: bool) -> float:
         """Return the time at which the timeouts of a new request begin.
 
         For the first request that is the connect, as for a client that sends nothing.
         """
-        return self.queue.active_at if is_first else self.queue.begin_request()
+        return self.queue.active_at if is_first else self.queue.start_request()
 
     def on_continue_expected(self) -> None:
         """Invite the client to send the body, unless other responses are sent first."""
@@ -155,7 +155,7 @@
 
     def may_resume_upload(self) -> bool:
         """Whether the client is still there, so that its unread input may be read."""
-        return not self.liveness.has_left()
+        return not self.liveness.is_possibly_disconnected()
 
     # Responses.
 
--- a/quota_gateway/net/client/request_reader.py
+++ b/quota_gateway/net/client/request_reader.py
@@ -26,7 +26,7 @@
     def receive(self, data: bytes) -> None:
         """Receive the rest of the input again, which the parser has returned."""
 
-    def on_request_begun(self, *, is_first: bool) -> float:
+    def on_request_started(self, *, is_first: bool) -> float:
         """Return the time at which the timeouts of a new request begin.
 
         Raises BadRequestError if too many requests of the connection are unanswered.
@@ -73,11 +73,11 @@
     """
 
     __slots__ = (
-        "_began_at",
         "_clock",
         "_has_read_request",
         "_parser",
         "_receiver",
+        "_started_at",
         "body",
         "head",
         "on_header",
@@ -89,7 +89,7 @@
         """Create the reader of a new connection."""
         self._receiver = receiver
         self._clock = clock
-        self._began_at = 0.0  # when the timeouts of the current request began
+        self._started_at = 0.0  # when the timeouts of the current request began
         self._has_read_request = False  # whether any request has been received completely
         self.phase = _BETWEEN_REQUESTS
         self.body = RequestBody(receiver, clock)
@@ -120,7 +120,7 @@
 
     def is_overdue(self, now: float) -> bool:
         """Whether the current request takes too long."""
-        is_head_late = now - self._began_at > HEAD_TIMEOUT_SECONDS
+        is_head_late = now - self._started_at > HEAD_TIMEOUT_SECONDS
         if self.phase is _HEAD:
             return is_head_late
         return self.body.is_overdue(now, is_head_late=is_head_late)
@@ -161,7 +161,7 @@
             return
         self.phase = _HEAD
         self.head.begin()
-        self._began_at = self._receiver.on_request_begun(is_first=not self._has_read_request)
+        self._started_at = self._receiver.on_request_started(is_first=not self._has_read_request)
 
     def on_headers_complete(self) -> None:
         """Check the framing, and begin the body."""
--- a/quota_gateway/net/client/response_queue.py
+++ b/quota_gateway/net/client/response_queue.py
@@ -41,7 +41,7 @@
         self.active_at = shared.clock()  # the connect, the start of a request or the end of a response
         self.write_blocked = False  # the client does not accept the data that was written
 
-    def begin_request(self) -> float:
+    def start_request(self) -> float:
         """Record that another request than the connection's first begins, and return the time.
 
         Raises BadRequestError if too many requests are unanswered.
--- a/quota_gateway/net/client/transport.py
+++ b/quota_gateway/net/client/transport.py
@@ -56,7 +56,7 @@
         self._transport = transport
         self.phase = _OPEN
 
-    def on_lost(self) -> None:
+    def on_closed(self) -> None:
         """Release the event loop's transport, which is closed."""
         self._transport = None
         self.phase = TransportPhase.CLOSED
--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -65,6 +65,12 @@
     return list(limiter.listener.connections)
 
 
+async def wait_for_partial_request(limiter: LoopbackLimiter) -> None:
+    """Wait until the limiter has read the start of a request, and not its end."""
+    while not any(client.pipeline.reader.in_request for client in limiter.listener.connections):
+        await asyncio.sleep(0)
+
+
 async def ends_without_data(reader: asyncio.StreamReader) -> bool:
     """Read a connection to its end; return whether no data preceded it."""
     try:
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Requests and responses of one client connection over loopback sockets: order, keep-alive, flow."""
+"""Requests and responses of one client connection over loopback sockets: order, keep-alive, backpressure."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 @async_test
 async def test_request_and_response_pass_through_unchanged() -> None:
-    body = bytes(range(256)) * 256  # all of the 64 KiB that a body may have
-    reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
-    endpoint = ScriptedEndpoint(lambda _n: reply)
+    body = bytes(range(256)) * 256  # the 64 KiB that a collected body may have
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
+    endpoint = ScriptedEndpoint(lambda _n: response)
     async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         path = "/post?x=%20y&account=00000000b4d65521"
-        status, headers, answer = await limiter.fetch(
+        status, headers, received_body = await limiter.fetch(
             http_request(path, body, X_Priority_Class="post", X_Request_ID="9b1f03aa5c7e2d41")
         )
         assert status == "HTTP/1.1 200 OK"
-        assert answer == body
+        assert received_body == body
         assert headers["content-type"] == "a/b"
-        first, sent, received = endpoint.requests[0]
-        assert first == f"POST {path} HTTP/1.1"
-        assert received == body
-        assert sent["x-request-id"] == "9b1f03aa5c7e2d41"
-        assert 0 < int(sent["x-timeout-ms"]) <= 5000
+        request_line, forwarded_headers, forwarded_body = endpoint.requests[0]
+        assert request_line == f"POST {path} HTTP/1.1"
+        assert forwarded_body == body
+        assert forwarded_headers["x-request-id"] == "9b1f03aa5c7e2d41"
+        assert 0 < int(forwarded_headers["x-timeout-ms"]) <= 5000
 
 
 @async_test
@@ -106,7 +106,7 @@
 async def test_client_that_does_not_read_its_responses_is_not_read_from(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # One connection to the endpoint serves them all.
+    # A single connection to the endpoint serves all requests.
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
 
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -97,7 +97,7 @@
             await asyncio.sleep(0)
         head_seconds = 2.3
         began_at = request_state.body._started_at - head_seconds
-        request_state._began_at = began_at
+        request_state._started_at = began_at
         client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS - 0.1)
         assert not request_state.is_stopped
         client.check_timeouts(began_at + request_reader.HEAD_TIMEOUT_SECONDS + 0.1)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -9,7 +9,13 @@
 
 from quota_gateway import model
 from quota_gateway.net.client import request_reader
-from tests.client_helpers import execute, limiter_with_endpoint, reject, take_no_action
+from tests.client_helpers import (
+    execute,
+    limiter_with_endpoint,
+    reject,
+    take_no_action,
+    wait_for_partial_request,
+)
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -53,7 +59,7 @@
 async def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         clients = [socket.create_connection(limiter.address) for _ in range(3)]
-        for client in clients:  # connected, and sent, before the event loop runs again
+        for client in clients:  # in the accept queue until the event loop runs again
             client.sendall(http_request())
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
@@ -78,7 +84,7 @@
     async with limiter_with_endpoint(serve) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request())
-        head = await reader.readuntil(b"\r\n\r\n")  # begun before the drain: it promises to stay open
+        head = await reader.readuntil(b"\r\n\r\n")  # sent before the drain, and keeps the connection alive
         assert b"close" not in head
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
@@ -97,8 +103,7 @@
     async with LoopbackLimiter(ScriptedDecisions(forward_to_s1), {}) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request()[:40])
-        while not any(client.pipeline.reader.in_request for client in limiter.listener.connections):
-            await asyncio.sleep(0)
+        await wait_for_partial_request(limiter)
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
         assert " 408 " in (await read_message(reader))[0]
@@ -113,8 +118,7 @@
         reader, writer = await limiter.connect()
         request = http_request()
         writer.write(request[:-2])
-        while not any(client.pipeline.reader.in_request for client in limiter.listener.connections):
-            await asyncio.sleep(0)
+        await wait_for_partial_request(limiter)
         limiter.listener.start_draining()
         await limiter.listener.close(0.01)
         limiter.dispatcher.abandon_all()
