--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -7,7 +7,6 @@
 
 import asyncio
 import logging
-import time
 from collections import deque
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -27,7 +26,7 @@
     STATUS_SHUTTING_DOWN,
     RequestTable,
 )
-from quota_gateway.net.process_group.group import ProcessGroup
+from quota_gateway.net.process_group.group import GroupChange, ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
@@ -35,21 +34,6 @@
 TIMER_RETRY_DELAY_SECONDS = 1.0  # until a timer fires again on which the decisions have failed
 
 
-def unix_offset() -> float:
-    """Return Unix time less the time of the monotonic clock, in seconds."""
-    return time.time() - time.monotonic()
-
-
-def unix_clock(offset: float | None = None) -> Callable[[], float]:
-    """Return a clock of Unix time, in seconds, that is not affected by steps of the wall clock.
-
-    Unix time is needed since endpoints report their start in it. ``offset`` is that of ``unix_offset``; by
-    default it is determined now.
-    """
-    fixed_offset = unix_offset() if offset is None else offset
-    return lambda: fixed_offset + time.monotonic()
-
-
 class Decisions(Protocol):
     """Responds to events with actions: ``decisions.gateway.Gateway``."""
 
@@ -196,11 +180,9 @@
         """Dispatch an operator's command; ``endpoint`` is empty where it names none."""
         self.dispatch(model.AdminRequest(self._admin_calls.add(command, on_reply), command, endpoint))
 
-    def on_process_group_changed(
-        self, process_count: int, suspensions: frozenset[str], seconds_unknown: float
-    ) -> None:
+    def on_process_group_changed(self, change: GroupChange) -> None:
         """Dispatch a change of the number of processes or of the suspended endpoints."""
-        self._group_events.on_changed(process_count, suspensions, seconds_unknown)
+        self._group_events.on_changed(change)
 
     def on_handover(self, state: model.HandoverState) -> None:
         """Dispatch the state that another process of this limiter handed over."""
--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -77,8 +77,10 @@
         """Refill the global bucket, the guaranteed share and the ceiling up to ``now``."""
         elapsed = max(0.0, now - self.updated_at)
         self.updated_at = now
-        self.refill_tokens(now, elapsed)
         plan = self.plan
+        # The next total deducts the remote usage since the last one; until then the burst may be exceeded.
+        capacity = plan.burst + plan.rate * (now - self.last_synchronised)
+        self.tokens = refilled(self.tokens, plan.rate, elapsed, capacity)
         guaranteed_rate = plan.rate / self.share_count
         self.guaranteed_tokens = refilled(
             self.guaranteed_tokens, guaranteed_rate, elapsed, self.guaranteed_capacity
@@ -93,7 +95,7 @@
         return filled >= self.plan.ceiling_burst
 
     def demand_rate(self, now: float) -> float:
-        """Return the requested units per second."""
+        """Return the average of the requested units per second."""
         return self.demand * exp((self.demand_at - now) / DEMAND_WINDOW_SECONDS)
 
     def record_demand(self, now: float, units: float) -> None:
@@ -141,7 +143,8 @@
         return self._export(handed_over)
 
     def _export(self, ceiling_tokens: float) -> AccountHandover:
-        # The other process learns of usage that is still unreported as usage of other gateways.
+        # The tokens as the counter knows them: its totals will show the other process the usage reported
+        # later.
         pending_amount = sum(call.amount for call in self.pending_calls)
         return AccountHandover(
             plan=self.plan.name,
