--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from typing import NamedTuple
 
 from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.upstream.exchange import Exchange
@@ -17,6 +18,13 @@
     return f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra_headers}\r\n".encode()
 
 
+class StartedExchange(NamedTuple):
+    """An exchange, and a future whose result it is once it is complete."""
+
+    exchange: Exchange
+    completed: asyncio.Future[Exchange]
+
+
 class PoolHarness:
     """A pool with the endpoint ``ENDPOINT``, closed at the end of ``async with``."""
 
@@ -46,19 +54,16 @@
         """Stop the pool's clock at a time."""
         self._stopped_at = now
 
-    def start(
-        self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b""
-    ) -> tuple[Exchange, asyncio.Future[Exchange]]:
-        """Start an exchange; return it with a future that has it once it is complete."""
-        future = asyncio.get_running_loop().create_future()
+    def start(self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b"") -> StartedExchange:
+        """Start an exchange."""
+        future: asyncio.Future[Exchange] = asyncio.get_running_loop().create_future()
         head = REQUEST_HEAD
         if body:
             head += b"Content-Length: %d\r\n" % len(body)
         exchange = Exchange(endpoint, head, body, self.clock() + timeout, future.set_result)
         self.pool.start(exchange)
-        return exchange, future
+        return StartedExchange(exchange, future)
 
     async def fetch(self, timeout: float = 10.0, endpoint: str = ENDPOINT) -> Exchange:
         """Return an exchange that is complete."""
-        _, completed = self.start(timeout, endpoint)
-        return await completed
+        return await self.start(timeout, endpoint).completed
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -4,7 +4,8 @@
 
 import asyncio
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack, contextmanager
 
 import pytest
 
@@ -26,18 +27,19 @@
             assert (await harness.fetch()).status is CallStatus.UNREACHABLE
 
 
-def full_backlog() -> tuple[socket.socket, list[socket.socket]]:
-    """A listener that accepts no more connections: connecting to it never completes."""
-    listener = socket.socket()
-    listener.bind(("127.0.0.1", 0))
-    listener.listen(0)
-    clients = list[socket.socket]()
-    for _ in range(8):
-        client = socket.socket()
-        client.setblocking(False)
-        client.connect_ex(listener.getsockname())
-        clients.append(client)
-    return listener, clients
+@contextmanager
+def full_backlog() -> Iterator[str]:
+    """Run a listener whose backlog is full, so that connecting never completes; yield its address."""
+    with ExitStack() as sockets:
+        listener = sockets.enter_context(socket.socket())
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        for _ in range(8):
+            client = sockets.enter_context(socket.socket())
+            client.setblocking(False)
+            client.connect_ex(listener.getsockname())
+        host, port = listener.getsockname()
+        yield f"{host}:{port}"
 
 
 @pytest.mark.parametrize(
@@ -48,12 +50,9 @@
 async def test_a_request_is_not_executed_where_connecting_never_completes(
     connect_timeout: float, timeout: float, status: CallStatus
 ) -> None:
-    listener, clients = full_backlog()
-    host, port = listener.getsockname()
-    async with PoolHarness(f"{host}:{port}", connect_timeout=connect_timeout) as harness:
-        assert (await harness.fetch(timeout)).status is status
-    for each in (listener, *clients):
-        each.close()
+    with full_backlog() as address:
+        async with PoolHarness(address, connect_timeout=connect_timeout) as harness:
+            assert (await harness.fetch(timeout)).status is status
 
 
 @async_test
