--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: reading its responses, and how each exchange ended.
+"""One connection to an endpoint: its transport, its exchange, and how each exchange ended.
 
 A request is never sent twice here: whether to retry is the caller's decision.
 """
@@ -10,24 +10,16 @@
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.exchange import Clock, Exchange, ExchangeEvents
-from quota_gateway.net.upstream.load_report import parse_load_report
 from quota_gateway.net.upstream.request_writer import RequestWriter
-from quota_gateway.net.upstream.response_parser import MalformedResponseError, ResponseParser
-from quota_gateway.net.upstream.response_source import ResponseSource
-from quota_gateway.net.upstream.response_status import STATUS_OK, call_status
-from quota_gateway.net.upstream.response_timer import ResponseTimer
+from quota_gateway.net.upstream.response_receiver import ResponseReceiver
 from quota_gateway.net.upstream.stats import ConnectionStats
 from quota_gateway.net.upstream.transport_calls import (
     abort_transport,
     limit_receive_buffer,
 )
 
-# With interim responses, chunk sizes and trailers.
-MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 2 * MAX_BUFFERED_BODY_BYTES
-
 
 class ConnectionEvents(Protocol):
     """Receives the events of a connection."""
@@ -57,17 +49,14 @@
     It carries one of these at a time:
 
     - an ``exchange``: its request is being written, or its response is received and buffered;
-    - a streamed response in the parser, after its exchange has succeeded and was detached;
+    - a streamed response in its receiver, after the exchange has succeeded and was detached;
     - nothing: the connection is being connected, idle or closing. Any byte received then closes it.
     """
 
     __slots__ = (
         "_exchanges",
         "_owner",
-        "_parser",
-        "_received_bytes",
-        "_source",
-        "_timer",
+        "_receiver",
         "_writer",
         "address",
         "endpoint",
@@ -91,17 +80,13 @@
         self.exchange: Exchange | None = None
         self.idle_since: float | None = None  # by the owner's clock; None until its first release
         self.reused_at = 0.0  # by the owner's clock; when it was last taken from the idle connections
-        self._parser = ResponseParser(self._on_large_body)
         self._writer = RequestWriter(self, exchanges, owner.clock)
-        self._source = ResponseSource(self, owner.clock)
-        self._timer = ResponseTimer(self._on_response_overdue)
-        self._received_bytes = 0  # since the request
+        self._receiver = ResponseReceiver(self, owner.clock)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         """Write a request; its response is read next."""
         assert self.transport is not None
-        self._parser.reset()
-        self._received_bytes = 0
+        self._receiver.begin()
         exchange.assign_connection(
             self,
             self.number,
@@ -132,12 +117,12 @@
 
     def is_stalled(self, now: float) -> bool:
         """Whether a streamed body has waited too long for this endpoint."""
-        part = self._writer if self._parser.body_stream is None else self._source
+        part = self._receiver.source if self._receiver.is_streaming else self._writer
         return part.is_stalled(now)
 
     def is_reading_paused(self) -> bool:
         """Whether a streamed response waits for its client."""
-        return self._source.is_paused
+        return self._receiver.source.is_paused
 
     def close(self) -> None:
         """Close once the buffered bytes are written."""
@@ -149,7 +134,7 @@
         if self.transport is not None:
             abort_transport(self.transport)
 
-    # Events of the request writer and the response source.
+    # Events of the request writer.
 
     def on_upload_started(self) -> None:
         """Have the owner watch the upload for stalls."""
@@ -159,11 +144,6 @@
         """Stop watching an upload that has been written completely."""
         self._owner.on_streaming_ended(self)
 
-    def on_stream_abandoned(self) -> None:
-        """Close: no client reads the rest of a streamed response."""
-        self._parser.end_streaming()
-        self.abort()
-
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -188,10 +168,7 @@
         if self.exchange is not None:
             self._record_break()
         self._owner.on_connection_lost(self)
-        self._timer.cancel()
-        stream = self._parser.end_streaming()
-        if stream is not None:
-            stream.fail()
+        self._receiver.end()
         exchange = self._detach_exchange()
         if exchange is not None:
             was_written = exchange.request_written
@@ -201,97 +178,43 @@
 
     def eof_received(self) -> None:
         """Complete a response that ends with the connection."""
-        parser = self._parser
-        is_expected = self.exchange is not None or parser.body_stream is not None
-        if is_expected and parser.ends_at_eof and parser.status_code is None:
-            self._complete(parser.finish_at_eof())
+        if self.exchange is not None or self._receiver.is_streaming:
+            self._receiver.receive_eof()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a response."""
-        parser = self._parser
+        """Receive a part of a response; close if none is expected."""
         exchange = self.exchange
-        if exchange is None and parser.body_stream is None:
+        if exchange is None and not self._receiver.is_streaming:
             return self.abort()  # nothing was requested: these bytes must not answer the next request
         if exchange is not None and not exchange.request_written:
             return self.abort()  # no response to a request that is incomplete and so was never executed
-        self._received_bytes += len(data)
-        try:
-            parser.feed(data)
-        except MalformedResponseError as error:
-            return self._fail_malformed(error)
-        # The connection may be reused only now, with all input parsed.
-        if parser.status_code is not None:
-            self._complete(parser.status_code)
-        elif parser.body_stream is not None:
-            self._source.record_progress()
-        elif self.exchange is None:
-            self.abort()  # the exchange ended while its response was parsed
-        elif self._received_bytes > MAX_RESPONSE_BYTES:  # the parser's limits do not cover an endless head
-            self._fail_malformed(
-                MalformedResponseError(f"response over {MAX_RESPONSE_BYTES} bytes without an end")
-            )
-        elif parser.in_message:
-            self._limit_wait(self.exchange)
+        self._receiver.receive(data)
 
-    # Exchanges and their responses.
+    # Events of the response receiver.
 
-    def _detach_exchange(self) -> Exchange | None:
-        """Carry the exchange no longer, and write nothing more of its request."""
-        exchange = self.exchange
+    def on_response_complete(self, exchange: Exchange, status: CallStatus, *, reusable: bool) -> None:
+        """End the exchange, after the connection is available for the next one."""
         self.exchange = None
-        self._writer.stop()
-        return exchange
-
-    def _record_break(self) -> None:
-        is_reused = self.idle_since is not None
-        self._owner.stats.record_broken(reused=is_reused)
-        if is_reused and self._received_bytes == 0:
-            self._owner.record_stale_connection(self)
-
-    def _limit_wait(self, exchange: Exchange) -> None:
-        """Limit the wait for the rest of a response; an open-ended one is streamed when the time is up."""
-        if self._parser.has_open_ended_body():
-            self._timer.start_streaming_delay(exchange)
-        else:
-            self._timer.restart_gap(exchange)
-
-    def _on_response_overdue(self, exchange: Exchange) -> None:
-        if self.exchange is not exchange:
-            return
-        try:
-            if not self._parser.has_open_ended_body():
-                raise MalformedResponseError("response started and was not completed")
-            self._start_streaming()
-        except ValueError as error:  # MalformedResponseError, or an error of the receiver of the stream
-            self._fail_malformed(error)
-
-    def _on_large_body(self) -> None:
-        if self.exchange is not None:
-            self._start_streaming()
+        self._owner.release(self, reusable=reusable and not self._writer.is_buffered)
+        self._exchanges.complete(exchange, status)
 
-    def _start_streaming(self) -> None:
-        """Stream the response to its client: the attempt succeeds with the first bytes."""
-        parser = self._parser
-        exchange = self.exchange
-        if exchange is None or exchange.on_response_started is None or parser.received_status() != STATUS_OK:
-            raise MalformedResponseError("response body too large")
-        self._timer.cancel()
-        stream = BodyStream(self._source, parser.content_length)
-        parser.start_streaming(stream)
-        self._record_response(exchange, body=b"")
+    def on_response_streamed(self, exchange: Exchange, stream: BodyStream) -> bool:
+        """Detach the exchange, which has succeeded; return whether the client reads the stream."""
         self._detach_exchange()
-        self._source.record_progress()
         self._owner.on_streaming_started(self)
         if self.transport is not None:
             limit_receive_buffer(self.transport)
+        assert exchange.on_response_started is not None
         is_wanted = exchange.on_response_started(exchange, stream)
         self._exchanges.complete(exchange, CallStatus.OK)
-        if not is_wanted:
-            return self._source.abandon()
-        for part in parser.take_body_parts():
-            stream.write(part)
+        return is_wanted
+
+    def on_stream_complete(self, *, reusable: bool) -> None:
+        """Make the connection available for the next exchange."""
+        self._owner.on_streaming_ended(self)
+        self._owner.release(self, reusable=reusable)
 
-    def _fail_malformed(self, error: ValueError) -> None:
+    def on_malformed_response(self, error: ValueError) -> None:
         """End an exchange whose request may have been executed, by an endpoint that is alive.
 
         A malformed response does not count as a broken connection: all endpoints may send them at one time.
@@ -304,27 +227,15 @@
         self.abort()
         self._exchanges.complete(exchange, CallStatus.ERROR)
 
-    def _record_response(self, exchange: Exchange, body: bytes) -> None:
-        parser = self._parser
-        load_report = None if parser.load is None else parse_load_report(parser.load.decode("latin-1"))
-        exchange.record_response(b"".join(parser.header_lines), body, parser.charged_units, load_report)
-
-    def _complete(self, status_code: int) -> None:
-        """End a complete response; the connection is not reused if surplus bytes follow it."""
-        self._timer.cancel()
-        parser = self._parser
-        reusable = parser.keep_alive and not parser.has_surplus
-        stream = parser.body_stream
-        if stream is not None:
-            parser.end_streaming()
-            self._source.set_paused(paused=False)
-            self._owner.on_streaming_ended(self)
-            self._owner.release(self, reusable=reusable)
-            return stream.finish()
+    def _detach_exchange(self) -> Exchange | None:
+        """Carry the exchange no longer, and write nothing more of its request."""
         exchange = self.exchange
-        if exchange is None:
-            return self.abort()
         self.exchange = None
-        self._record_response(exchange, body=b"".join(parser.body_parts))
-        self._owner.release(self, reusable=reusable and not self._writer.is_buffered)
-        self._exchanges.complete(exchange, call_status(status_code, not_processed=parser.not_processed))
+        self._writer.stop()
+        return exchange
+
+    def _record_break(self) -> None:
+        is_reused = self.idle_since is not None
+        self._owner.stats.record_broken(reused=is_reused)
+        if is_reused and not self._receiver.has_received:
+            self._owner.record_stale_connection(self)
--- /dev/null
+++ b/quota_gateway/net/upstream/response_receiver.py
@@ -0,0 +1,177 @@
+"""Reception of the responses of one connection: buffered or streamed, with limits on size and time."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from quota_gateway.model import CallStatus
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES
+from quota_gateway.net.upstream.exchange import Clock, Exchange
+from quota_gateway.net.upstream.load_report import parse_load_report
+from quota_gateway.net.upstream.response_parser import MalformedResponseError, ResponseParser
+from quota_gateway.net.upstream.response_source import ResponseSource
+from quota_gateway.net.upstream.response_status import STATUS_OK, call_status
+from quota_gateway.net.upstream.response_timer import ResponseTimer
+
+MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 2 * MAX_BUFFERED_BODY_BYTES  # with interim responses and chunk framing
+
+
+class ReceiverConnection(Protocol):
+    """The connection that responses are received on."""
+
+    transport: asyncio.Transport | None
+    exchange: Exchange | None  # whose response is received; None for a streamed response
+
+    def on_response_complete(self, exchange: Exchange, status: CallStatus, *, reusable: bool) -> None:
+        """The response is complete and recorded in the exchange."""
+
+    def on_response_streamed(self, exchange: Exchange, stream: BodyStream) -> bool:
+        """The response is streamed from now on; return whether its client reads it."""
+
+    def on_stream_complete(self, *, reusable: bool) -> None:
+        """A streamed response is complete."""
+
+    def on_malformed_response(self, error: ValueError) -> None:
+        """The response cannot be parsed, exceeds a limit or stays incomplete."""
+
+    def abort(self) -> None:
+        """Close at once; nothing more is written or read."""
+
+
+class ResponseReceiver:
+    """Parses what the connection receives, and reports each response to it once.
+
+    A response is buffered until it is complete. A large one, and one of unknown length that takes long, is
+    streamed: from then on the receiver holds a stream, and the exchange has succeeded.
+    """
+
+    __slots__ = ("_connection", "_parser", "_received_bytes", "_timer", "source")
+
+    def __init__(self, connection: ReceiverConnection, clock: Clock) -> None:
+        """Create the receiver of a connection; ``clock`` returns seconds."""
+        self._connection = connection
+        self._parser = ResponseParser(self._on_large_body)
+        self._timer = ResponseTimer(self._on_overdue)
+        self._received_bytes = 0  # since the request
+        self.source = ResponseSource(connection, clock, self._on_abandoned)
+
+    @property
+    def is_streaming(self) -> bool:
+        """Whether a streamed response is being received."""
+        return self._parser.body_stream is not None
+
+    @property
+    def has_received(self) -> bool:
+        """Whether any byte has been received since the request."""
+        return self._received_bytes > 0
+
+    def begin(self) -> None:
+        """Discard the last response: the next request is about to be written."""
+        self._parser.reset()
+        self._received_bytes = 0
+
+    def receive(self, data: bytes) -> None:
+        """Parse a part of a response."""
+        parser = self._parser
+        self._received_bytes += len(data)
+        try:
+            parser.feed(data)
+        except MalformedResponseError as error:
+            return self._connection.on_malformed_response(error)
+        # The connection may be reused only now, with all input parsed.
+        if parser.status_code is not None:
+            self._complete(parser.status_code)
+        elif parser.body_stream is not None:
+            self.source.record_progress()
+        else:
+            self._check_incomplete()
+
+    def receive_eof(self) -> None:
+        """Complete a response that ends with the connection."""
+        parser = self._parser
+        if parser.ends_at_eof and parser.status_code is None:
+            self._complete(parser.finish_at_eof())
+
+    def end(self) -> None:
+        """Fail a streamed response: the connection has ended."""
+        self._timer.cancel()
+        stream = self._parser.end_streaming()
+        if stream is not None:
+            stream.fail()
+
+    def _check_incomplete(self) -> None:
+        """Limit the size of an incomplete response and the wait for its rest."""
+        exchange = self._connection.exchange
+        if exchange is None:
+            self._connection.abort()  # the exchange ended while its response was parsed
+        elif self._received_bytes > MAX_RESPONSE_BYTES:  # the parser's limits do not cover an endless head
+            message = f"response over {MAX_RESPONSE_BYTES} bytes without an end"
+            self._connection.on_malformed_response(MalformedResponseError(message))
+        elif self._parser.in_message:
+            self._limit_wait(exchange)
+
+    def _limit_wait(self, exchange: Exchange) -> None:
+        """Start the timer for the rest; an open-ended response is streamed when it expires."""
+        if self._parser.has_open_ended_body():
+            self._timer.start_streaming_delay(exchange)
+        else:
+            self._timer.restart_gap(exchange)
+
+    def _on_overdue(self, exchange: Exchange) -> None:
+        if self._connection.exchange is not exchange:
+            return
+        try:
+            if not self._parser.has_open_ended_body():
+                raise MalformedResponseError("response started and was not completed")
+            self._start_streaming()
+        except ValueError as error:  # MalformedResponseError, or an error of the receiver of the stream
+            self._connection.on_malformed_response(error)
+
+    def _on_large_body(self) -> None:
+        if self._connection.exchange is not None:
+            self._start_streaming()
+
+    def _start_streaming(self) -> None:
+        """Stream the response to its client: the attempt succeeds with the first bytes."""
+        parser = self._parser
+        exchange = self._connection.exchange
+        if exchange is None or exchange.on_response_started is None or parser.received_status() != STATUS_OK:
+            raise MalformedResponseError("response body too large")
+        self._timer.cancel()
+        stream = BodyStream(self.source, parser.content_length)
+        parser.start_streaming(stream)
+        self._record_response(exchange, body=b"")
+        self.source.record_progress()
+        if not self._connection.on_response_streamed(exchange, stream):
+            return self.source.abandon()
+        for part in parser.take_body_parts():
+            stream.write(part)
+
+    def _on_abandoned(self) -> None:
+        self._parser.end_streaming()
+        self._connection.abort()
+
+    def _complete(self, status_code: int) -> None:
+        """End a complete response; the connection is not reusable if surplus bytes follow it."""
+        self._timer.cancel()
+        parser = self._parser
+        reusable = parser.keep_alive and not parser.has_surplus
+        stream = parser.body_stream
+        if stream is not None:
+            parser.end_streaming()
+            self.source.set_paused(paused=False)
+            self._connection.on_stream_complete(reusable=reusable)
+            return stream.finish()
+        exchange = self._connection.exchange
+        if exchange is None:
+            return self._connection.abort()
+        self._record_response(exchange, body=b"".join(parser.body_parts))
+        status = call_status(status_code, not_processed=parser.not_processed)
+        self._connection.on_response_complete(exchange, status, reusable=reusable)
+
+    def _record_response(self, exchange: Exchange, body: bytes) -> None:
+        parser = self._parser
+        load_report = None if parser.load is None else parse_load_report(parser.load.decode("latin-1"))
+        exchange.record_response(b"".join(parser.header_lines), body, parser.charged_units, load_report)
--- a/quota_gateway/net/upstream/response_source.py
+++ b/quota_gateway/net/upstream/response_source.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import Protocol
 
 from quota_gateway.net.upstream.exchange import Clock
@@ -14,9 +15,6 @@
 
     transport: asyncio.Transport | None
 
-    def on_stream_abandoned(self) -> None:
-        """No client reads the rest of the response."""
-
 
 class ResponseSource:
     """The source of the streamed responses of one connection (``body_stream.BodySource``).
@@ -24,12 +22,16 @@
     Reading is paused while the client does not accept the bytes that were read.
     """
 
-    __slots__ = ("_clock", "_connection", "_last_progress", "is_paused")
+    __slots__ = ("_clock", "_connection", "_last_progress", "_on_abandoned", "is_paused")
+
+    def __init__(self, connection: SourceConnection, clock: Clock, on_abandoned: Callable[[], None]) -> None:
+        """Create the source of a connection; ``clock`` returns seconds.
 
-    def __init__(self, connection: SourceConnection, clock: Clock) -> None:
-        """Create the source of a connection; ``clock`` returns seconds."""
+        ``on_abandoned`` is called when no client reads the rest of a response.
+        """
         self._connection = connection
         self._clock = clock
+        self._on_abandoned = on_abandoned
         self._last_progress = 0.0  # when a streamed response last advanced, in seconds of the clock
         self.is_paused = False
 
@@ -55,4 +57,4 @@
 
     def abandon(self) -> None:
         """Drop the rest of the response: no client reads it."""
-        self._connection.on_stream_abandoned()
+        self._on_abandoned()
