--- a/scale/processes.py
+++ b/scale/processes.py
@@ -6,15 +6,15 @@
 import contextlib
 import json
 import os
-import socket
 import sys
 from collections.abc import AsyncIterator, Awaitable
-from contextlib import asynccontextmanager
+from contextlib import ExitStack, asynccontextmanager
 from dataclasses import asdict
 from pathlib import Path
 from typing import Any, TypeVar, cast
 
 from scale.model import BrokenRunError
+from scale.reserved_port import LOOPBACK, reserved_port
 from scale.stand_ins.control import Addresses, HealthChange, Setup, Stats
 from scale.stand_ins.discovery import EndpointEntry
 from scale.worker import ROOT
@@ -28,14 +28,6 @@
 T = TypeVar("T")
 
 
-def free_port() -> int:
-    """Return an unused port of loopback."""
-    with socket.socket() as unused:
-        unused.bind(("127.0.0.1", 0))
-        port: int = unused.getsockname()[1]
-        return port
-
-
 def split_address(address: str) -> tuple[str, int]:
     """Return host and port of ``host:port``."""
     host, _, port = address.rpartition(":")
@@ -183,19 +175,20 @@
 
     async def wait_ready(self) -> None:
         """Return when the limiter serves."""
-        while True:
-            try:
-                reader, writer = await asyncio.open_connection(*split_address(self.address))
-            except OSError:
-                await asyncio.sleep(READY_POLL_SECONDS)
-                continue
-            writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-            is_ready = b" 200 " in await reader.readline()
-            writer.close()
-            if is_ready:
-                return
+        while not await self._is_ready():
             await asyncio.sleep(READY_POLL_SECONDS)
 
+    async def _is_ready(self) -> bool:
+        """Whether the limiter serves; an error of the connection means that it does not listen (any more)."""
+        try:
+            reader, writer = await asyncio.open_connection(*split_address(self.address))
+            writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+            status_line = await reader.readline()
+        except OSError:
+            return False
+        writer.close()
+        return b" 200 " in status_line
+
 
 def limiter_config(
     index: int,
@@ -206,12 +199,10 @@
     *,
     with_counter: bool,
 ) -> dict[str, Any]:
-    """Return the configuration of a limiter that listens at free ports."""
+    """Return the configuration of a limiter without the addresses, which ``start_limiters`` adds."""
     known = {"seq": 1, "whole": True, "hosts": [endpoint.to_json() for endpoint in endpoints]}
     config = {
         "name": f"n{index}",
-        "listen": f"127.0.0.1:{free_port()}",
-        "mgmt": f"127.0.0.1:{free_port()}",
         "discovery": addresses.discovery,
         "seed": f"{seed:016x}",
         "limits": {"sockets": MAX_SOCKETS},
@@ -245,15 +236,24 @@
     Raise ``BrokenRunError`` if one exits or is not ready in time.
     """
     limiters = list[Limiter]()
-    try:
+    with ExitStack() as reservations:
         for config in configs:
-            limiters.append(await _start_limiter(directory, config))
+            config["listen"] = f"{LOOPBACK}:{reservations.enter_context(reserved_port())}"
+            config["mgmt"] = f"{LOOPBACK}:{reservations.enter_context(reserved_port())}"
         try:
-            async with asyncio.timeout(READY_TIMEOUT_SECONDS):
-                await guard(asyncio.gather(*(limiter.wait_ready() for limiter in limiters)), *limiters)
-        except TimeoutError:
-            raise BrokenRunError(f"no limiter was ready within {READY_TIMEOUT_SECONDS:.0f} s") from None
-        yield limiters
-    finally:
-        for limiter in limiters:
-            await limiter.stop()
+            for config in configs:
+                limiters.append(await _start_limiter(directory, config))
+            await _wait_until_ready(limiters)
+            yield limiters
+        finally:
+            for limiter in limiters:
+                await limiter.stop()
+
+
+async def _wait_until_ready(limiters: list[Limiter]) -> None:
+    """Wait for all limiters. Raise ``BrokenRunError`` if one exits or is not ready in time."""
+    try:
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+            await guard(asyncio.gather(*(limiter.wait_ready() for limiter in limiters)), *limiters)
+    except TimeoutError:
+        raise BrokenRunError(f"no limiter was ready within {READY_TIMEOUT_SECONDS:.0f} s") from None
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -5,12 +5,14 @@
 import asyncio
 import os
 import signal
+import socket
 from pathlib import Path
 
 import pytest
 
 from scale.model import BrokenRunError
 from scale.processes import guard, start_stand_ins
+from scale.reserved_port import LOOPBACK, reserved_port
 from scale.stand_ins.control import Setup
 from scale.stand_ins.counter import CounterSpec
 from scale.stand_ins.endpoints import EndpointsSpec
@@ -26,3 +28,10 @@
             await guard(asyncio.sleep(10), stand_ins)
         with pytest.raises(BrokenRunError, match="the stand-ins ended with -9"):
             await stand_ins.stats()
+
+
+def test_a_reserved_port_is_free_for_a_listener_and_for_no_other_socket() -> None:
+    with reserved_port() as port:
+        socket.create_server((LOOPBACK, port)).close()
+        with socket.socket() as other, pytest.raises(OSError, match="Address already in use"):
+            other.bind((LOOPBACK, port))
