--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 import heapq
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator
+from contextlib import contextmanager
 from dataclasses import dataclass, field, replace
 from functools import partial
 from itertools import accumulate
@@ -50,6 +51,19 @@
     core_free_at: list[float] = field(default_factory=list)  # by core
     received: list[ReceivedRequest] = field(default_factory=list)  # in this incarnation
 
+    def restart(self, started_at: float, *, is_listed: bool) -> None:
+        """Begin a new incarnation, which is unreachable until it starts; the list may announce it."""
+        self.down_until = started_at
+        self.warming_since = started_at
+        self.core_free_at = [started_at] * self.cores
+        self.received = []
+        if is_listed:
+            self.entry = replace(self.entry, started_at=started_at)
+
+    def drain(self) -> None:
+        """Change the entry in the endpoint list to draining."""
+        self.entry = replace(self.entry, health=model.EndpointHealth.DRAINING)
+
 
 @dataclass
 class ClientRequest:
@@ -58,6 +72,11 @@
     request_class: str
     attempts: int = 0
 
+    def start_attempt(self) -> int:
+        """Count an attempt, and return its number."""
+        self.attempts += 1
+        return self.attempts - 1
+
 
 def fleet_settings(gateways: int) -> model.Settings:
     """Return the settings of all gateways; only their indices differ."""
@@ -127,6 +146,13 @@
             step()
         self.now = until
 
+    @contextmanager
+    def scaled_load(self, factor: float) -> Iterator[None]:
+        """Multiply the rate of requests by a factor for a while."""
+        self.rate *= factor
+        yield
+        self.rate /= factor
+
     def add_endpoint(self, name: str, started_at: float = 0.0) -> None:
         """Start an endpoint without notifying the gateways."""
         number = len(self.endpoints)
@@ -206,8 +232,7 @@
 
     def _forward(self, gateway: int, action: model.Forward) -> None:
         request = self.requests[action.request_id]
-        attempt = request.attempts
-        request.attempts += 1
+        attempt = request.start_attempt()
         times_out_at = self.now + action.timeout
         ends_at, status = self._execute(gateway, action.endpoint, request.request_class)
         if ends_at > times_out_at:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -286,6 +286,10 @@
                 self.feed(model.TimerFired(step.key))
         self.now = time
 
+    def stall(self, seconds: float) -> None:
+        """Advance the clock without firing timers and timeouts, as in a process that does not run."""
+        self.now += seconds
+
     def _due_steps(self, time: float) -> list[DueStep]:
         timers = [DueStep(due_at, False, token, 0) for due_at, token in self.timers]
         timeouts = [
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -33,6 +33,6 @@
 def test_control_loop_restarts_after_a_stall(simulation: GatewaySimulation) -> None:
     send_steadily(simulation, 4, 40, 0)
     assert simulation.gateway.controller.integral is not None
-    simulation.now += 30
+    simulation.stall(30)
     simulation.feed(model.TimerFired(simulation.timers.pop(0).token))
     assert simulation.gateway.controller.integral is None
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -43,7 +43,7 @@
     simulation.in_flight.clear()  # the attempt is cancelled, and its completion is ignored
     used_again: set[str] = set()
     for request_id in range(2, 200):
-        simulation.now += 0.2
+        simulation.stall(0.2)
         for attempt in forwards(simulation.feed(make_request(request_id))):
             used_again.add(attempt.endpoint)
             simulation.feed(attempt_completed(request_id, 0, attempt.endpoint, model.CallStatus.OK, 0.05))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -124,7 +124,7 @@
     # A mean over all seven endpoints would be below half of the rate of the warm one.
     assert gateway.slow_start.completion_rate > 0.5 * warm_rate * mean_work
     for name in ("c0", "c1", "c2", "c3", "c4", "c5"):
-        gateway.endpoints.by_name[name].work_in_flight = 1000 * mean_work
+        gateway.endpoints.by_name[name].start_attempt(1000 * mean_work)
     simulation.feed(make_request(1000))
     assert simulation.forwarded[-1].endpoint == "s0" and simulation.forwarded[-1].request.id == 1000
 
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -8,13 +8,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
 from functools import partial
 from typing import NamedTuple
 
 import pytest
 
-from quota_gateway import model
 from tests.fleet_simulation import MEAN_CORE_SECONDS, FleetSimulation, SimulatedEndpoint
 
 SETTLED_TIME = 106.0  # the gateways have learned the completion rate
@@ -62,8 +60,7 @@
     old = list(fleet.endpoints)[: len(fleet.endpoints) // 2]
     new = start_endpoints(fleet, [f"new{number}" for number in range(len(old))])
     for name in old:
-        endpoint = fleet.endpoints[name]
-        endpoint.entry = replace(endpoint.entry, health=model.EndpointHealth.DRAINING)
+        fleet.endpoints[name].drain()
     notify_all(fleet, old)
     return new
 
@@ -77,14 +74,7 @@
 ) -> list[str]:
     """Restart endpoints, which are unreachable for ``down`` seconds; the endpoint list may announce it."""
     for name in names:
-        endpoint = fleet.endpoints[name]
-        started_at = fleet.now + down
-        endpoint.down_until = started_at
-        endpoint.warming_since = started_at
-        endpoint.core_free_at = [started_at] * endpoint.cores
-        endpoint.received = []
-        if is_listed:
-            endpoint.entry = replace(endpoint.entry, started_at=started_at)
+        fleet.endpoints[name].restart(fleet.now + down, is_listed=is_listed)
     if is_listed:
         notify_all(fleet, names, down, spread)
     return names
@@ -155,9 +145,8 @@
 def burst_on_new_endpoints(fleet: FleetSimulation) -> list[str]:
     """The load rises after a time of low load, in which allowances are saved up."""
     names = start_endpoints(fleet, ["new0", "new1"])
-    fleet.rate *= 0.3
-    fleet.run(fleet.now + 1.5)
-    fleet.rate /= 0.3
+    with fleet.scaled_load(0.3):
+        fleet.run(fleet.now + 1.5)
     return names
 
 
