--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -78,6 +78,25 @@
         return self.attempts - 1
 
 
+@dataclass
+class SimulatedGateway:
+    """The decisions of one gateway; a restarted gateway has no state of its previous incarnation."""
+
+    decisions: Gateway | None = None  # None: stopped
+    incarnation: int = 0  # events for an earlier one are dropped
+    notified: dict[str, float] = field(default_factory=dict)  # start times in its list, by endpoint
+
+    def start(self, decisions: Gateway) -> None:
+        """Begin a new incarnation."""
+        self.decisions = decisions
+        self.incarnation += 1
+        self.notified = {}
+
+    def stop(self) -> None:
+        """Discard the decisions."""
+        self.decisions = None
+
+
 def fleet_settings(gateways: int) -> model.Settings:
     """Return the settings of all gateways; only their indices differ."""
     return make_settings(
@@ -121,9 +140,7 @@
             self.add_endpoint(f"s{number}")
         weights = [self.rng.lognormvariate(0, TRAFFIC_SIGMA) for _ in range(gateways)]
         self.cumulative_weights = list(accumulate(weights))
-        self.gateways: list[Gateway | None] = [None] * gateways
-        self.incarnations = [0] * gateways  # events for an earlier incarnation of a gateway are dropped
-        self.notified: list[dict[str, float]] = [{} for _ in range(gateways)]  # start times by endpoint
+        self.gateways = [SimulatedGateway() for _ in range(gateways)]
         self.requests: dict[int, ClientRequest] = {}
         self.rate = load * endpoints * cores / MEAN_CORE_SECONDS  # requests a second
         self._schedule_start()
@@ -181,9 +198,7 @@
     def start_gateway(self, gateway: int) -> None:
         """Start or restart a gateway, and deliver the endpoint list to it."""
         settings = replace(self.settings, gateway_index=gateway)
-        self.gateways[gateway] = Gateway(settings, self.seed * 1000 + gateway, self.now)
-        self.incarnations[gateway] += 1
-        self.notified[gateway].clear()
+        self.gateways[gateway].start(Gateway(settings, self.seed * 1000 + gateway, self.now))
         entries = tuple(endpoint.entry for endpoint in self.endpoints.values())
         self._feed(gateway, model.EndpointUpdate(entries, True))
 
@@ -193,11 +208,12 @@
         self._feed(gateway, model.EndpointUpdate(entries, False))
 
     def _feed(self, gateway: int, event: model.Event) -> None:
-        decisions = self.gateways[gateway]
+        decisions = self.gateways[gateway].decisions
         if decisions is None:
             return
         if isinstance(event, model.EndpointUpdate):
-            self.notified[gateway] |= {entry.name: entry.started_at for entry in event.endpoints}
+            notified = self.gateways[gateway].notified
+            notified.update({entry.name: entry.started_at for entry in event.endpoints})
         for action in decisions.handle(self.now, event):
             if isinstance(action, model.SetTimer):
                 timer = model.TimerFired(action.token)
@@ -208,11 +224,11 @@
                 self._check_health(gateway, action)
 
     def _feed_later(self, time: float, gateway: int, event: model.Event) -> None:
-        incarnation = self.incarnations[gateway]
+        incarnation = self.gateways[gateway].incarnation
         self.schedule(time, partial(self._deliver, gateway, incarnation, event))
 
     def _deliver(self, gateway: int, incarnation: int, event: model.Event) -> None:
-        if incarnation == self.incarnations[gateway]:
+        if incarnation == self.gateways[gateway].incarnation:
             self._feed(gateway, event)
 
     def _receive_request(self) -> None:
@@ -254,7 +270,7 @@
         endpoint = self.endpoints[name]
         if endpoint.down_until > self.now:
             return self.now + ROUND_TRIP_SECONDS, model.CallStatus.UNREACHABLE
-        is_notified = self.notified[gateway].get(name) == endpoint.entry.started_at
+        is_notified = self.gateways[gateway].notified.get(name) == endpoint.entry.started_at
         size = CORE_SECONDS[request_class] / MEAN_CORE_SECONDS
         endpoint.received.append(ReceivedRequest(self.now, is_notified, size))
         core = min(range(endpoint.cores), key=lambda core: endpoint.core_free_at[core])
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -83,7 +83,7 @@
 def restart_gateways(fleet: FleetSimulation, every: int, within: float) -> None:
     """Stop some gateways, and start them again without their state."""
     for gateway in range(0, len(fleet.gateways), every):
-        fleet.gateways[gateway] = None
+        fleet.gateways[gateway].stop()
         time = fleet.now + fleet.rng.uniform(0.5, within)
         fleet.schedule(time, partial(fleet.start_gateway, gateway))
 
