--- a/quota_gateway/decisions/endpoint_set.py
+++ b/quota_gateway/decisions/endpoint_set.py
@@ -110,6 +110,7 @@
 
     def unresponsive(self, now: float) -> list[EndpointState]:
         """Return the endpoints of the subset that are unresponsive."""
+        # The condition of ``_is_unresponsive`` without its call: this is part of every request.
         timeout = self.context.unresponsive_timeout
         return [
             state
--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -35,7 +35,7 @@
     endpoints: EndpointSet
     gate: AdmissionGate
     slow_start: SlowStart
-    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # of the last pick that found none
+    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # why the last pick found none
 
     def pick(self, now: float, request: OpenRequest) -> EndpointState | None:
         """Return the endpoint for the next attempt; None if no endpoint may be given it."""
@@ -71,7 +71,8 @@
         min_requests = MIN_REQUESTS_PER_ENDPOINT * ring_size / self.context.settings.gateway_count
         idle_slack = MAX_SLACK_REQUESTS - SLACK_SLOPE_REQUESTS * load / REFERENCE_LOAD
         slack = max(self.context.rng.random(), idle_slack)
-        slack *= min_requests < SPARSE_REQUESTS
+        if min_requests >= SPARSE_REQUESTS:
+            slack = 0.0
         limit = max(warm_limit, mean_work * min_requests) + mean_work * slack
         # The rates are means over seconds, and lag behind a burst that idle endpoints can bear.
         if self.gate.controller.integral is not None:
