--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -141,7 +141,12 @@
     def _on_admin_request(self, now: float, event: model.AdminRequest) -> None:
         listed = self.endpoints.listed()
         ok = self._execute(now, event)
-        reply = model.AdminReply(event.id, ok, len(listed), self.endpoints.count_avoided(now, listed))
+        reply = model.AdminReply(
+            request_id=event.id,
+            ok=ok,
+            known_endpoints=len(listed),
+            avoided_endpoints=self.endpoints.count_avoided(now, listed),
+        )
         self.context.actions.append(reply)
 
     def _execute(self, now: float, event: model.AdminRequest) -> bool:
@@ -161,7 +166,7 @@
         if not self.endpoints.is_known(name):
             return False
         self.endpoints.set_suspended(now, name, suspended=suspended)
-        self.context.actions.append(model.RecordSuspension(name, suspended))
+        self.context.actions.append(model.RecordSuspension(name, suspended=suspended))
         return True
 
     def _on_shutdown(self, now: float, _event: model.ShutdownStarted) -> None:
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from quota_gateway.model.handover import HandoverState
 
@@ -87,7 +87,7 @@
     """Record for all processes of this limiter whether an endpoint is suspended."""
 
     endpoint: str
-    suspended: bool
+    suspended: bool = field(kw_only=True)
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -4,7 +4,7 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import Enum
 
 from quota_gateway.model.handover import HandoverState
@@ -46,7 +46,7 @@
     """The endpoint list or changes of it; a ``complete`` list removes the endpoints that it does not name."""
 
     endpoints: tuple[Endpoint, ...]
-    complete: bool
+    complete: bool = field(kw_only=True)
     # Seconds since the last contact with discovery, which bounds the age of the changes. Infinite if unknown,
     # as for the first list.
     seconds_since_contact: float = math.inf
--- a/quota_gateway/simulator_protocol.py
+++ b/quota_gateway/simulator_protocol.py
@@ -262,7 +262,7 @@
     complete = _choice(MEMBERSHIP_KINDS, "membership", how)
     if list_id not in endpoint_lists:
         raise WireError(f"membership: list {list_id} was never registered")
-    return model.EndpointUpdate(endpoint_lists[list_id], complete)
+    return model.EndpointUpdate(endpoint_lists[list_id], complete=complete)
 
 
 # Other messages are not events: ``begun`` and ``peer`` are ignored, and the rest is for the adapter itself.
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -200,12 +200,12 @@
         settings = replace(self.settings, gateway_index=gateway)
         self.gateways[gateway].start(Gateway(settings, self.seed * 1000 + gateway, self.now))
         entries = tuple(endpoint.entry for endpoint in self.endpoints.values())
-        self._feed(gateway, model.EndpointUpdate(entries, True))
+        self._feed(gateway, model.EndpointUpdate(entries, complete=True))
 
     def notify(self, gateway: int, names: Iterable[str]) -> None:
         """Deliver the current entries of these endpoints to a gateway."""
         entries = tuple(self.endpoints[name].entry for name in names)
-        self._feed(gateway, model.EndpointUpdate(entries, False))
+        self._feed(gateway, model.EndpointUpdate(entries, complete=False))
 
     def _feed(self, gateway: int, event: model.Event) -> None:
         decisions = self.gateways[gateway].decisions
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -177,7 +177,7 @@
 ) -> WatchEvent:
     """An event of the endpoint watch with all endpoints in one state; addresses by endpoint name."""
     endpoints = tuple(model.Endpoint(name, health, zone="a") for name in addresses)
-    return WatchEvent(1, model.EndpointUpdate(endpoints, complete), addresses)
+    return WatchEvent(1, model.EndpointUpdate(endpoints, complete=complete), addresses)
 
 
 class LoopbackLimiter:
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -86,7 +86,7 @@
     known = simulation.listed_endpoints.get(endpoint.name)
     if known is not None:
         endpoint = replace(endpoint, zone=known.zone, cell=known.cell)
-    return model.EndpointUpdate((endpoint,), False)
+    return model.EndpointUpdate((endpoint,), complete=False)
 
 
 def _random_disconnect(simulation: GatewaySimulation, rng: Random) -> model.ClientDisconnected | None:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -118,7 +118,7 @@
         model.Endpoint(name, health, ZONES[position % 2], position // 2, 1.0, started_at)
         for position, name in enumerate(names)
     )
-    return model.EndpointUpdate(endpoints, True)
+    return model.EndpointUpdate(endpoints, complete=True)
 
 
 def make_request(
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -16,12 +16,12 @@
 def test_draining_and_removed_endpoints_get_no_new_requests() -> None:
     simulation = start_simulation("s0", "s1")
     draining = model.Endpoint("s0", model.EndpointHealth.DRAINING, "a")
-    simulation.feed(model.EndpointUpdate((draining,), False))
+    simulation.feed(model.EndpointUpdate((draining,), complete=False))
     for request_id in range(20):
         simulation.feed(make_request(request_id))
         simulation.complete_attempts()
     assert {forward.endpoint for forward in simulation.forwarded} == {"s1"}
-    simulation.feed(model.EndpointUpdate((), True))
+    simulation.feed(model.EndpointUpdate((), complete=True))
     actions = simulation.feed(make_request(99))
     assert any(isinstance(action, model.Reject) for action in actions)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,7 +15,7 @@
     gateway = simulation.gateway
     actions = simulation.feed(make_request(1))  # before the first endpoint list
     assert any(isinstance(action, model.Reject) for action in actions)
-    simulation.feed(model.EndpointUpdate((), True))
+    simulation.feed(model.EndpointUpdate((), complete=True))
     simulation.feed(make_request(2, "unknown class", "unknown plan", timeout=0.0))
     assert simulation.outcomes[2] is Outcome.REJECTED
     assert gateway.handle(now, model.CounterReplied(123, model.CallStatus.OK, 5.0)) == []
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -24,7 +24,7 @@
 def started_endpoint(name: str, started_at: float, cell: int = 0) -> model.EndpointUpdate:
     """Return the update that adds an endpoint with the given start time."""
     endpoint = model.Endpoint(name, model.EndpointHealth.HEALTHY, "a", cell, 1.0, started_at)
-    return model.EndpointUpdate((endpoint,), False)
+    return model.EndpointUpdate((endpoint,), complete=False)
 
 
 def test_warming_endpoint_gets_only_its_allowance_from_all_gateways() -> None:
@@ -107,7 +107,7 @@
         model.Endpoint(f"c{number}", model.EndpointHealth.HEALTHY, "a", number, 1.0, simulation.now)
         for number in range(6)
     )
-    simulation.feed(model.EndpointUpdate(warming, False))
+    simulation.feed(model.EndpointUpdate(warming, complete=False))
     return simulation
 
 
@@ -182,7 +182,7 @@
         model.Endpoint(name, model.EndpointHealth.HEALTHY, "a", started_at=started_at)
         for name, started_at in starts.items()
     )
-    simulation.feed(model.EndpointUpdate(endpoints, True))
+    simulation.feed(model.EndpointUpdate(endpoints, complete=True))
     states = simulation.gateway.endpoints.by_name
     assert states["old"].warming_since is None
     assert states["young"].warming_since == 100.0
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -43,7 +43,7 @@
     simulation.feed(endpoint_list("s1"))  # s0 is removed from the list, restarts and is listed again
     simulation.feed(endpoint_list("s0", "s1", started_at=simulation.now))
     assert endpoints_used(simulation, 100) == {"s1"}
-    simulation.feed(model.EndpointUpdate((), True))
+    simulation.feed(model.EndpointUpdate((), complete=True))
     simulation.advance_to(simulation.now + 3)
     assert execute(simulation, model.AdminCommand.RESTORE, "s0")  # not listed, but suspended
     assert not execute(simulation, model.AdminCommand.RESTORE, "s0")
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -310,7 +310,9 @@
     addresses = read.listen, read.discovery, read.counter, read.admin
     assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
     entry = model.Endpoint("s1", model.EndpointHealth.HEALTHY, "")
-    assert read.initial_endpoints == WatchEvent(41, model.EndpointUpdate((entry,), True), {"s1": "[::1]:70"})
+    assert read.initial_endpoints == WatchEvent(
+        41, model.EndpointUpdate((entry,), complete=True), {"s1": "[::1]:70"}
+    )
     assert read.settings == PARSED_SETTINGS and read.timing == parse_timing(raw["settings"])
 
 
@@ -341,7 +343,7 @@
     async with running_server(agent) as address:
         host, port = address.split(":")
         task = asyncio.create_task(EndpointWatcher(host, int(port), since, events.put_nowait).follow())
-        assert await events.get() == WatchEvent(58, model.EndpointUpdate(entries, False), dials)
+        assert await events.get() == WatchEvent(58, model.EndpointUpdate(entries, complete=False), dials)
         request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
         assert await requests.get() == request
         task.cancel()
