--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -24,7 +24,7 @@
 def started_endpoint(name: str, started_at: float, cell: int = 0) -> model.EndpointUpdate:
     """Return the update that adds an endpoint with the given start time."""
     endpoint = model.Endpoint(name, model.EndpointHealth.HEALTHY, "a", cell, 1.0, started_at)
-    return model.EndpointUpdate((endpoint,), False)
+    return model.EndpointUpdate((endpoint,), complete=False)
 
 
 def test_warming_endpoint_gets_only_its_allowance_from_all_gateways() -> None:
@@ -107,7 +107,7 @@
         model.Endpoint(f"c{number}", model.EndpointHealth.HEALTHY, "a", number, 1.0, simulation.now)
         for number in range(6)
     )
-    simulation.feed(model.EndpointUpdate(warming, False))
+    simulation.feed(model.EndpointUpdate(warming, complete=False))
     return simulation
 
 
@@ -124,7 +124,7 @@
     # A mean over all seven endpoints would be below half of the rate of the warm one.
     assert gateway.slow_start.completion_rate > 0.5 * warm_rate * mean_work
     for name in ("c0", "c1", "c2", "c3", "c4", "c5"):
-        gateway.endpoints.by_name[name].work_in_flight = 1000 * mean_work
+        gateway.endpoints.by_name[name].start_attempt(1000 * mean_work)
     simulation.feed(make_request(1000))
     assert simulation.forwarded[-1].endpoint == "s0" and simulation.forwarded[-1].request.id == 1000
 
@@ -182,7 +182,7 @@
         model.Endpoint(name, model.EndpointHealth.HEALTHY, "a", started_at=started_at)
         for name, started_at in starts.items()
     )
-    simulation.feed(model.EndpointUpdate(endpoints, True))
+    simulation.feed(model.EndpointUpdate(endpoints, complete=True))
     states = simulation.gateway.endpoints.by_name
     assert states["old"].warming_since is None
     assert states["young"].warming_since == 100.0
