--- a/tests/http_bodies.py
+++ b/tests/http_bodies.py
@@ -1,4 +1,4 @@
-"""Helpers for tests with long bodies: writing and reading them in every framing."""
+"""Helpers for tests with long bodies: writing and reading them in all framings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
-    """Read a body in the framing that the headers announce, without trailers."""
+    """Return a body in the framing that the headers announce; it must have no trailers."""
     if "content-length" in headers:
         return await reader.readexactly(int(headers["content-length"]))
     if headers.get("transfer-encoding") != "chunked":
@@ -25,27 +25,28 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """Read a first line and its headers."""
-    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().rstrip().split("\r\n")
-    pairs = (line.partition(":") for line in lines)
-    return first, {name.lower(): value.strip() for name, _, value in pairs}
+    """Return the first line of a message, and its headers with names in lower case."""
+    head = (await reader.readuntil(b"\r\n\r\n")).decode()
+    first_line, *header_lines = head.rstrip().split("\r\n")
+    fields = (header_line.partition(":") for header_line in header_lines)
+    return first_line, {name.lower(): value.strip() for name, _, value in fields}
 
 
 def chunked(body: bytes, size: int = 50_000, extension: bytes = b"") -> bytes:
-    """A body in chunks of ``size`` bytes, with a chunk extension and trailers."""
+    """Return a body in chunks of ``size`` bytes, with a chunk extension and trailers."""
     chunks = [body[start : start + size] for start in range(0, len(body), size)]
     framed = b"".join(b"%x%b\r\n%b\r\n" % (len(chunk), extension, chunk) for chunk in chunks)
     return framed + b"0\r\nX-Trailer: 1\r\nX-Units-Charged: 7\r\n\r\n"
 
 
-def upload_head(framing: str, size: int, ttl: int = 15_000) -> bytes:
-    """The head of a request with a long body; its timeout ``ttl`` is in milliseconds."""
+def upload_head(framing: str, size: int, timeout_ms: int = 15_000) -> bytes:
+    """Return the head of a request with a long body."""
     headers = {"Content_Length": str(size)}
     if framing == "chunked":
         headers = {"Content_Length": "", "Transfer_Encoding": "chunked"}
-    return http_request(POST_PATH, b"x", ttl, **headers)[:-1]
+    return http_request(POST_PATH, b"x", timeout_ms, **headers)[:-1]
 
 
 def upload(framing: str, body: bytes) -> bytes:
-    """A request with a long body."""
+    """Return a request with a long body."""
     return upload_head(framing, len(body)) + (chunked(body) if framing == "chunked" else body)
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -1,4 +1,4 @@
-"""Bodies over loopback sockets: streaming both ways, backpressure, and broken streams."""
+"""Long bodies over loopback sockets: streaming both ways, backpressure, and truncated streams."""
 
 from __future__ import annotations
 
@@ -216,7 +216,10 @@
 
 
 class PausedEndpoint:
-    """Reads nothing until it is resumed; ``body_size`` is then that of the body, or 0 for a truncated one."""
+    """Reads nothing until it is resumed.
+
+    ``body_size`` then becomes the size of the request body in bytes, or 0 if the body was truncated.
+    """
 
     def __init__(self) -> None:
         self.resume = asyncio.Event()
@@ -236,8 +239,8 @@
 
 
 async def upload_until_backpressure(client: socket.socket, limiter: LoopbackLimiter) -> int:
-    """Send a body until its end alone is unread at the limiter; returns the size of the body."""
-    client.sendall(upload_head("chunked", 0, ttl=60_000))
+    """Send a body of which the limiter has not read the end because of backpressure; return its size."""
+    client.sendall(upload_head("chunked", 0, timeout_ms=60_000))
     (connection,) = await wait_for_connections(limiter)
     client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
     size = 0x10001
