--- a/quota_gateway/net/client/request.py
+++ b/quota_gateway/net/client/request.py
@@ -23,16 +23,16 @@
     """Receives the requests of all client connections and the disconnects of their clients."""
 
     def on_request(self, request: ClientRequest) -> None:
-        """A request was accepted; the body of a streamed upload is still being received."""
+        """Handle an accepted request; the body of a streamed upload is still being received."""
 
     def on_upload_completed(self, request: ClientRequest) -> None:
-        """The last byte of a streamed upload was received."""
+        """Handle the complete receipt of a streamed upload."""
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
-        """The client of an unanswered request has disconnected."""
+        """Handle the disconnect of the client of an unanswered request."""
 
     def on_client_maybe_disconnected(self, request: ClientRequest) -> None:
-        """The client of an unanswered request ended its sending side and may have disconnected."""
+        """Handle an unanswered request whose client ended its sending side and may have disconnected."""
 
 
 class ClientPresence(Protocol):
@@ -131,7 +131,7 @@
         self.forwarded_body = forwarded_body
 
     def update_event(self, event: model.Request) -> None:
-        """Replace the event, whose remaining time has changed."""
+        """Set the event with the time that its client still waits."""
         self.event = event
 
     def is_client_connected(self) -> bool:
@@ -174,11 +174,6 @@
         self.upload = None
         self.respond(status)
 
-    def reject_expired(self, event: model.Request) -> None:
-        """Respond to a request whose timeout passed before it was read."""
-        self.event = event
-        self.respond(503, retry_after=0.0)
-
     def begin_response(self, headers: bytes, stream: BodyStream) -> None:
         """Begin a streamed final response of status 200; its body follows from ``stream``.
 
--- a/quota_gateway/net/client/request_intake.py
+++ b/quota_gateway/net/client/request_intake.py
@@ -41,7 +41,8 @@
         event = shared.parser.parse(head.method, target, head.headers, uploading=request.upload is not None)
         if seconds_unread >= event.timeout:
             # The client has stopped waiting: an attempt would be wasted work.
-            request.reject_expired(event)
+            request.update_event(event)
+            request.respond(503, retry_after=0.0)
             return
         request_id = head.headers[REQUEST_ID].lower()
         # Another request with this id is open: their outcomes could be confused.
--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -98,10 +98,7 @@
         self.reader.feed(data)
 
     def on_request_started(self, *, is_first: bool) -> float:
-        """Return the time at which the timeouts of a new request begin.
-
-        For the first request that is the connect, as for a client that sends nothing.
-        """
+        """Return the time at which the timeouts of a request begin: for the first one, the connect."""
         return self.queue.active_at if is_first else self.queue.start_request()
 
     def on_continue_expected(self) -> None:
--- a/quota_gateway/net/client/request_reader.py
+++ b/quota_gateway/net/client/request_reader.py
@@ -44,7 +44,7 @@
         """
 
     def on_upload_completed(self) -> None:
-        """The last request's upload was received completely, and its stream is about to end."""
+        """Handle the complete receipt of the last request's upload, whose stream ends after this call."""
 
     def reject(self, status: int) -> None:
         """Respond to malformed input, and close the connection."""
--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -30,7 +30,7 @@
 
 
 def take_no_action(_event: model.Event) -> list[model.Action]:
-    """Decisions that leave every request waiting, as for a reply of the counter."""
+    """Decisions that let every request wait, as for a reply of the counter."""
     return []
 
 
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -6,7 +6,7 @@
 import socket
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeGuard
 
 import pytest
 
@@ -259,6 +259,15 @@
         assert body == b"hi"
 
 
+def is_failed_attempt(event: model.Event) -> TypeGuard[model.AttemptCompleted]:
+    """Whether an attempt got an error response, and its request is still open."""
+    return (
+        isinstance(event, model.AttemptCompleted)
+        and not event.request_finished
+        and event.status is model.CallStatus.ERROR
+    )
+
+
 @pytest.mark.parametrize("close_client", DISCONNECTS)
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
@@ -271,15 +280,11 @@
         return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if count <= request_count else OK_RESPONSE
 
     def retry_errors(event: model.Event) -> list[model.Action]:
-        if (
-            isinstance(event, model.AttemptCompleted)
-            and not event.request_finished
-            and event.status is model.CallStatus.ERROR
-        ):
-            if clients:
-                disconnect(clients.pop(), close_client)
-            return [model.Forward(event.request_id, "s1", 60.0)]
-        return forward_to_s1(event)
+        if not is_failed_attempt(event):
+            return forward_to_s1(event)
+        if clients:
+            disconnect(clients.pop(), close_client)
+        return [model.Forward(event.request_id, "s1", 60.0)]
 
     script = ScriptedDecisions(retry_errors)
     endpoint = ScriptedEndpoint(fail_first)
@@ -300,6 +305,36 @@
         assert len(ids) == len(set(ids)) <= request_count + 1
 
 
+class LoopWithSlowConnects:
+    """The running event loop; its connects return after ``before_return`` was called."""
+
+    def __init__(self, before_return: Callable[[], None]) -> None:
+        self._before_return = before_return
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(asyncio.get_running_loop(), name)
+
+    async def create_connection(self, *args: Any) -> Any:
+        """Connect, and call ``before_return``."""
+        connected = await asyncio.get_running_loop().create_connection(*args)
+        self._before_return()
+        return connected
+
+
+class AsyncioWithSlowConnects:
+    """The asyncio module, whose running event loop has slow connects."""
+
+    def __init__(self, before_return: Callable[[], None]) -> None:
+        self._loop = LoopWithSlowConnects(before_return)
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(asyncio, name)
+
+    def get_running_loop(self) -> LoopWithSlowConnects:
+        """Return the event loop with slow connects."""
+        return self._loop
+
+
 @pytest.mark.parametrize("close_client", DISCONNECTS)
 @async_test
 async def test_no_attempt_begins_for_a_client_that_disconnected_during_the_connect(
@@ -307,30 +342,14 @@
 ) -> None:
     clients = list[socket.socket]()
 
-    class SlowLoop:
-        """An event loop whose connects complete after the client has disconnected."""
-
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio.get_running_loop(), name)
-
-        async def create_connection(self, *args: Any) -> Any:
-            connected = await asyncio.get_running_loop().create_connection(*args)
-            if clients:
-                disconnect(clients.pop(), close_client)
-            return connected
-
-    class Asyncio:
-        """The asyncio module with this event loop."""
-
-        get_running_loop = SlowLoop
-
-        def __getattr__(self, name: str) -> Any:
-            return getattr(asyncio, name)
+    def disconnect_client() -> None:
+        if clients:
+            disconnect(clients.pop(), close_client)
 
     script = ScriptedDecisions(forward_to_s1)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
-        monkeypatch.setattr(connector, "asyncio", Asyncio())
+        monkeypatch.setattr(connector, "asyncio", AsyncioWithSlowConnects(disconnect_client))
         client = socket.create_connection(limiter.address)
         clients.append(client)
         client.sendall(http_request(timeout_ms=60000))
