--- a/quota_gateway/net/upstream/connection_limits.py
+++ b/quota_gateway/net/upstream/connection_limits.py
@@ -39,10 +39,10 @@
 
     def count_opened(self, endpoint: UpstreamEndpoint) -> None:
         """Count a connection to the endpoint that is about to be opened."""
-        endpoint.open_connections += 1
+        endpoint.count_opened()
         self.open_connections += 1
 
     def count_closed(self, endpoint: UpstreamEndpoint) -> None:
         """Stop counting a connection to the endpoint that has ended or was never established."""
-        endpoint.open_connections -= 1
+        endpoint.count_closed()
         self.open_connections -= 1
--- a/quota_gateway/net/upstream/endpoint.py
+++ b/quota_gateway/net/upstream/endpoint.py
@@ -41,3 +41,11 @@
     def remove(self) -> None:
         """Make the endpoint unavailable: the complete list does not contain it."""
         self.available = False
+
+    def count_opened(self) -> None:
+        """Count a connection that is about to be opened."""
+        self.open_connections += 1
+
+    def count_closed(self) -> None:
+        """Stop counting a connection that has ended or was never established."""
+        self.open_connections -= 1
--- a/tests/test_attempts_out.py
+++ b/tests/test_attempts_out.py
@@ -24,6 +24,13 @@
 ENDLESS_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nbegin"
 
 
+def has_received_end(connection: socket.socket) -> bool:
+    """Whether the peer has ended its side of a connection, at this moment."""
+    poll = select.poll()
+    poll.register(connection.fileno(), select.POLLRDHUP)
+    return bool(poll.poll(0))
+
+
 @async_test
 async def test_the_connection_of_an_abandoned_attempt_has_ended_when_the_next_attempt_is_written(
     monkeypatch: pytest.MonkeyPatch,
@@ -44,9 +51,7 @@
         if isinstance(event, model.Request):
             return [model.Forward(event.id, "s1", 5.0)]
         if isinstance(event, model.AttemptCompleted) and event.status is model.CallStatus.ERROR:
-            poll = select.poll()
-            poll.register(first_socket[0].fileno(), select.POLLRDHUP)
-            has_ended.append(bool(poll.poll(0)))
+            has_ended.append(has_received_end(first_socket[0]))
             return [model.Forward(event.request_id, "s2", 5.0)]
         return []
 
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -297,24 +297,36 @@
             await asyncio.sleep(0.01)
 
 
+class DiscoveryOfFirstRequest:
+    """Responds to its first request alone, once ``may_respond`` is set."""
+
+    def __init__(self) -> None:
+        self.may_respond = asyncio.Event()
+        self.request_count = 0
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        await reader.readuntil(b"\r\n\r\n")
+        self.request_count += 1
+        if self.request_count == 1:
+            await self.may_respond.wait()
+            writer.write(RESPONSE_HEAD)
+        await asyncio.Event().wait()
+
+
+def running_requests() -> list[asyncio.Task[Any]]:
+    """Return the tasks of watch requests that have not ended."""
+    return [task for task in asyncio.all_tasks() if "WatchRequest._run" in repr(task)]
+
+
 @async_test
 async def test_a_watcher_that_is_cancelled_when_a_request_gets_its_response_leaves_no_task(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The response is that to an earlier request, whose task would otherwise last as long as its watch."""
     scale_times(monkeypatch, 0.1)
-    may_respond = asyncio.Event()
-    connected = asyncio.Queue[None]()
-
-    async def respond_to_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        connected.put_nowait(None)
-        if connected.qsize() == 1:
-            await may_respond.wait()
-            writer.write(RESPONSE_HEAD)
-        await asyncio.Event().wait()
-
-    async with running_server(respond_to_first) as address:
+    discovery = DiscoveryOfFirstRequest()
+    async with running_server(discovery.serve) as address:
         host, port = split_address(address)
         watcher = EndpointWatcher(host, port, None, lambda _event: None, PollTiming(response_timeout=0.1))
         following = asyncio.create_task(watcher.follow())
@@ -325,11 +337,11 @@
             following.cancel()
 
         watcher.on_response_started = cancel_when_answered  # type: ignore[method-assign]
-        while connected.qsize() < 2:
+        while discovery.request_count < 2:
             await asyncio.sleep(0.01)
-        may_respond.set()
+        assert len(running_requests()) >= 2
+        discovery.may_respond.set()
         await asyncio.wait([following])
         for _ in range(20):
             await asyncio.sleep(0)
-        left = [task for task in asyncio.all_tasks() if "WatchRequest._run" in repr(task)]
-        assert left == []
+        assert running_requests() == []
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -5,10 +5,10 @@
 import asyncio
 import socket
 import struct
-from collections.abc import Awaitable, Callable, Iterator
+from collections.abc import Awaitable, Callable, Iterable, Iterator
 from contextlib import contextmanager
 from dataclasses import replace
-from itertools import count
+from functools import partial
 
 import pytest
 
@@ -40,6 +40,10 @@
         self.gateway = Gateway(settings, 1, self.now)
         super().__init__(lambda event: self.gateway.handle(self.now, event))
 
+    def advance(self, seconds: float) -> None:
+        """Advance the clock."""
+        self.now += seconds
+
 
 def decisions_in_real_time() -> ScriptedDecisions:
     """Return the real decisions on a real clock; endpoints warm up slowly and are overloaded early."""
@@ -82,7 +86,7 @@
 ) -> None:
     """Send requests in sequence; the clock of the decisions advances before each."""
     for _ in range(number):
-        decisions.now += interval
+        decisions.advance(interval)
         await limiter.fetch(http_request())
 
 
@@ -145,7 +149,7 @@
                 await send_requests(limiter, decisions, number=1, interval=0.1)
             endpoint.recovered = True
             request_count = len(endpoint.breaking.requests)
-            decisions.now += 20.0
+            decisions.advance(20.0)
             await send_requests(limiter, decisions, number=40, interval=0.1)
             assert len(endpoint.breaking.requests) > request_count
 
@@ -185,7 +189,7 @@
             tasks = [asyncio.create_task(limiter.fetch(http_request())) for _ in range(4)]
             for _ in tasks:
                 await requests_received.acquire()
-            decisions.now += 0.5
+            decisions.advance(0.5)
             break_connections.set()
             await asyncio.gather(*tasks)
             assert (
@@ -205,7 +209,7 @@
     ):
         task = asyncio.create_task(limiter.fetch(http_request()))
         await origin.request_received.wait()
-        decisions.now += 0.5  # the endpoint is unresponsive while the request waits
+        decisions.advance(0.5)  # the endpoint is unresponsive while the request waits
         assert " 429 " in (await task)[0]
         (completed,) = await decisions.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT
@@ -280,6 +284,14 @@
         advance()
 
 
+def fetch_for_accounts(
+    limiter: LoopbackLimiter, accounts: Iterable[int]
+) -> list[Awaitable[tuple[str, dict[str, str], bytes]]]:
+    """Return one request for each account, not yet started."""
+    paths = [f"/lookup?account={account:016x}" for account in accounts]
+    return [limiter.fetch(http_request(path)) for path in paths]
+
+
 @async_test
 async def test_counter_calls_that_end_with_one_connection_are_one_indication_of_an_unresponsive_counter() -> (
     None
@@ -287,13 +299,9 @@
     plans = (model.Plan("basic", rate=1.0, burst=4.0),)  # a quota so small that the counter is called at once
     settings = replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05)
     decisions = RealDecisions(settings)
-    decisions.now += 10.0  # at the start the usage of other gateways may exceed the quota
-    accounts = count(1)
+    decisions.advance(10.0)  # at the start the usage of other gateways may exceed the quota
     counter = BreakingCounter()
-
-    def advance() -> None:
-        decisions.now += 0.1
-
+    advance = partial(decisions.advance, 0.1)
     async with (
         running_server(counter.talk) as counter_address,
         running_server(ScriptedEndpoint().handle_connection) as address,
@@ -302,15 +310,10 @@
         client = CounterClient(host, int(port), 10.0)
         client.start()
         async with LoopbackLimiter(decisions, {"s1": address}, counter=client) as limiter:
-
-            def fetches(number: int) -> list[Awaitable[tuple[str, dict[str, str], bytes]]]:
-                paths = [f"/lookup?account={next(accounts):016x}" for _ in range(number)]
-                return [limiter.fetch(http_request(path)) for path in paths]
-
-            await counter.break_connection_under(fetches(3), advance)
+            await counter.break_connection_under(fetch_for_accounts(limiter, range(1, 4)), advance)
             budget = decisions.gateway.leases.budget
             assert budget.unavailable_until < decisions.now  # calls for further accounts are made
-            await counter.break_connection_under(fetches(1), advance)
+            await counter.break_connection_under(fetch_for_accounts(limiter, range(4, 5)), advance)
             assert budget.unavailable_until > decisions.now  # the second failure without a reply in between
         client.close()
 
