--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from quota_gateway import model
-from scale.fleet.parameters import NOTIFICATION_DELAY
+from scale.fleet.parameters import NOTIFICATION_DELAY_SECONDS
 from scale.fleet.scenario import World
 from scale.fleet.topology import COORDINATION_ZONE
 
@@ -74,19 +74,19 @@
         latest = 0.0
         notifications = list[Notification]()
         for number, change in enumerate(self.changes, 1):
-            latest = max(latest, change.at + rng.uniform(*NOTIFICATION_DELAY))
+            latest = max(latest, change.at + rng.uniform(*NOTIFICATION_DELAY_SECONDS))
             if world.faults.partitioned(zone, COORDINATION_ZONE, latest):
-                latest = world.schedule.partition.end + rng.uniform(*NOTIFICATION_DELAY)
+                latest = world.schedule.partition.end + rng.uniform(*NOTIFICATION_DELAY_SECONDS)
             notifications.append(Notification(latest, number))
         return notifications
 
     def _removal(self) -> ListChange:
-        """Return the removal of the endpoints of the lost zone."""
+        """Return the removal of the endpoints of the failed zone."""
         schedule = self._world.schedule
         removed = tuple(
             self._endpoint(index, model.EndpointHealth.REMOVED)
             for index in range(self._world.size.servers)
-            if self._world.topology.zone(index) == schedule.lost_zone
+            if self._world.topology.zone(index) == schedule.failed_zone
         )
         return ListChange(schedule.zone_outage.begin, removed)
 
