--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,8 +1,9 @@
-"""The pages agree with the code: paths, class names, rejection reasons, layers, example configuration."""
+"""The pages agree with the code: paths, names, rejection reasons, layers, example configuration."""
 
 from __future__ import annotations
 
 import ast
+import builtins
 import json
 import os
 import re
@@ -14,14 +15,32 @@
 import pytest
 
 from quota_gateway import model
+from quota_gateway.net.common import invariants
+from soak import fault_kinds, violations
 
 ROOT = Path(__file__).parent.parent
 README = ROOT / "README.md"
 ARCHITECTURE = ROOT / "docs" / "ARCHITECTURE.md"
-PAGES = (README, *sorted((ROOT / "docs").glob("*.md")))
-PATH_PATTERN = re.compile(r"`((?:quota_gateway|scale|tests|docs|deploy|journal|\.ci)/[^`\s]*)`")
+PROMISES = ROOT / "docs" / "PROMISES.md"
+KNOWN_ISSUES = ROOT / "docs" / "KNOWN-ISSUES.md"
+INCIDENT = ROOT / "docs" / "incidents" / "2026-12-bug-hunt.md"
+PAGES = (README, *sorted((ROOT / "docs").rglob("*.md")))
+PAGES_NAMING_CODE = (ARCHITECTURE, PROMISES, KNOWN_ISSUES, INCIDENT)
+CODE_FOLDERS = ("quota_gateway", "soak", "scale", "tests")
+PATH_PATTERN = re.compile(r"`((?:quota_gateway|scale|soak|tests|docs|deploy|journal|\.ci)/[^`\s]*)`")
 # Names of at least two words: one word alone may be an ordinary one or a value.
 CLASS_PATTERN = re.compile(r"`((?:[A-Z][a-z]+){2,})`")
+# A class, on pages that put no ordinary word in backticks.
+CAPITALIZED_PATTERN = re.compile(r"`([A-Z]+[a-z]\w*)`")
+# ``Class.member``, ``module.name``, or either with the packages before it, with or without arguments.
+DOTTED_PATTERN = re.compile(r"`((?:\w+\.)+[A-Za-z_]\w*)(?:\([^`]*\))?`")
+FILE_SUFFIXES = ("json", "md", "py", "toml", "txt")
+CONSTANT_PATTERN = re.compile(r"`([A-Z]+(?:_[A-Z0-9]+)+)`")
+ENVIRONMENT_PREFIX = "LB_"
+# Names of the configuration and the metrics, which belong to the wire.
+WIRE_PREFIXES = ("app.", "limits.")
+BARE_NAME_PATTERN = re.compile(r"`([a-z_]+)`")
+SOAK_NAMES_PATTERN = re.compile(r"soak: ((?:`\w+`(?:, )?)+)")
 REASON_PATTERN = re.compile(r"^\| `([a-z ]+)` \|", re.MULTILINE)
 # Log texts that README or the on-call page quote; a changed text has to change its page as well.
 QUOTED_LOG_TEXTS = (
@@ -87,6 +106,127 @@
     assert named - defined == set()
 
 
+class _DefinedNames:
+    """The classes of the repository with their members, and the names that each module defines."""
+
+    def __init__(self) -> None:
+        self.classes: set[str] = set()
+        self._members: dict[str, set[str]] = {}  # by class name
+        self._bases: dict[str, set[str]] = {}  # by class name
+        self._modules: dict[str, set[str]] = {}  # by dotted path
+        for folder in CODE_FOLDERS:
+            for path in (ROOT / folder).rglob("*.py"):
+                self._add_module(path)
+
+    def _add_module(self, path: Path) -> None:
+        tree = ast.parse(path.read_text())
+        module = ".".join(path.relative_to(ROOT).with_suffix("").parts)
+        self._modules[module] = _names_defined_in(tree.body)
+        for node in tree.body:
+            if isinstance(node, ast.ClassDef):
+                self.classes.add(node.name)
+                members = self._members.setdefault(node.name, set())
+                members |= _names_defined_in(node.body) | _assigned_attributes(node)
+                bases = self._bases.setdefault(node.name, set())
+                bases |= {base.id for base in node.bases if isinstance(base, ast.Name)}
+
+    def _members_of(self, class_name: str) -> set[str]:
+        inherited = (self._members_of(base) for base in self._bases.get(class_name, ()))
+        return self._members.get(class_name, set()).union(*inherited)
+
+    @property
+    def module_names(self) -> set[str]:
+        """What any module defines at its top level."""
+        return set[str]().union(*self._modules.values())
+
+    def has(self, dotted_name: str) -> bool:
+        """Whether the last part is defined by the class or module that the parts before it name."""
+        owner, _, name = dotted_name.rpartition(".")
+        if owner.rpartition(".")[2] in self.classes:
+            return name in self._members_of(owner.rpartition(".")[2])
+        return any(
+            name in names
+            for module, names in self._modules.items()
+            if module == owner or module.endswith(f".{owner}")
+        )
+
+
+def _names_defined_in(body: list[ast.stmt]) -> set[str]:
+    names = set[str]()
+    for node in body:
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
+            names.add(node.name)
+        elif isinstance(node, ast.AnnAssign) and isinstance(node.target, ast.Name):
+            names.add(node.target.id)
+        elif isinstance(node, ast.Assign):
+            names |= {target.id for target in node.targets if isinstance(target, ast.Name)}
+    return names
+
+
+def _assigned_attributes(class_node: ast.ClassDef) -> set[str]:
+    """The attributes that the methods of a class assign to ``self``."""
+    return {
+        node.attr
+        for node in ast.walk(class_node)
+        if isinstance(node, ast.Attribute)
+        and isinstance(node.ctx, ast.Store)
+        and isinstance(node.value, ast.Name)
+        and node.value.id == "self"
+    }
+
+
+@pytest.fixture(scope="module")
+def defined_names() -> _DefinedNames:
+    return _DefinedNames()
+
+
+@pytest.mark.parametrize("page", PAGES_NAMING_CODE, ids=lambda page: page.name)
+def test_classes_on_a_page_exist(page: Path, defined_names: _DefinedNames) -> None:
+    named = set(CAPITALIZED_PATTERN.findall(page.read_text()))
+    assert named - defined_names.classes - set(dir(builtins)) == set()
+
+
+@pytest.mark.parametrize("page", PAGES_NAMING_CODE, ids=lambda page: page.name)
+def test_methods_and_functions_on_a_page_exist(page: Path, defined_names: _DefinedNames) -> None:
+    named = {
+        name
+        for name in DOTTED_PATTERN.findall(page.read_text())
+        if not name.startswith(WIRE_PREFIXES) and name.rpartition(".")[2] not in FILE_SUFFIXES
+    }
+    assert named
+    assert {name for name in named if not defined_names.has(name)} == set()
+
+
+@pytest.mark.parametrize("page", PAGES_NAMING_CODE, ids=lambda page: page.name)
+def test_constants_on_a_page_exist(page: Path, defined_names: _DefinedNames) -> None:
+    named = {
+        name for name in CONSTANT_PATTERN.findall(page.read_text()) if not name.startswith(ENVIRONMENT_PREFIX)
+    }
+    assert named - defined_names.module_names == set()
+
+
+def _guarantee_rows() -> list[list[str]]:
+    """The cells of the rows on the page of guarantees, without the heads of its tables."""
+    lines = [line for line in PROMISES.read_text().splitlines() if line.startswith("| ")]
+    rows = [line.strip("|").split("|") for line in lines]
+    return [row for row in rows if row[0].strip() != "guarantee (page)" and "---" not in row[0]]
+
+
+def test_the_guards_of_the_guarantees_count_every_invariant_and_no_other() -> None:
+    guards = [row[2] for row in _guarantee_rows()]
+    assert len(guards) > 30
+    assert {name for guard in guards for name in BARE_NAME_PATTERN.findall(guard)} == set(
+        invariants.Invariant
+    )
+
+
+def test_invariants_and_faults_of_the_soak_test_that_check_a_guarantee_exist() -> None:
+    lists = [names for row in _guarantee_rows() for names in SOAK_NAMES_PATTERN.findall(row[3])]
+    named = {name for names in lists for name in BARE_NAME_PATTERN.findall(names)}
+    assert len(named) > 20
+    assert named - set(violations.Invariant) - set(fault_kinds.FaultKind) == set()
+
+
 @pytest.fixture(scope="module")
 def package_texts() -> list[str]:
     """All string constants of the package, parts of formatted strings included."""
