--- a/quota_gateway/net/common/body_stream.py
+++ b/quota_gateway/net/common/body_stream.py
@@ -69,7 +69,8 @@
     def write(self, data: bytes) -> None:
         """Pass the next bytes from the source to the sink, or buffer them."""
         if self._sink is not None and self.writable:
-            return self._sink.write_chunk(data)
+            self._sink.write_chunk(data)
+            return
         self._buffer.append(data)
         self._buffered_size += len(data)
         if self._buffered_size >= MAX_BUFFERED_BODY_BYTES:
@@ -108,7 +109,8 @@
         if self._sink is None:
             return
         if self.failed:
-            return self._sink.truncate()
+            self._sink.truncate()
+            return
         if not writable:
             if not self.complete:  # a source with a complete body may already be reading another one
                 self._source.set_paused(paused=True)
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -185,9 +185,11 @@
         """Receive a part of a response; close if none is expected."""
         exchange = self.exchange
         if exchange is None and not self._receiver.is_streaming:
-            return self.abort()  # nothing was requested: these bytes must not answer the next request
+            self.abort()  # nothing was requested: these bytes must not answer the next request
+            return
         if exchange is not None and not exchange.request_written:
-            return self.abort()  # no response to a request that is incomplete and so was never executed
+            self.abort()  # no response to a request that is incomplete and so was never executed
+            return
         self._receiver.receive(data)
 
     # Events of the response receiver.
@@ -222,7 +224,8 @@
         exchange = self._detach_exchange()
         self._owner.stats.record_malformed_response(self.endpoint.name, error)
         if exchange is None:
-            return self.abort()  # connection_lost notifies the client of a streamed response
+            self.abort()  # connection_lost notifies the client of a streamed response
+            return
         exchange.release_connection()
         self.abort()
         self._exchanges.complete(exchange, CallStatus.ERROR)
--- a/quota_gateway/net/upstream/connector.py
+++ b/quota_gateway/net/upstream/connector.py
@@ -76,7 +76,8 @@
             connection.abort()
             if connection.transport is None:
                 self._owner.on_never_connected(endpoint)
-            return self._owner.on_connect_failed(exchange, _connect_failure(error))
+            self._owner.on_connect_failed(exchange, _connect_failure(error))
+            return
         except Exception:
             self._owner.on_never_connected(endpoint)
             raise
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -56,12 +56,15 @@
         exchange.start(now, self.exchanges.expire)
         endpoint = self._endpoints.find_usable(exchange.endpoint)
         if endpoint is None or exchange.expires_at <= now:
-            return self.exchanges.complete(exchange, CallStatus.NOT_SENT)
+            self.exchanges.complete(exchange, CallStatus.NOT_SENT)
+            return
         connection = self._connections.idle.take(endpoint, now)
         if connection is not None:
-            return self._send(connection, exchange, now)
+            self._send(connection, exchange, now)
+            return
         if not self._connections.reserve(endpoint):
-            return self.exchanges.complete(exchange, CallStatus.OVERLOADED)
+            self.exchanges.complete(exchange, CallStatus.OVERLOADED)
+            return
         self._connector.start(endpoint, exchange)
 
     def close(self) -> None:
@@ -154,12 +157,14 @@
         remaining = exchange.expires_at - now
         violated = find_send_violation(connection, exchange)
         if violated is not None:
-            return self._reject(violated, connection, exchange)
+            self._reject(violated, connection, exchange)
+            return
         is_late = remaining <= 0 or now > exchange.not_after
         # The client is polled last, because that may withdraw this exchange.
         if is_late or not self._connections.is_usable(connection) or exchange.has_lost_client():
             self._connections.release(connection, reusable=True)
-            return self.exchanges.complete(exchange, CallStatus.NOT_SENT)
+            self.exchanges.complete(exchange, CallStatus.NOT_SENT)
+            return
         timeout = min(remaining, exchange.timeout, MAX_PROPAGATED_TIMEOUT_SECONDS)
         timeout_header = b"X-Timeout-Ms: %d\r\n\r\n" % max(1, int(timeout * 1000))
         connection.send(exchange, exchange.request_head + timeout_header + exchange.request_body)
--- a/quota_gateway/net/upstream/response_receiver.py
+++ b/quota_gateway/net/upstream/response_receiver.py
@@ -79,7 +79,8 @@
         try:
             parser.feed(data)
         except MalformedResponseError as error:
-            return self._connection.on_malformed_response(error)
+            self._connection.on_malformed_response(error)
+            return
         # The connection may be reused only now, with all input parsed.
         if parser.status_code is not None:
             self._complete(parser.status_code)
@@ -145,7 +146,8 @@
         self._record_response(exchange, body=b"")
         self.source.record_progress()
         if not self._connection.on_response_streamed(exchange, stream):
-            return self.source.abandon()
+            self.source.abandon()
+            return
         for part in parser.take_body_parts():
             stream.write(part)
 
@@ -163,10 +165,12 @@
             parser.end_streaming()
             self.source.set_paused(paused=False)
             self._connection.on_stream_complete(reusable=reusable)
-            return stream.finish()
+            stream.finish()
+            return
         exchange = self._connection.exchange
         if exchange is None:
-            return self._connection.abort()
+            self._connection.abort()
+            return
         self._record_response(exchange, body=b"".join(parser.body_parts))
         status = call_status(status_code, not_processed=parser.not_processed)
         self._connection.on_response_complete(exchange, status, reusable=reusable)
