--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -178,7 +178,7 @@
     requests_received = asyncio.Semaphore(0)
     break_connections = asyncio.Event()
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def talk(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         requests_received.release()
         await break_connections.wait()
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -67,7 +67,7 @@
 
 
 @pytest.fixture
-def successor(tmp_path: Path, group: ProcessGroup) -> Iterator[ProcessGroup]:
+def successor(tmp_path: Path, group: ProcessGroup) -> Iterator[ProcessGroup]:  # noqa: ARG001 - for the order
     """A process that joins after ``group``."""
     successor = ProcessGroup(str(tmp_path), "n1")
     yield successor
--- a/tests/test_scale_cli.py
+++ b/tests/test_scale_cli.py
@@ -33,7 +33,7 @@
 
 
 def make_broken_test(function: str) -> ScaleTest:
-    def run(size: Size, budget: Budget, effort: Effort) -> ScaleResult:
+    def run(_size: Size, _budget: Budget, effort: Effort) -> ScaleResult:
         run_jobs([Job(function)] * 2, effort.processes)
         return ScaleResult()
 
@@ -130,7 +130,7 @@
     assert "made cost" not in done.stdout
 
 
-def test_every_test_runs_at_a_tiny_size(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_every_test_runs_at_a_tiny_size(tmp_path: Path) -> None:
     path = tmp_path / "results.json"
     done = invoke("state", "messages", "cpu", "--quick", "--json", str(path), *TINY)
     assert done.exit_code == ExitCode.WITHIN_BUDGET, done.output
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -181,7 +181,7 @@
         simulate(scenario, 1)
 
 
-def work_until_killed(index: int, count: int, exchange: Exchange, seconds: float) -> None:
+def work_until_killed(_index: int, count: int, exchange: Exchange, seconds: float) -> None:
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         exchange([[] for _ in range(count)])
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -71,7 +71,7 @@
     accepted = asyncio.Event()
     break_connection = asyncio.Event()
 
-    async def accept_and_break(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def accept_and_break(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         accepted.set()
         await break_connection.wait()
