--- a/quota_gateway/net/client/listener.py
+++ b/quota_gateway/net/client/listener.py
@@ -49,7 +49,7 @@
         self._is_empty = asyncio.Event()
 
     async def listen(
-        self, host: str, port: int, inherited: socket.socket | None = None, beside: bool = False
+        self, host: str, port: int, inherited: socket.socket | None = None, *, beside: bool = False
     ) -> tuple[str, int]:
         """Accept connections at an address or from an inherited listening socket; return the address.
 
--- a/quota_gateway/net/common/acceptor.py
+++ b/quota_gateway/net/common/acceptor.py
@@ -59,7 +59,7 @@
         self, listening: socket.socket, make_protocol: ProtocolFactory, on_error: ErrorObserver
     ) -> None:
         """Accept from now on; ``on_error`` is called with each failure."""
-        listening.setblocking(False)
+        listening.setblocking(False)  # noqa: FBT003 - positional only
         self._loop = asyncio.get_running_loop()
         self._listening = listening
         self._make_protocol = make_protocol
--- a/quota_gateway/net/dispatch/process_group_events.py
+++ b/quota_gateway/net/dispatch/process_group_events.py
@@ -47,7 +47,7 @@
     def record_suspension(self, action: model.RecordSuspension) -> None:
         """Record that an endpoint is suspended or restored, for all processes of this limiter."""
         log.info("endpoint %s: %s", action.endpoint, "suspended" if action.suspended else "restored")
-        suspensions = self._process_group.set_suspended(action.endpoint, action.suspended)
+        suspensions = self._process_group.set_suspended(action.endpoint, suspended=action.suspended)
         if (action.endpoint in suspensions) is not action.suspended:  # the limit of suspensions is reached
             self._admin_calls.fail_next()
         self._pool.exclude(suspensions)
--- a/quota_gateway/net/process_group/group.py
+++ b/quota_gateway/net/process_group/group.py
@@ -128,9 +128,9 @@
         """Whether all commands so far are recorded for the other processes."""
         return self._suspension_file.is_saved
 
-    def set_suspended(self, endpoint: str, suspended: bool) -> frozenset[str]:
+    def set_suspended(self, endpoint: str, *, suspended: bool) -> frozenset[str]:
         """Suspend or restore an endpoint in all processes; return the endpoints that are now suspended."""
-        return self._suspension_file.update(endpoint, suspended)
+        return self._suspension_file.update(endpoint, suspended=suspended)
 
     # Polling
 
--- a/quota_gateway/net/process_group/suspension_file.py
+++ b/quota_gateway/net/process_group/suspension_file.py
@@ -91,7 +91,7 @@
             self._recorded = _decode(content)
             self._content = content
 
-    def update(self, endpoint: str, suspended: bool) -> frozenset[str]:
+    def update(self, endpoint: str, *, suspended: bool) -> frozenset[str]:
         """Suspend or restore an endpoint for all processes; return the endpoints that are now suspended.
 
         The command holds in this process at once; ``is_saved`` says whether it is recorded for the others. No
--- a/quota_gateway/simulator_protocol.py
+++ b/quota_gateway/simulator_protocol.py
@@ -219,7 +219,7 @@
     server: str,
     verdict: str,
     rtt_s: float | None,
-    closed: bool | None,
+    closed: bool | None,  # noqa: FBT001 - the parameters are the columns of a row
     _used: int | None,
     actual: float | None,
     server_stats: dict[str, Any] | None,
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -102,6 +102,7 @@
 )
 @click.option("--list", "list_tests", is_flag=True, help="List the tests and exit.")
 def main(
+    *,
     names: tuple[str, ...],
     runs: int,
     seed: int,
--- a/scale/latency/decisions.py
+++ b/scale/latency/decisions.py
@@ -81,7 +81,15 @@
         ok = model.CallStatus.OK
         if isinstance(action, model.Forward):
             wait = self._rng.uniform(MIN_SERVICE_SECONDS, MAX_SERVICE_SECONDS)
-            completed = model.AttemptCompleted(action.request_id, 0, action.endpoint, ok, wait, True, {})
+            completed = model.AttemptCompleted(
+                request_id=action.request_id,
+                attempt=0,
+                endpoint=action.endpoint,
+                status=ok,
+                elapsed=wait,
+                request_finished=True,
+                load_report={},
+            )
             self.schedule(now + wait, completed, action.request_id)
         elif isinstance(action, model.IncrementCounter):
             replied = model.CounterReplied(action.counter_id, ok, action.amount)
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -77,7 +77,15 @@
     while actions:
         action = actions.pop()
         if isinstance(action, model.Forward):
-            completed = model.AttemptCompleted(number, 0, action.endpoint, ok, SERVICE_SECONDS, True, {})
+            completed = model.AttemptCompleted(
+                request_id=number,
+                attempt=0,
+                endpoint=action.endpoint,
+                status=ok,
+                elapsed=SERVICE_SECONDS,
+                request_finished=True,
+                load_report={},
+            )
             actions += gateway.handle(now, completed)
         elif isinstance(action, model.IncrementCounter):
             replied = model.CounterReplied(action.counter_id, ok, action.amount)
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -121,6 +121,7 @@
         load: float,
         seed: int,
         cores: int = 1,
+        *,
         is_always_fast: bool = False,
     ) -> None:
         """Schedule the start; ``load`` is a fraction of the capacity of all endpoints when they are warm.
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -173,6 +173,7 @@
 def watch_event(
     addresses: dict[str, str],
     health: model.EndpointHealth = model.EndpointHealth.HEALTHY,
+    *,
     complete: bool = True,
 ) -> WatchEvent:
     """An event of the endpoint watch with all endpoints in one state; addresses by endpoint name."""
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -291,9 +291,9 @@
         self.now += seconds
 
     def _due_steps(self, time: float) -> list[DueStep]:
-        timers = [DueStep(due_at, False, token, 0) for due_at, token in self.timers]
+        timers = [DueStep(due_at, is_timeout=False, key=token, attempt=0) for due_at, token in self.timers]
         timeouts = [
-            DueStep(self.requests[request_id].deadline, True, request_id, attempt)
+            DueStep(self.requests[request_id].deadline, is_timeout=True, key=request_id, attempt=attempt)
             for request_id, attempt in self.in_flight
         ]
         return [step for step in (*timers, *timeouts) if step.at <= time]
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -284,7 +284,7 @@
         time.sleep(LATE_SECONDS)
         endpoint.resume.set()
         assert await endpoint.body_size == size
-        client.setblocking(False)
+        client.setblocking(False)  # noqa: FBT003 - positional only
         reader, writer = await asyncio.open_connection(sock=client)
         assert (await read_final_response(reader))[2] == b"hi"
         writer.close()
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -138,7 +138,7 @@
 
 def close_with_unread_input(client: socket.socket) -> None:
     """Close with unread input, which resets the connection."""
-    client.setblocking(True)
+    client.setblocking(True)  # noqa: FBT003 - positional only
     assert client.recv(1, socket.MSG_PEEK)
     client.close()
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -36,7 +36,7 @@
         listener.listen(0)
         for _ in range(8):
             client = sockets.enter_context(socket.socket())
-            client.setblocking(False)
+            client.setblocking(False)  # noqa: FBT003 - positional only
             client.connect_ex(listener.getsockname())
         host, port = listener.getsockname()
         yield f"{host}:{port}"
@@ -91,7 +91,7 @@
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.setblocking(False)
+        listener.setblocking(False)  # noqa: FBT003 - positional only
         async with PoolHarness(f"127.0.0.1:{listener.getsockname()[1]}") as harness:
             for _ in range(2):
                 _, completed = harness.start()
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -41,7 +41,7 @@
     clients = list[socket.socket]()
     for _ in range(count):
         client = socket.socket()
-        client.setblocking(False)
+        client.setblocking(False)  # noqa: FBT003 - positional only
         assert client.connect_ex((host, int(port))) in (0, errno.EINPROGRESS)
         clients.append(client)
     return clients
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -279,7 +279,7 @@
     ):
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         remaining = {} if complete else {"s1": address}
-        drained = watch_event(remaining, model.EndpointHealth.DRAINING, complete)
+        drained = watch_event(remaining, model.EndpointHealth.DRAINING, complete=complete)
         limiter.dispatcher.on_watch_event(drained)
         await origin.disconnected.wait()
         assert " 429 " in (await limiter.fetch(http_request()))[0]
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -72,7 +72,7 @@
 def resetting_endpoint() -> Iterator[tuple[ResettingEndpoint, str]]:
     """Run a resetting endpoint; yield it with its address."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.setblocking(False)
+        listener.setblocking(False)  # noqa: FBT003 - positional only
         host, port = listener.getsockname()
         endpoint = ResettingEndpoint(listener)
         try:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,7 +22,9 @@
     assert gateway.handle(now, model.ClientDisconnected(77)) == []
     assert gateway.handle(now, model.TimerFired(10**9)) == []
     assert gateway.handle(now, model.HealthChecked("unknown", model.CallStatus.OK, 0.1, {})) == []
-    completed = model.AttemptCompleted(5, 3, "unknown", model.CallStatus.OK, 0.1, True, {})
+    completed = model.AttemptCompleted(
+        5, 3, "unknown", model.CallStatus.OK, 0.1, request_finished=True, load_report={}
+    )
     assert gateway.handle(now, completed) == []
 
 
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -53,7 +53,7 @@
 from quota_gateway.net.process_group.group import ProcessGroup
 
 group = ProcessGroup(sys.argv[1], "n1")
-group.set_suspended("b", True)
+group.set_suspended("b", suspended=True)
 print(group.count_processes(), flush=True)
 sys.stdin.read()
 """
@@ -98,21 +98,21 @@
 def test_suspensions_outlive_the_process_that_recorded_them(tmp_path: Path, group: ProcessGroup) -> None:
     assert group.count_processes() == 1
     assert group.read_suspensions() == frozenset()
-    group.set_suspended("a", True)
+    group.set_suspended("a", suspended=True)
     suspend_in_another_process(tmp_path, group)
     assert group.count_processes() == 1  # the file of a killed process is stale, and is deleted
     assert group.read_suspensions() == {"a", "b"}
 
 
 def test_limiters_of_other_names_have_suspensions_of_their_own(tmp_path: Path, group: ProcessGroup) -> None:
-    group.set_suspended("a", True)
+    group.set_suspended("a", suspended=True)
     assert ProcessGroup(str(tmp_path), "n2").read_suspensions() == frozenset()
 
 
 def test_a_malformed_suspension_file_changes_nothing_in_a_running_process(
     tmp_path: Path, group: ProcessGroup
 ) -> None:
-    group.set_suspended("a", True)
+    group.set_suspended("a", suspended=True)
     suspend_in_another_process(tmp_path, group)
     file = group_folder(tmp_path) / FILE_NAME
     for malformed in (b"", b"{", b'{"out": 3}', b"[]", b"\xff", b'{"out": [1]}'):
@@ -121,12 +121,12 @@
         started_now = ProcessGroup(str(tmp_path), "n1")
         assert started_now.read_suspensions() == frozenset()
         started_now.close()
-    assert group.set_suspended("a", False) == {"b"}
+    assert group.set_suspended("a", suspended=False) == {"b"}
     assert group.read_suspensions() == {"b"}
 
 
 def test_suspensions_stay_in_memory_without_a_folder(tmp_path: Path) -> None:
-    assert ProcessGroup(str(tmp_path / "missing"), "n1").set_suspended("x", True) == {"x"}
+    assert ProcessGroup(str(tmp_path / "missing"), "n1").set_suspended("x", suspended=True) == {"x"}
 
 
 def test_the_handover_state_is_read_once(group: ProcessGroup, successor: ProcessGroup) -> None:
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -170,7 +170,7 @@
 class Deployment:
     """Starts processes of one limiter, which have the clients' address and $TMPDIR in common."""
 
-    def __init__(self, folder: Path, listener: socket.socket, inherited: bool) -> None:
+    def __init__(self, folder: Path, listener: socket.socket, *, inherited: bool) -> None:
         """Without ``inherited`` the listening socket is closed, and each process binds its address."""
         self._folder = folder
         host, port = listener.getsockname()
@@ -225,7 +225,7 @@
     old_port = free_port()
     new_port = free_port()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        deployment = Deployment(tmp_path, listener, inherited)
+        deployment = Deployment(tmp_path, listener, inherited=inherited)
         async with running_server(origin.talk) as address, deployment.start(address, old_port) as old:
             assert await send_command(old_port, b"STATUS") == "SUCCESS\n"
             reader, writer = await old.connect()
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -85,7 +85,7 @@
     return gateway
 
 
-def make_sparse_request(request_id: int, account: str, is_retry: bool = False) -> model.Request:
+def make_sparse_request(request_id: int, account: str, *, is_retry: bool = False) -> model.Request:
     """Return a request of two units from a customer that all gateways serve."""
     return model.Request(
         id=request_id,
@@ -139,7 +139,7 @@
     for request_id in range(40):
         gateway.leases.budget.tokens = 0.0
         is_retry = bool(request_id % 2)
-        request = make_sparse_request(request_id, f"{request_id:016x}", is_retry)
+        request = make_sparse_request(request_id, f"{request_id:016x}", is_retry=is_retry)
         (decision, *_) = gateway.handle(100.0, request)
         assert isinstance(decision, model.Reject if is_retry else model.Forward), request_id
         if isinstance(decision, model.Forward):
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -102,7 +102,7 @@
         with_class_value("aim_s", None),
         with_class_value("aim_s", -2),
         with_limit("max_attempts", 0),
-        with_limit("max_attempts", True),
+        with_limit("max_attempts", value=True),
         with_limit("max_attempts", None),
         lambda raw: raw.update(classes=[]),
         lambda raw: raw.update(classes=[3]),
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -92,7 +92,10 @@
         simulation.feed(make_request(1, "entry", timeout=9.0))
         (sent,) = simulation.forwarded
         simulation.now += age
-        simulation.feed(model.AttemptCompleted(1, 0, sent.endpoint, model.CallStatus.ERROR, age, False, {}))
+        completed = model.AttemptCompleted(
+            1, 0, sent.endpoint, model.CallStatus.ERROR, age, request_finished=False, load_report={}
+        )
+        simulation.feed(completed)
         if len(simulation.forwarded) > 1:
             retry_ages.append(age)
     assert retry_ages
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -70,6 +70,7 @@
     names: list[str],
     down: float = 0.5,
     spread: float = 1.0,
+    *,
     is_listed: bool = True,
 ) -> list[str]:
     """Restart endpoints, which are unreachable for ``down`` seconds; the endpoint list may announce it."""
@@ -164,7 +165,7 @@
 )
 
 
-def endpoint_peak(fleet: FleetSimulation, endpoint: SimulatedEndpoint, only_notified: bool) -> Peak:
+def endpoint_peak(fleet: FleetSimulation, endpoint: SimulatedEndpoint, *, only_notified: bool) -> Peak:
     """Return the peak of one endpoint during its slow start."""
     peak = Peak(0.0, 0.0, "")
     window = fleet.settings.overload_window
@@ -192,9 +193,9 @@
     return peak
 
 
-def highest_peak(fleet: FleetSimulation, names: list[str], only_notified: bool) -> Peak:
+def highest_peak(fleet: FleetSimulation, names: list[str], *, only_notified: bool) -> Peak:
     """Return the highest peak of these endpoints."""
-    return max(endpoint_peak(fleet, fleet.endpoints[name], only_notified) for name in names)
+    return max(endpoint_peak(fleet, fleet.endpoints[name], only_notified=only_notified) for name in names)
 
 
 def run_scenario(
--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -117,7 +117,7 @@
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         client = socket.create_connection(limiter.address)
-        client.setblocking(False)
+        client.setblocking(False)  # noqa: FBT003 - positional only
         reader, writer = await asyncio.open_connection(sock=client)
         request = http_request("/post?account=00000000b4d65521", body, timeout_ms=int(timeout * 1000))
         writer.write(request[:-1])
--- a/tests/test_suspension_file.py
+++ b/tests/test_suspension_file.py
@@ -13,16 +13,16 @@
 def test_a_suspension_by_one_process_is_read_by_another(tmp_path: Path) -> None:
     first = SuspensionFile(tmp_path, "first")
     second = SuspensionFile(tmp_path, "second")
-    assert first.update("s1", True) == {"s1"}
-    assert second.update("s2", True) == {"s1", "s2"}
+    assert first.update("s1", suspended=True) == {"s1"}
+    assert second.update("s2", suspended=True) == {"s1", "s2"}
     assert first.read() == {"s1", "s2"}
-    assert first.update("s1", False) == {"s2"}
+    assert first.update("s1", suspended=False) == {"s2"}
     assert second.read() == {"s2"}
 
 
 def test_suspensions_stay_when_the_file_is_deleted(tmp_path: Path) -> None:
     file = SuspensionFile(tmp_path, "first")
-    file.update("s1", True)
+    file.update("s1", suspended=True)
     assert file.read() == {"s1"}
     (tmp_path / FILE_NAME).unlink()
     assert file.read() == {"s1"}
@@ -43,5 +43,5 @@
     names = ", ".join(f'"s{index}"' for index in range(MAX_SUSPENSIONS))
     (tmp_path / FILE_NAME).write_text(f'{{"out": [{names}]}}')
     assert len(file.read()) == MAX_SUSPENSIONS
-    assert "one-more" not in file.update("one-more", True)
+    assert "one-more" not in file.update("one-more", suspended=True)
     assert len(file.read()) == MAX_SUSPENSIONS
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -137,14 +137,14 @@
     group = ProcessGroup(str(tmp_path), "n1")
     directory = tmp_path / "cypresspulley-6e31"
     (own,) = names_in(directory)
-    group.set_suspended("s2", True)
-    group.set_suspended("s1", True)
+    group.set_suspended("s2", suspended=True)
+    group.set_suspended("s1", suspended=True)
     assert (directory / "bans.json").read_bytes() == b'{"out": ["s1", "s2"]}'
     assert names_in(directory) == ["bans.json", "bans.lock", own]
     (directory / "fresh").write_text('{"out": ["s7", "s3"]}')
     (directory / "fresh").rename(directory / "bans.json")
     assert group.read_suspensions() == {"s3", "s7"}
-    assert group.set_suspended("s7", False) == {"s3"}
+    assert group.set_suspended("s7", suspended=False) == {"s3"}
     assert (directory / "bans.json").read_bytes() == b'{"out": ["s3"]}'
     group.close()
 
@@ -153,11 +153,12 @@
     group = ProcessGroup(str(tmp_path), "n1")
     directory = tmp_path / "cypresspulley-6e31"
     locked_file = open_locked(directory / "bans.lock")
-    assert group.set_suspended("s1", True) == {"s1"}  # at once: nothing here may block the event loop
+    # The lock is not waited for: nothing here may block the event loop.
+    assert group.set_suspended("s1", suspended=True) == {"s1"}
     assert not group.suspensions_saved
     assert not (directory / "bans.json").exists()
     os.close(locked_file)
-    assert group.set_suspended("s2", True) == {"s1", "s2"}
+    assert group.set_suspended("s2", suspended=True) == {"s1", "s2"}
     assert group.suspensions_saved
     assert json.loads((directory / "bans.json").read_bytes()) == {"out": ["s1", "s2"]}
     group.close()
@@ -243,10 +244,10 @@
  "contract": {"cold_from": 0.2, "warm_after_s": 5.125, "fall_multiple": 2.125, "fall_s": 2.375,
   "stop_sending_within_s": 2.0}}"""
 PARSED_SETTINGS = model.Settings(
-    2,
-    7,
-    "b",
-    (
+    gateway_index=2,
+    gateway_count=7,
+    zone="b",
+    classes=(
         model.RequestClass(
             "read", 1.5, 2.5, model.Idempotency.INHERENT, 0.25, model.DeduplicationScope.ALL, 3.5, 4.5
         ),
@@ -257,20 +258,20 @@
             "post", 9.5, 10.5, model.Idempotency.NONE, 0.75, model.DeduplicationScope.CELL, 11.5, 12.5
         ),
     ),
-    (model.Plan("basic", 1.25, 2.25, 3.25, 4, 5.25, 6.25, 7.25, 8.25),),
-    3,
-    True,
-    True,
-    True,
-    True,
-    True,
-    0.0625,
-    16.5,
-    1.75,
-    0.2,
-    5.125,
-    2.125,
-    2.375,
+    plans=(model.Plan("basic", 1.25, 2.25, 3.25, 4, 5.25, 6.25, 7.25, 8.25),),
+    max_attempts=3,
+    may_hedge=True,
+    may_cancel=True,
+    may_check_health=True,
+    load_in_health_check=True,
+    has_counter=True,
+    counter_timeout=0.0625,
+    max_units=16.5,
+    max_retry_after=1.75,
+    initial_capacity=0.2,
+    warm_up_time=5.125,
+    overload_multiple=2.125,
+    overload_window=2.375,
 )
 
 
