--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -61,13 +61,13 @@
 class Program:
     """A started gateway."""
 
-    def __init__(self, process: asyncio.subprocess.Process, listen: str) -> None:
+    def __init__(self, process: asyncio.subprocess.Process, listen_address: str) -> None:
         self.process = process
-        self._listen = listen
+        self.listen_address = listen_address
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """A client's connection."""
-        host, port = self._listen.split(":")
+        host, port = self.listen_address.split(":")
         return await asyncio.open_connection(host, int(port))
 
     async def health(self) -> str:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,7 +10,7 @@
 from contextlib import asynccontextmanager
 from functools import wraps
 from itertools import count
-from typing import Any, ParamSpec
+from typing import Any, ParamSpec, cast
 
 import uvloop
 
@@ -170,6 +170,16 @@
     return []
 
 
+def pause_reading(writer: asyncio.StreamWriter) -> None:
+    """Stop reading from the connection of a writer, so that the peer cannot write endlessly."""
+    cast(asyncio.Transport, writer.transport).pause_reading()
+
+
+def resume_reading(writer: asyncio.StreamWriter) -> None:
+    """Read again from the connection of a writer."""
+    cast(asyncio.Transport, writer.transport).resume_reading()
+
+
 def watch_event(
     addresses: dict[str, str],
     health: model.EndpointHealth = model.EndpointHealth.HEALTHY,
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -30,7 +30,9 @@
     async_test,
     forward_to_s1,
     http_request,
+    pause_reading,
     read_message,
+    resume_reading,
 )
 
 LONG_RESPONSES = [
@@ -91,12 +93,12 @@
 
     async with limiter_with_endpoint(serve) as limiter:
         reader, writer = await limiter.connect()
-        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        pause_reading(writer)
         writer.write(http_request())
         while not any(connection.is_reading_paused() for connection in limiter.pool.streaming_connections):
             await asyncio.sleep(0.01)
         assert sent < total  # the endpoint could not write the rest
-        reader._transport.resume_reading()  # type: ignore[attr-defined]
+        resume_reading(writer)
         _, headers = await read_head(reader)
         received = 0
         while received < int(headers["content-length"]):
@@ -156,13 +158,13 @@
 
 @async_test
 async def test_upload_is_not_read_while_the_endpoint_does_not_accept_it() -> None:
-    resume_reading = asyncio.Event()
+    may_read = asyncio.Event()
     body = LONG_BODY * 8
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        reader._transport.pause_reading()  # type: ignore[attr-defined]
-        await resume_reading.wait()
-        reader._transport.resume_reading()  # type: ignore[attr-defined]
+        pause_reading(writer)
+        await may_read.wait()
+        resume_reading(writer)
         _, headers = await read_head(reader)
         assert await read_body(reader, headers) == body
         writer.write(OK_RESPONSE)
@@ -172,7 +174,7 @@
         writer.write(upload("length", body))
         while not any(client.pipeline.reader.body.paused for client in limiter.listener.connections):
             await asyncio.sleep(0.01)
-        resume_reading.set()
+        may_read.set()
         assert (await read_message(reader))[2] == b"hi"
 
 
@@ -227,9 +229,9 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
-        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        pause_reading(writer)
         await self.resume.wait()
-        reader._transport.resume_reading()  # type: ignore[attr-defined]
+        resume_reading(writer)
         _, headers = await read_head(reader)
         try:
             self.body_size.set_result(len(await read_body(reader, headers)))
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -37,7 +37,7 @@
 
 def connect_without_sending(program: Program, count: int) -> list[socket.socket]:
     """Return clients that have begun to connect and send nothing."""
-    host, port = program._listen.split(":")
+    host, port = program.listen_address.split(":")
     clients = list[socket.socket]()
     for _ in range(count):
         client = socket.socket()
@@ -49,7 +49,7 @@
 
 def connect_sending(program: Program) -> socket.socket:
     """Return a client that has connected and sent a request."""
-    host, port = program._listen.split(":")
+    host, port = program.listen_address.split(":")
     client = socket.create_connection((host, int(port)))
     client.sendall(http_request())
     return client
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -9,7 +9,14 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net.upstream import idle_connections, response_timer
 from quota_gateway.net.upstream.exchange import Exchange
-from tests.loopback import OK_RESPONSE, ScriptedEndpoint, async_test, read_message, running_server
+from tests.loopback import (
+    OK_RESPONSE,
+    ScriptedEndpoint,
+    async_test,
+    pause_reading,
+    read_message,
+    running_server,
+)
 from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, empty_response
 
 HUGE_BODY = b"x" * 32_000_000  # more than the sockets' buffers hold
@@ -71,8 +78,8 @@
     accepted = asyncio.Event()
     break_connection = asyncio.Event()
 
-    async def accept_and_break(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-        reader._transport.pause_reading()  # type: ignore[attr-defined]
+    async def accept_and_break(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        pause_reading(writer)
         accepted.set()
         await break_connection.wait()
 
@@ -86,8 +93,8 @@
 
 @async_test
 async def test_a_response_before_the_request_is_written_completely_is_ignored() -> None:
-    async def respond_without_reading(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        reader._transport.pause_reading()  # type: ignore[attr-defined]
+    async def respond_without_reading(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        pause_reading(writer)
         writer.write(OK_RESPONSE)
         await asyncio.Event().wait()
 
