--- a/quota_gateway/net/upstream/connection_limits.py
+++ b/quota_gateway/net/upstream/connection_limits.py
@@ -32,7 +32,8 @@
     def allows_another(self, endpoint: UpstreamEndpoint) -> bool:
         """Whether another connection to the endpoint may be opened.
 
-        At the total limit an idle connection is evicted for it."""
+        At the total limit an idle connection is evicted for it.
+        """
         if endpoint.open_connections >= MAX_CONNECTIONS_PER_ENDPOINT:
             return False
         return self.open_connections < self._max_connections or self._idle.evict_oldest()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -23,8 +23,11 @@
 
 
 def test_polls_of_a_fleet_that_lost_discovery_together_do_not_stay_in_phase() -> None:
-    """Forty limiters poll at the same time and fail. All must poll within the rest of the 6 s after a return,
-    which fixes the mean of polls a second: no second may have more than twice the mean."""
+    """No second has more than twice the mean number of polls.
+
+    Forty limiters poll at the same time and fail. All must poll within the rest of the 6 s after a return,
+    which fixes the mean.
+    """
     rngs = [Random(seed) for seed in range(40)]
     first_polls = [poll_delay(40, 0, rng.random()) for rng in rngs]
     max_per_second = max(
