--- a/quota_gateway/net/process_group/shared_files.py
+++ b/quota_gateway/net/process_group/shared_files.py
@@ -6,6 +6,7 @@
 import os
 from pathlib import Path
 from types import TracebackType
+from typing import Self
 
 LOCK_FILE_MODE = 0o600  # readable by the owner alone
 
@@ -38,7 +39,7 @@
             self.acquired = False
             os.close(self._descriptor)
 
-    def __enter__(self) -> FileLock:
+    def __enter__(self) -> Self:
         """Enter a block at whose end the lock is released; check ``acquired`` first."""
         return self
 
--- a/quota_gateway/net/upstream/connector.py
+++ b/quota_gateway/net/upstream/connector.py
@@ -63,7 +63,7 @@
     async def _connect(self, endpoint: UpstreamEndpoint, exchange: Exchange) -> None:
         try:
             await self._open(endpoint, exchange)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the exchange must end after any error
             self._owner.on_connect_error(exchange, error)
 
     async def _open(self, endpoint: UpstreamEndpoint, exchange: Exchange) -> None:
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -40,7 +40,7 @@
             outcome.broken[test.name] = str(error)
         except KeyboardInterrupt:
             raise click.exceptions.Exit(ExitCode.INTERRUPTED) from None
-        except Exception as error:  # uncaught, it would give the exit code of an exceeded budget
+        except Exception as error:  # noqa: BLE001 - uncaught, it gives the exit code of an exceeded budget
             outcome.broken[test.name] = f"the test itself failed: {error!r}"
         else:
             _add_result(outcome, test.name, result)
--- a/scale/fleet/lockstep.py
+++ b/scale/fleet/lockstep.py
@@ -118,7 +118,7 @@
         outcome = _Outcome(_Status.DONE, work(index, count, _exchange(index, links), task))
     except PeerExitedError as error:
         outcome = _Outcome(_Status.PEER_EXITED, str(error))
-    except BaseException:
+    except BaseException:  # noqa: BLE001 - reported to the parent process, whatever it is
         outcome = _Outcome(_Status.FAILED, traceback.format_exc())
     outcomes.send(outcome)
 
--- a/scale/memory/forked_peer.py
+++ b/scale/memory/forked_peer.py
@@ -19,7 +19,7 @@
         ours.close()
         try:
             run(theirs)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - reported to the parent process
             theirs.sendall(f"{error!r:.200}".encode())
         finally:
             os._exit(0)  # closes the channel, which ends the wait for a message
--- a/scale/messages/counting_stand_in.py
+++ b/scale/messages/counting_stand_in.py
@@ -57,7 +57,7 @@
                 await converse(self, reader, writer)
             except (OSError, EOFError, asyncio.CancelledError):
                 pass  # closed by the client
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 - raised to the measurement by the future
                 if not self._failure.done():
                     self._failure.set_exception(error)
             writer.transport.abort()
--- a/scale/report.py
+++ b/scale/report.py
@@ -150,7 +150,7 @@
     command = ["git", "describe", "--always", "--abbrev=40", "--dirty=+", "--exclude=*"]
     try:
         completed = subprocess.run(
-            command, cwd=ROOT, capture_output=True, text=True, timeout=GIT_TIMEOUT_SECONDS
+            command, cwd=ROOT, capture_output=True, text=True, timeout=GIT_TIMEOUT_SECONDS, check=False
         )
     except (OSError, subprocess.TimeoutExpired):
         return None
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -42,6 +42,7 @@
             text=True,
             cwd=ROOT,
             timeout=JOB_TIMEOUT_SECONDS,
+            check=False,
         )
     except subprocess.TimeoutExpired:
         raise BrokenRunError(f"{job.function} had no result in {JOB_TIMEOUT_SECONDS:.0f} s") from None
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,7 +10,7 @@
 from contextlib import asynccontextmanager
 from functools import wraps
 from itertools import count
-from typing import Any, ParamSpec, cast
+from typing import Any, ParamSpec, Self, cast
 
 import uvloop
 
@@ -209,7 +209,7 @@
         self.dispatcher.on_watch_event(watch_event(addresses))
         self.address = ("", 0)  # of the clients' side, once it listens
 
-    async def __aenter__(self) -> LoopbackLimiter:
+    async def __aenter__(self) -> Self:
         self.address = await self.listener.listen("127.0.0.1", 0)
         return self
 
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import NamedTuple
+from typing import NamedTuple, Self
 
 from quota_gateway.net.common.unix_clock import unix_clock
 from quota_gateway.net.upstream.exchange import Exchange
@@ -40,7 +40,7 @@
         self.pool = ConnectionPool(self.clock, connect_timeout, idle_timeout, max_connections)
         self.pool.update_endpoint(ENDPOINT, address, available=True)
 
-    async def __aenter__(self) -> PoolHarness:
+    async def __aenter__(self) -> Self:
         return self
 
     async def __aexit__(self, *_: object) -> None:
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -154,9 +154,9 @@
         assert (await written)[0] is CallStatus.RESET_AFTER_REQUEST
         # The last request that was passed to the transport before writing was paused.
         assert (await partly_written)[0] is CallStatus.UNREACHABLE
-        writer = await server.connections.get()  # reconnected at once
+        new_writer = await server.connections.get()  # reconnected at once
         assert (await server.requests.get()).startswith(b"tally 3 ")
-        writer.write(b"ok 4\r\n")
+        new_writer.write(b"ok 4\r\n")
         assert await unsent == (CallStatus.OK, 4.0)
 
 
@@ -190,9 +190,9 @@
         writer.write(reply + b"ok 5\r\n" * reply.endswith(b"\n"))  # no reply to the second call
         assert [await first, await second] == [(CallStatus.MALFORMED, 0.0)] * 2
         third = increment(client, 3)  # sent on the new connection
-        writer = await server.connections.get()
+        new_writer = await server.connections.get()
         assert (await server.requests.get()).startswith(b"tally 3 ")
-        writer.write(b"ok 7\r\n")
+        new_writer.write(b"ok 7\r\n")
         assert await third == (CallStatus.OK, 7.0)
 
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -23,6 +23,7 @@
         capture_output=True,
         text=True,
         timeout=60,
+        check=False,
     )
     assert completed.returncode == 2
     assert completed.stdout == ""
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -12,7 +12,7 @@
 
 
 def test_the_example_runs() -> None:
-    example = re.search(r"```python\n(.*?)```", README.read_text(), re.S)
+    example = re.search(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
     assert example
     names: dict[str, Any] = {}
     exec(example.group(1), names)
--- a/tests/test_scale_cli.py
+++ b/tests/test_scale_cli.py
@@ -145,6 +145,8 @@
 
 
 def test_the_command_lists_the_tests() -> None:
-    done = subprocess.run([sys.executable, "-m", "scale", "--list"], cwd=ROOT, capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "scale", "--list"], cwd=ROOT, capture_output=True, text=True, check=False
+    )
     assert done.returncode == 0
     assert [line.partition(":")[0] for line in done.stdout.splitlines()] == [test.name for test in TESTS]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -88,6 +88,7 @@
         input=line + "\n",
         capture_output=True,
         text=True,
+        check=False,
     )
     assert completed.returncode != 0
     assert completed.stdout == ""
