--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -10,8 +10,9 @@
 import pytest
 
 from quota_gateway import model
+from quota_gateway.net.client.stall_detector import AFTERMATH_SECONDS
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES
-from tests.client_helpers import DISCONNECTS
+from tests.client_helpers import DISCONNECTS, limiter_with_endpoint
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -128,3 +129,27 @@
         assert " 429 " in (await read_message(reader))[0]  # the attempt has timed out
         assert time.monotonic() - resumed_at <= timeout - STALL + SLACK
         writer.close()
+
+
+@async_test
+async def test_a_request_that_waited_during_a_stall_between_wake_up_and_read_has_less_time() -> None:
+    """The event loop has read its clock before the stall, and reads the request with that time after it."""
+    script = ScriptedDecisions(forward_to_s1)
+    endpoint = ScriptedEndpoint()
+    async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
+        await asyncio.sleep(AFTERMATH_SECONDS + SLACK)  # the start counts as the end of a stall
+        reader, writer = await limiter.connect()
+        writer.write(http_request())
+        await read_message(reader)
+        shared = limiter.listener.shared
+        clock = shared.clock
+        time_before_stall = clock()
+        writer.write(http_request(timeout_ms=2000))
+        time.sleep(STALL)
+        shared.clock = lambda: time_before_stall
+        while len(endpoint.requests) < 2:
+            await asyncio.sleep(0)
+        shared.clock = clock
+        propagated = int(endpoint.requests[-1][1]["x-timeout-ms"]) / 1000
+        assert propagated <= 2.0 - STALL + SLACK
+        writer.close()
