--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -76,6 +76,14 @@
         assert " 413 " in status_line
 
 
+@async_test
+async def test_header_without_an_end_is_rejected_at_the_size_limit() -> None:
+    async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
+        status_line, headers, _ = await limiter.fetch(b"GET / HTTP/1.1\r\nX: " + b"a" * 70_000)
+        assert " 400 " in status_line
+        assert headers["connection"] == "close"
+
+
 @async_test
 async def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
     script = ScriptedDecisions(take_no_action)
