--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -35,13 +35,13 @@
     endpoints: EndpointSet
     gate: AdmissionGate
     slow_start: SlowStart
-    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # of the last pick that found none
+    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # why the last pick found none
 
     def pick(self, now: float, request: OpenRequest) -> EndpointState | None:
         """Return the endpoint for the next attempt; None if no endpoint may be given it."""
         subset = self.endpoints.subset
         warm = [state for state in subset if state.warming_since is None]
-        warm_limit = self.context.target_residence_time * sum(state.work_rate for state in warm)
+        warm_limit = self.context.target_residence_time * sum([state.work_rate for state in warm])
         unreserved = 1 - PRIORITY_FRACTION * (1 - request.priority_percentile)
         subset_limit = self._subset_limit(warm_limit) * unreserved
         unresponsive = self._unresponsive(now)
@@ -71,7 +71,8 @@
         min_requests = MIN_REQUESTS_PER_ENDPOINT * ring_size / self.context.settings.gateway_count
         idle_slack = MAX_SLACK_REQUESTS - SLACK_SLOPE_REQUESTS * load / REFERENCE_LOAD
         slack = max(self.context.rng.random(), idle_slack)
-        slack *= min_requests < SPARSE_REQUESTS
+        if min_requests >= SPARSE_REQUESTS:
+            slack = 0.0
         limit = max(warm_limit, mean_work * min_requests) + mean_work * slack
         # The rates are means over seconds, and lag behind a burst that idle endpoints can bear.
         if self.gate.controller.integral is not None:
@@ -99,9 +100,8 @@
         # Without a measured load all requests are admitted, and the work rates are not yet known.
         if self.gate.controller.integral is None:
             return False
-        usable = [state for state in warm if state not in unresponsive and state.ejected_until <= now]
-        own_work = OWN_WORK_FRACTION * request.work
-        return sum(state.work_in_flight for state in usable) + own_work > limit
+        work_in_flight = [s.work_in_flight for s in warm if s not in unresponsive and s.ejected_until <= now]
+        return sum(work_in_flight) + OWN_WORK_FRACTION * request.work > limit
 
     def _candidates(self, request: OpenRequest) -> list[EndpointState]:
         """Return the endpoints where another attempt does no harm: if possible, those not attempted yet."""
--- a/scale/fleet/limiter.py
+++ b/scale/fleet/limiter.py
@@ -24,10 +24,10 @@
     LimiterKilled,
     LimiterStarted,
     TimerDue,
-    WatchLost,
     WatchOpened,
+    WatchTimedOut,
 )
-from scale.fleet.parameters import CLIENT_START
+from scale.fleet.parameters import CLIENT_START_SECONDS
 from scale.fleet.scenario import World
 from scale.fleet.tally import Tally
 
@@ -65,7 +65,7 @@
     def _schedule_lifetime(self, history: EndpointHistory) -> None:
         """Schedule the start, a kill with its restart, and the notifications of the agent."""
         faults = self._world.faults
-        self._mailbox.schedule(self._rng.random() * CLIENT_START, LimiterStarted())
+        self._mailbox.schedule(self._rng.random() * CLIENT_START_SECONDS, LimiterStarted())
         if faults.killed_at[self._index] < math.inf:
             self._mailbox.schedule(faults.killed_at[self._index], LimiterKilled())
             self._mailbox.schedule(faults.restarted_at[self._index], LimiterStarted())
@@ -110,7 +110,7 @@
         if update is not None and self._process is not None:
             self._process.update_endpoints(now, update)
 
-    def _on_watch_lost(self, now: float, _: WatchLost) -> None:
+    def _on_watch_timed_out(self, now: float, _: WatchTimedOut) -> None:
         if self._process is not None:
             self._watch.reconnect(now, self._incarnation)
 
@@ -138,7 +138,7 @@
         LimiterKilled: _on_killed,
         EndpointsChanged: _on_endpoints_changed,
         EndpointFailed: _on_endpoint_failed,
-        WatchLost: _on_watch_lost,
+        WatchTimedOut: _on_watch_timed_out,
         DiscoveryCallDue: _on_discovery_call_due,
         DiscoveryCallTimedOut: _on_discovery_call_timed_out,
         WatchOpened: _on_watch_opened,
--- a/scale/fleet/services.py
+++ b/scale/fleet/services.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from heapq import heappop, heappush
+from heapq import heappush
 
 from quota_gateway import model
 from scale.fleet.counter import SimulatedCounter
@@ -28,8 +28,9 @@
     LimiterEvent,
     SourceNumbers,
     WatchOpened,
+    pop_before,
 )
-from scale.fleet.parameters import NOTIFICATION_DELAY
+from scale.fleet.parameters import NOTIFICATION_DELAY_SECONDS
 from scale.fleet.router import Router
 from scale.fleet.scenario import World
 from scale.fleet.tally import Tally
@@ -62,9 +63,7 @@
 
     def serve_until(self, start: float) -> None:
         """Handle the calls that arrived before the window that begins at ``start``."""
-        inbox = self.inbox
-        while inbox and inbox[0].time < start:
-            envelope = heappop(inbox)
+        for envelope in pop_before(self.inbox, start):
             call = envelope.event
             assert isinstance(call, CounterCall)
             self._serve(envelope.time, start, envelope.source, call)
@@ -108,9 +107,7 @@
 
     def serve_until(self, start: float) -> None:
         """Handle the calls that arrived before the window that begins at ``start``."""
-        inbox = self.inbox
-        while inbox and inbox[0].time < start:
-            envelope = heappop(inbox)
+        for envelope in pop_before(self.inbox, start):
             call = envelope.event
             assert isinstance(call, DiscoveryCall)
             self._serve(envelope.time, start, envelope.source, call)
@@ -123,7 +120,7 @@
         zone = topology.zone(limiter)
         if self._world.faults.partitioned(zone, COORDINATION_ZONE, answered_at):
             return
-        min_delay, _ = NOTIFICATION_DELAY
+        min_delay, _ = NOTIFICATION_DELAY_SECONDS
         known_changes = sum(change.at + min_delay <= answered_at for change in self._history.changes)
         delay = topology.delay(zone, COORDINATION_ZONE, pair_draw(limiter, COORDINATION_ZONE))
         event = WatchOpened(call.incarnation, call.call_id, known_changes)
@@ -153,9 +150,7 @@
 
     def serve_until(self, start: float, end: float) -> None:
         """Handle the messages that arrived before the window; responses arrive after its end."""
-        inbox = self.inbox
-        while inbox and inbox[0].time < start:
-            envelope = heappop(inbox)
+        for envelope in pop_before(self.inbox, start):
             index = envelope.recipient
             if self._faults.endpoint_down(index, envelope.time):
                 continue
@@ -201,7 +196,7 @@
         self._tally.at(at)["endpoints failed"] += 1
         initial = self._history.initial[index]
         removed = model.Endpoint(initial.name, model.EndpointHealth.REMOVED, initial.zone, initial.cell)
-        shortest, longest = NOTIFICATION_DELAY
+        shortest, longest = NOTIFICATION_DELAY_SECONDS
         partition = self._world.schedule.partition
         for limiter in range(self._world.size.limiters):
             notified_at = at + shortest + pair_draw(limiter, index) * (longest - shortest)
