--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -10,12 +10,20 @@
 import signal
 import subprocess
 import sys
+from dataclasses import fields
 from pathlib import Path
 
 import pytest
 
 from quota_gateway import model
+from quota_gateway.model import CallStatus
+from quota_gateway.model.rejection import EjectionCause
+from quota_gateway.net.client.stats import CloseReason
 from quota_gateway.net.common import invariants
+from quota_gateway.net.counter import stats as counter_stats
+from quota_gateway.net.discovery.watch_log import WatchOutcome
+from quota_gateway.net.upstream.endpoint_table import Transition
+from quota_gateway.net.upstream.stats import ConnectionStats
 from soak import fault_kinds, violations
 
 ROOT = Path(__file__).parent.parent
@@ -246,6 +254,32 @@
     assert sorted(REASON_PATTERN.findall(README.read_text())) == sorted(model.RejectionReason)
 
 
+# The words in the log lines that count events; the README explains each in the row of its line.
+COUNTED_WORDS: dict[str, list[str]] = {
+    "rejected": list(EjectionCause),
+    "connections": [field.name.replace("_", " ") for field in fields(ConnectionStats)],
+    "counter calls": [
+        *(status.name.lower() for status in (CallStatus.OK, CallStatus.TIMEOUT, CallStatus.MALFORMED)),
+        counter_stats.MALFORMED_LINES,
+        counter_stats.CONNECTIONS_CLOSED,
+        counter_stats.FAILOVERS,
+    ],
+    "client connections": [reason.removeprefix("aborted: ") for reason in CloseReason],
+    "attempts and health checks": [
+        status.value for status in CallStatus if status is not CallStatus.MALFORMED
+    ],
+    "discovery watch": list(WatchOutcome),
+    "endpoint list": list(Transition),
+}
+
+
+@pytest.mark.parametrize("line", COUNTED_WORDS)
+def test_the_readme_explains_every_word_that_a_log_line_counts(line: str) -> None:
+    rows = [row for row in README.read_text().splitlines() if row.startswith(f"| `{line}: ...` |")]
+    assert len(rows) == 1
+    assert [word for word in COUNTED_WORDS[line] if f"`{word}`" not in rows[0]] == []
+
+
 def _imported_layers(source: str) -> set[str]:
     """The parts of the package that a module imports, by the first name below ``quota_gateway``."""
     layers = set[str]()
