--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -76,6 +76,21 @@
     ": slow start",
     "body stream to or from %s stalled",
     "a client took nothing of its",
+    "a request was answered %d in place of the decisions",
+    "the decisions failed on",
+    "a request could not be handled",
+    "out of client connections",
+    "in service -> ejected",
+    "dropped a malformed line of discovery",
+    "the counter does not reply, reconnecting",
+    "no connection to the counter",
+    "cannot look for another process",
+    "cannot look at another process",
+    "cannot join the other processes yet",
+    "nothing can be shared with another process",
+    "configuration reloaded",
+    "shutting down",
+    "; answered %d",
 )
 START_TIMEOUT = 20.0  # seconds: generous, only a hang takes this long
 # What a module of each layer may import of the package.
