--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -66,6 +66,20 @@
     is_retry: bool = False  # the client retries after a rejection or failure
     uploading: bool = False  # the body is not complete: the timeout starts with ``UploadCompleted``
 
+    def with_timeout(self, timeout: float) -> Request:
+        """Return the request with another timeout; ``dataclasses.replace`` takes twice as long."""
+        return Request(
+            id=self.id,
+            request_class=self.request_class,
+            plan=self.plan,
+            timeout=timeout,
+            account=self.account,
+            units=self.units,
+            serving_gateways=self.serving_gateways,
+            is_retry=self.is_retry,
+            uploading=self.uploading,
+        )
+
 
 @dataclass(frozen=True, slots=True)
 class AttemptCompleted:
--- a/quota_gateway/net/client/request_intake.py
+++ b/quota_gateway/net/client/request_intake.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
-
 from quota_gateway import model
 from quota_gateway.net.client.request import ClientRequest, RequestHandler
 from quota_gateway.net.client.request_head import RequestHead
@@ -79,4 +77,4 @@
 
 def _with_remaining_timeout(event: model.Request, seconds_unread: float) -> model.Request:
     """Return the request with the time that its client still waits."""
-    return replace(event, timeout=max(MIN_TIMEOUT_SECONDS, event.timeout - seconds_unread))
+    return event.with_timeout(max(MIN_TIMEOUT_SECONDS, event.timeout - seconds_unread))
--- a/quota_gateway/net/dispatch/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -9,7 +9,6 @@
 import asyncio
 import logging
 from collections.abc import Callable, Collection
-from dataclasses import replace
 
 from quota_gateway import model
 from quota_gateway.net.client.request import ClientRequest
@@ -98,8 +97,8 @@
         self._open[event.id] = pending
         margin = _response_margin(event.timeout)
         if not event.uploading:  # the timeout of an upload starts with its last byte
-            self._start_deadline(pending, event, self._clock())
-        return replace(event, timeout=event.timeout - margin)
+            self._start_deadline(pending, event, self._clock(), margin)
+        return event.with_timeout(event.timeout - margin)
 
     def complete_upload(self, event: model.Request) -> bool:
         """Start the timeout of a request whose last byte has arrived; return False if it is not open.
@@ -111,13 +110,14 @@
         if pending is None:
             return False
         now = self._clock()
-        self._start_deadline(pending, event, now)
+        self._start_deadline(pending, event, now, _response_margin(event.timeout))
         for attempt in pending.attempts:
             self._exchanges.set_expiry(attempt, min(pending.deadline, now + attempt.timeout))
         return True
 
-    def _start_deadline(self, pending: PendingRequest, event: model.Request, now: float) -> None:
-        margin = _response_margin(event.timeout)
+    def _start_deadline(
+        self, pending: PendingRequest, event: model.Request, now: float, margin: float
+    ) -> None:
         delay = event.timeout - UNANSWERED_MARGIN_FRACTION * margin
         timer = self._loop.call_later(delay, self.abandon, event.id, STATUS_TIMEOUT)
         pending.start_deadline(now + event.timeout - margin, timer)
