--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -10,11 +10,14 @@
 import pytest
 
 from quota_gateway.model import CallStatus
+from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.invariants import Invariant, Violation
 from quota_gateway.net.upstream import idle_connections
 from quota_gateway.net.upstream.connection_limits import MAX_CONNECTIONS_PER_ENDPOINT
+from quota_gateway.net.upstream.exchange import Exchange
 from quota_gateway.net.upstream.pool import ConnectionPool
 from tests.loopback import OK_RESPONSE, ScriptedEndpoint, async_test, read_message, running_server
-from tests.pool_harness import ENDPOINT, PoolHarness
+from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness
 
 OTHER_RESPONSE = OK_RESPONSE.replace(b"hi", b"no")
 
@@ -232,3 +235,73 @@
         pool.update_endpoint(ENDPOINT, address, available=True)  # it is listed again, at the same address
         assert pool.open_connections == 0
         assert (await harness.fetch()).status is CallStatus.OK
+
+
+@async_test
+async def test_a_suspended_endpoint_is_not_connected_to_until_it_is_restored() -> None:
+    origin = ScriptedEndpoint()
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+        await harness.fetch()
+        harness.pool.exclude(frozenset({ENDPOINT}))
+        await origin.disconnected.wait()
+        assert (await harness.fetch()).status is CallStatus.NOT_SENT
+        assert origin.connection_count == 1
+        harness.pool.exclude(frozenset())
+        assert (await harness.fetch()).status is CallStatus.OK
+
+
+@async_test
+async def test_an_exchange_is_withdrawn_only_while_no_connection_carries_it() -> None:
+    unresponsive = ScriptedEndpoint(lambda _number: None)
+    async with running_server(unresponsive.handle_connection) as address, PoolHarness(address) as harness:
+        connecting, completed = harness.start()
+        harness.pool.exchanges.withdraw_unsent(connecting)
+        assert (await completed).status is CallStatus.NOT_SENT
+        sent, _ = harness.start()
+        await unresponsive.request_received.wait()
+        harness.pool.exchanges.withdraw_unsent(sent)
+        assert not sent.completed
+        harness.pool.exchanges.cancel(sent)
+
+
+@async_test
+async def test_an_exchange_that_is_started_twice_is_a_violation_and_is_sent_once(
+    no_violations: list[Violation],
+) -> None:
+    unresponsive = ScriptedEndpoint(lambda _number: None)
+    async with running_server(unresponsive.handle_connection) as address, PoolHarness(address) as harness:
+        exchange, completed = harness.start(timeout=0.3)
+        await unresponsive.request_received.wait()
+        harness.pool.start(exchange)
+        assert (await completed).status is CallStatus.TIMEOUT
+        assert len(unresponsive.requests) == 1
+    assert [violation.invariant for violation in no_violations] == [Invariant.SENT_WHILE_OPEN]
+    no_violations.clear()
+
+
+class UploadSource:
+    """The source of an upload that is never paused."""
+
+    def set_paused(self, *, paused: bool) -> None:
+        """Ignore the request."""
+
+    def abandon(self) -> None:
+        """Ignore the request."""
+
+
+@async_test
+async def test_the_time_of_an_exchange_with_an_upload_starts_with_the_last_byte_of_the_upload() -> None:
+    origin = ScriptedEndpoint()
+    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+        harness.set_clock(harness.clock())
+        upload = BodyStream(UploadSource(), content_length=4)
+        completed = asyncio.get_running_loop().create_future()
+        head = REQUEST_HEAD + b"Content-Length: 4\r\n"
+        expires_at = harness.clock() + 10
+        exchange = Exchange(ENDPOINT, head, b"", expires_at, completed.set_result, upload=upload)
+        harness.pool.start(exchange)
+        harness.set_clock(harness.clock() + 5)
+        upload.write(b"body")
+        upload.finish()
+        assert (await completed).elapsed == 0
+        assert origin.requests[0][2] == b"body"
