--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -72,7 +72,7 @@
 def resetting_endpoint() -> Iterator[tuple[ResettingEndpoint, str]]:
     """Run a resetting endpoint; yield it with its address."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.setblocking(False)
+        listener.setblocking(False)  # noqa: FBT003 - positional only
         host, port = listener.getsockname()
         endpoint = ResettingEndpoint(listener)
         try:
@@ -250,9 +250,8 @@
         addresses = {"s1": address, "s2": address}
         async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
             for attempts in range(1, 9):
-                assert (
-                    " 502 " in (await limiter.fetch(http_request()))[0] and len(origin.requests) == attempts
-                )
+                assert " 502 " in (await limiter.fetch(http_request()))[0]
+                assert len(origin.requests) == attempts
             assert " 200 " in (await limiter.fetch(http_request()))[0]
 
 
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -102,7 +102,7 @@
         with_class_value("aim_s", None),
         with_class_value("aim_s", -2),
         with_limit("max_attempts", 0),
-        with_limit("max_attempts", True),
+        with_limit("max_attempts", value=True),
         with_limit("max_attempts", None),
         lambda raw: raw.update(classes=[]),
         lambda raw: raw.update(classes=[3]),
@@ -114,10 +114,14 @@
     raw = json.loads(RUNNING_SETTINGS)
     check_reloaded_settings(raw, json.loads(RUNNING_SETTINGS))
     change(raw)
-    with pytest.raises(SettingsError):
+
+    def reload() -> None:
         check_reloaded_settings(raw, json.loads(RUNNING_SETTINGS))
         parse_settings(raw).validate()
 
+    with pytest.raises(SettingsError):
+        reload()
+
 
 class ReloadingLimiter:
     """A limiter whose configuration file is replaced while it runs."""
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -70,6 +70,7 @@
     names: list[str],
     down: float = 0.5,
     spread: float = 1.0,
+    *,
     is_listed: bool = True,
 ) -> list[str]:
     """Restart endpoints, which are unreachable for ``down`` seconds; the endpoint list may announce it."""
@@ -164,7 +165,7 @@
 )
 
 
-def endpoint_peak(fleet: FleetSimulation, endpoint: SimulatedEndpoint, only_notified: bool) -> Peak:
+def endpoint_peak(fleet: FleetSimulation, endpoint: SimulatedEndpoint, *, only_notified: bool) -> Peak:
     """Return the peak of one endpoint during its slow start."""
     peak = Peak(0.0, 0.0, "")
     window = fleet.settings.overload_window
@@ -192,9 +193,9 @@
     return peak
 
 
-def highest_peak(fleet: FleetSimulation, names: list[str], only_notified: bool) -> Peak:
+def highest_peak(fleet: FleetSimulation, names: list[str], *, only_notified: bool) -> Peak:
     """Return the highest peak of these endpoints."""
-    return max(endpoint_peak(fleet, fleet.endpoints[name], only_notified) for name in names)
+    return max(endpoint_peak(fleet, fleet.endpoints[name], only_notified=only_notified) for name in names)
 
 
 def run_scenario(
@@ -221,8 +222,8 @@
     assert 0 < peak.ratio < 1, str(peak)
 
 
-@pytest.mark.parametrize("gateways", (3, 30))
-@pytest.mark.parametrize("scenario", (endpoint_added, half_replaced, zone_restarted, burst_on_new_endpoints))
+@pytest.mark.parametrize("gateways", [3, 30])
+@pytest.mark.parametrize("scenario", [endpoint_added, half_replaced, zone_restarted, burst_on_new_endpoints])
 def test_fast_responses_do_not_raise_the_allowance_above_the_limit_of_the_settings(
     scenario: Scenario, gateways: int
 ) -> None:
--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -99,8 +99,10 @@
         time.sleep(STALL)
         reader, writer = await asyncio.open_connection(sock=client)
         status, headers, _ = await read_message(reader)
-        assert " 503 " in status and "retry-after" in headers
-        assert not origin.requests and not limiter.listener.shared.open_request_ids
+        assert " 503 " in status
+        assert "retry-after" in headers
+        assert not origin.requests
+        assert not limiter.listener.shared.open_request_ids
         writer.write(http_request())
         assert " 200 " in (await read_message(reader))[0]
         writer.close()
@@ -116,7 +118,7 @@
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         client = socket.create_connection(limiter.address)
-        client.setblocking(False)
+        client.setblocking(False)  # noqa: FBT003 - positional only
         reader, writer = await asyncio.open_connection(sock=client)
         request = http_request("/post?account=00000000b4d65521", body, timeout_ms=int(timeout * 1000))
         writer.write(request[:-1])
