--- a/scale/fleet/scenario.py
+++ b/scale/fleet/scenario.py
@@ -12,6 +12,9 @@
 from scale.fleet.topology import Topology
 from scale.model import Size
 
+REGIONS = 2  # one has the counter and discovery
+MIN_ZONES = 2
+
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
@@ -60,7 +63,7 @@
     def __init__(self, scenario: Scenario) -> None:
         """Draw the world from the seed. Raise ``ValueError`` for an impossible size."""
         size = scenario.size
-        if not 1 <= size.spread <= size.limiters or size.zones < 2 or size.regions != 2:
+        if not 1 <= size.spread <= size.limiters or size.zones < MIN_ZONES or size.regions != REGIONS:
             raise ValueError(f"spread, zones or regions are out of range: {size}")
         self.scenario = scenario
         self.size = size
--- a/scale/regression.py
+++ b/scale/regression.py
@@ -8,6 +8,7 @@
 from scale.model import Slope
 
 MAX_RESIDUAL_FRACTION = 0.10  # of the largest median; above it the points are not linear
+LINE_POINTS = 2  # fewer sizes do not determine a line
 MIN_SIZES = 4  # fewer sizes do not reveal a curve
 
 
@@ -21,7 +22,7 @@
     import numpy as np
 
     measured = tuple((float(size), tuple(map(float, runs))) for size, runs in sorted(points.items()))
-    if len(measured) < 2 or not all(runs for _, runs in measured):
+    if len(measured) < LINE_POINTS or not all(runs for _, runs in measured):
         raise ValueError(f"{name}: a line needs runs at two sizes at least")
     sizes = np.array([size for size, _ in measured])
     medians = np.array([median(runs) for _, runs in measured])
--- a/soak/process_checks.py
+++ b/soak/process_checks.py
@@ -4,6 +4,7 @@
 
 import signal
 from collections.abc import Iterator
+from http import HTTPStatus
 
 from soak.fault_kinds import FaultKind
 from soak.history import History, LimiterState
@@ -68,7 +69,7 @@
             if name.startswith("app.violations.") and value:
                 yield Violation(Invariant.NO_INTERNAL_ERROR, 0.0, f"{name}={value}", limiter=limiter)
         requests = [request for request in history.requests.values() if request.limiter == limiter]
-        served = sum(request.status == 200 for request in requests)
+        served = sum(request.status == HTTPStatus.OK for request in requests)
         unclear = sum(not request.has_complete_response for request in requests)
         counted = sum(value for name, value in metrics.items() if name.endswith(".passed"))
         tolerance = max(METRICS_TOLERANCE_REQUESTS, METRICS_TOLERANCE_FRACTION * served)
--- a/soak/request_checks.py
+++ b/soak/request_checks.py
@@ -4,6 +4,7 @@
 
 from collections import defaultdict
 from collections.abc import Iterator
+from http import HTTPStatus
 from itertools import pairwise
 from typing import NamedTuple
 
@@ -89,7 +90,7 @@
 def find_foreign_responses(history: History) -> Iterator[Violation]:
     """Find responses with status 200 whose body is not exactly what an endpoint sent for the request."""
     for request in history.requests.values():
-        if request.outcome is not RequestOutcome.RESPONSE_RECEIVED or request.status != 200:
+        if request.outcome is not RequestOutcome.RESPONSE_RECEIVED or request.status != HTTPStatus.OK:
             continue
         if request.body not in [attempt.response for attempt in _attempts_of(history, request)]:
             text = f"status 200 with a body that no endpoint sent: {request.body[:60]!r}"
--- a/soak/scenario.py
+++ b/soak/scenario.py
@@ -15,6 +15,7 @@
 MAX_OFFSET_IN_GROUP_SECONDS = 0.8
 MIN_FAULT_SECONDS = 0.5
 MAX_FAULT_SECONDS = 3.5
+HELD_ACCEPT_QUEUE_FRACTION = 0.5  # of the limiters
 ALL_LIMITERS_FRACTION = 0.2  # of the faults of limiters, which then affect all of them
 MAX_AFFECTED_LIMITERS_DIVISOR = 4
 MAX_AFFECTED_ENDPOINTS_DIVISOR = 3
@@ -98,7 +99,7 @@
     """Return the scenario of a seed: groups of two or three overlapping faults of different families."""
     random = Random(f"soak {seed}")
     endpoints = random.randrange(MIN_ENDPOINTS, MAX_ENDPOINTS + 1)
-    accept_queue_held = tuple(random.random() < 0.5 for _ in range(limiters))
+    accept_queue_held = tuple(random.random() < HELD_ACCEPT_QUEUE_FRACTION for _ in range(limiters))
     clock_error = random.choice(CLOCK_ERRORS_SECONDS)
     generator = _FaultGenerator(random, limiters, endpoints)
     faults = list[Fault]()
