--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -228,5 +228,5 @@
         if self._transport.reading_paused and not self.liveness.input_ended:
             self.liveness.poll()
         elif self.queue.is_stalled(now):
-            log.warning("a client took nothing of its streamed response")
+            log.warning("a client accepted no data of its streamed response")
             self._closer.abort(CloseReason.STALLED)
--- a/quota_gateway/net/client/stats.py
+++ b/quota_gateway/net/client/stats.py
@@ -17,9 +17,9 @@
     IDLE = "closed idle"
     EVICTED = "evicted for a new one"
     OUT_OF_CONNECTIONS = "aborted: all connections are busy"
-    CLIENT_DISCONNECTED = "aborted: the client has gone"
-    STALLED = "aborted: the client takes nothing"
-    TRUNCATED = "aborted: its response broke off"
+    CLIENT_DISCONNECTED = "aborted: the client has disconnected"
+    STALLED = "aborted: the client accepts no data"
+    TRUNCATED = "aborted: its response was truncated"
     TOO_MUCH_INPUT = "aborted: too much input behind an error"
 
 
--- a/quota_gateway/net/common/socket_calls.py
+++ b/quota_gateway/net/common/socket_calls.py
@@ -76,3 +76,13 @@
     with contextlib.suppress(OSError):
         borrowed.shutdown(socket.SHUT_WR)
     borrowed.detach()
+
+
+def abort_transport(transport: asyncio.Transport) -> None:
+    """Close at once; nothing more is written or read.
+
+    The end of the connection is sent in this very call, and not in a later iteration of the event loop.
+    """
+    if not transport.is_closing():
+        shut_down_sending(transport)
+    transport.abort()
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -10,15 +10,13 @@
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.common.body_stream import BodyStream
+from quota_gateway.net.common.http_common import STREAM_RECEIVE_BUFFER_BYTES
+from quota_gateway.net.common.socket_calls import abort_transport, limit_receive_buffer
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.exchange import Clock, Exchange, ExchangeEvents
 from quota_gateway.net.upstream.request_writer import RequestWriter
 from quota_gateway.net.upstream.response_receiver import ResponseReceiver
 from quota_gateway.net.upstream.stats import ConnectionStats
-from quota_gateway.net.upstream.transport_calls import (
-    abort_transport,
-    limit_receive_buffer,
-)
 
 
 class ConnectionEvents(Protocol):
@@ -130,7 +128,11 @@
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once; nothing more is written or read."""
+        """Close at once; nothing more is written or read.
+
+        The end of the connection is sent before this returns: a retry of the request may be written next, and
+        must not be in flight together with this attempt.
+        """
         if self.transport is not None:
             abort_transport(self.transport)
 
@@ -205,7 +207,7 @@
         self._detach_exchange()
         self._owner.on_streaming_started(self)
         if self.transport is not None:
-            limit_receive_buffer(self.transport)
+            limit_receive_buffer(self.transport, STREAM_RECEIVE_BUFFER_BYTES)
         assert exchange.on_response_started is not None
         is_wanted = exchange.on_response_started(exchange, stream)
         self._exchanges.complete(exchange, CallStatus.OK)
--- a/quota_gateway/net/upstream/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -161,7 +161,7 @@
         kind = "reused" if attempt.on_reused_connection else "new"
         connection = f"{kind} connection {attempt.connection_number}"
     written = "written" if attempt.request_written else "not written"
-    ending = attempt.status.value if attempt.completed else "out"
+    ending = attempt.status.value if attempt.completed else "in flight"
     endpoint = f"{attempt.endpoint} (started {attempt.endpoint_started_at:.3f})"
     ended = f"{ending} after {attempt.elapsed:.3f} s"
     return f"attempt {number} at {endpoint} on {connection}, {written}, {ended}"
--- a/quota_gateway/net/upstream/idle_connections.py
+++ b/quota_gateway/net/upstream/idle_connections.py
@@ -4,11 +4,11 @@
 
 import math
 
+from quota_gateway.net.common.socket_calls import has_unread_input
 from quota_gateway.net.upstream.connection import UpstreamConnection
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.idle_policy import IdlePolicy
 from quota_gateway.net.upstream.stats import ConnectionStats
-from quota_gateway.net.upstream.transport_calls import has_unread_input
 
 # A connection stays idle for this long before its next request. Bytes that an endpoint sends after a response
 # (a duplicate, noise) then arrive while no request is waiting, and close the connection. Without the delay
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -75,7 +75,7 @@
     "endpoint list: %s",
     ": slow start",
     "body stream to or from %s stalled",
-    "a client took nothing of its",
+    "a client accepted no data of its",
     "a request was answered %d in place of the decisions",
     "the decisions failed on",
     "a request could not be handled",
