--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -128,11 +128,7 @@
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once; nothing more is written or read.
-
-        The end of the connection is sent before this returns: a retry of the request may be written next, and
-        must not be in flight together with this attempt.
-        """
+        """Close at once and send the end now: a retry written next must not overlap with this attempt."""
         if self.transport is not None:
             abort_transport(self.transport)
 
