--- a/quota_gateway/decisions/admission.py
+++ b/quota_gateway/decisions/admission.py
@@ -9,15 +9,19 @@
 from quota_gateway.decisions.controller import LoadController
 from quota_gateway.state import OpenRequest
 
-GATE_DEPTH_SECONDS = 1.0  # of the admit rate
-MIN_GATE_DEPTH_REQUESTS = 3.0
-MIN_ADMIT_FRACTION = 0.1  # of the arrivals; with a closed gate there would be no more load readings
-UNRESERVED_TOKENS = 2  # of the bucket's depth; a request of any priority may take them
-PRIORITY_RESERVE_FRACTION = 0.6  # of the bucket's depth, reserved from requests of the lowest priority
-RECENT_REQUESTS = 300  # among which a priority is ranked
-INITIAL_LATENCY_FRACTION = 0.1  # idle latency of a class, in latency objectives, before its first response
-REQUEST_WEIGHT = 0.02  # of one request in the means over requests
-# Idle latency: most responses above it have waited in a queue, so they count less.
+GATE_DEPTH_SECONDS = 1.0  # depth of the bucket, in seconds of the admit rate
+MIN_GATE_DEPTH_REQUESTS = 3.0  # smallest depth of the bucket, in requests of mean work
+# The gate refills at no less than this fraction of the arrival rate: a closed gate would get no more load
+# readings.
+MIN_ADMIT_FRACTION = 0.1
+UNRESERVED_TOKENS = 2  # part of the bucket's depth that is open to requests of any priority
+# Fraction of the remaining depth that requests of the lowest priority must leave to others.
+PRIORITY_RESERVE_FRACTION = 0.6
+RANKING_WINDOW_REQUESTS = 300  # number of recent requests among which a request is ranked
+# Idle latency of a class before its first response, as a fraction of its latency objective.
+INITIAL_LATENCY_FRACTION = 0.1
+REQUEST_WEIGHT = 0.02  # weight of one request in the moving averages of units and work
+# Weights of one response in the idle latency. Most slower responses waited in a queue, so they count less.
 SLOWER_RESPONSE_WEIGHT = 0.01
 FASTER_RESPONSE_WEIGHT = 0.02
 
@@ -27,13 +31,13 @@
     """Expected work of a request (idle latency of its class times its size), and its rank by value."""
 
     base_latencies: dict[str, float] = field(default_factory=dict)  # idle latency in seconds, by class
-    mean_units: float = 0.0  # of a request
-    mean_work: float = 0.0  # of a request, in seconds
-    recent_values: deque[float] = field(default_factory=lambda: deque(maxlen=RECENT_REQUESTS))
-    sorted_values: list[float] = field(default_factory=list)  # of the previous interval
+    mean_units: float = 0.0  # moving average of the units of a request
+    mean_work: float = 0.0  # moving average of the work of a request, in seconds
+    recent_values: deque[float] = field(default_factory=lambda: deque(maxlen=RANKING_WINDOW_REQUESTS))
+    sorted_values: list[float] = field(default_factory=list)  # as of the end of the previous interval
 
     def estimate(self, request: OpenRequest) -> None:
-        """Set the size, work and priority of a request that arrives."""
+        """Set the relative size, work and priority of an arriving request."""
         request_class = request.request_class
         self.mean_units = moving_average(self.mean_units, request.units, REQUEST_WEIGHT)
         relative_size = request.relative_size
@@ -50,7 +54,7 @@
         request.set_estimate(relative_size=relative_size, work=work, priority_percentile=percentile)
 
     def learn(self, request: OpenRequest, latency: float) -> float:
-        """Update the idle latency with a good response, and return its latency over the idle latency."""
+        """Update the idle latency with a successful response, and return the slowdown of the response."""
         base = self.base_latencies[request.request_class.name]
         latency = latency / request.relative_size
         weight = SLOWER_RESPONSE_WEIGHT if latency > base else FASTER_RESPONSE_WEIGHT
@@ -58,11 +62,11 @@
         return latency / base
 
     def close_interval(self) -> None:
-        """Rank the requests of the next interval among the recent ones."""
+        """Update the values among which the requests of the next interval are ranked."""
         self.sorted_values = sorted(self.recent_values)
 
     def take_over(self, mean_work: float, mean_units: float, base_latencies: Mapping[str, float]) -> None:
-        """Take over the values of another process of this limiter; those that are 0 are unknown to it."""
+        """Take over the averages of another process of this limiter; it does not know those that are 0."""
         self.mean_work = mean_work or self.mean_work
         self.mean_units = mean_units or self.mean_units
         self.base_latencies |= {name: base for name, base in base_latencies.items() if base > 0}
@@ -78,7 +82,7 @@
     tokens: float = 0.0
 
     def admits(self, now: float, request: OpenRequest) -> bool:
-        """Whether there are enough tokens; a full bucket admits any request, and may become negative."""
+        """Whether there are enough tokens; a full bucket admits any request, even if that overdraws it."""
         rate = max(MIN_ADMIT_FRACTION * self.controller.arrival_rate, self.controller.admit_rate)
         depth = max(MIN_GATE_DEPTH_REQUESTS, rate * GATE_DEPTH_SECONDS)
         self.tokens = refilled(self.tokens, rate, now - self.refilled_at, depth)
--- a/quota_gateway/decisions/context.py
+++ b/quota_gateway/decisions/context.py
@@ -5,23 +5,24 @@
 
 from quota_gateway.model import Action, Plan, RequestClass, Settings
 
-LATENCY_FRACTION = 0.5  # latency, in latency objectives, that reads as the reference load
-DEFAULT_OBJECTIVE_SECONDS = 1.0  # where the settings name no class
+REFERENCE_LATENCY_FRACTION = 0.5  # fraction of the latency objective that counts as the reference load
+DEFAULT_OBJECTIVE_SECONDS = 1.0  # latency objective if the settings define no request class
 
 
 @dataclass(slots=True, eq=False)
 class Context:
-    """Shared by the parts of one gateway, which append to ``actions``; settings change in place."""
+    """Shared by the parts of one gateway, which append to ``actions``; settings can change in place."""
 
     settings: Settings
     rng: Random
     started_at: float
-    actions: list[Action] = field(default_factory=list)  # of the event that is being handled
+    actions: list[Action] = field(default_factory=list)  # in response to the event that is being handled
     process_count: int = 1  # processes of this limiter, which share its limits
     classes: dict[str, RequestClass] = field(default_factory=dict)
     plans: dict[str, Plan] = field(init=False)
-    unresponsive_timeout: float = field(init=False)  # seconds without a response that make it unresponsive
-    target_residence_time: float = field(init=False)  # seconds of a request at an endpoint
+    # Seconds without a response after which an endpoint is unresponsive.
+    unresponsive_timeout: float = field(init=False)
+    target_residence_time: float = field(init=False)  # target time of a request at an endpoint, in seconds
 
     def __post_init__(self) -> None:
         self.reconfigure(self.settings)
@@ -29,14 +30,14 @@
     def reconfigure(self, settings: Settings) -> None:
         """Apply new settings."""
         self.settings = settings
-        # Removed classes stay: some of their requests may still be on their way.
+        # Removed classes are kept: some of their requests may not have reached the gateway yet.
         self.classes |= {request_class.name: request_class for request_class in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         objectives = [request_class.latency_objective for request_class in settings.classes]
         objectives = objectives or [DEFAULT_OBJECTIVE_SECONDS]
-        self.unresponsive_timeout = LATENCY_FRACTION * min(objectives)
-        # The same for all classes: at its own, the class with the shortest objective would be starved.
-        self.target_residence_time = LATENCY_FRACTION * sum(objectives) / len(objectives)
+        self.unresponsive_timeout = REFERENCE_LATENCY_FRACTION * min(objectives)
+        # One target for all classes: with its own target, the class with the shortest objective would starve.
+        self.target_residence_time = REFERENCE_LATENCY_FRACTION * sum(objectives) / len(objectives)
 
     def set_process_count(self, count: int) -> None:
         """Share all limits among this number of processes."""
--- a/quota_gateway/decisions/counter_budget.py
+++ b/quota_gateway/decisions/counter_budget.py
@@ -6,21 +6,22 @@
 
 from quota_gateway.model import COUNTER_REPLIES, CallStatus
 
-MAX_CALLS_PER_SECOND = 300.0  # limit of one gateway, and initial limit of all gateways together
-MIN_RATE_PERCENT = 2  # of the even share of the initial limit
-# The two increases are small, since a gateway observes the counter's queue only a few times a second.
-MAX_INCREASE_PER_SECOND = 5.0  # calls per second by which the rate grows within a second
-MAX_INCREASE_FRACTION = 0.01  # of the rate, by which it grows with one reply
-QUEUED_REPLY_FACTOR = 0.95  # on the rate after a reply that waited in a queue
-LOST_CALL_FACTOR = 0.9  # on the rate after a call that was lost or rejected
-QUEUEING_FRACTION = 0.25  # of the timeout: a reply with a higher excess latency waited in a queue
-SAVED_SECONDS = 0.2  # of the rate that may be saved for a burst
-SAVED_CALLS = 2  # that may be saved in addition
-SLOWER_WEIGHT = 0.02  # weight in the typical latency of a reply that took longer
-FASTER_WEIGHT = 0.5  # weight in the typical latency of a reply that did not
-OUTAGE_STEP_SECONDS = 0.5  # assumed length of an outage per failure in succession
-MAX_OUTAGE_SECONDS = 2.0  # largest assumed length, before the random factor
-MIN_OUTAGE_FACTOR = 0.5  # least random factor on the assumed length; the largest is 1 more
+MAX_CALLS_PER_SECOND = 300.0  # limit of one gateway; also the initial limit of all gateways together
+MIN_RATE_PERCENT = 2  # lowest rate of a gateway, in percent of its even share of the initial limit
+# Both limits on the increase are low, since a gateway observes the counter's queue only a few times a second.
+MAX_INCREASE_PER_SECOND = 5.0  # largest increase of the rate within a second, in calls per second
+MAX_INCREASE_FRACTION = 0.01  # largest increase of the rate after one reply, as a fraction of the rate
+QUEUED_REPLY_FACTOR = 0.95  # multiplies the rate after a reply that waited in a queue
+LOST_CALL_FACTOR = 0.9  # multiplies the rate after a call that was lost or rejected
+# A reply has waited in a queue if it exceeds the typical latency by more than this fraction of the timeout.
+QUEUEING_FRACTION = 0.25
+BUCKET_DEPTH_SECONDS = 0.2  # depth of the bucket, in seconds of the rate
+EXTRA_DEPTH_CALLS = 2  # calls by which the bucket is deeper than that
+SLOWER_REPLY_WEIGHT = 0.02  # weight of a reply above the typical latency in that latency
+FASTER_REPLY_WEIGHT = 0.5  # weight of any other reply in the typical latency
+OUTAGE_STEP_SECONDS = 0.5  # assumed length of an outage per consecutive failure
+MAX_OUTAGE_SECONDS = 2.0  # longest assumed length of an outage, before the random factor
+MIN_OUTAGE_FACTOR = 0.5  # lower bound of the random factor on the assumed length; the upper bound is 1 higher
 
 
 class CounterBudget:
@@ -33,18 +34,18 @@
         """
         self.rate = MAX_CALLS_PER_SECOND / gateways  # calls per second
         self.min_rate = MIN_RATE_PERCENT * MAX_CALLS_PER_SECOND / gateways / 100
-        self.tokens = SAVED_SECONDS * self.rate + draw  # calls
+        self.tokens = BUCKET_DEPTH_SECONDS * self.rate + draw  # calls
         self.refilled_at = now  # Unix time; in the future during an outage
-        self.typical_latency = 0.0  # seconds without a queue; 0: no reply yet
+        self.typical_latency = 0.0  # seconds, for a reply without a queue; 0 before the first reply
         self.queueing_threshold = QUEUEING_FRACTION * timeout if timeout > 0 else float("inf")  # seconds
-        self.last_congestion = now  # Unix time of the last sign of congestion
-        self.failures = 0  # calls in succession that the counter did not answer
+        self.last_congestion_at = now  # Unix time of the last sign of congestion
+        self.consecutive_failures = 0  # consecutive calls without a reply
         self.unavailable_until = 0.0  # Unix time
 
     def refill(self, now: float) -> None:
         """Refill the bucket up to ``now`` at the current rate."""
         gained = self.rate * max(0.0, now - self.refilled_at)
-        self.tokens = min(SAVED_CALLS + SAVED_SECONDS * self.rate, self.tokens + gained)
+        self.tokens = min(EXTRA_DEPTH_CALLS + BUCKET_DEPTH_SECONDS * self.rate, self.tokens + gained)
         self.refilled_at = max(self.refilled_at, now)
 
     def available(self, now: float) -> float:
@@ -53,7 +54,7 @@
         return self.tokens if now >= self.unavailable_until else 0.0
 
     def spend(self) -> None:
-        """Take one call from the bucket, which may go into debt."""
+        """Take one call from the bucket, which may become negative."""
         self.tokens -= 1
 
     def call_ended(self, now: float, status: CallStatus, made_at: float, draw: float = 0.5) -> None:
@@ -65,16 +66,16 @@
         latency = now - made_at
         if status is CallStatus.OK:
             self._record_latency(latency)
-            self.failures = 0
+            self.consecutive_failures = 0
         if status is CallStatus.OK and latency <= self.typical_latency + self.queueing_threshold:
             self._increase_rate()
         else:
             self._record_congestion(now, status, made_at)
-        if status not in COUNTER_REPLIES and self.failures > 1:
+        if status not in COUNTER_REPLIES and self.consecutive_failures > 1:
             self._begin_outage(now, draw)
 
     def _record_latency(self, latency: float) -> None:
-        weight = SLOWER_WEIGHT if latency > self.typical_latency > 0 else FASTER_WEIGHT
+        weight = SLOWER_REPLY_WEIGHT if latency > self.typical_latency > 0 else FASTER_REPLY_WEIGHT
         self.typical_latency += (latency - self.typical_latency) * weight
 
     def _increase_rate(self) -> None:
@@ -83,10 +84,10 @@
 
     def _record_congestion(self, now: float, status: CallStatus, made_at: float) -> None:
         """Decrease the rate, once for all calls that were pending at the same time."""
-        is_new = made_at >= self.last_congestion
-        self.last_congestion = now
+        is_new = made_at >= self.last_congestion_at
+        self.last_congestion_at = now
         if is_new and status is not CallStatus.MALFORMED:
-            self.failures += status not in COUNTER_REPLIES
+            self.consecutive_failures += status not in COUNTER_REPLIES
             self.rate = max(self.min_rate, self._decrease_factor(status) * self.rate)
 
     @staticmethod
@@ -98,8 +99,8 @@
         return LOST_CALL_FACTOR
 
     def _begin_outage(self, now: float, draw: float) -> None:
-        """Consider the counter unavailable, for longer after each failure, with one call at the end."""
-        length = min(MAX_OUTAGE_SECONDS, OUTAGE_STEP_SECONDS * self.failures)
+        """Consider the counter unavailable, for longer after each failure, and allow one call afterwards."""
+        length = min(MAX_OUTAGE_SECONDS, OUTAGE_STEP_SECONDS * self.consecutive_failures)
         self.unavailable_until = now + (MIN_OUTAGE_FACTOR + draw) * length
         self.refilled_at = self.unavailable_until
         self.tokens = min(1.0, self.tokens)
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -20,15 +20,15 @@
 from quota_gateway.decisions.slow_start import SlowStart
 from quota_gateway.state import OpenRequest, describe_rejections
 
-LOG_INTERVAL_TICKS = 10  # between two log lines on rejections
-MIN_INTERVAL_SECONDS = 1e-3  # assumed, also if the clock was stepped back
+LOG_INTERVAL_TICKS = 10  # ticks between two log lines on rejections
+MIN_INTERVAL_SECONDS = 1e-3  # shortest assumed time between two ticks, even if the clock was stepped back
 
 
 class Gateway:
     """All parts of the decisions of one gateway. Tests and tools may read the parts, but not change them."""
 
     def __init__(self, settings: model.Settings, seed: int, now: float) -> None:
-        """Create the parts; ``InvalidSettingsError`` for settings that no gateway can run with."""
+        """Create the parts. Raises ``InvalidSettingsError`` for settings that no gateway can run with."""
         settings.validate()
         self.context = context = Context(settings, Random(seed), now)
         self.controller = LoadController(now)
@@ -68,7 +68,7 @@
         }
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Return the actions that answer one event at Unix time ``now``, in the order of their execution."""
+        """Handle one event at Unix time ``now``, and return its actions in the order of their execution."""
         self.context.actions.clear()
         self._handlers[type(event)](now, event)
         if not self.timer_token:
@@ -105,7 +105,7 @@
         self.endpoints.choose_subset(now)
 
     def _log_rejections(self, now: float) -> None:
-        """Log the rejections since the last such line, and the state that explains them."""
+        """Log the rejections since the previous log line on them, and the state that explains them."""
         text = describe_rejections(
             now,
             self.forwarder.take_rejections(),
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -15,8 +15,8 @@
     ProcessCountChanged,
 )
 
-TAKE_OVER_SECONDS = 5.0  # time after its start in which a process takes over state
-MAX_ACCOUNTS = 4000  # most accounts in a handover; those that were created last are included
+TAKE_OVER_SECONDS = 5.0  # a process takes over state only within this time after its start
+MAX_HANDOVER_ACCOUNTS = 4000  # accounts in a handover at most; the oldest ones are left out
 
 
 @dataclass(slots=True, eq=False)
@@ -50,7 +50,7 @@
             mean_units=self.gate.work.mean_units,
             base_latencies=dict(self.gate.work.base_latencies),
             endpoints=tuple(state.export() for state in self.endpoints.listed()),
-            accounts=tuple(accounts[-MAX_ACCOUNTS:]),
+            accounts=tuple(accounts[-MAX_HANDOVER_ACCOUNTS:]),
         )
 
     def take_over(self, now: float, state: HandoverState) -> None:
--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -1,4 +1,7 @@
-"""Usage reports to the shared counter, and leases of units ahead of demand: no request waits for a call."""
+"""Usage reports to the shared counter, and leases of units ahead of demand.
+
+No request waits for a counter call.
+"""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -9,30 +12,31 @@
 from quota_gateway.model import CallStatus, CounterReplied, IncrementCounter
 from quota_gateway.state import Account
 
-COUNT_LIFETIME_SECONDS = 60.0  # the counter forgets a total that was not incremented for this time
-MIN_LEASE_SECONDS = 0.5  # least demand that a lease covers
-MAX_LEASE_SECONDS = 3.0  # most demand that a lease covers: a lease is lost with its gateway
-LEASE_CALLS_FRACTION = 0.5  # part of the counter budget's rate that extensions of leases use at most
-LEASED_FRACTION = 0.5  # part of this gateway's share of the bucket that is leased at most
-RENEWAL_FRACTION = 0.5  # of the demand that a lease covers; a smaller remainder is renewed
-RETURN_FACTOR = 2.0  # a lease above this multiple of the largest useful one is cut to it
-REFRESH_SECONDS = 0.5  # interval of the calls that check a bucket that is believed to be empty
+COUNT_LIFETIME_SECONDS = 60.0  # the counter deletes a total that was not incremented for this time
+MIN_LEASE_SECONDS = 0.5  # a lease covers the demand of at least this time
+# A lease covers the demand of at most this time: its units are lost if the gateway exits unexpectedly.
+MAX_LEASE_SECONDS = 3.0
+LEASE_CALLS_FRACTION = 0.5  # largest fraction of the counter budget's rate for extending leases
+MAX_LEASED_FRACTION = 0.5  # largest fraction of this gateway's share of the bucket that is leased
+EXTENSION_FRACTION = 0.5  # a lease is extended when less than this fraction of its full size is left
+RETURN_FACTOR = 2.0  # a lease above this multiple of the largest useful lease is reduced to that
+REFRESH_SECONDS = 0.5  # interval between counter calls for a bucket that is estimated to be empty
 EAGER_REPORT_FRACTION = 0.3  # unreported usage above this fraction of the local share is reported immediately
 BACKLOG_FRACTION = 0.25  # unreported usage above this fraction of the burst is reported after a reply
-IDLE_SECONDS_TO_REPORT = 1.0  # unreported usage is overdue this long after the last call
-IDLE_REPORT_FRACTION = 0.7  # overdue usage is reported while the bucket is below this fraction of the burst
+OVERDUE_REPORT_SECONDS = 1.0  # unreported usage is overdue this long after the last call
+OVERDUE_REPORT_FRACTION = 0.7  # overdue usage is reported if the bucket is below this fraction of the burst
 MIN_UNITS = 1e-9  # smaller amounts are rounding errors of float sums
 
 
 def _lease_size(now: float, account: Account, horizon: float) -> float:
     """Return the units to lease for the demand of ``horizon`` seconds, limited to this gateway's share.
 
-    The share is proportional to demand: an even share would waste the shares of idle gateways.
+    The share is proportional to demand, since even shares would leave those of idle gateways unused.
     """
     demand = account.demand_rate(now)
     available = max(0.0, account.tokens - account.expected_remote_usage(now))
     total_demand = max(MIN_UNITS, demand + account.remote_usage_rate)
-    share = LEASED_FRACTION * available * demand / total_demand
+    share = MAX_LEASED_FRACTION * available * demand / total_demand
     return min(demand * horizon, share) - account.leased
 
 
@@ -58,7 +62,7 @@
             self.budget.spend()
 
     def report_significant_usage(self, now: float, account: Account) -> None:
-        """Report unreported usage that the other gateways should know of immediately."""
+        """Report unreported usage immediately if it is a large part of what this gateway may still grant."""
         available = min(account.tokens, account.plan.burst)
         threshold = EAGER_REPORT_FRACTION * available / account.serving_gateways
         if account.unreported_usage >= threshold and account.serving_gateways > 1:
@@ -66,8 +70,8 @@
 
     def report_overdue_usage(self, now: float, account: Account) -> None:
         """Report usage that has been unreported for some time."""
-        is_overdue = now - account.last_call_at > IDLE_SECONDS_TO_REPORT
-        is_low = account.tokens < IDLE_REPORT_FRACTION * account.plan.burst
+        is_overdue = now - account.last_call_at > OVERDUE_REPORT_SECONDS
+        is_low = account.tokens < OVERDUE_REPORT_FRACTION * account.plan.burst
         if abs(account.unreported_usage) > MIN_UNITS and is_overdue and is_low:
             self.report_usage(now, account)
 
@@ -76,7 +80,7 @@
         if account.lease_requested:
             return
         horizon = self._lease_horizon()
-        min_leased = RENEWAL_FRACTION * horizon * account.demand_rate(now)
+        min_leased = EXTENSION_FRACTION * horizon * account.demand_rate(now)
         if account.leased > min_leased or self.budget.available(now) < 1:
             return
         units = _lease_size(now, account, horizon)
@@ -87,7 +91,7 @@
             self.call_counter(now, account, lease)
 
     def _lease_horizon(self) -> float:
-        """Return the seconds of demand that a lease covers: with many lease holders, calls are rare."""
+        """Return the seconds of demand that a lease covers: more lease holders mean rarer calls for each."""
         call_interval = len(self.lease_holders) / (LEASE_CALLS_FRACTION * self.budget.rate)
         return min(MAX_LEASE_SECONDS, max(MIN_LEASE_SECONDS, call_interval))
 
@@ -116,7 +120,7 @@
                 del self.lease_holders[counter_id]
 
     def shut_down(self, now: float) -> None:
-        """Return all leases and report all usage: the units would be lost with this process."""
+        """Return all leases and report all usage: both would be lost when this process exits."""
         self.return_unused(now, min_units=inf)
         for account in self.table.accounts.values():
             if abs(account.unreported_usage) > MIN_UNITS:
--- a/quota_gateway/decisions/quota_admission.py
+++ b/quota_gateway/decisions/quota_admission.py
@@ -6,24 +6,28 @@
 from quota_gateway.decisions.forwarding import Forwarder
 from quota_gateway.state import Account, OpenRequest
 
-LOW_LOAD = 0.25  # load below which the endpoints can serve requests beyond the quota
-LOW_LOAD_RESERVE_FRACTION = 0.25  # of the burst that must remain in the bucket after a request at low load
-AMPLE_RESERVE_FRACTION = 0.1  # of the burst that must remain in the bucket after a request without a lease
-MAX_REMOTE_FRACTION = 0.9  # of the even shares of the other gateways, which they use at most
-FRESH_TOTAL_SECONDS = 0.2  # age of a total up to which the remote usage since then is negligible
-# A request of a sparse account requires this part of the guaranteed share: nearly all of it, since a fraction
-# of a unit may have been charged.
+# Without the counter, a request beyond the guaranteed share is granted below this load if the bucket still
+# holds this fraction of the burst afterwards.
+MAX_HEADROOM_LOAD = 0.25
+HEADROOM_RESERVE_FRACTION = 0.25
+# The bucket is ample if it still holds this fraction of the burst after a request that no lease covers.
+AMPLE_RESERVE_FRACTION = 0.1
+MAX_REMOTE_FRACTION = 0.9  # largest assumed usage of the other gateways, as a fraction of their even shares
+FRESH_TOTAL_SECONDS = 0.2  # up to this age of a total, the remote usage since then is negligible
+# A request of a sparse account requires this fraction of the guaranteed share: not the whole share, since a
+# fraction of a unit may have been charged.
 MIN_GUARANTEE_FRACTION = 0.95
-FULL_SAMPLING_CALLS = 2  # calls in the budget at which every request of a sparse account calls the counter
-RETRY_CALL_FACTOR = 0.3  # on the call probability of a client's retry, which is most likely over the quota
+FULL_SAMPLING_CALLS = 2  # with this many calls in the budget, each request of a sparse account makes a call
+# Multiplies the probability of a call for a client's retry, which is most likely over the quota.
+RETRY_CALL_FACTOR = 0.3
 MIN_CALL_PROBABILITY = 0.05  # below this probability no request calls the counter
-MIN_SAMPLED_FRACTION = 0.2  # a call reports the units of at most the inverse of this number of requests
-MIN_CALL_TIMEOUTS = 3  # counter timeouts that a request must have left before its deadline to make a call
+MIN_SAMPLED_FRACTION = 0.2  # a call reports the units of at most 1 / MIN_SAMPLED_FRACTION requests
+MIN_CALL_TIMEOUTS = 3  # a request makes a call only if this many counter timeouts are left to its deadline
 
 
 @dataclass(slots=True, eq=False)
 class QuotaAdmission:
-    """Decides whether a request is within its quota, and has it forwarded or rejected at once."""
+    """Decides whether a request is within its quota, and forwards or rejects it without delay."""
 
     context: Context
     forwarder: Forwarder
@@ -52,20 +56,20 @@
         return limit > 0 and account.open_attempts >= -(-limit // account.serving_gateways)
 
     def _expected_tokens(self, now: float, account: Account) -> float:
-        """Return the content of the bucket after the expected usage of the other gateways."""
+        """Return the content of the bucket less the expected usage of the other gateways."""
         return min(account.plan.burst, account.tokens - account.expected_remote_usage(now))
 
     def _admit_without_counter(self, now: float, request: OpenRequest) -> None:
-        """Decide by the guaranteed share, with headroom while the endpoints have low load."""
+        """Decide by the guaranteed share and, while the endpoints have low load, by the expected bucket."""
         account = request.account
         expected = self._expected_tokens(now, account)
         if account.is_sparse:
             is_within_guarantee = expected >= request.units
         else:
-            # The random part admits a request that exceeds the share in proportion to what the share holds.
+            # A request larger than the share is granted with the probability guaranteed_tokens / units.
             is_within_guarantee = account.guaranteed_tokens >= request.units * self.context.rng.random()
-        has_headroom = expected - LOW_LOAD_RESERVE_FRACTION * account.plan.burst >= request.units
-        is_low_load = self.forwarder.gate.controller.load < LOW_LOAD
+        has_headroom = expected - HEADROOM_RESERVE_FRACTION * account.plan.burst >= request.units
+        is_low_load = self.forwarder.gate.controller.load < MAX_HEADROOM_LOAD
         within_quota = is_within_guarantee or (is_low_load and has_headroom)
         self.forwarder.forward(now, request, within_quota=within_quota)
 
@@ -84,7 +88,7 @@
             self._admit_near_quota(now, request, expected)
 
     def _is_ample(self, now: float, request: OpenRequest, expected: float) -> bool:
-        """Whether the bucket covers the request even with the highest usage of the other gateways."""
+        """Whether the bucket covers the request even at the highest assumed usage of the other gateways."""
         account = request.account
         burst = account.plan.burst
         max_remote_usage = MAX_REMOTE_FRACTION * burst * (1 - 1 / account.serving_gateways)
@@ -94,7 +98,7 @@
         return min_tokens - AMPLE_RESERVE_FRACTION * burst >= request.units or account.serving_gateways <= 1
 
     def _admit_near_quota(self, now: float, request: OpenRequest, expected: float) -> None:
-        """Decide by the expected content of the bucket, or by the guarantee if the last total is old."""
+        """Decide by the expected content of the bucket or, if the last total is old, by the guarantee."""
         account = request.account
         total_age = now - account.last_synchronised
         is_fresh = account.counter_total is not None and total_age < FRESH_TOTAL_SECONDS
@@ -103,25 +107,25 @@
         self.forwarder.leases.extend_lease(now, account)
 
     def _admit_sampled(self, now: float, request: OpenRequest, expected: float) -> None:
-        """Decide on a request of a sparse account, and report it with the requests that make no call.
+        """Decide on a request of a sparse account, whose requests at this gateway are too few for a lease.
 
-        So many gateways serve the account that each of them receives too few requests for a lease.
+        A random sample of these requests calls the counter, and reports the units of the others as well.
         """
         account = request.account
         probability = self._call_probability(now, request)
         makes_call = self._makes_call(now, request, probability)
-        # The guarantee limits the requests without a call: one until its units have refilled.
+        # Without calls, the guarantee allows one request until its units have refilled.
         min_guaranteed = max(request.units, MIN_GUARANTEE_FRACTION * account.guaranteed_capacity)
         is_guaranteed = account.guaranteed_tokens >= min_guaranteed
-        is_within = expected >= request.units and not request.is_retry and is_guaranteed
-        is_forwarded = self.forwarder.forward(now, request, within_quota=is_within, prepaid=makes_call)
+        is_within_quota = expected >= request.units and not request.is_retry and is_guaranteed
+        is_forwarded = self.forwarder.forward(now, request, within_quota=is_within_quota, prepaid=makes_call)
         if makes_call:
-            is_counted = is_forwarded and is_within
+            is_counted = is_forwarded and is_within_quota
             account.reserve(request.units / max(MIN_SAMPLED_FRACTION, probability) * is_counted)
             self.forwarder.leases.call_counter(now, account)
 
     def _call_probability(self, now: float, request: OpenRequest) -> float:
-        """Return the probability with which a request of a sparse account calls the counter."""
+        """Return the probability that a request of a sparse account calls the counter."""
         probability = min(1.0, self.forwarder.leases.budget.available(now) / FULL_SAMPLING_CALLS)
         return probability * (RETRY_CALL_FACTOR if request.is_retry else 1.0)
 
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -13,7 +13,7 @@
 
 GATEWAYS = 3
 PLAN = model.Plan("small", rate=20.0, burst=40.0, over_quota_cost=0.5)
-COUNTER_DELAY_SECONDS = 0.004  # until the counter replies
+COUNTER_DELAY_SECONDS = 0.004  # time from a counter call to its reply
 ATTEMPT_SECONDS = 0.05  # reported duration of an attempt
 
 
@@ -34,10 +34,10 @@
 
 
 class QuotaFleet:
-    """The gateways of one customer; attempts complete at once, the counter replies after a delay."""
+    """The gateways that serve one customer; attempts complete at once, the counter replies after a delay."""
 
     def __init__(self, seed: int = 1) -> None:
-        """Start all gateways with an endpoint list each."""
+        """Start all gateways, and give each one an endpoint list."""
         self.now = 100.0
         self.rng = Random(seed)
         self.gateways = [self.start_gateway(index) for index in range(GATEWAYS)]
@@ -92,8 +92,8 @@
     def send_request(self, gateway: int, units: float = 1.0) -> bool:
         """Send a request of the customer, and return whether it was forwarded."""
         self.requests += 1
-        decisions = self.gateways[gateway]
-        admitted_before = decisions.controller.admitted
+        target = self.gateways[gateway]
+        admitted_before = target.controller.admitted
         request = model.Request(
             id=self.requests,
             request_class="read",
@@ -104,8 +104,8 @@
             serving_gateways=GATEWAYS,
         )
         self.feed(gateway, request)
-        assert self.requests not in decisions.forwarder.requests, "the request is still open"
-        is_forwarded = decisions.controller.admitted > admitted_before
+        assert self.requests not in target.forwarder.requests, "the request is still open"
+        is_forwarded = target.controller.admitted > admitted_before
         self.granted_units[gateway] += units * is_forwarded
         self.rejections[gateway] += not is_forwarded
         return is_forwarded
@@ -143,7 +143,7 @@
         return account
 
     def all_accounts(self) -> list[Account]:
-        """Return the customer's accounts at all gateways that have received a request of it."""
+        """Return the customer's accounts at all gateways that have received one of its requests."""
         return [account for gateway in self.gateways for account in gateway.accounts.accounts.values()]
 
     @property
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,4 +1,4 @@
-"""A simulation of one gateway, which checks every action of it against the invariants."""
+"""A simulation of one gateway that checks every action against the invariants."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from quota_gateway import model
 from quota_gateway.decisions.gateway import Gateway
 
-NEVER_EXECUTED = {
+NEVER_EXECUTED = {  # statuses of attempts whose request no endpoint has executed
     model.CallStatus.OVERLOADED,
     model.CallStatus.UNREACHABLE,
     model.CallStatus.RESET_BEFORE_REQUEST,
@@ -32,7 +32,7 @@
 
 
 class Outcome(Enum):
-    """How a request ended for its client."""
+    """How a request ended, as its client sees it."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -48,21 +48,21 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt at an endpoint."""
+    """The endpoint of an attempt, and the time at which it was sent."""
 
     endpoint: str
     sent_at: float
 
 
 class ReceivedRequest(NamedTuple):
-    """A request and the time of its client's timeout."""
+    """A request and the time at which its client times out."""
 
     request: model.Request
     deadline: float
 
 
 class ForwardedRequest(NamedTuple):
-    """One attempt of the gateway, with its request."""
+    """An attempt, with the request that it belongs to."""
 
     sent_at: float
     endpoint: str
@@ -77,12 +77,12 @@
 
 
 class DueStep(NamedTuple):
-    """A timer or a timeout that is due; of steps at the same time, timers are first."""
+    """A due timer or a due timeout of an attempt; steps are sorted by time, then timers come first."""
 
     at: float
     is_timeout: bool
     key: int  # token of the timer, or id of the request that times out
-    attempt: int
+    attempt: int  # attempt that times out; 0 for a timer
 
 
 def make_settings(**changes: object) -> model.Settings:
@@ -148,7 +148,7 @@
     status: model.CallStatus,
     elapsed: float = 0.1,
 ) -> model.AttemptCompleted:
-    """Return the completion of an attempt; a good response is the final answer of the request."""
+    """Return the completion of an attempt; a successful response is the final answer to the request."""
     return model.AttemptCompleted(
         request_id=request_id,
         attempt=attempt,
@@ -161,7 +161,7 @@
 
 
 class GatewaySimulation:
-    """Feeds one gateway legal events on a simulated clock, and fails at an action that violates an invariant.
+    """Feeds legal events to one gateway on a simulated clock; an action that violates an invariant fails.
 
     The invariants: each request gets one final answer, before its deadline; attempts are made only at healthy
     endpoints and within the limit; a request that may have been executed is repeated or rejected only if its
@@ -178,15 +178,15 @@
         self.requests: dict[int, ReceivedRequest] = {}
         self.attempts: dict[int, list[SentAttempt]] = {}  # by request
         self.in_flight: dict[AttemptKey, SentAttempt] = {}
-        self.first_executed: dict[int, SentAttempt] = {}  # the first attempt that may have been executed
+        self.first_executed: dict[int, SentAttempt] = {}  # the first possibly executed attempt, by request
         self.outcomes: dict[int, Outcome] = {}
         self.timers: list[Timer] = []
-        self.counter_calls: list[model.IncrementCounter] = []  # pending
-        self.counter_totals: dict[int, float] = {}  # units, by counter
+        self.counter_calls: list[model.IncrementCounter] = []  # calls without a reply
+        self.counter_totals: dict[int, float] = {}  # units, by counter id
         self.forwarded: list[ForwardedRequest] = []
 
     def feed(self, event: model.Event) -> list[model.Action]:
-        """Let the gateway decide on an event, check its actions and return them."""
+        """Have the gateway handle an event, check its actions and return them."""
         if isinstance(event, model.EndpointUpdate):
             self._apply_endpoint_update(event)
         elif isinstance(event, model.Request):
@@ -271,7 +271,7 @@
             )
             is_inherent = request_class.idempotency is model.Idempotency.INHERENT
             assert is_inherent or is_deduplicated_everywhere, "rejected though it may have been executed"
-        assert self.now <= deadline + DEADLINE_TOLERANCE_SECONDS, "answered late"
+        assert self.now <= deadline + DEADLINE_TOLERANCE_SECONDS, "answered after the deadline"
         self.outcomes[action.request_id] = Outcome.REJECTED if is_rejected else Outcome.FAILED
 
     def advance_to(self, time: float) -> None:
@@ -287,7 +287,7 @@
         self.now = time
 
     def stall(self, seconds: float) -> None:
-        """Advance the clock without firing timers and timeouts, as in a process that does not run."""
+        """Advance the clock without firing timers and timeouts, as if the process were stopped."""
         self.now += seconds
 
     def _due_steps(self, time: float) -> list[DueStep]:
@@ -316,7 +316,7 @@
         return self.feed(attempt_completed(key.request_id, key.attempt, endpoint, status, elapsed))
 
     def complete_attempts(self, status: model.CallStatus = model.CallStatus.OK, elapsed: float = 0.1) -> None:
-        """Complete all attempts that are in flight now; not those that these completions cause."""
+        """Complete all attempts that are in flight now, but not the retries that this causes."""
         for key in list(self.in_flight):
             self.complete_attempt(key, status, elapsed)
 
@@ -332,7 +332,7 @@
 def start_simulation(
     *endpoints: str, seed: int = 1, settings: model.Settings | None = None
 ) -> GatewaySimulation:
-    """Return a simulated gateway that knows these endpoints, by default three, with default settings."""
+    """Return a simulated gateway that has received a list of these endpoints (default: three)."""
     simulation = GatewaySimulation(settings or make_settings(), seed)
     simulation.feed(endpoint_list(*(endpoints or ("s0", "s1", "s2"))))
     return simulation
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by load: the expected work of a request."""
+"""WorkEstimator: the expected work of a request depends on its units."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_expected_work_of_a_request_grows_with_its_units(simulation: GatewaySimulation) -> None:
-    for request_id in range(2000):  # half of them one unit and 0.02 s, half four units and 0.08 s
+    for request_id in range(2000):  # alternately one unit in 0.02 s and four units in 0.08 s
         simulation.advance_to(simulation.now + 0.02)
         units = 1.0 + 3.0 * (request_id % 2)
         simulation.feed(make_request(request_id, units=units))
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The load controller: admission by a fresh gateway, under overload and after a stall."""
+"""LoadController: admission before the first load reading, under overload and after a stall."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_gate_closed_at_one_request_per_second_opens_again_once_responses_are_fast() -> None:
-    """A closed gate gets no load readings: if it kept the last one, it would stay closed forever."""
+    """A closed gate gets no new load readings; if it relied on the last one, it would never open again."""
     simulation = start_simulation(settings=make_settings(gateway_count=300))
     next_id = send_steadily(simulation, 60, 1, 0, elapsed=0.99)
     assert simulation.gateway.controller.admit_rate < 0.5
--- a/tests/test_counter_budget.py
+++ b/tests/test_counter_budget.py
@@ -1,4 +1,4 @@
-"""The budget of counter calls: its rate after quick, queued and lost replies, and outages of the counter."""
+"""CounterBudget: the rate after quick, queued and lost replies, and the pauses during a counter outage."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         now += 1 / budget.rate
         budget.call_ended(now, model.CallStatus.OK, now - QUICK_REPLY_SECONDS)
     quick_rate = budget.rate
-    assert quick_rate > 1.3 * start_rate  # a busy gateway uses the calls that others do not make
+    assert quick_rate > 1.3 * start_rate  # a busy gateway can use calls that idle gateways do not make
     for _ in range(20):  # no call is lost yet
         now += 1 / budget.rate
         budget.call_ended(now, model.CallStatus.OK, now - QUEUED_REPLY_SECONDS)
@@ -31,18 +31,18 @@
     assert budget.available(now) > 0
 
 
-def test_growth_of_the_rate_is_limited_by_time_and_not_by_replies() -> None:
+def test_rate_increase_is_limited_per_second_whatever_the_number_of_replies() -> None:
     budget = CounterBudget(START, 4, 0.0)
     start_rate = budget.rate
     now = START
-    for _ in range(150):  # two seconds of replies
+    for _ in range(150):  # two seconds at 75 replies per second
         now += 1 / start_rate
         budget.call_ended(now, model.CallStatus.OK, now - 0.01)
     assert start_rate < budget.rate < start_rate + 15
 
 
 def test_a_small_rate_shrinks_when_one_call_in_five_is_lost() -> None:
-    """The increases after the other calls do not make up for the decreases."""
+    """The increases after the other four calls must not outweigh the decrease after the lost one."""
     budget = CounterBudget(START, GATEWAYS, 0.0, timeout=TIMEOUT_SECONDS)
     now = START
     start_rate = budget.rate
@@ -103,7 +103,7 @@
     assert pauses[1] < pauses[-1] <= 2.0
 
 
-def test_a_reply_between_two_lost_calls_shows_that_there_is_no_outage() -> None:
+def test_two_lost_calls_with_a_reply_between_them_are_no_outage() -> None:
     budget = CounterBudget(START, GATEWAYS, 0.5)
     budget.call_ended(START + 1.0, model.CallStatus.TIMEOUT, START + 1.0)
     budget.call_ended(START + 2.0, model.CallStatus.OK, START + 2.0)
@@ -123,7 +123,7 @@
             budget.call_ended(now, model.CallStatus.TIMEOUT, now - 0.01, rng.random())
         outage_ends.append(budget.unavailable_until)
         assert budget.available(budget.unavailable_until - 1e-6) == 0
-        assert budget.available(budget.unavailable_until) <= 1, "calls were saved during the outage"
+        assert budget.available(budget.unavailable_until) <= 1, "the bucket was refilled during the outage"
     window_starts = [102.4 + step * 0.1 for step in range(12)]
     ends_by_window = [sum(start <= end < start + 0.1 for end in outage_ends) for start in window_starts]
     assert max(ends_by_window) <= 10
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway as a whole: unusual but legal events, and invalid settings."""
+"""Gateway: unusual but legal events are rejected or ignored, and invalid settings raise an error."""
 
 from __future__ import annotations
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Units leased ahead of demand: no request waits for the counter, no unit is granted twice or lost."""
+"""LeaseManager: no request waits for the counter, and no leased unit is granted twice or lost."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
     start_simulation,
 )
 
-EVEN_RATES = [20.0, 20.0, 20.0]  # requests a second, by gateway
+EVEN_RATES = [20.0, 20.0, 20.0]  # requests per second, by gateway
 
 
 @pytest.fixture
 def fleet() -> QuotaFleet:
-    """Three gateways without a request of their customer so far."""
+    """Three gateways that have not received a request yet."""
     return QuotaFleet()
 
 
 def reported_usage(account: Account) -> float:
-    """Return the units of the pending calls and those that the next call reports."""
+    """Return the units that the pending calls report, plus those that the next call will report."""
     return account.unreported_usage + sum(call.amount for call in account.pending_calls)
 
 
-def count(simulation: GatewaySimulation, outcome: Outcome) -> int:
+def count_outcomes(simulation: GatewaySimulation, outcome: Outcome) -> int:
     """Return the number of requests with this outcome."""
     return sum(ended is outcome for ended in simulation.outcomes.values())
 
 
 def send_without_counter_replies(simulation: GatewaySimulation, request_ids: range) -> None:
-    """Send requests of one customer, each of which must be decided at once."""
+    """Send requests of one customer, and check that each is decided at once."""
     for request_id in request_ids:
         simulation.feed(make_request(request_id, "read", "small", "acct"))
         is_forwarded = AttemptKey(request_id, 0) in simulation.in_flight
@@ -58,22 +58,22 @@
     simulation = start_simulation(settings=make_settings(plans=plans))
     simulation.feed(make_request(0, "read", "small", "acct"))
     (counter_id,) = {call.counter_id for call in simulation.counter_calls}
-    simulation.counter_totals[counter_id] = 4.0  # the other gateways have used four of the six units
+    simulation.counter_totals[counter_id] = 4.0  # the other gateways have used four units of the burst of six
     simulation.reply_to_counter_calls()
     simulation.complete_attempts()
     simulation.now += 1.0  # three units are left, which the other gateways may have used
     send_without_counter_replies(simulation, range(1, 6))
-    # One is forwarded: with the expected usage of the other gateways the bucket has no more.
+    # Only one is forwarded: the other gateways may have used the rest of the bucket.
     assert len(simulation.forwarded) == 2
-    assert count(simulation, Outcome.REJECTED) == 4
-    assert len(simulation.counter_calls) == 2  # the second one reports the usage during the first
+    assert count_outcomes(simulation, Outcome.REJECTED) == 4
+    assert len(simulation.counter_calls) == 2  # the second call reports the usage during the first
     simulation.reply_to_counter_calls()
     for request_id in range(6, 10):
         simulation.feed(make_request(request_id, "read", "small", "acct"))
         simulation.reply_to_counter_calls()
-    # The last unit is split between lease and bucket, and neither part covers a request.
+    # Of the last unit, one part is leased and one is in the bucket; neither covers a request.
     assert len(simulation.forwarded) == 3
-    assert count(simulation, Outcome.REJECTED) == 7
+    assert count_outcomes(simulation, Outcome.REJECTED) == 7
     simulation.complete_attempts()
     advance_without_demand(simulation, seconds=8)
     # A part of the returned lease stays unreported while the bucket is full.
@@ -111,7 +111,7 @@
     account = fleet.account()
     reported = fleet.counter_total + account.unreported_usage
     quota = PLAN.rate * 30.0 + PLAN.burst
-    # The counter has all granted and leased units, and at most the overflow of a full bucket in addition.
+    # The counter has recorded all granted and leased units, and at most the overflow of a full bucket on top.
     assert fleet.granted_units[0] + account.leased - 2.0 <= reported <= quota + 2.0
 
 
@@ -131,7 +131,7 @@
         assert fleet.leased_units <= PLAN.burst
 
 
-def test_the_lease_of_a_gateway_that_exits_without_return_is_lost_once() -> None:
+def test_a_lease_is_lost_only_once_if_its_gateway_exits_without_returning_it() -> None:
     fleet = QuotaFleet(seed=3)
     fleet.send_poisson_traffic(10.0, EVEN_RATES)
     lost_units = fleet.leased_units
@@ -164,7 +164,7 @@
 
 
 def test_leases_are_reported_again_after_the_counter_restarts_empty(fleet: QuotaFleet) -> None:
-    """Otherwise their return would cancel usage of other gateways."""
+    """The return of a lease that was not reported again would cancel usage of other gateways."""
     fleet.send_poisson_traffic(10.0, [18.0, 0.0, 0.0])
     account = fleet.account()
     account.leased += 12.0  # at least 12 units are leased
@@ -220,7 +220,7 @@
 def test_the_part_of_a_lease_that_the_bucket_does_not_cover_is_returned(fleet: QuotaFleet) -> None:
     call = PendingCall(amount=8.0, lease=8.0, made_at=0.0)
     account = prepare_lease_call(fleet, tokens=2.0, call=call)
-    remote_usage = 7.0  # of the ten units in the bucket
+    remote_usage = 7.0  # units used by the other gateways, of ten in the bucket
     total = (account.counter_total or 0.0) + 8.0 + remote_usage
     fleet.feed(0, model.CounterReplied(account.counter_id, model.CallStatus.OK, total))
     assert account.leased == pytest.approx(3.0)
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota: near the quota, over it, without the counter, and for sparse accounts."""
+"""QuotaAdmission: requests near and over the quota, without the counter, and of sparse accounts."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from tests.traffic import send_steadily, send_within_quota
 
-SPARSE_GATEWAYS = 200  # gateways that serve a customer, each with about one request of it a minute
+SPARSE_GATEWAYS = 200  # gateways that serve one customer; each receives about one of its requests a minute
 SMALL_PLAN = model.Plan("small", rate=2.0, burst=8.0, over_quota_cost=0.5)
 PAYING_PLAN = model.Plan("small", rate=2.0, burst=8.0, over_quota_value=0.5)
 
@@ -37,7 +37,7 @@
 def test_while_the_counter_is_unavailable_low_load_allows_more_than_the_even_share(
     simulation: GatewaySimulation, elapsed: float, has_headroom: bool
 ) -> None:
-    next_id = send_steadily(simulation, 5, 10, 0, elapsed)  # without a quota, for the load readings
+    next_id = send_steadily(simulation, 5, 10, 0, elapsed)  # on a plan without a quota, for load readings
     simulation.gateway.leases.budget.unavailable_until = simulation.now + 60.0
     forwarded_before = len(simulation.forwarded)
     for request_id in range(next_id, next_id + 20):
@@ -45,7 +45,7 @@
         simulation.complete_attempts(elapsed=elapsed)
     even_share = 8.0 / 3  # units of the burst for each of three gateways
     forwarded = len(simulation.forwarded) - forwarded_before
-    # A fraction of a unit may be granted as a whole unit.
+    # A fraction of a unit in the share may admit a request of a whole unit.
     assert (forwarded > even_share + 1) is has_headroom
 
 
@@ -59,7 +59,7 @@
 
 
 def test_the_guarantee_is_granted_only_if_the_last_total_is_old() -> None:
-    """A recent total shows how little the bucket has; without one, the even share belongs to this gateway."""
+    """A recent total shows that the bucket is nearly empty; without one, the guaranteed share is granted."""
     fleet = QuotaFleet()
     fleet.send_poisson_traffic(4.0, [18.0, 0.0, 0.0])
     account = fleet.account()
@@ -70,7 +70,7 @@
     account.remote_usage_rate = 50.0
     account.last_synchronised = fleet.now - 0.1
     account.updated_at = fleet.now
-    assert not fleet.send_request(0)  # the other gateways use the refill since the total
+    assert not fleet.send_request(0)  # the other gateways are expected to use the refill since the total
     account.tokens = 1.5
     account.leased = 0.0
     account.last_synchronised = fleet.now - 5.0
@@ -79,7 +79,7 @@
 
 
 def start_sparse_gateway(plan: model.Plan) -> Gateway:
-    """Start one of hundreds of gateways, with three endpoints."""
+    """Start one of 200 gateways, with three endpoints."""
     gateway = Gateway(make_settings(gateway_count=SPARSE_GATEWAYS, plans=(plan,)), 1, 100.0)
     gateway.handle(100.0, endpoint_list("s1", "s2", "s3"))
     return gateway
@@ -134,7 +134,7 @@
 
 
 def test_without_a_counter_call_a_client_retry_of_a_sparse_account_is_rejected() -> None:
-    """Another gateway has most likely rejected the first request for its quota."""
+    """Another gateway has most likely rejected the original request because it was over the quota."""
     gateway = start_sparse_gateway(SMALL_PLAN)
     for request_id in range(40):
         gateway.leases.budget.tokens = 0.0
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""New settings for a running limiter: the decisions, the check of the settings, SIGHUP."""
+"""Reload of settings: effect on open requests, validation of the new settings, and SIGHUP."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     WIRE_SETTINGS
     | {"classes": [WIRE_SETTINGS["classes"][0] | {"hard_limit_s": 6.0}], "contract": {"cold_from": 0.5}}
 )
-Change = Callable[[dict[str, Any]], None]
+SettingsChange = Callable[[dict[str, Any]], None]
 
 
 def test_open_requests_keep_their_class_while_a_lower_attempt_limit_applies_at_once() -> None:
@@ -46,19 +46,19 @@
     forwarded = len(simulation.forwarded)
     endpoints = {request_id: endpoint for (request_id, _), (endpoint, _) in simulation.in_flight.items()}
     simulation.feed(attempt_completed(2, 0, endpoints[2], model.CallStatus.RESET_AFTER_REQUEST))
-    assert simulation.outcomes[2] is Outcome.FAILED  # no longer idempotent, and possibly executed
+    assert simulation.outcomes[2] is Outcome.FAILED  # its class is no longer idempotent, and it may have run
     assert len(simulation.forwarded) == forwarded
     simulation.settings = replace(simulation.settings, classes=(IDEMPOTENT_CLASS, fresh))
     simulation.feed(attempt_completed(1, 0, endpoints[1], model.CallStatus.ERROR))
-    assert len(simulation.forwarded) == forwarded + 1  # idempotent when it arrived
+    assert len(simulation.forwarded) == forwarded + 1  # its class was idempotent when it arrived
     simulation.feed(make_settings(max_attempts=1, classes=(unsafe, fresh)))
     simulation.feed(attempt_completed(3, 0, endpoints[3], model.CallStatus.ERROR))
     assert simulation.outcomes[3] is Outcome.REJECTED
     assert len(simulation.forwarded) == forwarded + 1
 
 
-def without(path: str) -> Change:
-    """Return the change that removes a key, given as a path with dots; a number in it is a list index."""
+def without_key(path: str) -> SettingsChange:
+    """Return a change that removes the key at a dotted path; a number in the path is a list index."""
 
     def change(raw: dict[str, Any]) -> None:
         *parents, key = path.split(".")
@@ -70,14 +70,14 @@
     return change
 
 
-def with_limit(key: str, value: object) -> Change:
+def with_limit(key: str, value: object) -> SettingsChange:
     def change(raw: dict[str, Any]) -> None:
         raw["limits"][key] = value
 
     return change
 
 
-def with_class_value(key: str, value: object) -> Change:
+def with_class_value(key: str, value: object) -> SettingsChange:
     def change(raw: dict[str, Any]) -> None:
         raw["classes"][0][key] = value
 
@@ -87,15 +87,15 @@
 @pytest.mark.parametrize(
     "change",
     [
-        without("classes"),
-        without("limits"),
-        without("contract"),
-        without("contract.cold_from"),
-        without("limits.max_attempts"),
-        without("tariffs.0.quota_rate"),
-        without("classes.0.hard_limit_s"),
-        without("classes.0.effect"),
-        without("me"),
+        without_key("classes"),
+        without_key("limits"),
+        without_key("contract"),
+        without_key("contract.cold_from"),
+        without_key("limits.max_attempts"),
+        without_key("tariffs.0.quota_rate"),
+        without_key("classes.0.hard_limit_s"),
+        without_key("classes.0.effect"),
+        without_key("me"),
         with_class_value("hard_limit_s", 0),
         with_class_value("hard_limit_s", -1.0),
         with_class_value("hard_limit_s", "6"),
@@ -110,7 +110,7 @@
         lambda raw: raw.update(tariffs=None),
     ],
 )
-def test_incomplete_settings_are_rejected(change: Change) -> None:
+def test_incomplete_settings_are_rejected(change: SettingsChange) -> None:
     raw = json.loads(RUNNING_SETTINGS)
     check_reloaded_settings(raw, json.loads(RUNNING_SETTINGS))
     change(raw)
@@ -168,7 +168,7 @@
 
 
 @async_test
-async def test_sighup_loads_new_classes_and_nothing_of_an_invalid_file(tmp_path: Path) -> None:
+async def test_sighup_loads_new_classes_and_rejects_an_invalid_file_as_a_whole(tmp_path: Path) -> None:
     port = free_port()
     async with running_server(ScriptedEndpoint().handle_connection) as address:
         raw = config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
