--- a/quota_gateway/decisions/controller.py
+++ b/quota_gateway/decisions/controller.py
@@ -12,7 +12,7 @@
 REFERENCE_LOAD = 0.8
 GAIN = 20.0  # K, requests per second for each unit of load
 RESET_TIME_SECONDS = 2.8  # Ti
-INTERVAL_SECONDS = 1.0  # between two updates
+INTERVAL_SECONDS = 1.0  # time between two updates of the admit rate
 STALL_SECONDS = 2.5 * INTERVAL_SECONDS  # a longer time between two updates means that this process stalled
 FULL_LOAD = 1.0  # load reading for an endpoint that is overloaded or does not respond in time
 LOW_LOAD = 0.5 * REFERENCE_LOAD  # below this load, the endpoints can certainly serve more requests
@@ -93,5 +93,6 @@
         if self.load < LOW_LOAD and self.admit_rate < arrivals:
             self.integral = arrivals - gain * error
             self.admit_rate = arrivals
-        if error < 0 or self.admit_rate <= arrivals:  # anti-windup
+        # Anti-windup: the integral does not grow while the admit rate exceeds the arrivals.
+        if error < 0 or self.admit_rate <= arrivals:
             self.integral = max(0.0, self.integral + gain / RESET_TIME_SECONDS * error)
--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -14,14 +14,14 @@
 
 COUNT_LIFETIME_SECONDS = 60.0  # the counter deletes a total that was not incremented for this time
 MIN_LEASE_SECONDS = 0.5  # a lease covers the demand of at least this time
-# A lease covers the demand of at most this time: its units are lost if the gateway exits unexpectedly.
+# A lease covers the demand of at most this time: it is lost if the gateway exits without returning it.
 MAX_LEASE_SECONDS = 3.0
 LEASE_CALLS_FRACTION = 0.5  # largest fraction of the counter budget's rate for extending leases
 MAX_LEASED_FRACTION = 0.5  # largest fraction of this gateway's share of the bucket that is leased
 EXTENSION_FRACTION = 0.5  # a lease is extended when less than this fraction of its full size is left
 RETURN_FACTOR = 2.0  # a lease above this multiple of the largest useful lease is reduced to that
 REFRESH_SECONDS = 0.5  # interval between counter calls for a bucket that is estimated to be empty
-EAGER_REPORT_FRACTION = 0.3  # unreported usage above this fraction of the local share is reported immediately
+EAGER_REPORT_FRACTION = 0.3  # from this fraction of the even share on, unreported usage is reported at once
 BACKLOG_FRACTION = 0.25  # unreported usage above this fraction of the burst is reported after a reply
 OVERDUE_REPORT_SECONDS = 1.0  # unreported usage is overdue this long after the last call
 OVERDUE_REPORT_FRACTION = 0.7  # overdue usage is reported if the bucket is below this fraction of the burst
@@ -62,7 +62,7 @@
             self.budget.spend()
 
     def report_significant_usage(self, now: float, account: Account) -> None:
-        """Report unreported usage immediately if it is a large part of what this gateway may still grant."""
+        """Report unreported usage at once if it is a large part of the even share of the bucket."""
         available = min(account.tokens, account.plan.burst)
         threshold = EAGER_REPORT_FRACTION * available / account.serving_gateways
         if account.unreported_usage >= threshold and account.serving_gateways > 1:
