--- a/quota_gateway/net/client/__init__.py
+++ b/quota_gateway/net/client/__init__.py
@@ -1,4 +1,5 @@
-"""Connections of clients: accepting, parsing requests, ordering responses, time-outs and closing.
+"""Client connections: accepting, parsing requests, ordering responses, timeouts and closing.
 
-It owns the listening socket of the clients and their connections, and imports only ``common``.
+This package owns the listening socket for clients and the connections accepted from it. Of the other network
+packages it imports only ``common``.
 """
--- a/quota_gateway/net/client/connection.py
+++ b/quota_gateway/net/client/connection.py
@@ -1,23 +1,24 @@
-"""The event loop's protocol of one client connection: opening, idle timeout, eviction and closing."""
+"""The asyncio protocol of one client connection: opening, idle timeout, eviction and closing."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Protocol, cast
 
-from quota_gateway.net.client.eviction import EvictionOrder, EvictionPriority
+from quota_gateway.net.client.eviction import EvictionPriority, EvictionRank
 from quota_gateway.net.client.request_intake import RequestIntake
 from quota_gateway.net.client.request_pipeline import RequestPipeline
 from quota_gateway.net.client.shared_state import SharedState
-from quota_gateway.net.client.stats import VOLUNTARY, CloseReason
+from quota_gateway.net.client.stats import CAUSED_BY_LIMITER, CloseReason
 from quota_gateway.net.client.transport import ClientTransport
 from quota_gateway.net.common.invariants import Invariant
 
-IDLE_TIMEOUT_SECONDS = 2.05  # an idle connection may be closed after 2 s; a faulty client's must be by 3 s
+# An idle connection may be closed after 2 s, and a faulty client's connection must be closed within 3 s.
+IDLE_TIMEOUT_SECONDS = 2.05
 
 
 class ConnectionOwner(Protocol):
-    """The listener of a connection."""
+    """The listener that accepted a connection."""
 
     shared: SharedState
     intake: RequestIntake
@@ -30,10 +31,10 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """Closes its connection in the ways that the pipeline, the listener and the client require.
+    """Passes input to the request pipeline, and closes the connection.
 
-    Every close by the limiter records its reason in ``_record_close``, which guards the invariant that no
-    unanswered request is closed on.
+    Each close by the limiter calls ``_record_close``, the guard of the invariant that the limiter does not
+    close a connection that has an unanswered request.
     """
 
     __slots__ = (
@@ -46,7 +47,7 @@
     )
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        """Create the protocol of a connection that ``owner`` accepts."""
+        """Create the protocol of a connection that ``owner`` is accepting."""
         self._owner = owner
         self._shared = owner.shared
         self._close_reason = CloseReason.BY_CLIENT  # until the limiter closes the connection
@@ -62,7 +63,7 @@
         self._owner.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister, and end the requests without a response."""
+        """Unregister from the listener, and end the requests that have no response yet."""
         self.transport.on_closed()
         self._shared.stats.record_end(self._close_reason)
         if self._has_sent_data:
@@ -92,7 +93,7 @@
     # Timeouts and eviction.
 
     def check_timeouts(self, now: float) -> None:
-        """Close an idle connection and respond to a slow client: both hold a descriptor and memory."""
+        """Close an idle connection, and send an error to a slow client: both use a descriptor and memory."""
         if not self.transport.is_open:
             return
         if not self.pipeline.is_idle:
@@ -102,8 +103,8 @@
         ):
             self._close_idle(CloseReason.IDLE)
 
-    def eviction_order(self) -> EvictionOrder | None:
-        """Return the place in the order of eviction; None if the connection must not be evicted."""
+    def eviction_rank(self) -> EvictionRank | None:
+        """Return the rank of the connection in the eviction order; None if it must not be evicted."""
         if self.transport.is_lingering:
             priority = EvictionPriority.LINGERING
         elif not self.transport.is_open or self.pipeline.queue:
@@ -114,10 +115,10 @@
             priority = EvictionPriority.PARTIAL_REQUEST
         else:
             priority = EvictionPriority.IDLE
-        return EvictionOrder(priority, self.pipeline.queue.active_at)
+        return EvictionRank(priority, self.pipeline.queue.active_at)
 
     def evict(self) -> bool:
-        """Close or reset unless a request, or the rest of one, is unread; return whether that was done."""
+        """Close or reset, unless a request or a part of one is unread; return whether that was done."""
         if self.transport.is_open and not self.pipeline.reader.in_request:
             return self._close_idle(CloseReason.EVICTED)
         if self.transport.is_open and self.transport.has_unread_input:
@@ -128,7 +129,7 @@
     # Closing.
 
     def close_after_response(self) -> None:
-        """Half-close behind a response, and discard input for a while (lingering close)."""
+        """Half-close after a response, and discard input for a limited time (lingering close)."""
         if not self.transport.is_open:
             return
         self._record_close(CloseReason.RESPONSE)
@@ -137,7 +138,7 @@
         self.pipeline.disconnect()
 
     def _close_idle(self, reason: CloseReason) -> bool:
-        """Close between two requests, unless input is unread; return whether the connection was closed."""
+        """Close an idle connection, unless it has unread input; return whether it was closed."""
         if not self.transport.close_without_input():
             return False
         self._record_close(reason)
@@ -153,9 +154,9 @@
     def _record_close(self, reason: CloseReason) -> None:
         if self._close_reason is CloseReason.BY_CLIENT:
             self._close_reason = reason
-        if reason not in VOLUNTARY:
+        if reason not in CAUSED_BY_LIMITER:
             return
         unanswered = self.pipeline.queue.unanswered_ids()
         if unanswered:
-            story = f"{reason} with unanswered requests: {', '.join(unanswered)}"
-            self._shared.metrics.invariants.report(Invariant.ANSWERED_BEFORE_CLOSE, story)
+            description = f"{reason} with unanswered requests: {', '.join(unanswered)}"
+            self._shared.metrics.invariants.report(Invariant.ANSWERED_BEFORE_CLOSE, description)
--- a/quota_gateway/net/client/eviction.py
+++ b/quota_gateway/net/client/eviction.py
@@ -1,4 +1,4 @@
-"""The order in which connections are evicted when a listener is at its limit."""
+"""The order in which a listener evicts connections when it is at its connection limit."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EvictionPriority(enum.IntEnum):
-    """The kinds of connections without an open request; lower ones are evicted first."""
+    """The kinds of connections that have no open request; those with the lowest value are evicted first."""
 
     LINGERING = 0
     NEVER_SENT_DATA = 1
@@ -15,8 +15,8 @@
     IDLE = 3
 
 
-class EvictionOrder(NamedTuple):
-    """The place of a connection in the order of eviction; the lowest is evicted first."""
+class EvictionRank(NamedTuple):
+    """The rank of a connection in the eviction order; the lowest rank is evicted first."""
 
     priority: EvictionPriority
-    active_at: float  # seconds of the event loop's clock
+    active_at: float  # time of the last activity, in seconds of the event loop's clock
--- a/quota_gateway/net/client/listener.py
+++ b/quota_gateway/net/client/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, limits their number, and ends them when the process drains."""
+"""Accepts client connections, limits their number, and closes them when the process drains."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.connection import ClientConnection
-from quota_gateway.net.client.eviction import EvictionOrder
+from quota_gateway.net.client.eviction import EvictionRank
 from quota_gateway.net.client.request import RequestHandler
 from quota_gateway.net.client.request_intake import RequestIntake
 from quota_gateway.net.client.shared_state import SharedState
@@ -20,13 +20,15 @@
 
 log = logging.getLogger(__name__)
 
-SCAN_INTERVAL_SECONDS = 0.2  # between two checks for idle and slow clients: one timer for all of them
+# A scan checks the timeouts of all connections, so that one timer serves all of them.
+SCAN_INTERVAL_SECONDS = 0.2
 SCANS_PER_LOG_LINE = 50
-DESCRIPTOR_WAIT_SECONDS = 0.1  # in which a closing listener waits for descriptors for its accept queue
+# How long a closing listener waits for free descriptors to accept the connections in its accept queue.
+DESCRIPTOR_WAIT_SECONDS = 0.1
 
 
 class ClientListener:
-    """The listening socket of the clients and its connections."""
+    """The listening socket for clients and the connections accepted from it."""
 
     def __init__(
         self,
@@ -39,14 +41,14 @@
         self.shared = SharedState(settings, max_connections, metrics)
         self.parser = self.shared.parser
         self.intake = RequestIntake(handler, self.shared)
-        self.connections = dict[ClientConnection, None]()  # in the order of their connects
+        self.connections = dict[ClientConnection, None]()  # oldest first
         self._max_connections = max_connections
         self._scan_timer: asyncio.TimerHandle | None = None
         self._scan_count = 0
         self._heartbeat_timer: asyncio.TimerHandle | None = None
         self._acceptor: Acceptor | None = None
         self._is_inherited = False
-        self._is_empty = asyncio.Event()
+        self._all_closed = asyncio.Event()
 
     async def listen(
         self, host: str, port: int, inherited: socket.socket | None = None, *, beside: bool = False
@@ -70,7 +72,7 @@
         return ClientConnection(self)
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """Register a connection; at the limit evict another one or, if all are busy, abort this one."""
+        """Register a connection; at the limit, evict another one, or abort this one if all are busy."""
         if len(self.connections) >= self._max_connections and not self._evict_one():
             log.warning("out of client connections")
             connection.abort(CloseReason.OUT_OF_CONNECTIONS)
@@ -83,19 +85,19 @@
         """Remove a closed connection."""
         self.connections.pop(connection, None)
         if not self.connections:
-            self._is_empty.set()
+            self._all_closed.set()
 
     def _evict_one(self) -> bool:
         return any(connection.evict() for connection in self._eviction_candidates())
 
     def _eviction_candidates(self) -> list[ClientConnection]:
-        """Return the connections that may be evicted, in the order of eviction."""
-        orders = dict[ClientConnection, EvictionOrder]()
+        """Return the connections that may be evicted, in the eviction order."""
+        ranks = dict[ClientConnection, EvictionRank]()
         for connection in self.connections:
-            order = connection.eviction_order()
-            if order is not None:
-                orders[connection] = order
-        return sorted(orders, key=orders.__getitem__)
+            rank = connection.eviction_rank()
+            if rank is not None:
+                ranks[connection] = rank
+        return sorted(ranks, key=ranks.__getitem__)
 
     def _scan(self) -> None:
         """Check the timeouts of all connections, now and every ``SCAN_INTERVAL_SECONDS``."""
@@ -107,13 +109,15 @@
             try:
                 connection.check_timeouts(now)
             except Exception:
-                log.exception("a client's timeouts could not be checked")
+                log.exception(
+                    "could not check the timeouts of a client connection; the next scan tries again"
+                )
         self._scan_count += 1
         if self._scan_count % SCANS_PER_LOG_LINE == 0:
             self.shared.stats.log_counts(len(self.connections))
 
     def _record_heartbeat(self) -> None:
-        """Record that the event loop runs, also while no client sends."""
+        """Record regularly that the event loop runs, even if no client sends anything."""
         self.shared.stalls.mark(self.shared.clock())
         self._heartbeat_timer = asyncio.get_running_loop().call_later(
             HEARTBEAT_INTERVAL_SECONDS, self._record_heartbeat
@@ -126,14 +130,15 @@
         return self.shared.stalls.signal_sent_after(now)
 
     def start_draining(self) -> None:
-        """Close each connection with its next response from now on."""
+        """From now on, close each connection after its next response."""
         self.shared.start_draining()
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Change the limit while another process serves the other connections; evict those beyond it.
+        """Change the connection limit, and evict the connections in excess of it.
 
-        The number from which connections close with their responses stays the same: clients move to
-        the other process then, and a lower number would make them connect a second time.
+        It is changed while another process serves clients too. The number of active connections above which
+        responses close their connection does not change with the limit: clients move to the other process
+        at that time, and a lower number would make them connect a second time.
         """
         self._max_connections = max_connections
         open_connections = sum(not connection.transport.is_closed for connection in self.connections)
@@ -146,8 +151,8 @@
     async def stop_accepting(self) -> None:
         """Accept no more connections; another process may continue to accept from an inherited socket.
 
-        If the socket is not inherited, no other process has it: closing it would reset the connections in its
-        accept queue, which are already established for their clients. They are accepted first.
+        If the socket is not inherited, no other process has it, and closing it would reset the connections in
+        its accept queue. These are already established for their clients and are therefore accepted first.
         """
         acceptor = self._acceptor
         self._acceptor = None
@@ -156,18 +161,19 @@
 
     async def wait_until_empty(self, grace: float) -> None:
         """Wait at most ``grace`` seconds until all connections are closed."""
-        self._is_empty.clear()
+        self._all_closed.clear()
         if self.connections:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._is_empty.wait(), grace)
+                await asyncio.wait_for(self._all_closed.wait(), grace)
 
     async def close(self, grace: float) -> None:
-        """Stop accepting, close idle connections, and wait ``grace`` seconds for the others to end.
+        """Stop accepting, close idle connections, and wait at most ``grace`` seconds for the others to close.
 
-        The scans continue meanwhile: connections become idle, and slow clients still receive an error.
+        The scans continue meanwhile: they close connections that become idle, and slow clients still
+        receive an error.
         """
         await self.stop_accepting()
-        await asyncio.sleep(0)  # registers the connections that have just been accepted
+        await asyncio.sleep(0)  # lets the event loop register the connections that have just been accepted
         self.shared.start_closing_idle_connections()
         self._scan()
         await self.wait_until_empty(grace)
--- a/quota_gateway/net/client/liveness.py
+++ b/quota_gateway/net/client/liveness.py
@@ -1,4 +1,4 @@
-"""Whether the client of a connection is still there: ends of input, half-closed clients and resets."""
+"""Detects whether the client of a connection has disconnected, is half-closed or is still connected."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 from quota_gateway.net.common.socket_calls import PeerState
 
-RESET_WAIT_SECONDS = 0.1  # a disconnected client's reset arrives within a round trip and an event loop delay
-# An attempt may begin until 0.1 s after the end of the client's input; the rest is left to a slow event loop.
-# A client that was seen within this time is not polled either.
+# The reset of a disconnected client arrives within one round trip and one delay of the event loop.
+RESET_WAIT_SECONDS = 0.1
+# An attempt may begin up to 0.1 s after the end of the client's input; the limiter uses half of that, which
+# leaves the other half for delays of the event loop. A client that was seen within this time is not polled.
 PRESENCE_GRACE_SECONDS = 0.05
 
 
-class WatchedTransport(Protocol):
-    """The transport of the client that is watched."""
+class PollableTransport(Protocol):
+    """The part of a client's transport that the liveness check uses."""
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection has not been ended."""
+        """Whether neither the limiter nor the event loop has ended the connection."""
 
     @property
     def is_writable(self) -> bool:
-        """Whether the connection has neither been ended nor failed."""
+        """Whether the connection is open and has not failed."""
 
     def poll_peer(self) -> PeerState:
         """Return what the socket shows of the client."""
@@ -34,7 +35,7 @@
 
 
 class LivenessObserver(Protocol):
-    """Receives the findings on its client."""
+    """Is notified of changes of its client's liveness."""
 
     def on_client_reset(self) -> None:
         """Abort the connection: its client has disconnected."""
@@ -43,29 +44,29 @@
         """Send an interim response if one is allowed; a disconnected client responds with a reset."""
 
     def on_client_maybe_disconnected(self) -> None:
-        """Withdraw the attempts that have not been sent; those in flight may still answer the client."""
+        """Withdraw the unsent attempts; the responses to those in flight may still reach the client."""
 
     def on_client_confirmed(self) -> None:
-        """Resume an upload that was deferred until the client proved to be half-closed."""
+        """Resume an upload that was paused until the client was confirmed to be half-closed."""
 
     def has_queued_requests(self) -> bool:
         """Whether the client still waits for a response."""
 
 
 class Confirmation(enum.Enum):
-    """Whether a client that ended its input has proved to be half-closed."""
+    """The progress of confirming that a client that ended its input is half-closed and not disconnected."""
 
     NOT_STARTED = enum.auto()
-    RUNNING = enum.auto()  # the interim response was sent, and a reset may follow
-    CONFIRMED = enum.auto()  # no reset followed
+    RUNNING = enum.auto()  # an interim response was sent if one is allowed, and a reset may arrive
+    CONFIRMED = enum.auto()  # no reset arrived in time
 
 
 class ClientLiveness:
-    """The knowledge about the presence of one client.
+    """Tracks whether one client is connected, half-closed or disconnected.
 
-    A client that ends its input has disconnected, or is half-closed and waits for its responses. To
-    distinguish these, an interim response is sent: a disconnected client responds to it with a reset, which
-    the socket shows ``RESET_WAIT_SECONDS`` later.
+    A client whose input has ended is either disconnected, or half-closed and waiting for its responses. An
+    interim response distinguishes the two: the host of a disconnected client replies to it with a reset,
+    which is checked for ``RESET_WAIT_SECONDS`` later.
     """
 
     __slots__ = (
@@ -79,25 +80,25 @@
     )
 
     def __init__(
-        self, transport: WatchedTransport, observer: LivenessObserver, clock: Callable[[], float]
+        self, transport: PollableTransport, observer: LivenessObserver, clock: Callable[[], float]
     ) -> None:
-        """Watch the client of a new connection, which counts as seen now."""
+        """Track the client of a new connection, which counts as seen now."""
         self._transport = transport
         self._observer = observer
         self._clock = clock
         self._confirmation = Confirmation.NOT_STARTED
-        self._input_ended_at: float | None = None  # the earliest possible time
-        self._last_seen_at = clock()  # when the input had not ended
-        self.input_ended = False  # the event loop has read the end of the input
+        self._input_ended_at: float | None = None  # the earliest time at which the input may have ended
+        self._last_seen_at = clock()  # the latest time at which the input is known not to have ended
+        self.input_ended = False  # whether the event loop has read the end of the input
 
     def record_seen(self, at: float) -> None:
-        """Record that the input had not ended at a time of the clock."""
+        """Record that the client's input had not ended at the time ``at``."""
         self._last_seen_at = at
 
     def is_possibly_disconnected(self) -> bool:
-        """Whether the client is known to have disconnected, or may have and is not confirmed half-closed.
+        """Whether the client has disconnected, or has ended its input and is not confirmed to be half-closed.
 
-        A client that was not seen recently is polled.
+        Polls the socket unless the client was seen recently.
         """
         if not self._transport.is_open or self._was_seen_recently():
             return False
@@ -109,9 +110,10 @@
     def is_connected(self) -> bool:
         """Whether an attempt may begin for the client.
 
-        The socket is polled, because the event loop may not have read the end of the input yet. A client that
-        ended its input within ``PRESENCE_GRACE_SECONDS`` may be half-closed and is served. If it ended its
-        input earlier, its unsent attempts are withdrawn; if it sent a reset, its connection is aborted.
+        Polls the socket unless the client was seen recently, because the event loop may not have read the end
+        of the input yet. A client that ended its input at most ``PRESENCE_GRACE_SECONDS`` ago may be
+        half-closed and is served. If it ended its input earlier, its unsent attempts are withdrawn; if it
+        sent a reset, its connection is aborted.
         """
         if not self._transport.is_writable:
             return False
@@ -130,7 +132,7 @@
         return self._clock() - self._last_seen_at <= PRESENCE_GRACE_SECONDS
 
     def poll(self) -> None:
-        """Examine the socket: while input is not read, nothing else shows that the client disconnected."""
+        """Poll the socket, which shows a disconnect even while the event loop does not read the input."""
         now = self._clock()
         state = self._transport.poll_peer()
         if state is PeerState.CONNECTED:
@@ -145,7 +147,7 @@
     def on_input_ended(self, not_before: float) -> None:
         """Record that the event loop has read the end of the input while responses are pending.
 
-        ``not_before`` is the earliest time at which it may have arrived.
+        ``not_before`` is the earliest time at which the end of the input may have arrived.
         """
         self.input_ended = True
         if self._input_ended_at is None:
--- a/quota_gateway/net/client/shared_state.py
+++ b/quota_gateway/net/client/shared_state.py
@@ -10,17 +10,17 @@
 from quota_gateway.net.client.stats import ClientStats
 from quota_gateway.net.common.metrics import Metrics
 
-# With more active connections than this fraction of the limit, every response closes its connection. Clients
-# that send one request and keep the connection open, or a leak in a client's pool, would use up the limit
-# otherwise. The price is a connect for each request of the clients that send requests all the time.
-CROWDED_FRACTION = 0.5
+# If the active connections exceed this fraction of the limit, each response closes its connection. Otherwise
+# clients that send one request and keep the connection open, or a client whose pool leaks connections, would
+# use up the limit. The cost: clients that send requests continuously connect anew for each request.
+MAX_KEEP_ALIVE_FRACTION = 0.5
 
 
 class SharedState:
-    """Metrics, settings and counts of one listener; its flags only ever change from False to True."""
+    """Parser, metrics, statistics and flags of one listener; the flags only change from False to True."""
 
     __slots__ = (
-        "_crowded_above",
+        "_max_keep_alive_connections",
         "active_connections",
         "clock",
         "closes_idle_connections",
@@ -42,36 +42,37 @@
         self.stalls = StallDetector(self.clock())
         self.draining = False
         self.closes_idle_connections = False
-        self.open_request_ids = set[bytes]()  # of requests that have no final response yet
-        self.reports_data_age: bool | None = None  # whether the system does; None before the first connection
-        self.active_connections = 0  # open connections that have sent data
-        self._crowded_above = CROWDED_FRACTION * max_connections
+        self.open_request_ids = set[bytes]()  # ids of the requests that have no final response yet
+        # Whether the operating system reports when the last data arrived; None before the first connection.
+        self.reports_data_age: bool | None = None
+        self.active_connections = 0  # open connections that have received data
+        self._max_keep_alive_connections = MAX_KEEP_ALIVE_FRACTION * max_connections
 
     @property
     def closes_connections(self) -> bool:
-        """Whether responses announce that their connection closes, and close it."""
-        return self.draining or self.active_connections > self._crowded_above
+        """Whether responses announce the close of their connection, and then close it."""
+        return self.draining or self.active_connections > self._max_keep_alive_connections
 
     def start_serving(self) -> None:
         """Record that the listener accepts connections from now on."""
         self.stalls = StallDetector(self.clock())
 
     def record_data_age_support(self, *, reports_data_age: bool) -> None:
-        """Record whether the system reports the age of the last data that a client sent."""
+        """Record whether the operating system reports the age of the last data from a client."""
         self.reports_data_age = reports_data_age
 
     def start_draining(self) -> None:
-        """Close each connection with its next response from now on."""
+        """From now on, close each connection after its next response."""
         self.draining = True
 
     def start_closing_idle_connections(self) -> None:
-        """Keep no idle connection open from now on."""
+        """From now on, close each connection as soon as it is idle."""
         self.closes_idle_connections = True
 
     def add_active_connection(self) -> None:
-        """Count a connection that has sent its first data."""
+        """Count a connection that has received its first data."""
         self.active_connections += 1
 
     def remove_active_connection(self) -> None:
-        """Count an active connection as closed."""
+        """Subtract an active connection that has closed."""
         self.active_connections -= 1
--- a/quota_gateway/net/client/stats.py
+++ b/quota_gateway/net/client/stats.py
@@ -1,4 +1,4 @@
-"""Counts of the reasons for which client connections ended, for one log line."""
+"""Counts accepted client connections, failed accepts and the reasons of closes, for one log line."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
     TOO_MUCH_INPUT = "aborted: too much input behind an error"
 
 
-# Closes that neither the client nor the endpoint has caused; a request that was read must be answered before.
-VOLUNTARY = frozenset(
+# Closes that neither the client nor the endpoint has caused. Each request that was read must be answered
+# before such a close.
+CAUSED_BY_LIMITER = frozenset(
     (
         CloseReason.RESPONSE,
         CloseReason.IDLE,
@@ -41,9 +42,9 @@
     __slots__ = ("accept_errors", "accepted", "ended")
 
     def __init__(self) -> None:
-        """Begin with all counts at zero."""
+        """Start with all counts at zero."""
         self.accepted = 0
-        self.accept_errors = Counter[str]()  # by error
+        self.accept_errors = Counter[str]()  # by the symbolic name of the error
         self.ended = Counter[CloseReason]()
 
     def record_accepted(self) -> None:
@@ -51,7 +52,7 @@
         self.accepted += 1
 
     def record_accept_error(self, error_name: str) -> None:
-        """Count a failure of accept."""
+        """Count a failed call of accept."""
         self.accept_errors[error_name] += 1
 
     def record_end(self, reason: CloseReason) -> None:
@@ -59,12 +60,12 @@
         self.ended[reason] += 1
 
     def log_counts(self, open_connections: int) -> None:
-        """Log the counts that are not zero, if any, and begin anew."""
+        """Log the counts that are not zero, if any, and reset all counts to zero."""
         counts = [f"{reason} {count}" for reason, count in sorted(self.ended.items())]
         counts += [f"accept failed ({error}) {count}" for error, count in sorted(self.accept_errors.items())]
         if counts or self.accepted:
-            shown = ", ".join([f"accepted {self.accepted}", *counts])
-            log.info("client connections: %s; open %d", shown, open_connections)
+            summary = ", ".join([f"accepted {self.accepted}", *counts])
+            log.info("client connections: %s; open %d", summary, open_connections)
         self.accepted = 0
         self.accept_errors.clear()
         self.ended.clear()
--- a/quota_gateway/net/client/transport.py
+++ b/quota_gateway/net/client/transport.py
@@ -1,4 +1,4 @@
-"""The transport of one client connection: its phase, and closing it without losing a response."""
+"""The transport of one client connection; closes it in a way that loses no response."""
 
 from __future__ import annotations
 
@@ -9,28 +9,32 @@
 from quota_gateway.net.common.http_common import MAX_STREAMED_BODY_BYTES, STREAM_RECEIVE_BUFFER_BYTES
 from quota_gateway.net.common.socket_calls import PeerState
 
-LINGER_SECONDS = 0.5  # a reset before the client has read its response would destroy the response
-MAX_DISCARDED_BYTES = 128 * 1024  # the sender must not choose how much input is discarded
-UPLOAD_LINGER_SECONDS = 5.0  # for the rest of a well-formed upload that was rejected before its end
+# How long a half-closed connection discards input before it is closed. Closing at once could cause a reset,
+# and a client that receives a reset before it has read its response loses the response.
+LINGER_SECONDS = 0.5
+MAX_DISCARDED_BYTES = 128 * 1024  # a limit, because the client must not determine how much input is discarded
+# The linger time while the rest of a well-formed upload arrives that was rejected before its end.
+UPLOAD_LINGER_SECONDS = 5.0
 
 
 class TransportPhase(enum.Enum):
-    """The phases of a connection's transport, in their order; any of them may be followed by CLOSED."""
+    """The phases of a connection's transport, in order; each of them may be followed by CLOSED."""
 
     CONNECTING = enum.auto()
     OPEN = enum.auto()  # requests are read and responses are written
-    HALF_CLOSED = enum.auto()  # the end of the output was sent; further input is discarded
-    CLOSED = enum.auto()  # closed or reset by the limiter, or lost
+    HALF_CLOSED = enum.auto()  # the sending side is closed; further input is discarded
+    CLOSED = enum.auto()  # closed or reset by either side, or failed
 
 
-_OPEN = TransportPhase.OPEN  # compared for each request, and a lookup in an enum class is slow
+_OPEN = TransportPhase.OPEN  # used for each request, and attribute access on an enum class is slow
 
 
 class ClientTransport:
-    """The one owner of a connection's transport.
+    """Owns the asyncio transport of one client connection.
 
-    Only an OPEN transport is written to. In HALF_CLOSED it discards input for a limited time and a limited
-    number of bytes (a lingering close), because closing a socket with unread input resets the connection.
+    Data is written only in phase OPEN. In phase HALF_CLOSED, input is discarded for a limited time and up to
+    a limited number of bytes (lingering close), because closing a socket with unread input resets the
+    connection.
     """
 
     __slots__ = (
@@ -52,12 +56,12 @@
         self.reading_paused = False
 
     def on_connected(self, transport: asyncio.Transport) -> None:
-        """Take ownership of the event loop's transport."""
+        """Take ownership of the asyncio transport, which is connected."""
         self._transport = transport
         self.phase = _OPEN
 
     def on_closed(self) -> None:
-        """Release the event loop's transport, which is closed."""
+        """Release the asyncio transport, which is closed."""
         self._transport = None
         self.phase = TransportPhase.CLOSED
 
@@ -79,15 +83,15 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the transport is closed, or will be in this iteration of the event loop or the next."""
+        """Whether the transport is closed, or will be in this or the next iteration of the event loop."""
         return self._transport is None or self._transport.is_closing()
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether input was received that the event loop has not read; closing would lose it."""
+        """Whether the socket has input that the event loop has not read; closing would lose that input."""
         return self._transport is not None and socket_calls.has_unread_input(self._transport)
 
-    def _usable(self) -> asyncio.Transport | None:
+    def _writable_transport(self) -> asyncio.Transport | None:
         if self.phase is not _OPEN:
             return None
         transport = self._transport
@@ -96,7 +100,7 @@
     # Input and output.
 
     def write(self, data: bytes) -> None:
-        """Write to an open transport; do nothing in any other phase."""
+        """Write ``data`` if the transport is open; otherwise do nothing."""
         transport = self._transport
         if self.phase is _OPEN and transport is not None and not transport.is_closing():
             transport.write(data)
@@ -105,7 +109,7 @@
         """Pause or resume reading from an open transport."""
         if paused is self.reading_paused:
             return
-        transport = self._usable()
+        transport = self._writable_transport()
         if transport is None:
             return
         self.reading_paused = paused
@@ -115,7 +119,7 @@
             transport.resume_reading()
 
     def limit_receive_buffer(self) -> None:
-        """Bound the part of an upload that the system buffers."""
+        """Limit how much of an upload the operating system buffers."""
         if self.phase is _OPEN and self._transport is not None:
             socket_calls.limit_receive_buffer(self._transport, STREAM_RECEIVE_BUFFER_BYTES)
 
@@ -125,24 +129,24 @@
         self._max_discarded_bytes = MAX_STREAMED_BODY_BYTES
 
     def discard(self, size: int) -> bool:
-        """Count discarded bytes of input; return whether they are within the limit."""
+        """Count ``size`` discarded bytes of input; return whether the total is within the limit."""
         self._discarded_bytes += size
         return self._discarded_bytes <= self._max_discarded_bytes
 
     # The state of the client.
 
     def poll_peer(self) -> PeerState:
-        """Return what the socket of an open transport shows of the client."""
+        """Return the state of the client as the socket shows it; the transport must be open."""
         assert self._transport is not None
         return socket_calls.poll_peer(self._transport)
 
     def has_error(self) -> bool:
-        """Whether a reset was received, also while the input is not read."""
+        """Whether a reset was received, even if the event loop does not read the input."""
         assert self._transport is not None
         return socket_calls.has_socket_error(self._transport)
 
     def reports_data_age(self) -> bool:
-        """Whether the system reports the age of the last data segment."""
+        """Whether the operating system reports the age of the last data segment."""
         return self._transport is not None and socket_calls.reports_data_age(self._transport)
 
     def seconds_since_last_data(self) -> float | None:
@@ -152,8 +156,8 @@
     # Closing.
 
     def half_close(self) -> None:
-        """Send the end of the output behind the written data; close after the lingering time."""
-        transport = self._usable()
+        """Close the sending side after the written data; close the connection after the linger time."""
+        transport = self._writable_transport()
         self.phase = TransportPhase.HALF_CLOSED
         if transport is None:
             return
@@ -163,12 +167,12 @@
         asyncio.get_running_loop().call_later(self._linger_seconds, transport.close)
 
     def close_without_input(self) -> bool:
-        """Close unless input was received that has not been read; return whether the transport was closed.
+        """Close the transport unless it has unread input; return whether it was closed.
 
-        The end of the output is sent in the same step as the check. A request that arrives later has crossed
-        it on the way, which its client recognizes and sends the request again.
+        The end of the output is sent in the same step as the check for unread input. A client whose request
+        arrives later sees that its request and the close crossed on the network, and sends the request again.
         """
-        transport = self._usable()
+        transport = self._writable_transport()
         if transport is None or self.has_unread_input:
             return False
         if transport.get_write_buffer_size() == 0:
