--- a/quota_gateway/net/client/stall_detector.py
+++ b/quota_gateway/net/client/stall_detector.py
@@ -37,7 +37,7 @@
         self._stall_ended_at = now
 
     def mark(self, now: float) -> None:
-        """Record that the event loop runs at ``now``; a second call in the same iteration has no effect."""
+        """Record that the event loop runs at ``now``; all calls in one iteration pass the same time."""
         if now <= self._last_mark:
             return
         if now - self._last_mark > STALL_THRESHOLD_SECONDS:
--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -21,26 +21,26 @@
 )
 
 POST = http_request("/post?account=00000000b4d65521", b"xy")
-LATE_SECONDS = 0.11  # after a disconnect no attempt may begin later than 0.1 s
+LATE_SECONDS = 0.11  # longer than the 0.1 s after a disconnect in which an attempt may still begin
 
 
 def reject(event: model.Event) -> list[model.Action]:
-    """Decisions that reject every request, to be retried in 0.25 s."""
+    """Reject each request, with a Retry-After of 0.25 s."""
     return [model.Reject(event.id, 0.25)] if isinstance(event, model.Request) else []
 
 
 def take_no_action(_event: model.Event) -> list[model.Action]:
-    """Decisions that let every request wait, as for a reply of the counter."""
+    """Let each request wait, as it does for a counter reply."""
     return []
 
 
 def on_timer(actions: list[model.Action]) -> Callable[[model.Event], list[model.Action]]:
-    """Decisions that take ``actions`` when a timer fires, and forward every request."""
+    """Return decisions that take ``actions`` when a timer fires, and forward each request."""
     return lambda event: actions if isinstance(event, model.TimerFired) else forward_to_s1(event)
 
 
 def execute(limiter: LoopbackLimiter, actions: list[model.Action]) -> None:
-    """Let the decisions take ``actions`` now, and forward every later request."""
+    """Make the decisions take ``actions`` now, and forward each later request."""
     limiter.decisions.decide = on_timer(actions)
     limiter.dispatcher.dispatch(model.TimerFired(1))
 
@@ -49,7 +49,7 @@
 async def limiter_with_endpoint(
     serve: ConnectionHandler, script: ScriptedDecisions | None = None
 ) -> AsyncIterator[LoopbackLimiter]:
-    """Run a limiter whose only endpoint is ``s1``; without a script it forwards every request to it."""
+    """Run a limiter whose only endpoint is ``s1``; without ``script`` it forwards each request to it."""
     decisions = script or ScriptedDecisions(forward_to_s1)
     async with (
         running_server(serve) as address,
@@ -59,20 +59,20 @@
 
 
 async def wait_for_connections(limiter: LoopbackLimiter, count: int = 1) -> list[ClientConnection]:
-    """Wait until the limiter has accepted this number of connections; return them, oldest first."""
+    """Wait until the limiter has accepted ``count`` connections; return them, oldest first."""
     while len(limiter.listener.connections) < count:
         await asyncio.sleep(0)
     return list(limiter.listener.connections)
 
 
 async def wait_for_partial_request(limiter: LoopbackLimiter) -> None:
-    """Wait until the limiter has read the start of a request, and not its end."""
+    """Wait until the limiter has read the start of a request but not its end."""
     while not any(client.pipeline.reader.in_request for client in limiter.listener.connections):
         await asyncio.sleep(0)
 
 
 async def ends_without_data(reader: asyncio.StreamReader) -> bool:
-    """Read a connection to its end; return whether no data preceded it."""
+    """Read a connection to its end; return whether no data was received."""
     try:
         return await reader.read() == b""
     except ConnectionResetError:
@@ -87,7 +87,7 @@
 
 
 def reset(client: socket.socket) -> None:
-    """Close with a reset."""
+    """Close the connection with a reset."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
@@ -96,12 +96,12 @@
 
 
 async def assert_rejected(request_bytes: bytes, status: int) -> None:
-    """Assert that malformed input is answered and closes its connection, and affects no other client."""
+    """Assert that a malformed request gets ``status``, closes its connection and affects no other client."""
     script = ScriptedDecisions(reject)
     async with LoopbackLimiter(script, {}) as limiter:
         other_reader, other = await limiter.connect()
         reader, writer = await limiter.connect()
-        writer.write(request_bytes + http_request())  # no input behind the malformed request is parsed
+        writer.write(request_bytes + http_request())  # input after a malformed request must not be parsed
         status_line, headers, _ = await read_message(reader)
         assert int(status_line.split()[1]) == status
         assert headers["connection"] == "close"
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -1,4 +1,4 @@
-"""Calls of accept that fail for a short time: the limiter continues to accept."""
+"""Transient failures of accept: the limiter must continue to accept and lose no connection."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     "error", [errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO]
 )
 @async_test
-async def test_failing_accept_loses_no_connection_and_does_not_end_accepting(
+async def test_transient_accept_error_loses_no_connection_and_does_not_stop_accepting(
     error: int, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    """The first calls fail, both at the clients' address and at the admin address."""
+    """The first calls of accept fail, at the client address and at the admin address."""
     port = free_port()
     async with (
         running_server(ScriptedEndpoint().handle_connection) as endpoint,
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -22,7 +22,7 @@
 
 @async_test
 async def test_request_and_response_pass_through_unchanged() -> None:
-    body = bytes(range(256)) * 256  # the 64 KiB that a collected body may have
+    body = bytes(range(256)) * 256  # 64 KiB, the maximum size of a collected body
     response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
     endpoint = ScriptedEndpoint(lambda _n: response)
     async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
@@ -103,10 +103,10 @@
 
 
 @async_test
-async def test_client_that_does_not_read_its_responses_is_not_read_from(
+async def test_no_input_is_read_from_a_client_that_does_not_read_its_responses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A single connection to the endpoint serves all requests.
+    # Without the delay, all requests reuse a single connection to the endpoint.
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
 
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -1,4 +1,8 @@
-"""Clients that disconnect or half-close, over real sockets; no test depends on how fast the machine is."""
+"""Detection of disconnected and half-closed clients, over real sockets.
+
+Guards against attempts that begin for a client that has disconnected, and against a half-closed client that
+gets no response. No test depends on the speed of the machine.
+"""
 
 from __future__ import annotations
 
@@ -82,7 +86,7 @@
         maybe_disconnected = watch_maybe_disconnected(limiter)
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=15000))
-        (event,) = await script.wait_for(model.Request)  # it waits, as for the counter
+        (event,) = await script.wait_for(model.Request)  # the request waits, as for a counter reply
         writer.write_eof()
         await maybe_disconnected.wait()
         execute(limiter, forward_to_s1(event))
@@ -95,7 +99,7 @@
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_disconnect_is_detected_while_requests_wait(close_client: Any, request_count: int) -> None:
-    """With a full pipeline its input is not read, and only a poll shows the disconnect."""
+    """With a full pipeline the limiter does not read the input, and only a poll shows the disconnect."""
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         client = socket.create_connection(limiter.address)
@@ -137,23 +141,23 @@
 
 
 def close_with_unread_input(client: socket.socket) -> None:
-    """Close with unread input, which resets the connection."""
+    """Close the connection with unread input, which resets it."""
     client.setblocking(True)  # noqa: FBT003 - positional only
     assert client.recv(1, socket.MSG_PEEK)
     client.close()
 
 
 def disconnect(client: socket.socket, close_client: Callable[[socket.socket], None]) -> None:
-    """Disconnect, and keep the event loop from running until an attempt would be too late.
+    """Disconnect, and block the event loop until it is too late for an attempt to begin.
 
-    No timer and no callback of the event loop has shown the disconnect then.
+    No timer or callback of the event loop can detect the disconnect in this time.
     """
     close_client(client)
     time.sleep(LATE_SECONDS)
 
 
 async def keep_endpoint_connection(limiter: LoopbackLimiter, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep an endpoint connection idle, so that the next attempt is written in the step of its decision."""
+    """Leave an idle connection to the endpoint, so that the next attempt is sent as soon as it is decided."""
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     decide = limiter.decisions.decide
     limiter.decisions.decide = forward_to_s1
@@ -162,10 +166,10 @@
     limiter.decisions.events.clear()
 
 
-async def assert_only_the_next_is_forwarded(
+async def assert_only_a_new_request_is_forwarded(
     limiter: LoopbackLimiter, endpoint: ScriptedEndpoint, already_forwarded: int = 0
 ) -> None:
-    """Assert that the endpoint receives a new request behind ``already_forwarded`` ones and no others."""
+    """Send a new request; assert that only it and ``already_forwarded`` earlier ones reached the endpoint."""
     limiter.decisions.decide = forward_to_s1
     request = http_request()
     assert " 200 " in (await limiter.fetch(request))[0]
@@ -179,7 +183,7 @@
 async def test_no_attempt_begins_for_a_client_that_disconnected_while_its_requests_waited(
     close_client: Any, request_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its requests wait as for the counter; with a full pipeline its input is not read either."""
+    """The requests wait as for a counter reply; with a full pipeline the limiter does not read the input."""
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
@@ -190,7 +194,7 @@
         events = await script.wait_for(model.Request, request_count)
         disconnect(client, close_client)
         execute(limiter, [action for event in events for action in forward_to_s1(event)])
-        await assert_only_the_next_is_forwarded(limiter, endpoint, 1)
+        await assert_only_a_new_request_is_forwarded(limiter, endpoint, 1)
         assert not limiter.dispatcher.open_requests
 
 
@@ -208,13 +212,13 @@
         execute(limiter, [model.Reject(first.id, 0.1)])
         disconnect(client, close_with_unread_input)
         execute(limiter, forward_to_s1(second))
-        await assert_only_the_next_is_forwarded(limiter, endpoint, 1)
+        await assert_only_a_new_request_is_forwarded(limiter, endpoint, 1)
 
 
 async def assert_half_closed_client_is_not_served(
     monkeypatch: pytest.MonkeyPatch, *, stall_before_read: float = 0.0, stall_after_read: float = 0.0
 ) -> None:
-    """Let the process stand still before or after it reads the end of a waiting client's input."""
+    """Stall the process before or after it reads the end of the input of a client whose request waits."""
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
@@ -232,14 +236,14 @@
         status, _, _ = await read_final_response(reader)
         assert " 429 " in status
         writer.close()
-        await assert_only_the_next_is_forwarded(limiter, endpoint, 1)
+        await assert_only_a_new_request_is_forwarded(limiter, endpoint, 1)
 
 
 @async_test
 async def test_no_attempt_begins_for_a_client_whose_confirmation_as_half_closed_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of its input was read and an interim response sent, but the result is not checked in time."""
+    """A stall delays the check for a reset after the end of input was read and an interim response sent."""
     await assert_half_closed_client_is_not_served(monkeypatch, stall_after_read=LATE_SECONDS)
 
 
@@ -247,7 +251,7 @@
 async def test_no_attempt_begins_for_a_client_whose_input_ended_during_a_stall(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of its input is read as soon as the process goes on, and is older than that."""
+    """The end of the input is read as soon as the process runs again, but it arrived earlier."""
     await assert_half_closed_client_is_not_served(monkeypatch, stall_before_read=4 * LATE_SECONDS)
 
 
@@ -279,7 +283,7 @@
 async def test_request_of_a_client_that_half_closes_right_after_the_start_is_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After a start or a stall input may have been unread for long; the system knows how long."""
+    """After a start or a stall, unread input may be old; the operating system reports its age."""
     monkeypatch.setattr(client_liveness, "PRESENCE_GRACE_SECONDS", 10.0)  # more than a slow machine needs
     monkeypatch.setattr(client_liveness, "RESET_WAIT_SECONDS", 10.0)
     endpoint = ScriptedEndpoint()
@@ -296,7 +300,7 @@
 
 
 def is_failed_attempt(event: model.Event) -> TypeGuard[model.AttemptCompleted]:
-    """Whether an attempt got an error response, and its request is still open."""
+    """Whether the event is an attempt that got an error response and whose request is still open."""
     return (
         isinstance(event, model.AttemptCompleted)
         and not event.request_finished
@@ -335,14 +339,14 @@
             await asyncio.sleep(0)
         endpoint.response_for = lambda _n: OK_RESPONSE
         script.decide = forward_to_s1
-        # The endpoint receives this request behind all others that were forwarded.
+        # The endpoint receives this request after all others that were forwarded.
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         ids = [headers["x-request-id"] for _, headers, _ in endpoint.requests]
         assert len(ids) == len(set(ids)) <= request_count + 1
 
 
-class LoopWithSlowConnects:
-    """The running event loop; its connects return after ``before_return`` was called."""
+class LoopWithConnectHook:
+    """The running event loop, whose ``create_connection`` calls ``before_return`` before it returns."""
 
     def __init__(self, before_return: Callable[[], None]) -> None:
         self._before_return = before_return
@@ -351,23 +355,23 @@
         return getattr(asyncio.get_running_loop(), name)
 
     async def create_connection(self, *args: Any) -> Any:
-        """Connect, and call ``before_return``."""
+        """Connect, and call ``before_return`` before returning."""
         connected = await asyncio.get_running_loop().create_connection(*args)
         self._before_return()
         return connected
 
 
-class AsyncioWithSlowConnects:
-    """The asyncio module, whose running event loop has slow connects."""
+class AsyncioWithConnectHook:
+    """The asyncio module, whose running event loop calls ``before_return`` after each connect."""
 
     def __init__(self, before_return: Callable[[], None]) -> None:
-        self._loop = LoopWithSlowConnects(before_return)
+        self._loop = LoopWithConnectHook(before_return)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(asyncio, name)
 
-    def get_running_loop(self) -> LoopWithSlowConnects:
-        """Return the event loop with slow connects."""
+    def get_running_loop(self) -> LoopWithConnectHook:
+        """Return the event loop with the hook."""
         return self._loop
 
 
@@ -385,10 +389,10 @@
     script = ScriptedDecisions(forward_to_s1)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
-        monkeypatch.setattr(connector, "asyncio", AsyncioWithSlowConnects(disconnect_client))
+        monkeypatch.setattr(connector, "asyncio", AsyncioWithConnectHook(disconnect_client))
         client = socket.create_connection(limiter.address)
         clients.append(client)
         client.sendall(http_request(timeout_ms=60000))
         (outcome,) = await script.wait_for(model.AttemptCompleted)
         assert outcome.status in (model.CallStatus.NOT_SENT, model.CallStatus.CANCELLED)
-        await assert_only_the_next_is_forwarded(limiter, endpoint)
+        await assert_only_a_new_request_is_forwarded(limiter, endpoint)
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize(("size", "status"), [(20, " 429 "), (100, " 408 ")])
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
-async def test_body_at_a_steady_rate_may_take_longer_but_not_without_limit(
+async def test_body_above_the_minimum_rate_extends_the_timeout_up_to_a_maximum(
     size: int, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(request_body, "MIN_BODY_BYTES_PER_SECOND", 10)
@@ -81,10 +81,10 @@
 
 @pytest.mark.parametrize(("sent_bytes", "times_out"), [(0, True), (40_000, False)])
 @async_test
-async def test_missing_body_behind_a_late_head_times_out_from_the_connect(
+async def test_timeout_of_a_missing_body_after_a_late_head_counts_from_the_connect(
     sent_bytes: int, times_out: bool
 ) -> None:
-    """A body that arrives at more than the least rate keeps its own timeout."""
+    """A body that arrives above the minimum rate has its own timeout instead."""
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         reader, writer = await limiter.connect()
         request = http_request("/post?account=00000000b4d65521", b"x" * 60_000)
@@ -108,7 +108,7 @@
 
 
 @async_test
-async def test_late_and_slow_first_request_times_out_from_the_connect() -> None:
+async def test_timeout_of_a_late_and_slow_first_request_counts_from_the_connect() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         _, writer = await limiter.connect()
         (client,) = await wait_for_connections(limiter)
@@ -136,13 +136,13 @@
         (http_request() + b"GET /lookup", 1),
         (POST + POST[:-1], 1),
     ],
-    ids=["fast body", "upload", "head behind a request", "body behind a request"],
+    ids=["fast body", "upload", "head after a request", "body after a request"],
 )
 @async_test
 async def test_client_that_stops_sending_within_a_request_receives_an_error(
     sent: bytes, requests_before: int
 ) -> None:
-    """The earlier rate does not matter, nor whether an earlier request waits for its response."""
+    """The error is sent whatever the earlier rate, and also if an earlier request waits for its response."""
 
     def forward_uploads(event: model.Event) -> list[model.Action]:
         is_upload = isinstance(event, model.Request) and event.uploading
@@ -168,7 +168,7 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 @async_test
-async def test_rejected_upload_behind_a_waiting_request_does_not_stop_the_timeouts_of_other_clients() -> None:
+async def test_rejected_upload_after_a_waiting_request_does_not_disable_the_timeouts_of_others() -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""Closing of client connections: neither responses nor requests that cross the close are lost."""
+"""Closing client connections: neither a response nor a request that crosses the close is lost."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
         with pytest.raises(ConnectionError):
             await send_body()
-        assert sent < 20_000_000  # the buffers of the sockets
+        assert sent < 20_000_000  # the socket buffers hold less than this
 
 
 @async_test
-async def test_end_of_an_idle_connection_is_sent_in_the_step_that_finds_no_unread_input(
+async def test_idle_connection_is_closed_in_the_same_step_as_the_check_for_unread_input(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request that arrives between the check and the close receives an orderly end and no reset."""
+    """A client whose request arrives between the check and the close gets an orderly close, and no reset."""
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         client = socket.create_connection(limiter.address)
         has_unread_input = ClientTransport.has_unread_input.fget  # type: ignore[attr-defined]
@@ -56,14 +56,14 @@
 
 
 @async_test
-async def test_input_that_crosses_a_closing_response_does_not_destroy_the_response() -> None:
+async def test_response_that_closes_its_connection_is_not_lost_if_input_crosses_it() -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         client = socket.create_connection(limiter.address)
         client.sendall(http_request())
         (event,) = await script.wait_for(model.Request)
         limiter.listener.start_draining()
-        client.sendall(b"x" * 1000)  # unread when the response is written and the connection closed
+        client.sendall(b"x" * 1000)  # still unread when the response is written and the connection is closed
         execute(limiter, [model.Reject(event.id, 0.1)])
         reader, writer = await asyncio.open_connection(sock=client)
         assert " 429 " in (await read_message(reader))[0]
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit of client connections: which are evicted, and when responses close their connections."""
+"""The limit of client connections: which of them are evicted, and when responses close them."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         partial_writer.write(b"GET /lo")
         await limiter.fetch(b"GET /healthz HTTP/1.1\r\n\r\n")
         without_data = [await limiter.connect() for _ in range(61)]
-        # These evict all connections without data and the one with a partial request.
+        # These connects evict all connections without data and the one with a partial request.
         later_clients = [await limiter.connect() for _ in range(63)]
         for reader, _ in without_data:
             assert await ends_without_data(reader)
@@ -54,7 +54,7 @@
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         open_writers = list[asyncio.StreamWriter]()
         closed = 0
-        for _ in range(60):  # of 64
+        for _ in range(60):  # the limit is 64
             reader, writer = await limiter.connect()
             open_writers.append(writer)
             writer.write(http_request())
@@ -62,7 +62,8 @@
             if "connection" in headers:
                 assert await ends_without_data(reader)
                 closed += 1
-        assert closed == 28  # half of the limit of 64 stays open; other connections close with their response
+        # 32 connections, half of the limit of 64, stay open; the other 28 close after their response.
+        assert closed == 28
         for writer in open_writers[:2]:
             writer.close()
         while limiter.listener.shared.active_connections > 30:
@@ -78,7 +79,9 @@
         clients = [socket.create_connection(limiter.address) for _ in range(3)]
         await wait_for_connections(limiter, 3)
         limiter.listener.set_max_connections(3)
-        clients[0].sendall(http_request())  # never sent data for longest, and unread at the next connect
+        # The limiter has read no data from any client, so the oldest connection would be evicted first.
+        # Its request is still unread at the next connect.
+        clients[0].sendall(http_request())
         limiter.listener.on_connected(ClientConnection(limiter.listener))
         first, _ = await asyncio.open_connection(sock=clients[0])
         second, _ = await asyncio.open_connection(sock=clients[1])
@@ -88,7 +91,7 @@
 
 @async_test
 async def test_idle_clients_beyond_a_lower_limit_are_closed_and_busy_ones_are_served() -> None:
-    """From then on another process shares the descriptors of the limiter."""
+    """The limit is lowered when another process begins to share the limiter's descriptors."""
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         busy_reader, busy = await limiter.connect()
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""Lack of descriptors: idle clients use them up, or the process has none left, on real sockets."""
+"""Descriptor exhaustion, on real sockets: idle clients use up the limit, or no descriptor can be opened."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
     running_server,
 )
 
-LIST_DEADLINE_SECONDS = 6.0  # from the return of discovery until the limiter must use its endpoint list
+# The limiter must use the endpoint list within this time after discovery becomes reachable.
+LIST_DEADLINE_SECONDS = 6.0
 MIN_DESCRIPTORS = 256  # the smallest limit in the specification
 
 
@@ -67,8 +68,8 @@
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
-class ReturningPeers:
-    """Discovery and the counter, which are unreachable at first; the endpoint list contains ``endpoint``."""
+class RecoveringServices:
+    """Discovery and the counter, unreachable until ``start``; the endpoint list contains ``endpoint``."""
 
     def __init__(self, endpoint: str) -> None:
         self._endpoint = endpoint
@@ -92,7 +93,7 @@
         await reader.read()
 
     async def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         discovery_port, counter_port = self.ports
         self._servers = [
             await asyncio.start_server(self.serve_list, "127.0.0.1", discovery_port),
@@ -105,9 +106,9 @@
             server.close()
 
 
-def limited_config(endpoint: str, peers: ReturningPeers) -> dict[str, Any]:
-    """Return a configuration with the fewest descriptors, and quotas that reject no request."""
-    discovery_port, counter_port = peers.ports
+def limited_config(endpoint: str, services: RecoveringServices) -> dict[str, Any]:
+    """Return a configuration with the lowest descriptor limit, and quotas that reject no request."""
+    discovery_port, counter_port = services.ports
     raw = config(endpoint, f"127.0.0.1:{discovery_port}") | {"counter": f"127.0.0.1:{counter_port}"}
     raw["limits"] = {"sockets": MIN_DESCRIPTORS}
     raw["settings"] = raw["settings"] | {"specifics": {"has_counter": False, "count_wait_s": 0.05}}
@@ -115,8 +116,8 @@
     return raw
 
 
-async def connect_clients_in_one_step(program: Program) -> list[socket.socket]:
-    """Connect twice as many clients as the limit, some with a request, while the process is suspended."""
+async def connect_clients_while_stopped(program: Program) -> list[socket.socket]:
+    """Connect about twice as many clients as the limit while the process is stopped; a few send a request."""
     resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, MIN_DESCRIPTORS))
     program.process.send_signal(signal.SIGSTOP)
     idle_clients = list[socket.socket]()
@@ -130,7 +131,7 @@
 
 
 @async_test
-async def test_idle_clients_at_the_limit_obstruct_neither_discovery_nor_the_counter_nor_requests(
+async def test_idle_clients_at_the_descriptor_limit_do_not_block_discovery_counter_or_requests(
     tmp_path: Path,
 ) -> None:
     """Many more clients than the limit connect, and a few of them send requests throughout."""
@@ -140,36 +141,36 @@
         running_server(known_endpoint.handle_connection) as known_address,
         running_server(listed_endpoint.handle_connection) as listed_address,
     ):
-        peers = ReturningPeers(listed_address)
-        async with started(limited_config(known_address, peers), tmp_path) as program:
-            idle_clients = await connect_clients_in_one_step(program)
+        services = RecoveringServices(listed_address)
+        async with started(limited_config(known_address, services), tmp_path) as program:
+            idle_clients = await connect_clients_while_stopped(program)
             max_descriptors = 0
             for _ in range(10):
                 idle_clients += connect_without_sending(program, MIN_DESCRIPTORS // 5)
                 await asyncio.gather(*(assert_served(connect_sending(program)) for _ in range(4)))
                 max_descriptors = max(max_descriptors, open_descriptors(program))
-            await peers.start()
-            returned_at = asyncio.get_running_loop().time()
+            await services.start()
+            reachable_at = asyncio.get_running_loop().time()
             while not (
-                peers.list_sent.is_set() and peers.counter_reached.is_set() and listed_endpoint.requests
+                services.list_sent.is_set() and services.counter_reached.is_set() and listed_endpoint.requests
             ):
                 idle_clients += connect_without_sending(program, 5)
                 await assert_served(connect_sending(program))
                 max_descriptors = max(max_descriptors, open_descriptors(program))
-                assert asyncio.get_running_loop().time() < returned_at + LIST_DEADLINE_SECONDS
+                assert asyncio.get_running_loop().time() < reachable_at + LIST_DEADLINE_SECONDS
             assert program.process.returncode is None
             assert max_descriptors < MIN_DESCRIPTORS
             assert len(idle_clients) > 5 * MIN_DESCRIPTORS // 2
-            peers.close()
+            services.close()
             for client in idle_clients:
                 client.close()
 
 
 @contextmanager
 def no_free_descriptor() -> Iterator[None]:
-    """Prevent this process from opening descriptors, as under a leak or a limit below the configured one."""
+    """Prevent this process from opening descriptors, as a leak or a limit below the configured one would."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    lowest_free = os.dup(0)  # the lowest number that is not in use
+    lowest_free = os.dup(0)  # the lowest unused descriptor number
     os.close(lowest_free)
     resource.setrlimit(resource.RLIMIT_NOFILE, (lowest_free, hard))
     try:
@@ -179,7 +180,7 @@
 
 
 @async_test
-async def test_lack_of_descriptors_does_not_count_as_a_fault_of_the_endpoint() -> None:
+async def test_lack_of_descriptors_does_not_count_as_an_endpoint_failure() -> None:
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
@@ -199,10 +200,10 @@
 
 
 @async_test
-async def test_closing_listener_accepts_its_queue_after_a_lack_of_descriptors(
+async def test_closing_listener_empties_its_accept_queue_after_a_lack_of_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its connections are accepted when descriptors are available again, and closing does not fail."""
+    """Waiting connections are accepted once descriptors are available again, and closing does not fail."""
     monkeypatch.setattr(listener, "DESCRIPTOR_WAIT_SECONDS", 10.0)  # more than a slow machine needs
 
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
@@ -219,7 +220,7 @@
         closing_began = asyncio.Event()
 
         async def close_at_the_limit(drain_seconds: float | None) -> None:
-            """Use up the descriptors in the step that closes."""
+            """Use up the descriptors immediately before the close."""
             shortage.enter_context(no_free_descriptor())
             closing_began.set()
             await close(drain_seconds)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -59,7 +59,7 @@
 async def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes() -> None:
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         clients = [socket.create_connection(limiter.address) for _ in range(3)]
-        for client in clients:  # in the accept queue until the event loop runs again
+        for client in clients:  # the connections are in the accept queue until the event loop runs again
             client.sendall(http_request())
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
@@ -71,7 +71,7 @@
 
 
 @async_test
-async def test_connection_closes_behind_a_streamed_response_that_ends_while_draining() -> None:
+async def test_connection_closes_after_a_streamed_response_that_ends_while_draining() -> None:
     finish = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -84,7 +84,7 @@
     async with limiter_with_endpoint(serve) as limiter:
         reader, writer = await limiter.connect()
         writer.write(http_request())
-        head = await reader.readuntil(b"\r\n\r\n")  # sent before the drain, and keeps the connection alive
+        head = await reader.readuntil(b"\r\n\r\n")  # sent before the drain, so it does not announce a close
         assert b"close" not in head
         limiter.listener.start_draining()
         closing = asyncio.create_task(limiter.listener.close(1000))
@@ -112,7 +112,7 @@
 
 
 @async_test
-async def test_request_that_completes_after_all_were_abandoned_is_rejected_and_not_dropped() -> None:
+async def test_request_that_completes_after_abandon_all_is_rejected_and_not_dropped() -> None:
     endpoint = ScriptedEndpoint(lambda _n: None)
     async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         reader, writer = await limiter.connect()
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""The earliest time at which input may have arrived, with and without stalls of the process."""
+"""The stall detector: the earliest time at which input or a signal may have arrived."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert not stalls.is_after_stall(now)
 
 
-def test_input_may_have_waited_for_the_start_of_the_process() -> None:
+def test_input_may_have_arrived_before_the_start_of_the_process() -> None:
     stalls = StallDetector(100.0)
     stalls.mark(100.1)
     assert stalls.is_after_stall(100.1)
@@ -29,7 +29,7 @@
 
 
 def test_second_stall_does_not_hide_the_first_one() -> None:
-    """Input that arrived during the first one may still be unread when the second one begins."""
+    """Input that arrived during the first stall may still be unread when the second one begins."""
     stalls = StallDetector(0.0)
     for step in range(1, 51):
         stalls.mark(0.1 * step)
@@ -43,7 +43,7 @@
     assert stalls.unread_since(10.5) > 10.0
 
 
-def test_signal_may_have_been_sent_since_the_beginning_of_a_stall() -> None:
+def test_signal_may_have_been_sent_at_any_time_during_a_stall() -> None:
     stalls = StallDetector(100.0)
     assert stalls.signal_sent_after(100.05) == 100.05  # the start is no stall: no signal was sent before it
     for step in range(1, 21):
@@ -51,7 +51,7 @@
     stalls.mark(105.0)
     assert stalls.signal_sent_after(105.01) == 102.0
     stalls.mark(105.1)
-    assert stalls.signal_sent_after(105.11) == 105.11  # one sent during the stall was handled before
+    assert stalls.signal_sent_after(105.11) == 105.11  # one sent during the stall was handled earlier
     for step in range(1, 21):
         stalls.mark(105.0 + 0.1 * step)
     assert stalls.signal_sent_after(107.0) == 107.0
