--- a/quota_gateway/lifecycle/startup.py
+++ b/quota_gateway/lifecycle/startup.py
@@ -65,7 +65,7 @@
     try:
         inherited = _inherited_socket(environment.listen_fd)
         # Without an inherited socket, a new version can still listen at the address of the old one.
-        await components.listener.listen(*config.listen, inherited, beside=config.admin is not None)
+        await components.listener.listen(*config.listen, inherited, reuse_port=config.admin is not None)
         if components.admin is not None and config.admin is not None:
             await components.admin.listen(*config.admin)
     except OSError as error:
--- a/quota_gateway/net/client/listener.py
+++ b/quota_gateway/net/client/listener.py
@@ -51,14 +51,14 @@
         self._all_closed = asyncio.Event()
 
     async def listen(
-        self, host: str, port: int, inherited: socket.socket | None = None, *, beside: bool = False
+        self, host: str, port: int, inherited: socket.socket | None = None, *, reuse_port: bool = False
     ) -> tuple[str, int]:
         """Accept connections at an address or from an inherited listening socket; return the address.
 
-        With ``beside`` other processes may listen at the same address. Raises OSError.
+        With ``reuse_port`` other processes may listen at the same address. Raises OSError.
         """
         self._is_inherited = inherited is not None
-        listening = inherited or await create_listening_socket(host, port, reuse_port=beside)
+        listening = inherited or await create_listening_socket(host, port, reuse_port=reuse_port)
         self._acceptor = Acceptor(listening, self._new_connection, self._on_accept_error)
         self.shared.start_serving()
         self._scan()
