--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -156,7 +156,7 @@
     def discard_upload(self) -> None:
         """Discard the rest of the upload of a request that has its response already."""
         self.reader.stop_upload()
-        self._transport.allow_upload()
+        self._transport.extend_linger_limits()
 
     def may_resume_upload(self) -> bool:
         """Whether the client is still there, so that its unread input may be read."""
--- a/quota_gateway/net/client/transport.py
+++ b/quota_gateway/net/client/transport.py
@@ -123,7 +123,7 @@
         if self.phase is _OPEN and self._transport is not None:
             socket_calls.limit_receive_buffer(self._transport, STREAM_RECEIVE_BUFFER_BYTES)
 
-    def allow_upload(self) -> None:
+    def extend_linger_limits(self) -> None:
         """Allow more time and bytes for the rest of an upload that was rejected before its end."""
         self._linger_seconds = UPLOAD_LINGER_SECONDS
         self._max_discarded_bytes = MAX_STREAMED_BODY_BYTES
