--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -87,7 +87,7 @@
     def receive(self, data: bytes) -> None:
         """Parse received bytes, or discard them once the reader has stopped."""
         if self.reader.is_stopped:
-            if not self._transport.discard(len(data)):
+            if not self._transport.count_discarded(len(data)):
                 self._closer.abort(CloseReason.TOO_MUCH_INPUT)
             return
         self.shared.stalls.mark(self.shared.clock())
--- a/quota_gateway/net/client/transport.py
+++ b/quota_gateway/net/client/transport.py
@@ -128,7 +128,7 @@
         self._linger_seconds = UPLOAD_LINGER_SECONDS
         self._max_discarded_bytes = MAX_STREAMED_BODY_BYTES
 
-    def discard(self, size: int) -> bool:
+    def count_discarded(self, size: int) -> bool:
         """Count ``size`` discarded bytes of input; return whether the total is within the limit."""
         self._discarded_bytes += size
         return self._discarded_bytes <= self._max_discarded_bytes
