--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -87,7 +87,7 @@
     def receive(self, data: bytes) -> None:
         """Parse received bytes, or discard them once the reader has stopped."""
         if self.reader.is_stopped:
-            if not self._transport.discard(len(data)):
+            if not self._transport.count_discarded(len(data)):
                 self._closer.abort(CloseReason.TOO_MUCH_INPUT)
             return
         self.shared.stalls.mark(self.shared.clock())
@@ -156,7 +156,7 @@
     def discard_upload(self) -> None:
         """Discard the rest of the upload of a request that has its response already."""
         self.reader.stop_upload()
-        self._transport.allow_upload()
+        self._transport.extend_linger_limits()
 
     def may_resume_upload(self) -> bool:
         """Whether the client is still there, so that its unread input may be read."""
