--- a/quota_gateway/arithmetic.py
+++ b/quota_gateway/arithmetic.py
@@ -1,8 +1,8 @@
-"""Formulas that several parts share: an exponential moving average and the refill of a token bucket."""
+"""Shared formulas: an exponential moving average and the refill of a token bucket."""
 
 
 def moving_average(mean: float, sample: float, weight: float) -> float:
-    """Return the mean moved towards the sample by ``weight`` (0 to 1); a mean of 0 takes the sample."""
+    """Return the average after a sample with ``weight`` (0 to 1); a mean of 0 is replaced by the sample."""
     return mean + (weight if mean else 1.0) * (sample - mean)
 
 
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decisions request of the network modules, or of the simulator."""
+"""Actions: what the decisions return for the network modules, or the simulator, to carry out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,9 @@
     request_id: int
     endpoint: str
     timeout: float  # seconds until the attempt is abandoned
-    not_after: float = math.inf  # Unix time after which the request must not be written, since it is a repeat
+    # Unix time after which a repeat must not be written, because the endpoints may have forgotten its
+    # idempotency key; infinite if no deduplication window limits the attempt.
+    not_after: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add ``amount`` to a number of the shared counter; ``CounterReplied`` returns the total."""
+    """Add ``amount`` to a total of the shared counter; ``CounterReplied`` returns the new total."""
 
     counter_id: int
-    lifetime: float  # seconds without an increment after which the number expires
+    lifetime: float  # seconds without an increment after which the total expires
     amount: float  # units
 
 
@@ -79,7 +81,7 @@
     request_id: int
     ok: bool
     known_endpoints: int
-    avoided_endpoints: int  # of the known ones: ejected or suspended
+    avoided_endpoints: int  # known endpoints that are ejected or suspended
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -38,7 +38,7 @@
     zone: str
     cell: int = 0
     weight: float = 1.0
-    started_at: float = 0.0  # Unix time of its start; 0: unknown
+    started_at: float = 0.0  # Unix time of the endpoint's start; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     plan: str
     timeout: float  # seconds that the client still waits
     account: str
-    units: float = 1.0  # of the customer's quota
+    units: float = 1.0  # cost in units of the customer's quota
     serving_gateways: int = 1  # gateways that serve this customer
     is_retry: bool = False  # the client retries after a rejection or failure
     uploading: bool = False  # the body is not complete: the timeout starts with ``UploadCompleted``
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """A call to the shared counter has ended; the replies of one counter arrive in the order of the calls."""
+    """A call to the shared counter has ended; replies with the same ``counter_id`` arrive in call order."""
 
     counter_id: int
     status: CallStatus
@@ -154,10 +154,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessCountChanged:
-    """The number of processes of this limiter; above one while a new version takes over."""
+    """The number of processes of this limiter has changed; it is above one during an upgrade."""
 
     count: int
-    seconds_unknown: float = 0.0  # since the previous poll: the count may have changed at any time since
+    seconds_unknown: float = 0.0  # seconds since the previous poll; the change happened within this time
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/model/handover.py
+++ b/quota_gateway/model/handover.py
@@ -29,18 +29,18 @@
     tokens: float  # estimated units in the global bucket
     guaranteed_tokens: float  # units of the guaranteed share
     ceiling_tokens: float  # units of the ceiling that the next process gets
-    remote_usage_rate: float  # units per second that other gateways grant
+    remote_usage_rate: float  # estimated usage of the other gateways in units per second
     last_synchronised: float  # Unix time of the counter's last total
-    counter_total: float | None  # units; None: no total received
+    counter_total: float | None  # the counter's last total in units; None: no total received
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """The complete state, sent once to a process that has just started; a value of 0 is unknown."""
+    """The complete state, sent once to a process that has just started; a value of 0 means unknown."""
 
     completion_rate: float  # work that a warm endpoint completes per second
-    mean_work: float  # seconds of work of a request
-    mean_units: float  # units of a request
+    mean_work: float  # mean work of a request in seconds
+    mean_units: float  # mean units of a request
     base_latencies: Mapping[str, float]  # idle latency in seconds, by request class
     endpoints: tuple[EndpointHandover, ...]
     accounts: tuple[AccountHandover, ...]
--- a/quota_gateway/model/rejection.py
+++ b/quota_gateway/model/rejection.py
@@ -24,4 +24,4 @@
     HUNG = "hung"  # consecutive attempts timed out, without any response in between
     UNREACHABLE = "unreachable"  # connections are refused or time out
     CONNECTION_RESETS = "resetting connections"
-    FAILING = "failing"  # a failure rate above the usual one
+    FAILING = "failing"  # a failure rate far above that of the other endpoints
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_OBJECTIVE_SECONDS = 0.01  # latency objective of an unknown class
-MIN_POSITIVE = 1e-9  # a smaller fraction or time counts as zero
+MIN_OBJECTIVE_SECONDS = 0.01  # least latency objective of a class that the settings do not name
+MIN_POSITIVE = 1e-9  # least fraction or time that counts as greater than zero
 
 
 class InvalidSettingsError(ValueError):
@@ -14,10 +14,10 @@
 
 
 class Idempotency(Enum):
-    """Where a request may be repeated once it may have been executed."""
+    """Where a request may be repeated if it may have been executed already."""
 
     INHERENT = "inherent"  # anywhere: a second execution has no effect
-    KEYED = "keyed"  # within the scope and window in which its idempotency key is known
+    KEYED = "keyed"  # at endpoints of its deduplication scope, within the deduplication window
     NONE = "none"  # nowhere
 
 
@@ -39,28 +39,28 @@
     idempotency: Idempotency
     late_weight: float = 0.0  # value of a response after the objective and before the deadline
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: float = 0.0  # seconds for which an idempotency key is known
-    deadline: float = 0.0  # seconds that the client waits over all its attempts; 0: unknown
+    deduplication_window: float = 0.0  # seconds for which the endpoints recognise an idempotency key
+    deadline: float = 0.0  # seconds that the client waits, whatever the number of attempts; 0: unknown
 
     @classmethod
     def unknown(cls, name: str, timeout: float) -> RequestClass:
-        """Return a class that the settings do not name: not idempotent, the timeout as its objective."""
+        """Return a class that the settings do not name: not idempotent, with the timeout as objective."""
         return cls(name, max(timeout, MIN_OBJECTIVE_SECONDS), 1.0, Idempotency.NONE)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A customer's contract; its limits hold for all gateways together."""
+    """A customer's tariff; its limits apply to the sum over all gateways."""
 
     name: str
     price: float = 1.0  # factor on the priority weight
     rate: float = 0.0  # units per second; 0: no quota
-    burst: float = 0.0  # units that the quota's bucket holds
+    burst: float = 0.0  # capacity of the quota's bucket in units
     concurrency_limit: int = 0  # requests in flight; 0: no limit
     over_quota_value: float = 0.0
     over_quota_cost: float = 0.0
-    ceiling_rate: float = 0.0  # units per second that are never exceeded; 0: no ceiling
-    ceiling_burst: float = 0.0  # units
+    ceiling_rate: float = 0.0  # hard limit in units per second; 0: no ceiling
+    ceiling_burst: float = 0.0  # capacity of the ceiling's bucket in units
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,11 +79,11 @@
     load_in_health_check: bool = False  # health checks request a load report
     has_counter: bool = False
     counter_timeout: float = 0.0  # seconds
-    max_units: float = 1.0  # of one request
+    max_units: float = 1.0  # most units that one request may cost
     max_retry_after: float = 0.0  # seconds
     initial_capacity: float = 1.0  # fraction of its full capacity that an endpoint has when it starts
     warm_up_time: float = 0.0  # seconds until an endpoint has its full capacity
-    overload_multiple: float = 1.0  # load, in current capacities, that makes a warming endpoint fail
+    overload_multiple: float = 1.0  # load, relative to current capacity, at which a warming endpoint fails
     overload_window: float = 1.0  # seconds over which that load is measured
 
     def validate(self) -> None:
@@ -99,5 +99,5 @@
         for field, (value, minimum) in min_values.items():
             if value < minimum:
                 raise InvalidSettingsError(
-                    f"impossible setting: {field} is {value}, at least {minimum} wanted"
+                    f"invalid setting: {field} is {value}, but must be at least {minimum}"
                 )
--- a/quota_gateway/model/status.py
+++ b/quota_gateway/model/status.py
@@ -13,18 +13,21 @@
     OVERLOADED = "overloaded"  # the peer rejected the call for lack of capacity: not executed
     TIMEOUT = "timeout"  # no response in time: possibly executed
     UNREACHABLE = "unreachable"  # the connection was refused or timed out: not executed
-    RESET_BEFORE_REQUEST = "reset before request"  # connection lost before all was written: not executed
-    RESET_AFTER_REQUEST = "reset after request"  # connection lost later: possibly executed or counted
+    # The connection was lost before the whole request was written: not executed.
+    RESET_BEFORE_REQUEST = "reset before request"
+    # The connection was lost after the whole request was written: possibly executed or counted.
+    RESET_AFTER_REQUEST = "reset after request"
     MALFORMED = "malformed"  # the counter's reply cannot be parsed: possibly counted
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"  # not executed
-    REJECTED = "rejected"  # a client error (4xx): other endpoints would respond alike
+    REJECTED = "rejected"  # a client error (4xx): other endpoints would return the same
 
 
-# These are tuples because a search by identity is faster than the hash of an enum member.
+# Groups of statuses. They are tuples because a search by identity is faster than the hash of an enum member.
+
 # The endpoint responded, successfully or not.
 RESPONSES = (CallStatus.OK, CallStatus.ERROR, CallStatus.OVERLOADED, CallStatus.REJECTED)
-# The request was surely not executed, so that a repeat is no second execution.
+# The request was certainly not executed, so a repeat cannot be a second execution.
 PROVES_NOT_EXECUTED = (
     CallStatus.OVERLOADED,
     CallStatus.UNREACHABLE,
@@ -39,13 +42,13 @@
 )
 # The status shows no sign of life of the endpoint.
 NO_SIGN_OF_LIFE = (CallStatus.TIMEOUT, CallStatus.CANCELLED, CallStatus.UNREACHABLE)
-# The status does not show whether the endpoint fails.
+# The status says nothing about the endpoint's health and does not count in its failure rate.
 NO_EVIDENCE = (CallStatus.CANCELLED, CallStatus.NOT_SENT, CallStatus.OVERLOADED, CallStatus.REJECTED)
 # The counter replied, successfully or not.
 COUNTER_REPLIES = (CallStatus.OK, CallStatus.OVERLOADED, CallStatus.MALFORMED)
 # The endpoint has not started to execute the request.
 NEVER_STARTED = (CallStatus.UNREACHABLE, CallStatus.RESET_BEFORE_REQUEST)
-# The counter may have added the amount of the call.
+# The counter has added the amount of the call, or may have added it.
 MAY_BE_COUNTED = (
     CallStatus.OK,
     CallStatus.TIMEOUT,
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,8 +1,8 @@
-"""State that the decisions keep: records of endpoint, customer and request with their transitions.
+"""State of the decisions: records of the endpoints, the accounts and the open requests.
 
-Each record changes its own fields only, by methods that are named after the transition. Some transitions
-decide: the size of the guaranteed share, the split of a ceiling, what a process takes over, what counts as a
-restart.
+The fields of a record are changed only by its own methods, which are named after the transition that they
+make. Some methods also apply rules: they size the guaranteed share, split a ceiling among processes, select
+what a process takes over in a handover, and recognise a restarted endpoint.
 """
 
 from quota_gateway.state.account import Account
--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -15,9 +15,9 @@
 class Account(GlobalBucket):
     """A customer's quota: the estimated global bucket, and what this process enforces alone.
 
-    - Guaranteed share: this gateway's even part of the quota, admitted while the counter is unavailable.
+    - Guaranteed share: this gateway's even share of the quota, granted even if the counter is unavailable.
     - Ceiling: the plan's hard limit. The processes of all gateways own disjoint parts of its bucket, whose
-      sum never exceeds the ceiling's burst. An admitted request is charged to the part of its process.
+      sum never exceeds the ceiling's burst. A request is charged to the part of the process that admits it.
     - Demand: moving average of the requested units per second, admitted or not.
 
     All amounts are in units. Many customers send a single request, so the memory of an account matters.
@@ -51,34 +51,36 @@
         self.name = name
         label = f"{plan.name} {name}".encode()
         self.counter_id = int.from_bytes(blake2b(label, digest_size=8).digest(), "big") >> 1
-        self.share_count = self.serving_gateways * process_count  # processes that share ceiling and guarantee
-        self.limit_guarantee(max_units)
+        self.share_count = self.serving_gateways * process_count  # number of processes that share the limits
+        self.set_guaranteed_capacity(max_units)
         self.guaranteed_tokens = self.guaranteed_capacity
-        # The previous process may have emptied its part of the ceiling: the part refills from this start on.
+        # A previous process may have used up its part of the ceiling. The new part therefore starts empty at
+        # ``started_at`` and has been refilled since then.
         uptime = now - started_at
         self.ceiling_tokens = refilled(0.0, plan.ceiling_rate, uptime, plan.ceiling_burst) / self.share_count
         self.demand = 0.0  # units per second as of ``demand_at``
         self.demand_at = now
         self.open_attempts = 0
 
-    def limit_guarantee(self, max_units: float) -> None:
+    def set_guaranteed_capacity(self, max_units: float) -> None:
         """Set the capacity of the guaranteed share; for a sparse account it covers ``max_units``."""
         burst = self.plan.burst
         minimum = min(max_units, burst) if self.is_sparse else 0.0
         self.guaranteed_capacity = max(burst / self.serving_gateways, minimum)
 
     def reconfigure(self, now: float, plan: Plan, max_units: float) -> None:
-        """Apply changed terms from ``now`` on; the next refill limits the buckets to them."""
+        """Apply a changed plan from ``now`` on; the next refill cuts the buckets to their new capacities."""
         self.refill(now)
         self.set_plan(plan)
-        self.limit_guarantee(max_units)
+        self.set_guaranteed_capacity(max_units)
 
     def refill(self, now: float) -> None:
         """Refill the global bucket, the guaranteed share and the ceiling up to ``now``."""
         elapsed = max(0.0, now - self.updated_at)
         self.updated_at = now
         plan = self.plan
-        # The next total deducts the remote usage since the last one; until then the burst may be exceeded.
+        # The counter's next total deducts what the other gateways have used since the last total. Until then,
+        # the bucket may exceed the burst by what it has been refilled since the last total.
         capacity = plan.burst + plan.rate * (now - self.last_synchronised)
         self.tokens = refilled(self.tokens, plan.rate, elapsed, capacity)
         guaranteed_rate = plan.rate / self.share_count
@@ -104,7 +106,7 @@
         self.demand_at = now
 
     def charge_shares(self, units: float, *, within_quota: bool) -> None:
-        """Charge an admitted request to the ceiling and, if it is within the quota, to the guarantee."""
+        """Charge an admitted request to the ceiling; within the quota, charge the guaranteed share too."""
         self.ceiling_tokens -= units if self.plan.ceiling_rate > 0 else 0.0
         if within_quota:
             self.guaranteed_tokens = max(-units, self.guaranteed_tokens - units)
@@ -127,8 +129,8 @@
     ) -> AccountHandover:
         """Split the shares among this limiter's processes, and return the state for a process that joins.
 
-        The previous split was certainly in force until ``alone_until`` (default: ``now``). After that time a
-        joining process may have refilled its part already, so this process refills its new part only.
+        The number of processes may have changed at any time after ``alone_until`` (default: ``now``). Since
+        then a joining process may have refilled its own part, so this process refills only its new part.
         """
         split_at = alone_until if alone_until is not None else now
         self.refill(max(self.updated_at, min(now, split_at)))
@@ -143,7 +145,8 @@
         return self._export(handed_over)
 
     def _export(self, ceiling_tokens: float) -> AccountHandover:
-        # The tokens as the counter knows them: its totals show the other process the usage reported later.
+        # Usage that the counter has not confirmed is added back: the other process deducts it as soon as the
+        # counter's totals include it.
         pending_amount = sum(call.amount for call in self.pending_calls)
         return AccountHandover(
             plan=self.plan.name,
@@ -158,7 +161,7 @@
         )
 
     def take_over(self, now: float, handover: AccountHandover) -> None:
-        """Add the ceiling tokens that another process hands over, and adopt its view of the quota."""
+        """Add the ceiling tokens that another process hands over, and adopt its estimate of the quota."""
         self.refill(now)
         capacity = self.plan.ceiling_burst / self.share_count
         self.ceiling_tokens = min(capacity, self.ceiling_tokens + handover.ceiling_tokens)
--- a/quota_gateway/state/consecutive_failures.py
+++ b/quota_gateway/state/consecutive_failures.py
@@ -9,7 +9,7 @@
 class ConsecutiveFailures:
     """Connection failures and timeouts of one endpoint since its last response.
 
-    Any response ends both series, an error too.
+    Any response resets both counts, even an error.
     """
 
     connection_failures: int = 0
@@ -17,7 +17,7 @@
     last_connection_failure: float = 0.0  # Unix time
 
     def record_response(self) -> None:
-        """Record any response of the endpoint."""
+        """Record a response of any status."""
         self.connection_failures = 0
         self.timeouts = 0
 
@@ -28,8 +28,8 @@
     def record_connection_failure(self, now: float, elapsed: float, *, is_independent: bool) -> None:
         """Record a lost connection of an attempt that lasted ``elapsed`` seconds.
 
-        Connections that are open at the same time are lost together: those of attempts that began before the
-        last failure count as one, unless the failure is independent of other connections.
+        Connections that are open at the same time are lost together. The failure of an attempt that began
+        before the last failure is therefore not counted, unless it is independent of other connections.
         """
         self.connection_failures += is_independent or elapsed <= now - self.last_connection_failure
         self.last_connection_failure = now
--- a/quota_gateway/state/endpoint.py
+++ b/quota_gateway/state/endpoint.py
@@ -11,24 +11,26 @@
 from quota_gateway.state.slow_start_allowance import SlowStartAllowance
 from quota_gateway.state.slowdown import Slowdown
 
-# Less work in flight than this is a rounding error: a half-open endpoint would never get its next request.
+# Less work in flight than this is a rounding error and counts as none. Otherwise a half-open endpoint, which
+# gets a request only while nothing is in flight, would never get its next one.
 NEGLIGIBLE_WORK_SECONDS = 1e-9
-MIN_START_DIFFERENCE_SECONDS = 1e-6  # between the start times of two incarnations
+MIN_START_DIFFERENCE_SECONDS = 1e-6  # start times that differ by less are of the same incarnation
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
     """One endpoint as this gateway knows it. Only its own methods change its fields.
 
-    Work is counted in seconds of latency on an idle endpoint; times are Unix times.
+    Work is measured in seconds of latency at an idle endpoint; times are Unix times.
 
     Invariants between two events:
 
     - ``work_in_flight`` is the sum of the work of the attempts in flight at this endpoint; never negative.
-    - ``unresponsive_since`` is None while no response is expected, as always without an attempt in flight.
-      Otherwise it is the time of the last sign of life, or of the first attempt that waits for a response.
-    - ``half_open`` begins with an ejection and ends with a good response or a restore.
-    - ``slowdown`` holds for the current incarnation only.
+    - ``unresponsive_since`` is None while no response is expected, in particular while no attempt is in
+      flight. Otherwise it is the time at which the first attempt began to wait for a response, or of the
+      last sign of life since then.
+    - ``half_open`` is set by an ejection, and reset by a good response or a restore.
+    - ``slowdown`` describes the current incarnation only.
     """
 
     endpoint: Endpoint
@@ -43,7 +45,7 @@
     unresponsive_since: float | None = None
     slowdown: Slowdown = field(default_factory=Slowdown)
     # Outlier detection.
-    failure_rate: float = 0.0  # moving average of failed attempts
+    failure_rate: float = 0.0  # moving average of the fraction of attempts that failed
     consecutive_failures: ConsecutiveFailures = field(default_factory=ConsecutiveFailures)
     ejected_until: float = 0.0
     ejection_time: float = 0.0  # duration of the last ejection in seconds
@@ -52,7 +54,7 @@
     # Slow start.
     warming_since: float | None = None  # None: warmed up
     allowance: SlowStartAllowance = field(default_factory=SlowStartAllowance)
-    confirmed_at: float | None = None  # when another process of this limiter had this incarnation on its list
+    confirmed_at: float | None = None  # Unix time of the handover that confirmed this incarnation
 
     def __post_init__(self) -> None:
         self.hash_position = blake2b(self.endpoint.name.encode(), digest_size=8).digest()
@@ -67,8 +69,9 @@
     def update(self, endpoint: Endpoint) -> bool:
         """Apply an entry of the endpoint list, and return whether it announces another incarnation.
 
-        The new start time may be the earlier one: the clock of the endpoint's machine may have been stepped
-        back. The entry that this state was created with announces a new incarnation.
+        A new incarnation may have an earlier start time than the old one: the clock of the endpoint's machine
+        may have been stepped back. The entry that this state was created with counts as a new incarnation if
+        it states a start time.
         """
         is_known = self.endpoint is not endpoint
         known_start = self.endpoint.started_at if is_known else 0.0
@@ -87,35 +90,36 @@
     # Load
 
     def start_attempt(self, work: float) -> None:
-        """Add the work of an attempt; an endpoint that is warming up pays for it with its allowance."""
+        """Add the work of an attempt, and take it from the allowance while the endpoint is warming up."""
         self.work_in_flight += work
         if self.warming_since is not None:
             self.allowance.spend(work)
 
     def wait_for_response(self, now: float) -> None:
-        """Start the time in which a response is expected, unless an earlier attempt has started it."""
+        """Expect a response from ``now`` on, unless an earlier attempt already waits for one."""
         if self.unresponsive_since is None:
             self.unresponsive_since = now
 
     def record_sign_of_life(self, now: float) -> None:
-        """Restart the time in which the next response is expected."""
+        """Expect the next response from ``now`` on if work is in flight, and none otherwise."""
         self.unresponsive_since = now if self.work_in_flight > NEGLIGIBLE_WORK_SECONDS else None
 
     def finish_attempt(self, work: float) -> None:
-        """Subtract the work of an attempt that ended in whatever way.
+        """Subtract the work of an attempt, however it ended.
 
-        ``stop_waiting_if_idle`` has to follow, once outlier detection has seen how the attempt ended.
+        The caller has to call ``stop_waiting_if_idle`` afterwards, when outlier detection has evaluated the
+        attempt.
         """
         remaining = self.work_in_flight - work
         self.work_in_flight = remaining if remaining > NEGLIGIBLE_WORK_SECONDS else 0.0
 
     def stop_waiting_if_idle(self) -> None:
-        """Expect no response while nothing is in flight."""
+        """Stop expecting a response if nothing is in flight."""
         if self.work_in_flight <= NEGLIGIBLE_WORK_SECONDS:
             self.unresponsive_since = None
 
     def record_response(self, work: float, slowdown: float, weight: float) -> None:
-        """Record a good response, with its latency divided by the idle latency."""
+        """Record a good response; ``slowdown`` is its latency divided by the idle latency."""
         self.work_completed += work
         self.slowdown.record(slowdown, weight)
 
@@ -146,7 +150,7 @@
         self.ejected_until = min(self.ejected_until, now)
 
     def forget_ejections(self) -> None:
-        """Give the next ejection the minimum duration again."""
+        """Reset the ejection time, so that the next ejection has the minimum duration."""
         self.ejection_time = 0.0
 
     def mark_unreachable(self) -> None:
@@ -169,7 +173,7 @@
         self.allowance.restart_clock(now)
 
     def restore(self, now: float) -> None:
-        """End a suspension, most likely after a restart: forget the endpoint's health."""
+        """End a suspension: forget the endpoint's health, since it has most likely been restarted."""
         self.start_warming_up(now)
         self.allowance.reset(now)
         self.ejected_until = now
@@ -183,7 +187,7 @@
     # Slow start
 
     def start_warming_up(self, since: float) -> None:
-        """Start the slow start of a new incarnation; the latency of the old one does not hold for it."""
+        """Begin the slow start of a new incarnation, and discard the slowdown of the old one."""
         self.warming_since = since
         self.slowdown.reset()
 
@@ -206,9 +210,10 @@
         )
 
     def take_over(self, now: float, handover: EndpointHandover) -> None:
-        """Take over what another process knows of the same incarnation."""
+        """Take over the state that another process has of the same incarnation."""
         self.confirmed_at = now
-        # A slow start that began later here, as by a restore, was not yet known to the other process.
+        # Keep a slow start that began later here, for example with a restore: the other process did not yet
+        # know of it.
         if self.warming_since is None or (handover.warming_since or 0.0) > self.warming_since:
             self.warming_since = handover.warming_since
         self.slowdown = Slowdown(handover.responses, handover.mean_slowdown, handover.slowdown)
--- a/quota_gateway/state/global_bucket.py
+++ b/quota_gateway/state/global_bucket.py
@@ -6,11 +6,11 @@
 
 from quota_gateway.model import MAY_BE_COUNTED, CallStatus, Plan
 
-SPARSE_SHARE_UNITS = 2  # an account is sparse if the even share of the burst is smaller
+SPARSE_SHARE_UNITS = 2  # an account is sparse if its even share of the burst is smaller
 # Fraction of their even shares that the other gateways are assumed to use before the counter's first reply.
 INITIAL_REMOTE_USAGE_FRACTION = 0.3
 REMOTE_USAGE_WINDOW_SECONDS = 3.0  # averaging window of the remote usage rate
-MIN_SYNCHRONISATION_SECONDS = 0.05  # least time between two totals that a rate is computed from
+MIN_SYNCHRONISATION_SECONDS = 0.05  # a shorter time between two totals counts as this time in the rate
 RESET_FRACTION = 0.5  # a total below this fraction of the previous one shows that the counter was reset
 # A sparse account does not report an overflow below this fraction of the burst: all gateways that serve the
 # account see the same overflow, and each would report it.
@@ -34,18 +34,22 @@
         tokens + unreported_usage + amounts of the pending calls,
 
     which is the content of the bucket as the counter knows it. A refill adds to the sum. A successful call
-    takes the growth of the counter's total from it, a call that may have been counted its own amount.
+    subtracts the growth of the counter's total. A failed call that may have been counted subtracts its own
+    amount.
 
-    Exceptions: an empty bucket is not charged, while the usage is reported; usage of a sparse account is not
-    reported by each request but by a sample of them; after a reset of the counter the lease is reported
-    again; a first total that leaves the bucket deep in debt is ignored; and a reply never leaves the bucket
-    in more debt than the pending lease request.
+    Exceptions:
+
+    - A charge does not take an empty bucket below zero, but its usage is still reported.
+    - Only a sample of the requests of a sparse account report usage.
+    - After a reset of the counter, the units that are still leased are reported again.
+    - A first total that leaves the bucket deep in debt is ignored.
+    - A reply never leaves the bucket in more debt than the pending lease request.
 
     A lease is usage that is reported before it is granted: ``lease_requested`` is the lease of the pending
     calls, and ``leased`` the part of the settled leases that has been neither granted nor returned.
 
-    All amounts are in units. ``Account`` extends this class and does not hold an instance of it: one more
-    object per account costs memory.
+    All amounts are in units. ``Account`` is a subclass instead of the owner of an instance: one more object
+    per account would cost memory.
     """
 
     __slots__ = (
@@ -69,20 +73,20 @@
         self.serving_gateways = max(1, serving_gateways)
         self.set_plan(plan)
         self.updated_at = now  # time of the last refill
-        self.tokens = plan.burst + plan.rate * (now - started_at)  # limited by the counter's first total
+        self.tokens = plan.burst + plan.rate * (now - started_at)  # the first total cuts them to the burst
         self.unreported_usage = 0.0
         self.pending_calls: list[PendingCall] = []  # in the order of their replies
         self.last_call_at = now
         self.leased = 0.0
         self.lease_requested = 0.0
         self.counter_total: float | None = None  # the counter's last total
-        self.last_synchronised = started_at  # time of the last total; before the first one, the start
+        self.last_synchronised = started_at  # time of the last total, or of the start before the first total
         other_gateways = self.serving_gateways - 1
         remote_share = plan.rate * other_gateways / self.serving_gateways
         self.remote_usage_rate = remote_share * INITIAL_REMOTE_USAGE_FRACTION  # units per second
 
     def set_plan(self, plan: Plan) -> None:
-        """Apply the terms of a plan; the next refill limits the bucket to them."""
+        """Set the plan; the next refill cuts the bucket to its new capacity."""
         self.plan = plan
         self.is_sparse = plan.burst < SPARSE_SHARE_UNITS * self.serving_gateways
 
@@ -97,7 +101,7 @@
             self.unreported_usage += units
 
     def reserve(self, units: float) -> None:
-        """Take units that the next counter call reports, even where the bucket does not hold them."""
+        """Take units that the next counter call reports, even if the bucket holds fewer."""
         self.unreported_usage += units
         self.tokens -= units
 
@@ -107,7 +111,7 @@
         self.reserve(units)
 
     def charge_lease(self, units: float) -> None:
-        """Grant leased units to an admitted request; the counter has them as used already."""
+        """Grant leased units to an admitted request; the counter has recorded them as used already."""
         self.leased -= units
 
     def return_lease(self, units: float) -> None:
@@ -125,7 +129,7 @@
         return amount
 
     def settle_counter_call(self, now: float, status: CallStatus, total: float) -> PendingCall:
-        """Settle the oldest pending call by its reply, and return the call.
+        """Settle the oldest pending call with its reply or failure, and return the call.
 
         A call that may have been counted is treated as counted; otherwise its units might be counted twice.
         """
@@ -139,15 +143,14 @@
             self.unreported_usage = self.unreported_usage + call.amount - call.lease
             self.tokens += call.lease
         if status is CallStatus.OK:
-            uncovered = max(
-                0.0, min(self.leased, -self.tokens)
-            )  # the bucket had fewer units than were leased
+            # Leased units that the bucket did not hold.
+            uncovered = max(0.0, min(self.leased, -self.tokens))
             self.return_lease(uncovered)
         self.tokens = max(self.tokens, -self.lease_requested)
         return call
 
     def _synchronise(self, now: float, total: float, call: PendingCall) -> None:
-        """Take the usage of other gateways from the bucket: the change of the total beyond this call."""
+        """Deduct the usage of the other gateways: the change of the total without the amount of this call."""
         last_total = self.counter_total or 0.0
         returned = min(0.0, call.amount)  # a call that returns units lowers the total without a reset
         was_reset = total - returned < last_total * RESET_FRACTION
@@ -155,7 +158,8 @@
         self._update_remote_usage_rate(now, remote_usage)
         self.tokens -= remote_usage
         if self.counter_total is None and self.tokens < -self.plan.burst:
-            # The total reaches back beyond the start of this gateway and does not show the bucket's content.
+            # The total includes usage from before the start of this gateway, so it does not show the bucket's
+            # content.
             self.tokens = self.plan.burst / 2
         if was_reset:
             self.unreported_usage += self.leased  # the counter has lost the usage of the lease
--- a/quota_gateway/state/rejections.py
+++ b/quota_gateway/state/rejections.py
@@ -1,4 +1,4 @@
-"""The log text about rejections."""
+"""The text of the log line about rejections and ejections."""
 
 from __future__ import annotations
 
--- a/quota_gateway/state/request.py
+++ b/quota_gateway/state/request.py
@@ -9,7 +9,8 @@
 from quota_gateway.state.account import Account
 from quota_gateway.state.endpoint import EndpointState
 
-# The timeout during an upload: how long it may take is up to the client and the sockets.
+# Timeout of a request while its body is being received. This is only an upper limit: the client and the
+# sockets determine how long an upload takes.
 UPLOAD_TIMEOUT_SECONDS = 3600.0
 
 
@@ -24,26 +25,26 @@
 class OpenRequest:
     """A request without its final answer. Only its own methods change its fields.
 
-    Times are Unix times; work is counted in seconds of latency on an idle endpoint.
+    Times are Unix times; work is measured in seconds of latency at an idle endpoint.
 
-    Invariants: ``attempts`` only grows, and an attempt's number is its place in it. ``in_flight`` holds those
-    that have not ended. ``first_executed`` never changes once it is set.
+    Invariants: ``attempts`` only grows, and the number of an attempt is its index. ``in_flight`` holds the
+    attempts that have not ended. ``first_executed`` never changes once it is set.
     """
 
     id: int
     request_class: RequestClass
     account: Account
-    units: float  # of the customer's quota
+    units: float  # cost in units of the customer's quota
     timeout: float  # seconds that the client waits
-    is_retry: bool  # by the client
+    is_retry: bool  # the client retries after a rejection or failure
     uploading: bool  # the body is not yet complete
     max_attempts: int  # allowed when the request arrived
     started_at: float = 0.0
     deadline: float = 0.0
     useful_until: float = 0.0  # a response after this time has no value
     within_quota: bool = False
-    relative_size: float = 1.0  # its units divided by the mean of all requests
-    work: float = 0.0  # expected
+    relative_size: float = 1.0  # units divided by the mean units of a request
+    work: float = 0.0  # expected work
     priority_percentile: float = 1.0  # rank among recent requests by value per work, 0 to 1
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: dict[int, EndpointState] = field(default_factory=dict)  # by attempt number
@@ -71,7 +72,7 @@
 
     @property
     def useful_time(self) -> float:
-        """Seconds in which a response has a value: without a late weight none after the latency objective."""
+        """Seconds in which a response has a value; without a late weight, at most the latency objective."""
         if self.request_class.late_weight:
             return self.timeout
         return min(self.timeout, self.request_class.latency_objective)
@@ -111,7 +112,8 @@
     def finish_attempt(self, number: int) -> bool:
         """Record the end of an attempt, and return whether it was in flight.
 
-        The endpoint may still be expected to respond: ``EndpointState.finish_attempt`` says until when.
+        The caller has to call ``stop_waiting_if_idle`` of the endpoint afterwards; see
+        ``EndpointState.finish_attempt``.
         """
         state = self.in_flight.pop(number, None)
         if state is None:
@@ -121,7 +123,7 @@
         return True
 
     def abandon_attempts(self) -> None:
-        """End all attempts in flight, whose responses have no use any more."""
+        """End all attempts in flight; their responses are no longer needed."""
         for state in self.in_flight.values():
             state.finish_attempt(self.work)
             state.stop_waiting_if_idle()
@@ -129,6 +131,6 @@
         self.in_flight.clear()
 
     def record_possible_execution(self, number: int) -> None:
-        """Record that an attempt may have been executed; the first one limits when and where to repeat."""
+        """Record that an attempt may have been executed; the first one limits where and when to retry."""
         if self.first_executed is None and number < len(self.attempts):
             self.first_executed = self.attempts[number]
--- a/quota_gateway/state/slow_start_allowance.py
+++ b/quota_gateway/state/slow_start_allowance.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class SlowStartAllowance:
-    """A token bucket of work, in seconds on an idle endpoint; it may go into debt by one request."""
+    """A token bucket of work, in seconds at an idle endpoint; its debt is at most one request."""
 
     work: float = 0.0
     updated_at: float = 0.0  # Unix time
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -1,4 +1,4 @@
-"""Long runs of one simulated gateway with random legal events."""
+"""Runs of one simulated gateway with random legal events."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def run_random_events(
     seed: int, steps: int, settings: model.Settings | None = None
 ) -> list[list[model.Action]]:
-    """Feed a gateway random legal events until all requests are answered, and return the actions of each."""
+    """Feed a gateway random legal events until all requests are answered, and return the actions by event."""
     rng = Random(seed)
     simulation = GatewaySimulation(settings or make_settings(), seed)
     log = [simulation.feed(endpoint_list(*ENDPOINTS))]
@@ -33,7 +33,7 @@
             log.append(simulation.feed(event))
     simulation.reply_to_counter_calls(model.CallStatus.UNREACHABLE)
     simulation.advance_to(simulation.now + 10)
-    assert set(simulation.requests) == set(simulation.outcomes), "a request was lost"
+    assert set(simulation.requests) == set(simulation.outcomes), "a request has no outcome"
     return log
 
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""Transitions of an account: each one keeps the sums that the class states."""
+"""Tests of ``Account``, against methods that create or lose units of a customer's quota."""
 
 from __future__ import annotations
 
@@ -107,7 +107,7 @@
         assert known_content(account) == pytest.approx(content - growth)
 
 
-def test_a_charge_leaves_an_empty_bucket_empty() -> None:
+def test_a_charge_never_puts_the_bucket_into_debt() -> None:
     account = start_account()
     account.charge(100.0, is_reported=False)
     assert account.tokens == 0.0
--- a/tests/test_account_table.py
+++ b/tests/test_account_table.py
@@ -1,4 +1,4 @@
-"""The table of accounts: idle accounts are removed."""
+"""Tests of ``AccountTable``, against idle accounts that stay in memory."""
 
 from __future__ import annotations
 
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -1,4 +1,4 @@
-"""The hard ceiling of a plan, which all gateways together never exceed."""
+"""Tests of the ceiling, against gateways that together forward more units than the plan allows."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 CEILING_BURST = 12.0  # units
 INTERVALS_SECONDS = (0.001, 0.02, 0.1)  # between two requests
 SKEWED_GATEWAYS = (0, 0, 0, 0, 1, 2)  # the first gateway receives most requests
-RESTART_STEP = 120  # at which a gateway without state replaces the first one
+RESTART_STEP = 120  # step at which a gateway without state replaces the first one
 
 
 def start_gateway(settings: model.Settings, seed: int, now: float = 100.0) -> GatewaySimulation:
@@ -62,8 +62,8 @@
     assert total_forwarded > 0
 
 
-def test_a_granted_request_is_charged_to_the_ceiling_before_the_next_one_is_decided() -> None:
-    """Leased units are charged to the ceiling as well, and no request waits for the counter."""
+def test_a_forwarded_request_is_charged_to_the_ceiling_before_the_next_decision() -> None:
+    """The ceiling applies without a reply of the counter, and to requests that use leased units."""
     plan = model.Plan("capped", 1.0, 0.5, 9.0, ceiling_rate=2.0, ceiling_burst=30.0)
     simulation = GatewaySimulation(make_settings(plans=(plan,)))
     simulation.feed(endpoint_list("s0", "s1"))
--- a/tests/test_endpoint_state.py
+++ b/tests/test_endpoint_state.py
@@ -1,4 +1,4 @@
-"""The state of one endpoint: what its transitions keep true."""
+"""Tests of ``EndpointState`` and its parts, against methods that break the invariants of the class."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return EndpointState(model.Endpoint("s0", model.EndpointHealth.HEALTHY, "a"))
 
 
-def test_a_response_is_expected_since_the_first_attempt_and_then_since_the_last_sign_of_life(
+def test_unresponsive_since_is_the_first_attempt_or_a_later_sign_of_life(
     state: EndpointState,
 ) -> None:
     for started_at in (NOW, NOW + 1):
@@ -49,7 +49,7 @@
     assert state.work_in_flight == 0
 
 
-def test_only_a_warming_endpoint_pays_for_its_attempts(state: EndpointState) -> None:
+def test_attempts_use_the_allowance_only_while_the_endpoint_is_warming_up(state: EndpointState) -> None:
     state.start_attempt(0.1)
     assert state.allowance.work == 0
     state.start_warming_up(NOW)
@@ -85,7 +85,7 @@
     assert failures.connection_failures == 3
 
 
-def test_a_response_ends_both_series_of_failures() -> None:
+def test_a_response_resets_both_failure_counts() -> None:
     failures = ConsecutiveFailures()
     failures.record_timeout()
     failures.record_connection_failure(NOW, 0.1, is_independent=True)
--- a/tests/test_global_bucket.py
+++ b/tests/test_global_bucket.py
@@ -1,4 +1,4 @@
-"""The global bucket follows the counter's totals: remote usage, resets and corrected charges."""
+"""Tests of ``GlobalBucket``, against wrong tokens after remote usage, counter resets or corrected charges."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
 def test_charged_units_are_taken_from_the_bucket_and_reported_to_the_counter(
     simulation: GatewaySimulation,
 ) -> None:
-    for request_id in range(5):  # each is assumed to cost one unit and charged three: three empty the bucket
+    # Each request is assumed to cost one unit but is charged three, so three requests empty the bucket.
+    for request_id in range(5):
         simulation.advance_to(simulation.now + 0.01)
         simulation.feed(make_request(request_id, "read", "small", "acct"))
         simulation.reply_to_counter_calls()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of ``GatewaySimulation`` in any order of legal events, and that runs can be repeated."""
+"""Tests with random events, against violated invariants and runs that cannot be reproduced."""
 
 from __future__ import annotations
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions on readiness, which the admin command STATUS replies with."""
+"""Tests of the readiness that the admin command STATUS reports."""
 
 from __future__ import annotations
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Suspensions by operators: the decisions on suspended and restored endpoints."""
+"""Tests of suspensions, against requests to suspended endpoints and old state of restored ones."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return {endpoint for _, endpoint, _ in simulation.forwarded[forwarded_before:]}
 
 
-def test_a_suspension_holds_until_it_is_lifted_whatever_the_endpoint_list_says(
+def test_an_endpoint_stays_suspended_until_restored_whatever_the_endpoint_list_says(
     simulation: GatewaySimulation,
 ) -> None:
     assert execute(simulation, model.AdminCommand.SUSPEND, "s0")
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic of one simulated gateway."""
+"""Request traffic for one simulated gateway."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     interval: float,
     counter_status: model.CallStatus = model.CallStatus.OK,
 ) -> int:
-    """Send requests of one customer on the small plan, and return the number of forwarded ones."""
+    """Send requests of one customer on the small plan, and return how many of them were forwarded."""
     forwarded_before = len(simulation.forwarded)
     for request_id in range(first_id, first_id + count):
         simulation.advance_to(simulation.now + interval)
