--- a/quota_gateway/state/account.py
+++ b/quota_gateway/state/account.py
@@ -87,9 +87,9 @@
         self.guaranteed_tokens = refilled(
             self.guaranteed_tokens, guaranteed_rate, elapsed, self.guaranteed_capacity
         )
-        all_shares = self.ceiling_tokens * self.share_count
-        ceiling = refilled(all_shares, plan.ceiling_rate, elapsed, plan.ceiling_burst)
-        self.ceiling_tokens = ceiling / self.share_count
+        total_ceiling_tokens = self.ceiling_tokens * self.share_count
+        refilled_total = refilled(total_ceiling_tokens, plan.ceiling_rate, elapsed, plan.ceiling_burst)
+        self.ceiling_tokens = refilled_total / self.share_count
 
     def is_ceiling_full(self, now: float) -> bool:
         """Whether a refill up to ``now`` would fill the ceiling's bucket."""
--- a/quota_gateway/state/endpoint.py
+++ b/quota_gateway/state/endpoint.py
@@ -73,9 +73,9 @@
         may have been stepped back. The entry that this state was created with counts as a new incarnation if
         it states a start time.
         """
-        is_known = self.endpoint is not endpoint
-        known_start = self.endpoint.started_at if is_known else 0.0
-        difference = abs(endpoint.started_at - known_start)
+        has_previous_entry = self.endpoint is not endpoint
+        previous_start = self.endpoint.started_at if has_previous_entry else 0.0
+        difference = abs(endpoint.started_at - previous_start)
         is_new_incarnation = endpoint.started_at > 0 and difference > MIN_START_DIFFERENCE_SECONDS
         self.endpoint = endpoint
         self.available = endpoint.health is EndpointHealth.HEALTHY
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -25,16 +25,16 @@
     """Feed a gateway random legal events until all requests are answered, and return the actions by event."""
     rng = Random(seed)
     simulation = GatewaySimulation(settings or make_settings(), seed)
-    log = [simulation.feed(endpoint_list(*ENDPOINTS))]
+    actions = [simulation.feed(endpoint_list(*ENDPOINTS))]
     for step in range(steps):
         simulation.advance_to(simulation.now + rng.choice(TIME_STEPS_SECONDS))
         event = _random_event(simulation, rng, step)
         if event is not None:
-            log.append(simulation.feed(event))
+            actions.append(simulation.feed(event))
     simulation.reply_to_counter_calls(model.CallStatus.UNREACHABLE)
     simulation.advance_to(simulation.now + 10)
     assert set(simulation.requests) == set(simulation.outcomes), "a request has no outcome"
-    return log
+    return actions
 
 
 def _random_event(simulation: GatewaySimulation, rng: Random, step: int) -> model.Event | None:
