--- a/tests/test_global_bucket.py
+++ b/tests/test_global_bucket.py
@@ -6,24 +6,24 @@
 
 from quota_gateway import model
 from tests.simulation import GatewaySimulation, make_request
-from tests.traffic import send_within_quota
+from tests.traffic import send_with_small_plan
 
 UNITS_PER_SECOND = 2  # refill of the plan "small"; its burst is eight units
 
 
 def test_usage_of_other_gateways_is_taken_from_the_bucket(simulation: GatewaySimulation) -> None:
-    assert send_within_quota(simulation, 0, 1, 0.001) == 1
+    assert send_with_small_plan(simulation, 0, 1, 0.001) == 1
     (counter_id,) = simulation.counter_totals
     simulation.counter_totals[counter_id] += 5.0  # the other gateways use five of the eight units
-    assert send_within_quota(simulation, 2000, 40, 0.001) in (2, 3)
+    assert send_with_small_plan(simulation, 2000, 40, 0.001) in (2, 3)
 
 
 def test_counter_that_restarts_empty_neither_refills_nor_empties_the_bucket(
     simulation: GatewaySimulation,
 ) -> None:
-    send_within_quota(simulation, 0, 40, 0.001)
+    send_with_small_plan(simulation, 0, 40, 0.001)
     simulation.counter_totals.clear()
-    forwarded = send_within_quota(simulation, 100, 40, 0.05)
+    forwarded = send_with_small_plan(simulation, 100, 40, 0.05)
     seconds = 40 * 0.05
     assert 2 <= forwarded <= UNITS_PER_SECOND * seconds + 2
 
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -15,7 +15,7 @@
     make_settings,
     start_simulation,
 )
-from tests.traffic import send_steadily, send_within_quota
+from tests.traffic import send_steadily, send_with_small_plan
 
 SPARSE_GATEWAYS = 200  # gateways that serve a customer, each with about one request of it a minute
 SMALL_PLAN = model.Plan("small", rate=2.0, burst=8.0, over_quota_cost=0.5)
@@ -25,11 +25,11 @@
 def test_one_gateway_may_use_the_whole_bucket_while_the_others_use_nothing(
     simulation: GatewaySimulation,
 ) -> None:
-    assert send_within_quota(simulation, 0, 40, 0.001) == 8
+    assert send_with_small_plan(simulation, 0, 40, 0.001) == 8
 
 
 def test_while_the_counter_is_unreachable_the_even_share_is_granted(simulation: GatewaySimulation) -> None:
-    forwarded = send_within_quota(simulation, 0, 40, 0.001, model.CallStatus.UNREACHABLE)
+    forwarded = send_with_small_plan(simulation, 0, 40, 0.001, model.CallStatus.UNREACHABLE)
     assert 8 / 3 <= forwarded <= 6
 
 
@@ -55,7 +55,7 @@
 ) -> None:
     simulation = start_simulation(settings=make_settings(plans=(model.Plan("free"), plan)))
     send_steadily(simulation, 5, 40, 0)
-    assert (send_within_quota(simulation, 5000, 60, 0.02) > 12) is is_forwarded
+    assert (send_with_small_plan(simulation, 5000, 60, 0.02) > 12) is is_forwarded
 
 
 def test_the_guarantee_is_granted_only_if_the_last_total_is_old() -> None:
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -23,7 +23,7 @@
     return next_id
 
 
-def send_within_quota(
+def send_with_small_plan(
     simulation: GatewaySimulation,
     first_id: int,
     count: int,
