--- a/quota_gateway/decisions/endpoint_set.py
+++ b/quota_gateway/decisions/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints by name, the hash ring of those in use, and the subset of it that this gateway uses."""
+"""The known endpoints by name, the hash ring of those in use, and this gateway's subset of the ring."""
 
 import math
 from collections.abc import Iterable
@@ -10,11 +10,12 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.state import EndpointState
 
-MIN_SUBSET = 8  # endpoints; with many gateways, each of them sends an endpoint too little to learn from
-SUBSET_MULTIPLE = 5  # of this gateway's even part of the ring
-WORK_RATE_WEIGHT = 0.3  # of the newest interval in an endpoint's work rate
-MAX_LIST_DELAY_SECONDS = 6.0  # from a change of an endpoint to the list that announces it
-HEALTH_CHECK_SECONDS = 1.5 * INTERVAL_SECONDS  # of ejection for each health check
+# One of many gateways has too few requests to learn the state of every endpoint, so it uses a subset.
+MIN_SUBSET = 8  # endpoints
+SUBSET_MULTIPLE = 5  # The subset is this multiple of the gateway's even part of the ring.
+WORK_RATE_WEIGHT = 0.3  # weight of the newest interval in an endpoint's work rate
+MAX_LIST_DELAY_SECONDS = 6.0  # longest assumed time from an endpoint's change to the list that announces it
+HEALTH_CHECK_EJECTION_SECONDS = 1.5 * INTERVAL_SECONDS  # A health check keeps an endpoint ejected this long.
 
 
 @dataclass(slots=True, eq=False)
@@ -27,18 +28,18 @@
 
     context: Context
     by_name: dict[str, EndpointState] = field(default_factory=dict)
-    hash_ring: list[EndpointState] = field(default_factory=list)  # in this gateway's order
+    hash_ring: list[EndpointState] = field(default_factory=list)  # starts at this gateway's position
     subset: list[EndpointState] = field(default_factory=list)
-    suspended: frozenset[str] = frozenset()  # names of endpoints, by operators
-    has_list: bool = False  # whether an endpoint list was received
-    clock_lag: float = 0.0  # least number of seconds that the local wall clock was behind at the start
+    suspended: frozenset[str] = frozenset()  # names of the endpoints that operators have suspended
+    has_list: bool = False  # whether an endpoint list has been received
+    clock_lag: float = 0.0  # seconds by which the local wall clock was behind at the start, at least
 
     def listed(self) -> list[EndpointState]:
         """Return the endpoints that the list names."""
         return [state for state in self.by_name.values() if not state.removed]
 
     def apply(self, now: float, update: model.EndpointUpdate) -> None:
-        """Apply an endpoint list, complete or in part."""
+        """Apply a complete endpoint list, or a change of some of its entries."""
         if update.complete:
             for state in self.by_name.values():
                 state.remove()
@@ -83,9 +84,9 @@
         return age if 0 <= age <= max_age else 0.0
 
     def rebuild_hash_ring(self, now: float) -> None:
-        """Sort the endpoints in use, and choose the subset.
+        """Rebuild the ring from the endpoints in use, and choose the subset.
 
-        All gateways have the same ring, each with its own start, so that their subsets cover it evenly.
+        All gateways have the same ring and start at different positions, so their subsets cover it evenly.
         """
         ring = [s for name, s in self.by_name.items() if s.available and name not in self.suspended]
         ring.sort(key=lambda state: state.hash_position)
@@ -112,7 +113,7 @@
 
     def unresponsive(self, now: float) -> list[EndpointState]:
         """Return the endpoints of the subset that are unresponsive."""
-        # The condition of ``_is_unresponsive`` without its call: this is part of every request.
+        # Repeats the condition of ``_is_unresponsive``: a call per endpoint would slow down every request.
         timeout = self.context.unresponsive_timeout
         return [
             state
@@ -163,10 +164,10 @@
             is_down = state.available and state.unreachable and state.half_open
             if is_down and may_check and name not in self.suspended:
                 self.context.actions.append(model.CheckHealth(name))
-                state.extend_ejection(now + HEALTH_CHECK_SECONDS)
+                state.extend_ejection(now + HEALTH_CHECK_EJECTION_SECONDS)
 
     def forget_removed(self, in_flight: Iterable[EndpointState]) -> None:
-        """Forget removed endpoints without work in flight, so that the table does not grow with new names."""
+        """Forget removed endpoints without work in flight: the table must not grow with every new name."""
         if any(state.removed for state in self.by_name.values()):
             busy = {state.endpoint.name for state in in_flight}
             self.by_name = {n: s for n, s in self.by_name.items() if not s.removed or n in busy}
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -1,4 +1,4 @@
-"""The open requests: attempts, retries and the one final answer of each."""
+"""The open requests: their attempts, their retries, and one final answer for each request."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -15,8 +15,8 @@
 from quota_gateway.model import NO_SIGN_OF_LIFE, PROVES_NOT_EXECUTED, AttemptCompleted, CallStatus
 from quota_gateway.state import EndpointState, OpenRequest
 
-MAX_OVER_QUOTA_LOAD = 0.6 * REFERENCE_LOAD  # at which requests beyond their quota are admitted if they pay
-SLOWDOWN_WEIGHT = 0.1  # of one response in the slowdown of its endpoint
+MAX_OVER_QUOTA_LOAD = 0.6 * REFERENCE_LOAD  # Below it, requests over quota may be admitted.
+SLOWDOWN_WEIGHT = 0.1  # least weight of one response in the slowdown of its endpoint
 
 
 @dataclass(slots=True, eq=False)
@@ -30,7 +30,8 @@
     leases: LeaseManager
     outliers: OutlierDetector
     requests: dict[int, OpenRequest] = field(default_factory=dict)
-    rejections: dict[str, int] = field(default_factory=dict)  # by reason, since the last log line
+    # Requests that were not served since the last log line, by reason.
+    rejections: dict[str, int] = field(default_factory=dict)
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
     def add(self, request: OpenRequest) -> None:
@@ -38,11 +39,14 @@
         self.requests[request.id] = request
 
     def forward(self, now: float, request: OpenRequest, *, within_quota: bool, prepaid: bool = False) -> bool:
-        """Make the first attempt or reject the request; the caller handles ``prepaid`` units."""
+        """Make the first attempt, or give the final answer if none is possible.
+
+        The units are ``prepaid`` if a lease or a counter call of the caller covers them.
+        """
         plan = request.account.plan
-        is_idle = 0 < self.gate.controller.load < MAX_OVER_QUOTA_LOAD
-        pays = is_idle and plan.over_quota_value > plan.over_quota_cost
-        if not within_quota and not pays:
+        has_spare_capacity = 0 < self.gate.controller.load < MAX_OVER_QUOTA_LOAD
+        admits_over_quota = has_spare_capacity and plan.over_quota_value > plan.over_quota_cost
+        if not within_quota and not admits_over_quota:
             self.finish(request, model.RejectionReason.QUOTA)
             return False
         if not self._attempt(now, request):
@@ -71,15 +75,15 @@
                 self.leases.report_significant_usage(now, account)
 
     def _attempt(self, now: float, request: OpenRequest) -> bool:
-        # The timeout is all of the useful time: endpoints complete the work that they have begun, so that a
-        # retry after a shorter timeout would add work where there is least capacity.
+        # The timeout is all of the useful time: endpoints complete the work that they have begun, so a
+        # retry after a shorter timeout would add work when there is least capacity.
         timeout = request.useful_until - now
         state = self.balancer.pick(now, request) if timeout > 0 else None
         if state is None:
             return False
         request.start_attempt(now, state)
         if request.uploading:
-            timeout = request.useful_time  # from the last byte of the body
+            timeout = request.useful_time  # The timeout starts at the last byte of the body.
         not_after = repeat_deadline(request)
         self.context.actions.append(model.Forward(request.id, state.endpoint.name, timeout, not_after))
         return True
@@ -100,25 +104,27 @@
             request.complete_upload(now)
 
     def on_attempt_completed(self, now: float, event: AttemptCompleted) -> None:
-        """Learn from an attempt that ended, and retry or finish its request."""
+        """Record how an attempt ended, and retry or finish its request."""
         request = self.requests.get(event.request_id)
         state = self.endpoints.by_name.get(event.endpoint)
         if state is None or request is None:
             return
         if request.finish_attempt(event.attempt):
-            self._learn(now, request, state, event)
+            self._record_result(now, request, state, event)
         if event.status not in PROVES_NOT_EXECUTED:
             request.record_possible_execution(event.attempt)
         if event.status is CallStatus.REJECTED and not event.request_finished:
-            self.context.actions.append(model.Fail(request.id))  # other endpoints would respond alike
+            self.context.actions.append(model.Fail(request.id))  # Other endpoints would reject it too.
             self.forget(request.id)
         elif event.request_finished:
             self.forget(event.request_id)
         elif not request.in_flight:
             self._retry(now, request, event)
 
-    def _learn(self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted) -> None:
-        """Update endpoint, load and account with an attempt that was in flight."""
+    def _record_result(
+        self, now: float, request: OpenRequest, state: EndpointState, event: AttemptCompleted
+    ) -> None:
+        """Update the endpoint, the load readings and the account after an attempt that was in flight."""
         if event.status not in NO_SIGN_OF_LIFE:
             state.record_sign_of_life(now)
         if event.status is CallStatus.OK:
@@ -151,7 +157,7 @@
                 self.gate.controller.record_overload()
 
     def finish(self, request: OpenRequest, reason: model.RejectionReason) -> None:
-        """Give the final answer to a request that is not served."""
+        """Reject or fail a request that is not served."""
         self.rejections[reason] = self.rejections.get(reason, 0) + 1
         if may_reject(request):
             wait = retry_after(request, self.context.settings.max_retry_after)
@@ -161,13 +167,13 @@
         self.forget(request.id)
 
     def forget(self, request_id: int) -> None:
-        """Close a request that has its final answer, or whose client disconnected, with its attempts."""
+        """Remove a request that was answered or whose client disconnected, and abandon its attempts."""
         request = self.requests.pop(request_id, None)
         if request is not None:
             request.abandon_attempts()
 
     def take_rejections(self) -> dict[str, int]:
-        """Return the number of rejections by reason since the last call."""
+        """Return the number of requests not served since the last call, by reason."""
         rejections = dict(self.rejections)
         self.rejections.clear()
         return rejections
--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint: concurrency limit, candidates, slow start, and the better of two at random."""
+"""Load balancing: picks the cheaper of two random endpoints that are healthy and below their limits."""
 
 from dataclasses import dataclass
 
@@ -10,21 +10,22 @@
 from quota_gateway.model import DeduplicationScope, Idempotency, RejectionReason
 from quota_gateway.state import EndpointState, OpenRequest
 
-# Concurrency limit of the subset, in requests of mean work where it is not a fraction.
-MIN_REQUESTS_PER_ENDPOINT = 4.0  # over all gateways
-SPARSE_REQUESTS = 3  # a gateway with a lower limit is sparse
-MAX_SLACK_REQUESTS = 3.0  # beyond the limit of a sparse gateway, while the endpoints are idle
-SLACK_SLOPE_REQUESTS = 2.5  # by which the slack falls up to the reference load
-BURST_REQUESTS = 4  # times the root of the limit: a burst beyond the limit, while the endpoints are idle
+# Concurrency limit of the subset, in requests of mean work.
+MIN_REQUESTS_PER_ENDPOINT = 4.0  # minimum limit for one endpoint, shared by all gateways
+MIN_REQUESTS_WITHOUT_SLACK = 3  # A gateway whose minimum limit is lower is sparse and has slack.
+MAX_SLACK_REQUESTS = 3.0  # added to the limit of a sparse gateway while the endpoints are idle
+SLACK_SLOPE_REQUESTS = 2.5  # The slack falls by this number as the load rises from 0 to the reference load.
+# For bursts, the limit at load 0 is doubled and raised further by this number times its square root.
+BURST_REQUESTS = 4
 # Limits of the subset and of its endpoints.
 PRIORITY_FRACTION = 0.5 * PRIORITY_RESERVE_FRACTION  # reserved from requests of the lowest priority
-OWN_WORK_FRACTION = 0.5  # of the request's own work that has to fit under a limit
-# Minimum of one endpoint's limit.
+OWN_WORK_FRACTION = 0.5  # part of a request's own work that has to fit under a limit
+# Minimum limit of one endpoint: the larger of the two.
 MIN_ENDPOINT_FRACTION = 0.5  # of the mean limit of the warm endpoints
 MIN_ENDPOINT_REQUESTS = 3.5
-# Choice.
-MIN_SUCCESS_RATE = 0.05  # assumed of an endpoint
-CHOICES = 2  # endpoints at random, of which the cheaper one is picked
+# Choice among the admitted endpoints.
+MIN_SUCCESS_RATE = 0.05  # lower bound of the success rate in the cost of an endpoint
+RANDOM_CHOICES = 2  # number of random endpoints of which the cheapest is picked
 
 
 @dataclass(slots=True, eq=False)
@@ -35,10 +36,10 @@
     endpoints: EndpointSet
     gate: AdmissionGate
     slow_start: SlowStart
-    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # why the last pick found none
+    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # set by ``pick`` if it returns None
 
     def pick(self, now: float, request: OpenRequest) -> EndpointState | None:
-        """Return the endpoint for the next attempt; None if no endpoint may be given it."""
+        """Return the endpoint for the next attempt, or None if no endpoint may receive it."""
         subset = self.endpoints.subset
         warm = [state for state in subset if state.warming_since is None]
         warm_limit = self.context.target_residence_time * sum([state.work_rate for state in warm])
@@ -52,7 +53,7 @@
         healthy = self._healthy(now, self._candidates(request), unresponsive)
         mean_limit = warm_limit / max(1, len(warm))
         fitting = self._fitting(healthy, request, mean_limit, unreserved)
-        if is_full:  # the allowance of endpoints that are warming up is not part of the limit
+        if is_full:  # Endpoints that are warming up have an allowance outside this limit.
             fitting = [state for state in fitting if state.warming_since is not None]
         self.rejection_reason = _rejection_reason(
             is_full=is_full, has_fitting=bool(fitting), has_healthy=bool(healthy)
@@ -71,7 +72,7 @@
         min_requests = MIN_REQUESTS_PER_ENDPOINT * ring_size / self.context.settings.gateway_count
         idle_slack = MAX_SLACK_REQUESTS - SLACK_SLOPE_REQUESTS * load / REFERENCE_LOAD
         slack = max(self.context.rng.random(), idle_slack)
-        if min_requests >= SPARSE_REQUESTS:
+        if min_requests >= MIN_REQUESTS_WITHOUT_SLACK:
             slack = 0.0
         limit = max(warm_limit, mean_work * min_requests) + mean_work * slack
         # The rates are means over seconds, and lag behind a burst that idle endpoints can bear.
@@ -81,7 +82,7 @@
         return limit
 
     def _unresponsive(self, now: float) -> list[EndpointState]:
-        """Return the unresponsive endpoints; none if most are: then they are slow, and not hung or lost."""
+        """Return the unresponsive endpoints, or none if most are: so many are slow, and not hung or lost."""
         unresponsive = self.endpoints.unresponsive(now)
         return unresponsive if len(unresponsive) <= len(self.endpoints.subset) / 2 else []
 
@@ -93,9 +94,10 @@
         unresponsive: list[EndpointState],
         limit: float,
     ) -> bool:
-        """Whether the warm endpoints have all the work that the limit allows.
+        """Whether the work in flight at the warm endpoints leaves no room for the request.
 
-        Endpoints that are warming up do not count: their work in flight takes long for their completion rate.
+        Endpoints that are warming up do not count: they respond slowly, so they have more work in flight than
+        their completion rate explains.
         """
         # Without a measured load all requests are admitted, and the work rates are not yet known.
         if self.gate.controller.integral is None:
@@ -104,7 +106,7 @@
         return sum(work_in_flight) + OWN_WORK_FRACTION * request.work > limit
 
     def _candidates(self, request: OpenRequest) -> list[EndpointState]:
-        """Return the endpoints where another attempt does no harm: if possible, those not attempted yet."""
+        """Return the endpoints where another attempt is harmless, preferably those not attempted yet."""
         group = self.endpoints.subset
         scope = request.request_class.deduplication_scope
         is_keyed = request.request_class.idempotency is Idempotency.KEYED
@@ -143,14 +145,14 @@
         ]
 
     def _choose(self, admitted: list[EndpointState], work: float) -> EndpointState | None:
-        """Return the cheaper of two random endpoints: the cheapest of all would attract all gateways."""
-        if len(admitted) > CHOICES:
-            admitted = self.context.rng.sample(admitted, CHOICES)
+        """Return the cheaper of two random endpoints: all gateways would send to the cheapest of all."""
+        if len(admitted) > RANDOM_CHOICES:
+            admitted = self.context.rng.sample(admitted, RANDOM_CHOICES)
         return min(admitted, key=lambda state: _cost(state, work), default=None)
 
 
 def _cost(state: EndpointState, work: float) -> float:
-    """Return the expected latency, weighted by the probability of a failure."""
+    """Return the expected latency, increased by the probability of a failure."""
     success_rate = max(MIN_SUCCESS_RATE, 1 - state.failure_rate)
     return max(1.0, state.slowdown.recent) * (state.work_in_flight + work) / success_rate**2
 
--- a/quota_gateway/decisions/retries.py
+++ b/quota_gateway/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the retry budget, when a repeat is harmless, and which final answer a request may get."""
+"""Retries: the retry budget, when a repeat is harmless, and when a client may be asked to retry."""
 
 import math
 from dataclasses import dataclass
@@ -8,10 +8,11 @@
 from quota_gateway.state import OpenRequest
 
 MAX_SAVED_RETRIES = 10.0
-RETRIES_PER_REQUEST = 0.1  # that a forwarded request adds to the budget
-# Part of the deduplication window in which a repeat may be written: the smaller of the two limits holds.
+RETRIES_PER_REQUEST = 0.1  # retries that a forwarded request adds to the budget
+# A repeat may be written within this fraction of the deduplication window, and not in the last
+# MAX_WRITE_DELAY_SECONDS of the window.
 REPEAT_WINDOW_FRACTION = 0.95
-MAX_WRITE_DELAY_SECONDS = 0.15  # from the decision to the write, if this process is stalled in between
+MAX_WRITE_DELAY_SECONDS = 0.15  # longest assumed stall of this process between the decision and the write
 MIN_RETRY_AFTER_SECONDS = 0.1
 
 
@@ -26,13 +27,13 @@
         self.tokens = refilled(self.tokens, RETRIES_PER_REQUEST, 1, MAX_SAVED_RETRIES)
 
     def allows(self, now: float, request: OpenRequest, max_attempts: int) -> bool:
-        """Whether a request may be forwarded again, by attempts, time, budget and idempotency."""
+        """Whether attempts, time, budget and idempotency allow another attempt at a request."""
         has_attempts = len(request.attempts) < min(request.max_attempts, max_attempts)
         has_time = request.useful_until - now > request.work
         return has_attempts and has_time and self.tokens >= 1 and may_repeat(now, request)
 
     def spend(self, request: OpenRequest, event: AttemptCompleted) -> None:
-        """Charge a retry after the given attempt, by the work that the attempt may have caused."""
+        """Charge the budget for a retry, by the work that the attempt before it may have caused."""
         if event.status in NEVER_STARTED:
             return
         if event.status is CallStatus.RESET_AFTER_REQUEST:
@@ -43,13 +44,13 @@
 
 def may_repeat(now: float, request: OpenRequest) -> bool:
     """Whether another attempt cannot cause a harmful second execution."""
-    if _is_harmless_anywhere(request):
+    if _may_repeat_anywhere(request):
         return True
     is_keyed = request.request_class.idempotency is Idempotency.KEYED
     return is_keyed and now < repeat_deadline(request)
 
 
-def _is_harmless_anywhere(request: OpenRequest) -> bool:
+def _may_repeat_anywhere(request: OpenRequest) -> bool:
     """Whether the request was surely not executed yet, or may be executed any number of times."""
     return request.first_executed is None or request.request_class.idempotency is Idempotency.INHERENT
 
@@ -67,8 +68,8 @@
 
 
 def may_reject(request: OpenRequest) -> bool:
-    """Whether the client may retry: not if that could be a harmful second execution."""
-    if _is_harmless_anywhere(request):
+    """Whether the client may be asked to retry: not if that could be a harmful second execution."""
+    if _may_repeat_anywhere(request):
         return True
     request_class = request.request_class
     is_keyed = request_class.idempotency is Idempotency.KEYED
--- a/quota_gateway/decisions/slow_start.py
+++ b/quota_gateway/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much an endpoint that is warming up may be given."""
+"""Slow start: how much work an endpoint that is warming up may receive."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,14 @@
 from quota_gateway.model.settings import MIN_POSITIVE
 from quota_gateway.state import EndpointState
 
-SAFE_LOAD_FRACTION = 0.45  # of the load that makes a fresh endpoint fail
-MIN_RESPONSES = 10  # that show how warm an endpoint is
-MAX_WARM_SLOWDOWN = 0.9  # mean latency, in idle latencies, of a warm endpoint
-MAX_SPEED_UP = 2  # of the warm-up that the settings state, however good the responses
-ALLOWANCE_FRACTION = 0.5  # of the overload window's work that an allowance may save up
-COMPLETION_RATE_WEIGHT = 0.3  # of the newest interval
+SAFE_LOAD_FRACTION = 0.45  # of the load that makes an endpoint fail while it is warming up
+MIN_RESPONSES = 10  # number of responses that are needed to tell how warm an endpoint is
+MAX_WARM_SLOWDOWN = 0.9  # highest mean slowdown of a warm endpoint
+# Fast responses raise the warm fraction to at most this multiple of the fraction planned by the settings.
+MAX_SPEED_UP = 2
+# An allowance may save up this fraction of the work that it adds in one overload window.
+ALLOWANCE_FRACTION = 0.5
+COMPLETION_RATE_WEIGHT = 0.3  # weight of the newest interval in the completion rate
 
 
 @dataclass(slots=True, eq=False)
@@ -24,20 +26,20 @@
     completion_rate: float = 0.0  # work that a warm endpoint completes per second
 
     def close_interval(self, subset: list[EndpointState], elapsed: float) -> None:
-        """Update the completion rate; the endpoints' intervals must not be closed yet."""
-        # Completed work, not forwarded work: overloaded endpoints are given work that they do not complete.
-        # Warm endpoints only: those that warm up would lower their own allowance.
+        """Update the completion rate; must run before the endpoints close their intervals."""
+        # Completed work is counted and not forwarded work, since overloaded endpoints do not complete all of
+        # theirs. Endpoints that are warming up are left out: they would lower their own allowance.
         rates = [state.work_completed / elapsed for state in subset if state.warming_since is None]
         if rates:
             mean_rate = sum(rates) / len(rates)
             self.completion_rate = moving_average(self.completion_rate, mean_rate, COMPLETION_RATE_WEIGHT)
 
     def take_over(self, completion_rate: float) -> None:
-        """Take over the completion rate of another process of this limiter; 0: unknown."""
+        """Take over the completion rate of another process of this limiter; 0 means unknown."""
         self.completion_rate = completion_rate or self.completion_rate
 
     def admits(self, now: float, state: EndpointState, work: float) -> bool:
-        """Whether a request may go to the endpoint; ends its slow start when it is due."""
+        """Whether a request may go to the endpoint; also ends a slow start whose time is over."""
         if state.warming_since is None:
             return True
         settings = self.context.settings
@@ -51,20 +53,21 @@
         rate = safe_load * self.completion_rate / self.context.process_count
         capacity = rate * settings.overload_window * ALLOWANCE_FRACTION
         state.allowance.refill(now, rate, capacity)
-        # With hundreds of gateways each allowance is below one request, and admits only some of the requests.
+        # With hundreds of gateways the allowance of one gateway is less than the work of one request. The
+        # random factor then admits a request with the probability allowance / work.
         return state.allowance.work > work * self.context.rng.random()
 
 
 def _planned_warm_fraction(settings: Settings, age: float) -> float:
-    """Return the fraction of its full capacity that an endpoint has at the latest, by its age in seconds."""
+    """Return the fraction of full capacity that the settings state for an endpoint of this age in seconds."""
     gained = (1 - settings.initial_capacity) * age / max(MIN_POSITIVE, settings.warm_up_time)
     return settings.initial_capacity + gained
 
 
 def _observed_warm_fraction(planned_fraction: float, mean_slowdown: float) -> float:
-    """Return the fraction of its full capacity that an endpoint has by its responses, if above the plan.
+    """Return the fraction of full capacity that the responses show, but at least the planned fraction.
 
-    Load and queues slow responses too, so that the latency never shows an endpoint as too warm.
+    Load and queues slow responses too, so the latency never makes an endpoint appear warmer than it is.
     """
-    shown = MAX_WARM_SLOWDOWN / max(MAX_WARM_SLOWDOWN, mean_slowdown)
-    return max(planned_fraction, min(1.0, MAX_SPEED_UP * planned_fraction, shown))
+    observed_fraction = MAX_WARM_SLOWDOWN / max(MAX_WARM_SLOWDOWN, mean_slowdown)
+    return max(planned_fraction, min(1.0, MAX_SPEED_UP * planned_fraction, observed_fraction))
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -1,7 +1,7 @@
 """A simulation of many gateways and endpoints in one process, without sockets and on one simulated clock.
 
-No gateway knows the other gateways or the capacity of an endpoint. A restarted endpoint warms up as slowly as
-the settings allow.
+No gateway knows the other gateways or the capacity of an endpoint. A restarted endpoint warms up in
+exactly the time that the settings state.
 """
 
 from __future__ import annotations
@@ -22,37 +22,37 @@
 READ = model.RequestClass("read", 1.0, 1.0, model.Idempotency.INHERENT)
 POST = model.RequestClass("post", 1.5, 2.0, model.Idempotency.NONE, deduplication_window=5.0)
 READ_FRACTION = 0.7  # of the requests; the others are posts
-CORE_SECONDS = {"read": 0.1, "post": 0.05}  # on one core of a warm endpoint
+CORE_SECONDS = {"read": 0.1, "post": 0.05}  # service time on one core of a warm endpoint
 MEAN_CORE_SECONDS = READ_FRACTION * CORE_SECONDS["read"] + 0.3 * CORE_SECONDS["post"]
 CLIENT_TIMEOUT_SECONDS = 2.0
 CUSTOMERS = 500
 ROUND_TRIP_SECONDS = 0.004
-MAX_QUEUED_REQUESTS = 40  # at an endpoint, which rejects more
+MAX_QUEUED_REQUESTS = 40  # An endpoint with a longer queue rejects requests.
 TRAFFIC_SIGMA = 1.2  # of the lognormal distribution of the load over the gateways
-START_TIME = 100.0  # of the first gateway
+START_TIME = 100.0  # Unix time at which the simulation starts
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that an endpoint received, whether it then rejected it or not."""
+    """A request that an endpoint received, and then executed or rejected."""
 
     received_at: float
-    is_notified: bool  # the gateway had this incarnation in its endpoint list
+    is_notified: bool  # whether the gateway had this incarnation in its endpoint list
     size: float  # its work divided by the mean work
 
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint with one queue per core; it counts as warm until it restarts."""
+    """An endpoint with one queue per core, which warms up from ``warming_since`` on."""
 
     entry: model.Endpoint
     cores: int
     warming_since: float = 0.0
     down_until: float = 0.0
-    core_free_at: list[float] = field(default_factory=list)  # by core
-    received: list[ReceivedRequest] = field(default_factory=list)  # in this incarnation
+    core_free_at: list[float] = field(default_factory=list)  # time at which each core is idle again
+    received: list[ReceivedRequest] = field(default_factory=list)  # requests in this incarnation
 
     def restart(self, started_at: float, *, is_listed: bool) -> None:
-        """Begin a new incarnation, which is unreachable until it starts; the list may announce it."""
+        """Begin a new incarnation, unreachable until it starts; with ``is_listed`` the list announces it."""
         self.down_until = started_at
         self.warming_since = started_at
         self.core_free_at = [started_at] * self.cores
@@ -83,8 +83,8 @@
     """The decisions of one gateway; a restarted gateway has no state of its previous incarnation."""
 
     decisions: Gateway | None = None  # None: stopped
-    incarnation: int = 0  # events for an earlier one are dropped
-    notified: dict[str, float] = field(default_factory=dict)  # start times in its list, by endpoint
+    incarnation: int = 0  # Events for an earlier incarnation are dropped.
+    notified: dict[str, float] = field(default_factory=dict)  # start times in its endpoint list, by endpoint
 
     def start(self, decisions: Gateway) -> None:
         """Begin a new incarnation."""
@@ -93,7 +93,7 @@
         self.notified = {}
 
     def stop(self) -> None:
-        """Discard the decisions."""
+        """Stop the gateway and discard its state."""
         self.decisions = None
 
 
@@ -134,7 +134,7 @@
         self.cores = cores
         self.is_always_fast = is_always_fast
         self.settings = fleet_settings(gateways)
-        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []  # a heap by time and order
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []  # a heap by time and insertion order
         self.scheduled_count = 0
         self.endpoints: dict[str, SimulatedEndpoint] = {}
         for number in range(endpoints):
@@ -147,7 +147,7 @@
         self._schedule_start()
 
     def _schedule_start(self) -> None:
-        """Schedule the gateways within the first second, and the traffic after it."""
+        """Schedule the starts of the gateways within the first second, and the traffic after it."""
         for gateway in range(len(self.gateways)):
             self.schedule(START_TIME + self.rng.random(), partial(self.start_gateway, gateway))
         self.schedule(START_TIME + 1.0, self._receive_request)
@@ -166,7 +166,7 @@
 
     @contextmanager
     def scaled_load(self, factor: float) -> Iterator[None]:
-        """Multiply the rate of requests by a factor for a while."""
+        """Multiply the rate of requests by a factor within a ``with`` block."""
         self.rate *= factor
         yield
         self.rate /= factor
@@ -267,7 +267,7 @@
         self._feed_later(ends_at, gateway, event)
 
     def _execute(self, gateway: int, name: str, request_class: str) -> tuple[float, model.CallStatus]:
-        """Return when and how an attempt ends that an endpoint receives now."""
+        """Let an endpoint receive an attempt now, and return when and how the attempt ends."""
         endpoint = self.endpoints[name]
         if endpoint.down_until > self.now:
             return self.now + ROUND_TRIP_SECONDS, model.CallStatus.UNREACHABLE
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoint list, and the subset of the endpoints that a gateway uses."""
+"""Endpoint set: removed and draining endpoints get no requests, and the subset avoids unreachable ones."""
 
 from __future__ import annotations
 
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -100,13 +100,12 @@
     assert {event.status for event in decisions.events if isinstance(event, model.AttemptCompleted)} <= {
         model.CallStatus.RESET_BEFORE_REQUEST, model.CallStatus.RESET_AFTER_REQUEST,
     }  # fmt: skip
-    assert not decisions.gateway.endpoints.by_name[
-        "s1"
-    ].unreachable  # its next response would start a warm-up of 60 s
+    # The next response of an unreachable endpoint would start a warm-up of 60 s.
+    assert not decisions.gateway.endpoints.by_name["s1"].unreachable
 
 
 class RecoveringEndpoint:
-    """Does not respond to its first two requests, then breaks connections until it has recovered."""
+    """Does not respond to its first two requests, then closes connections until it has recovered."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -114,11 +113,11 @@
         self.unresponsive = ScriptedEndpoint(lambda _number: None)
         self.breaking = ScriptedEndpoint(lambda _number: OK_RESPONSE if self.recovered else b"")
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         self.writers.append(writer)
-        origin = self.unresponsive if len(self.writers) < 3 else self.breaking
-        await origin.handle_connection(reader, writer)
+        endpoint = self.unresponsive if len(self.writers) < 3 else self.breaking
+        await endpoint.handle_connection(reader, writer)
 
     async def wait_for_pending_requests(self, number: int) -> None:
         """Wait until ``number`` requests have no response."""
@@ -131,7 +130,7 @@
     endpoint = RecoveringEndpoint()
     healthy = ScriptedEndpoint()
     async with (
-        running_server(endpoint.talk) as one,
+        running_server(endpoint.handle_connection) as one,
         running_server(healthy.handle_connection) as two,
         running_server(healthy.handle_connection) as three,
     ):
@@ -155,22 +154,22 @@
 
 
 @async_test
-async def test_resets_common_to_all_endpoints_eject_none_of_them() -> None:
+async def test_endpoints_that_all_reset_connections_at_the_same_rate_are_rarely_ejected() -> None:
     """One in eight responses of each endpoint is a reset, sometimes two in a row; no endpoint is down."""
 
-    def resetting_origin(shift: int) -> ScriptedEndpoint:
+    def sometimes_resetting_endpoint(shift: int) -> ScriptedEndpoint:
         return ScriptedEndpoint(lambda number: b"" if (number + shift) % 16 in (0, 1) else OK_RESPONSE)
 
-    peers = [running_server(resetting_origin(shift).handle_connection) for shift in (0, 5, 10)]
+    peers = [running_server(sometimes_resetting_endpoint(shift).handle_connection) for shift in (0, 5, 10)]
     async with peers[0] as one, peers[1] as two, peers[2] as three:
         decisions = RealDecisions()
         async with LoopbackLimiter(decisions, {"s1": one, "s2": two, "s3": three}) as limiter:
-            servers = decisions.gateway.endpoints.by_name.values()
+            endpoints = decisions.gateway.endpoints.by_name.values()
             ejected = 0
             for _ in range(400):
                 await send_requests(limiter, decisions, number=1, interval=0.05)
-                ejected += sum(server.ejected_until > decisions.now for server in servers)
-    assert ejected < 120  # of 1200; a rule of two resets in a row alone would give about half
+                ejected += sum(endpoint.ejected_until > decisions.now for endpoint in endpoints)
+    assert ejected < 120  # of 1200; ejecting after any two resets in a row would give about half
 
 
 @async_test
@@ -178,12 +177,12 @@
     requests_received = asyncio.Semaphore(0)
     break_connections = asyncio.Event()
 
-    async def talk(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         requests_received.release()
         await break_connections.wait()
 
-    async with running_server(talk) as address:
+    async with running_server(handle_connection) as address:
         decisions = RealDecisions(replace(SETTINGS, max_attempts=1))
         async with LoopbackLimiter(decisions, {"s1": address}) as limiter:
             tasks = [asyncio.create_task(limiter.fetch(http_request())) for _ in range(4)]
@@ -192,24 +191,23 @@
             decisions.advance(0.5)
             break_connections.set()
             await asyncio.gather(*tasks)
-            assert (
-                decisions.gateway.endpoints.by_name["s1"].failure_rate < 0.65
-            )  # as failures in a row it is 0.8
+            # Counted as four consecutive failures, they would give 0.8.
+            assert decisions.gateway.endpoints.by_name["s1"].failure_rate < 0.65
 
 
 @async_test
 async def test_response_after_a_single_timeout_does_not_start_a_warm_up() -> None:
-    origin = ScriptedEndpoint(lambda number: OK_RESPONSE if number > 1 else None)
+    endpoint = ScriptedEndpoint(lambda number: OK_RESPONSE if number > 1 else None)
     lookup = model.RequestClass("lookup", 0.1, 1.0, model.Idempotency.INHERENT)
     settings = replace(SETTINGS, classes=(lookup,), warm_up_time=60.0, max_attempts=1)
     decisions = RealDecisions(settings)
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(decisions, {"s1": address}) as limiter,
     ):
         task = asyncio.create_task(limiter.fetch(http_request()))
-        await origin.request_received.wait()
-        decisions.advance(0.5)  # the endpoint is unresponsive while the request waits
+        await endpoint.request_received.wait()
+        decisions.advance(0.5)  # The endpoint is unresponsive while the request waits.
         assert " 429 " in (await task)[0]
         (completed,) = await decisions.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT
@@ -219,21 +217,21 @@
 
 @async_test
 async def test_malformed_responses_of_all_endpoints_eject_none_of_them() -> None:
-    """Counted as broken connections, they would make each endpoint unreachable and then warm up for 15 s."""
+    """Counted as lost connections, they would make every endpoint unreachable and start 15 s of warm-up."""
     malformed = b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\nhi"
-    origin = ScriptedEndpoint(lambda number: malformed if number % 6 == 0 else OK_RESPONSE)
-    async with running_server(origin.handle_connection) as address:
+    endpoint = ScriptedEndpoint(lambda number: malformed if number % 6 == 0 else OK_RESPONSE)
+    async with running_server(endpoint.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
         async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
             answers = [(await limiter.fetch(http_request()))[0] for _ in range(30)]  # within the fair share
-            assert all(" 200 " in answer for answer in answers)  # a lookup may be retried elsewhere
+            assert all(" 200 " in answer for answer in answers)  # Lookups are retried at other endpoints.
 
 
 @async_test
 async def test_single_broken_connections_make_no_endpoint_unreachable() -> None:
-    """Counted as crashes, with the next response as a restart, they would have all endpoints warm up."""
-    origin = ScriptedEndpoint(lambda number: b"" if number % 6 == 0 else OK_RESPONSE)
-    async with running_server(origin.handle_connection) as address:
+    """Counted as crashes, they would make every endpoint warm up from its next response on."""
+    endpoint = ScriptedEndpoint(lambda number: b"" if number % 6 == 0 else OK_RESPONSE)
+    async with running_server(endpoint.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
         async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
             answers = [(await limiter.fetch(http_request()))[0] for _ in range(30)]
@@ -245,33 +243,33 @@
     None
 ):
     rejection = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
-    origin = ScriptedEndpoint(lambda number: rejection if number <= 8 else OK_RESPONSE)
-    async with running_server(origin.handle_connection) as address:
+    endpoint = ScriptedEndpoint(lambda number: rejection if number <= 8 else OK_RESPONSE)
+    async with running_server(endpoint.handle_connection) as address:
         addresses = {"s1": address, "s2": address}
         async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
             for attempts in range(1, 9):
                 assert " 502 " in (await limiter.fetch(http_request()))[0]
-                assert len(origin.requests) == attempts
+                assert len(endpoint.requests) == attempts
             assert " 200 " in (await limiter.fetch(http_request()))[0]
 
 
-class BreakingCounter:
-    """A counter that never replies, and breaks its connection when a test requires it."""
+class AbortingCounter:
+    """A counter that never replies, and aborts its connection when a test asks for it."""
 
     def __init__(self) -> None:
         self.connections: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
         self.lines: asyncio.Queue[bytes] = asyncio.Queue()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         self.connections.put_nowait(writer)
         while line := await reader.readline():
             self.lines.put_nowait(line)
 
-    async def break_connection_under(
+    async def abort_connection_during(
         self, fetches: list[Awaitable[tuple[str, dict[str, str], bytes]]], advance: Callable[[], None]
     ) -> None:
-        """Break the connection once each request has made its call; ``advance`` advances the clock."""
+        """Abort the connection once each request has made its counter call; ``advance`` moves the clock."""
         writer = await self.connections.get()
         tasks = [asyncio.ensure_future(fetch) for fetch in fetches]
         for _ in tasks:
@@ -292,39 +290,39 @@
 
 
 @async_test
-async def test_counter_calls_that_end_with_one_connection_are_one_indication_of_an_unresponsive_counter() -> (
-    None
-):
-    plans = (model.Plan("basic", rate=1.0, burst=4.0),)  # a quota so small that the counter is called at once
+async def test_counter_calls_lost_with_one_connection_count_as_one_failure_of_the_counter() -> None:
+    # The quota is so small that the counter is called at once.
+    plans = (model.Plan("basic", rate=1.0, burst=4.0),)
     settings = replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05)
     decisions = RealDecisions(settings)
-    decisions.advance(10.0)  # at the start the usage of other gateways may exceed the quota
-    counter = BreakingCounter()
+    decisions.advance(10.0)  # At the start, the usage of other gateways may exceed the quota.
+    counter = AbortingCounter()
     advance = partial(decisions.advance, 0.1)
     async with (
-        running_server(counter.talk) as counter_address,
+        running_server(counter.handle_connection) as counter_address,
         running_server(ScriptedEndpoint().handle_connection) as address,
     ):
         host, port = counter_address.split(":")
         client = CounterClient(host, int(port), 10.0)
         client.start()
         async with LoopbackLimiter(decisions, {"s1": address}, counter=client) as limiter:
-            await counter.break_connection_under(fetch_for_accounts(limiter, range(1, 4)), advance)
+            await counter.abort_connection_during(fetch_for_accounts(limiter, range(1, 4)), advance)
             budget = decisions.gateway.leases.budget
-            assert budget.unavailable_until < decisions.now  # calls for further accounts are made
-            await counter.break_connection_under(fetch_for_accounts(limiter, range(4, 5)), advance)
-            assert budget.unavailable_until > decisions.now  # the second failure without a reply in between
+            assert budget.unavailable_until < decisions.now  # Calls for other accounts are still made.
+            await counter.abort_connection_during(fetch_for_accounts(limiter, range(4, 5)), advance)
+            # This is the second failure without a reply in between.
+            assert budget.unavailable_until > decisions.now
         client.close()
 
 
-def test_counter_calls_that_time_out_together_are_one_indication_of_overload() -> None:
+def test_counter_calls_that_time_out_together_reduce_the_call_rate_once() -> None:
     budget = CounterBudget(100.0, 4, 0.0)
     rate = budget.rate
-    for number in range(8):  # sent together and queued, they time out in sequence
+    for number in range(8):  # Calls that are sent together wait in a queue and time out in sequence.
         offset = number * 0.002
         budget.call_ended(100.030 + offset, model.CallStatus.TIMEOUT, 100.0 + offset)
     assert budget.available(100.05) > 0
     assert budget.rate == pytest.approx(0.9 * rate)
-    # A later call without a reply since: the counter is unresponsive.
+    # A later call times out, without a reply in the meantime: the counter is unresponsive.
     budget.call_ended(100.090, model.CallStatus.TIMEOUT, 100.06)
     assert budget.available(100.1) == 0
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Open requests: the timeout of an attempt, and when an endpoint is expected to respond."""
+"""Forwarder: timeouts of attempts, rejection reasons, and when an endpoint is expected to respond."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert [attempt.timeout for attempt in attempts] == [useful_time]
 
 
-def test_request_without_time_is_not_counted_under_the_reason_of_an_earlier_one() -> None:
+def test_rejection_for_lack_of_time_is_not_counted_under_an_earlier_reason() -> None:
     simulation = start_simulation()
     forwarder = simulation.gateway.forwarder
     simulation.feed(model.EndpointUpdate((), complete=True))
@@ -50,7 +50,7 @@
     simulation = start_simulation("a", "b", "c", "d", "e", "f")
     attempts = forwards(simulation.feed(make_request(1)))
     simulation.feed(model.ClientDisconnected(1))
-    simulation.in_flight.clear()  # the attempt is cancelled, and its completion is ignored
+    simulation.in_flight.clear()  # The attempt is cancelled, and its completion is ignored.
     used_again: set[str] = set()
     for request_id in range(2, 200):
         simulation.stall(0.2)
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint: unresponsive endpoints, and the limit on the work in flight."""
+"""Load balancer: unresponsive endpoints get no requests, and the concurrency limit allows short bursts."""
 
 from __future__ import annotations
 
@@ -52,9 +52,8 @@
     simulation = start_simulation(*(f"s{number}" for number in range(9)))
     for request_id in range(27):
         simulation.feed(make_request(request_id))
-    assert (
-        len(simulation.forwarded) == 27
-    )  # the minimum limit, four requests per endpoint over three gateways, is 12
+    # The minimum limit would be 12: four requests for each endpoint, shared by three gateways.
+    assert len(simulation.forwarded) == 27
 
 
 def test_first_second_of_completed_work_counts_in_full(simulation: GatewaySimulation) -> None:
@@ -62,7 +61,8 @@
     forwarded_before = len(simulation.forwarded)
     for request_id in range(next_id, next_id + 60):
         simulation.feed(make_request(request_id))
-    # Half of 90 per second times the residence time of 0.8 s; by a moving average from zero, 0.3 of it.
+    # Half of 90 requests per second times the residence time of 0.8 s. A moving average that starts at zero
+    # would allow 0.3 of it.
     assert len(simulation.forwarded) - forwarded_before > 30
 
 
@@ -76,8 +76,8 @@
     assert len(simulation.forwarded) - forwarded_before > 20
 
 
-def test_sparse_gateway_forwards_a_small_burst_at_low_load_and_is_still_limited() -> None:
-    """Forty gateways see random bursts at different times; a common limit would average them out."""
+def test_sparse_gateway_at_low_load_forwards_a_small_burst_but_not_a_large_one() -> None:
+    """Each of forty gateways gets its own random bursts, which only a common limit would average out."""
     settings = make_settings(gateway_count=FLEET_GATEWAYS, plans=(model.Plan("free"),))
     simulation = start_simulation(*(f"s{number}" for number in range(60)), settings=settings)
     for request_id in range(80):
@@ -85,7 +85,7 @@
         simulation.feed(make_request(request_id))
         simulation.complete_attempts(elapsed=0.15)
     forwarded_before = len(simulation.forwarded)
-    for request_id in range(1000, 1012):  # within a second, without a response
+    for request_id in range(1000, 1012):  # sent within a second, without a response
         simulation.advance_to(simulation.now + 0.08)
         simulation.feed(make_request(request_id))
     assert len(simulation.forwarded) - forwarded_before >= 11
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -66,7 +66,7 @@
 
 
 def make_unreachable(simulation: GatewaySimulation, name: str) -> None:
-    """Let connections to an endpoint fail; the others stay busy, so that it is picked a second time."""
+    """Let connections to an endpoint fail; the others stay busy, so it is picked a second time."""
     for request_id in range(5000, 5012):
         simulation.feed(make_request(request_id))
         for key in simulation.attempts_at(name):
@@ -92,7 +92,7 @@
     assert health_checks
     simulation.feed(model.HealthChecked("s0", model.CallStatus.OK, 0.001, {}))
     forwarded_before = len(simulation.forwarded)
-    for request_id in range(1000, 1060):  # one attempt stays in flight, so that the others are not idle
+    for request_id in range(1000, 1060):  # One attempt stays in flight, so the other endpoints are busy.
         simulation.advance_to(simulation.now + 0.05)
         for key in list(simulation.in_flight)[:-1]:
             simulation.complete_attempt(key)
@@ -131,9 +131,7 @@
     return simulation.forwarded[forwarded_before:]
 
 
-def test_failing_endpoints_get_few_requests_and_no_healthy_one_is_ejected_at_eight_requests_per_second() -> (
-    None
-):
+def test_sparse_gateway_sends_little_to_failing_endpoints_and_ejects_no_healthy_one() -> None:
     late_requests = 0
     late_attempts_at_failing = 0
     for index in range(0, FLEET_GATEWAYS, 4):
@@ -148,4 +146,5 @@
                 late_attempts_at_failing += sum(attempt.endpoint in failing for attempt in attempts)
         ejected = {name for name, state in endpoints.by_name.items() if state.ejection_time > 0}
         assert ejected <= failing, "a healthy endpoint was ejected"
-    assert late_attempts_at_failing < 0.08 * late_requests  # two of ten endpoints: a fifth of the requests
+    # Without ejections, two of ten endpoints would get a fifth of the requests.
+    assert late_attempts_at_failing < 0.08 * late_requests
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,4 +1,4 @@
-"""Retries of requests with an idempotency key: none is written after the deduplication window."""
+"""Retries of requests with an idempotency key: no retry is written after the deduplication window."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def retry_errors(event: model.Event) -> list[model.Action]:
-    """Forward each request to s1, and retry it at s2 if that fails."""
+    """Forward each request to s1, and retry it at s2 after an error response."""
     if isinstance(event, model.Request):
         return [model.Forward(event.id, "s1", 5.0)]
     if isinstance(event, model.AttemptCompleted) and event.status is model.CallStatus.ERROR:
@@ -52,7 +52,7 @@
     connects = itertools.count(1)
 
     async def connect_late(*args: Any) -> Any:
-        """Return the second connection only after the window."""
+        """Delay the second connection until after the deduplication window."""
         connected = await asyncio.get_running_loop().create_connection(*args)
         if next(connects) == 2:
             time.sleep(WINDOW_SECONDS)
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("window", [0.4, 1.5, 4.0])
 def test_a_retry_is_decided_early_enough_for_a_late_write(window: float) -> None:
-    """Its write may be delayed by ``MAX_WRITE_DELAY_SECONDS``, and must be within the window."""
+    """A write that is delayed by ``MAX_WRITE_DELAY_SECONDS`` must still be within the window."""
     scope = model.DeduplicationScope.CELL
     keyed = replace(KEYED, deduplication_scope=scope, deduplication_window=window)
     retry_ages = list[float]()
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: after which statuses a request is retried, and at which endpoints."""
+"""Retries: after which statuses and at which endpoints a request is retried, and the cost of a retry."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 def test_request_with_an_idempotency_key_is_retried_only_within_its_deduplication_scope() -> None:
     simulation = start_simulation("s0", "s1", "s2", "s3", "s4")  # s4 is alone in its cell
-    cells: set[tuple[int, int]] = set()  # of a first attempt and its retry
+    cell_pairs: set[tuple[int, int]] = set()  # the cells of a first attempt and of its retry
     for request_id in range(60):
         simulation.feed(make_request(request_id, "entry"))
         first_endpoint = simulation.forwarded[-1].endpoint
         for action in simulation.complete_attempt(AttemptKey(request_id, 0), model.CallStatus.ERROR):
             if isinstance(action, model.Forward):
                 first_cell = simulation.listed_endpoints[first_endpoint].cell
-                cells.add((first_cell, simulation.listed_endpoints[action.endpoint].cell))
+                cell_pairs.add((first_cell, simulation.listed_endpoints[action.endpoint].cell))
                 simulation.complete_attempt(AttemptKey(request_id, 1))
         simulation.advance_to(simulation.now + 2)
-    assert cells
-    assert all(first_cell == retry_cell for first_cell, retry_cell in cells)
+    assert cell_pairs
+    assert all(first_cell == retry_cell for first_cell, retry_cell in cell_pairs)
 
 
 def test_early_connection_resets_use_little_of_the_retry_budget() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start at single gateways: the allowance of an endpoint that is warming up."""
+"""Slow start at single gateways: the allowance of a warming endpoint, handovers, and wrong clocks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.traffic import send_steadily
 
 ENDPOINT_START = 108.0  # Unix time, eight seconds after the start of the gateways
-WARM_UP_TRAFFIC_SECONDS = 12  # from the endpoint's start to the end of the traffic, about
+WARM_UP_TRAFFIC_SECONDS = 12  # approximate time from the endpoint's start to the end of the traffic
 
 
 def started_endpoint(name: str, started_at: float, cell: int = 0) -> model.EndpointUpdate:
@@ -46,8 +46,8 @@
         endpoints = [forward.endpoint for forward in simulation.forwarded if forward.sent_at >= start]
         warming_requests += endpoints.count("new")
         warm_requests += endpoints.count("s0")
-    bearable = settings.overload_multiple * settings.initial_capacity * warm_requests
-    assert 0 < warming_requests < bearable * 1.1
+    max_warming_requests = settings.overload_multiple * settings.initial_capacity * warm_requests
+    assert 0 < warming_requests < max_warming_requests * 1.1
 
 
 def run_sparse_gateway(gateway: int, settings: model.Settings, endpoints: list[str]) -> GatewaySimulation:
@@ -82,9 +82,9 @@
     for sent_at in sent_to_warming:
         age = sent_at + window - ENDPOINT_START
         gained = (1 - settings.initial_capacity) * age / settings.warm_up_time
-        bearable_rate = warm_rate * min(1, settings.initial_capacity + gained)
+        capacity = warm_rate * min(1, settings.initial_capacity + gained)
         in_window = sum(sent_at <= other < sent_at + window for other in sent_to_warming)
-        assert in_window < settings.overload_multiple * bearable_rate * window
+        assert in_window < settings.overload_multiple * capacity * window
     assert len(sent_to_warming) > 5
 
 
@@ -92,11 +92,11 @@
     endpoints = [f"s{number}" for number in range(6)]
     simulation = start_simulation(*endpoints, settings=make_settings(warm_up_time=60.0))
     next_id = send_steadily(simulation, 10, 40, 0)
-    simulation.feed(endpoint_list(*endpoints, started_at=simulation.now))  # all restart
+    simulation.feed(endpoint_list(*endpoints, started_at=simulation.now))  # All endpoints restart.
     next_id = send_steadily(simulation, 20, 40, next_id)
     forwarded_before = len(simulation.forwarded)
     send_steadily(simulation, 10, 40, next_id)
-    # An allowance by the completion rate of warming endpoints would fall to almost zero.
+    # An allowance that follows the completion rate of warming endpoints would fall to almost zero.
     assert len(simulation.forwarded) - forwarded_before > 150
 
 
@@ -133,7 +133,7 @@
 def run_with_warming_endpoint(slowdown: float) -> tuple[int, Gateway]:
     """Return the number of requests that a warming endpoint with this slowdown gets, and the gateway."""
     simulation = start_simulation("s0", settings=make_settings(warm_up_time=1000.0))
-    for request_id in range(100):  # shows the idle latency and the completion rate of a warm endpoint
+    for request_id in range(100):  # The gateway learns the idle latency and the completion rate.
         simulation.feed(make_request(request_id))
         simulation.advance_to(simulation.now + 0.1)
         simulation.complete_attempts()
@@ -155,16 +155,16 @@
         requests[slowdown], gateway = run_with_warming_endpoint(slowdown)
         assert gateway.endpoints.by_name["warming"].warming_since is not None
     assert 0 < requests[5.0] < 20, requests
-    assert requests[1.0] > 70, requests  # by its age alone, the fast one would get 49
+    assert requests[1.0] > 70, requests  # By its age alone, the fast endpoint would get 49.
 
 
 def endpoint_handover(warming_since: float | None) -> model.EndpointHandover:
-    """Return the state of the endpoint at another process."""
+    """Return the state of the endpoint that another process hands over."""
     return model.EndpointHandover("new", 1.0, warming_since, 0, 0.0, 0.0, 0.0)
 
 
-def test_a_later_slow_start_is_kept_in_a_handover() -> None:
-    """An operator restored the endpoint here after the other process had written its state."""
+def test_handover_does_not_replace_a_slow_start_that_began_later() -> None:
+    """An operator restored the endpoint at this process after the other process had written its state."""
     state = EndpointState(model.Endpoint("new", model.EndpointHealth.HEALTHY, "a", started_at=1.0))
     state.restore(100.0)
     for older in (None, 90.0):
@@ -175,7 +175,7 @@
 
 
 def test_restart_after_a_handover_is_recognized_whatever_its_start_time() -> None:
-    """The first contact with discovery, after an upgrade, announces an incarnation that is an hour old."""
+    """The first contact with discovery, after an upgrade, announces an incarnation that seems an hour old."""
     simulation = GatewaySimulation(make_settings(), now=10_000.0)
     simulation.feed(started_endpoint("new", 5000.0))
     state = simulation.gateway.endpoints.by_name["new"]
@@ -187,8 +187,8 @@
     assert state.warming_since == 10_002.0
 
 
-def test_incarnation_of_a_first_contact_without_a_handover_is_as_old_as_it_says() -> None:
-    """The list of the configuration may be stale: the restart may have been long ago."""
+def test_start_time_is_trusted_at_the_first_contact_without_a_handover() -> None:
+    """The endpoint list of the configuration may be stale, so the restart may have been long ago."""
     simulation = GatewaySimulation(make_settings(), now=10_000.0)
     simulation.feed(started_endpoint("new", 5000.0))
     simulation.feed(started_endpoint("new", 10_000.0 - 3600.0))
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,8 +1,8 @@
-"""Slow start in a fleet: the load on warming endpoints from all gateways, each of which decides alone.
+"""Slow start in a fleet: gateways that decide independently must not overload a warming endpoint together.
 
 The settings limit the load on an endpoint that is warming up: within any ``overload_window`` seconds, it may
 receive ``overload_multiple`` times its capacity at that time, from all gateways together. With a limit of N
-requests of mean work, an excess of 2 x root of N + 2 is accepted as random.
+requests of mean work, an excess of 2 * sqrt(N) + 2 is accepted as random variation.
 """
 
 from __future__ import annotations
@@ -15,8 +15,9 @@
 
 from tests.fleet_simulation import MEAN_CORE_SECONDS, FleetSimulation, SimulatedEndpoint
 
-SETTLED_TIME = 106.0  # the gateways have learned the completion rate
-MIN_NOTIFIED_FRACTION = 2 / 3  # of the load in a peak, from gateways that were notified of the restart
+SETTLED_TIME = 106.0  # Unix time by which the gateways have learned the completion rate
+# A peak counts if more than this fraction of its load is from gateways that were notified of the restart.
+MIN_NOTIFIED_FRACTION = 2 / 3
 
 
 class FleetShape(NamedTuple):
@@ -37,7 +38,7 @@
     endpoint: str
 
 
-# Steps of the scenarios. Each gateway is notified of a change at a time of its own.
+# Steps of the scenarios. The gateways are notified of a change at different times.
 
 
 def notify_all(fleet: FleetSimulation, names: list[str], delay: float = 0.0, spread: float = 1.0) -> None:
@@ -73,7 +74,10 @@
     *,
     is_listed: bool = True,
 ) -> list[str]:
-    """Restart endpoints, which are unreachable for ``down`` seconds; the endpoint list may announce it."""
+    """Restart endpoints, which are unreachable for ``down`` seconds.
+
+    The endpoint list announces the restart only if ``is_listed`` is true.
+    """
     for name in names:
         fleet.endpoints[name].restart(fleet.now + down, is_listed=is_listed)
     if is_listed:
@@ -82,7 +86,7 @@
 
 
 def restart_gateways(fleet: FleetSimulation, every: int, within: float) -> None:
-    """Stop some gateways, and start them again without their state."""
+    """Stop one in ``every`` gateways; restart them without their state 0.5 to ``within`` seconds later."""
     for gateway in range(0, len(fleet.gateways), every):
         fleet.gateways[gateway].stop()
         time = fleet.now + fleet.rng.uniform(0.5, within)
@@ -166,13 +170,16 @@
 
 
 def endpoint_peak(fleet: FleetSimulation, endpoint: SimulatedEndpoint, *, only_notified: bool) -> Peak:
-    """Return the peak of one endpoint during its slow start."""
+    """Return the peak of one endpoint during its slow start.
+
+    ``only_notified`` ignores overload that comes from gateways that were not notified of the restart.
+    """
     peak = Peak(0.0, 0.0, "")
     window = fleet.settings.overload_window
     since = endpoint.warming_since
     until = since + fleet.settings.warm_up_time
     received = [request for request in endpoint.received if since <= request.received_at <= until]
-    first = 0  # in the window
+    first = 0  # index of the first request in the window
     total = 0.0
     notified = 0.0
     for time, is_notified, size in received:
@@ -186,7 +193,6 @@
         warm_fraction = fleet.warm_fraction(endpoint, max(since, time - window))
         capacity = warm_fraction * endpoint.cores / MEAN_CORE_SECONDS
         limit = fleet.settings.overload_multiple * capacity * window
-        # Overload from gateways that were not notified does not count.
         if not only_notified or notified > total * MIN_NOTIFIED_FRACTION:
             ratio = total / (limit + 2 * limit**0.5 + 2)
             peak = max(peak, Peak(ratio, time - since, endpoint.entry.name))
@@ -214,7 +220,7 @@
 @pytest.mark.parametrize(("load", "seed"), [(0.5, 1), (1.3, 2)])
 @pytest.mark.parametrize("gateways", FLEET_SHAPES)
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_the_gateways_together_overload_no_warming_endpoint(
+def test_all_gateways_together_do_not_overload_a_warming_endpoint(
     scenario: Scenario, gateways: int, load: float, seed: int
 ) -> None:
     fleet, names = run_scenario(scenario, gateways, load, seed)
@@ -227,7 +233,7 @@
 def test_fast_responses_do_not_raise_the_allowance_above_the_limit_of_the_settings(
     scenario: Scenario, gateways: int
 ) -> None:
-    """Without slow responses, only the allowance limits the load, and it assumes a warmer endpoint."""
+    """Fast responses make the endpoint appear warmer than it is, and only its allowance limits the load."""
     fleet, names = run_scenario(scenario, gateways, 1.3, 2, is_always_fast=True)
     peak = highest_peak(fleet, names, only_notified=True)
     assert 0 < peak.ratio < 1, str(peak)
