--- a/quota_gateway/decisions/endpoint_set.py
+++ b/quota_gateway/decisions/endpoint_set.py
@@ -10,9 +10,10 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.state import EndpointState
 
-# One of many gateways has too few requests to learn the state of every endpoint, so it uses a subset.
+# One of many gateways has too few requests to learn the state of every endpoint, so it uses a subset, which
+# has at least this number of usable endpoints.
 MIN_SUBSET = 8  # endpoints
-SUBSET_MULTIPLE = 5  # The subset is this multiple of the gateway's even part of the ring.
+SUBSET_MULTIPLE = 5  # The subset is at least this multiple of the gateway's even part of the ring.
 WORK_RATE_WEIGHT = 0.3  # weight of the newest interval in an endpoint's work rate
 MAX_LIST_DELAY_SECONDS = 6.0  # longest assumed time from an endpoint's change to the list that announces it
 HEALTH_CHECK_EJECTION_SECONDS = 1.5 * INTERVAL_SECONDS  # A health check keeps an endpoint ejected this long.
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -15,7 +15,8 @@
 from quota_gateway.model import NO_SIGN_OF_LIFE, PROVES_NOT_EXECUTED, AttemptCompleted, CallStatus
 from quota_gateway.state import EndpointState, OpenRequest
 
-MAX_OVER_QUOTA_LOAD = 0.6 * REFERENCE_LOAD  # Below it, requests over quota may be admitted.
+# Below this load, requests over quota are admitted if the plan's value of them exceeds its cost.
+MAX_OVER_QUOTA_LOAD = 0.6 * REFERENCE_LOAD
 SLOWDOWN_WEIGHT = 0.1  # least weight of one response in the slowdown of its endpoint
 
 
@@ -39,7 +40,7 @@
         self.requests[request.id] = request
 
     def forward(self, now: float, request: OpenRequest, *, within_quota: bool, prepaid: bool = False) -> bool:
-        """Make the first attempt, or give the final answer if none is possible.
+        """Make the first attempt, or give the final answer if the quota or the endpoints do not allow one.
 
         The units are ``prepaid`` if a lease or a counter call of the caller covers them.
         """
--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -36,7 +36,7 @@
     endpoints: EndpointSet
     gate: AdmissionGate
     slow_start: SlowStart
-    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # set by ``pick`` if it returns None
+    rejection_reason: RejectionReason = RejectionReason.NO_ENDPOINT  # valid if the last pick returned None
 
     def pick(self, now: float, request: OpenRequest) -> EndpointState | None:
         """Return the endpoint for the next attempt, or None if no endpoint may receive it."""
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -233,7 +233,7 @@
 def test_fast_responses_do_not_raise_the_allowance_above_the_limit_of_the_settings(
     scenario: Scenario, gateways: int
 ) -> None:
-    """Fast responses make the endpoint appear warmer than it is, and only its allowance limits the load."""
+    """All responses are fast, so the endpoint seems warmer, and only its allowance limits the load."""
     fleet, names = run_scenario(scenario, gateways, 1.3, 2, is_always_fast=True)
     peak = highest_peak(fleet, names, only_notified=True)
     assert 0 < peak.ratio < 1, str(peak)
