--- a/quota_gateway/net/client/request.py
+++ b/quota_gateway/net/client/request.py
@@ -1,4 +1,4 @@
-"""One request of a client, with its one final response."""
+"""A client's request and its final response."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class ClientPresence(Protocol):
-    """Whether the client of a request is still there."""
+    """Tells whether the client of a request is still connected."""
 
     def is_connected(self) -> bool:
         """Whether an attempt may begin for the client."""
 
 
 class RequestConnection(Protocol):
-    """The connection of a request, as far as its response needs it."""
+    """The part of a client connection that writing a response requires."""
 
     shared: SharedState
 
@@ -52,25 +52,26 @@
         """The presence of the client."""
 
     def write_responses(self) -> None:
-        """Write the responses whose turn it is."""
+        """Write the responses that are ready, in the order of their requests."""
 
     def on_stream_finished(self, request: ClientRequest) -> None:
-        """Continue behind a streamed response that is written completely."""
+        """Write the responses that follow a completely written streamed one."""
 
     def write(self, data: bytes) -> None:
-        """Write, unless the connection is closing."""
+        """Write data, unless the connection is closing."""
 
     def abort(self, reason: CloseReason) -> None:
         """Reset the connection."""
 
     def discard_upload(self) -> None:
-        """Discard the rest of the upload of a request that has its response already."""
+        """Discard the rest of an upload whose request has already been answered."""
 
 
 class ClientRequest:
-    """A request with its one final response, complete or streamed (the request is the sink of the stream).
+    """A request and its final response, which is either complete or streamed.
 
-    At most one of ``response_head`` and ``response_stream`` is ever set, once.
+    The request is the sink of the stream. At most one of ``response_head`` and ``response_stream`` is ever
+    set, and only once.
     """
 
     __slots__ = (
@@ -102,13 +103,14 @@
     ) -> None:
         """Create a request whose response is written to ``connection``.
 
-        ``arrived_at`` is the time at which its last byte arrived, by the clock of the shared state.
+        ``arrived_at`` is the time at which the last byte of the request arrived, by the clock of the shared
+        state.
         """
         self._connection = connection
-        self._chunked = False  # whether the streamed response is in chunks
-        self._length_and_body = b""  # of a complete response: Content-Length, empty line and body
+        self._chunked = False  # whether the streamed response uses the chunked framing
+        self._length_and_body = b""  # rest of a complete response: Content-Length, empty line, body
         self._last_progress_at = 0.0  # when the client last accepted data of the streamed response
-        self._stream_head: bytes | None = None  # of the streamed response, until it is written
+        self._stream_head: bytes | None = None  # head of the streamed response, until it is written
         self.keep_alive = keep_alive
         self.is_http_1_0 = is_http_1_0
         self.arrived_at = arrived_at
@@ -124,7 +126,7 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether the final response has been set, or its stream has begun."""
+        """Whether the final response has been set, or its streaming has begun."""
         return self.response_head is not None or self.response_stream is not None
 
     def accept(
@@ -137,7 +139,7 @@
         self.forwarded_body = forwarded_body
 
     def update_event(self, event: model.Request) -> None:
-        """Set the event of a request that is not handed over."""
+        """Set the event of a request that is answered without the handler, for the metrics."""
         self.event = event
 
     def record_arrival(self, at: float) -> None:
@@ -145,11 +147,14 @@
         self.arrived_at = at
 
     def seconds_since_arrival(self) -> float:
-        """Return the time that the client has been waiting, also while this process could not run."""
+        """Return how long the client has been waiting, including stalls of this process."""
         return self._connection.shared.clock() - self.arrived_at
 
     def is_client_connected(self) -> bool:
-        """Whether an attempt may begin: not for a client that left or ended its sending side a while ago."""
+        """Whether an attempt may begin for the client.
+
+        It may not if the client has disconnected, or ended its input more than a short grace period ago.
+        """
         return self._connection.liveness.is_connected()
 
     # The response.
@@ -157,9 +162,9 @@
     def respond(
         self, status: int, body: bytes = b"", headers: bytes = b"", retry_after: float | None = None
     ) -> None:
-        """Set the final response (``retry_after`` in seconds); the connection writes it in its turn.
+        """Set the final response, which the connection writes in the order of the requests.
 
-        A request that has its response already keeps that one.
+        ``retry_after`` is in seconds. If the request already has a response, the new one is dropped.
         """
         if not self._may_answer(status):
             return
@@ -177,7 +182,7 @@
         connection.write_responses()
 
     def response_bytes(self, *, closes: bool) -> bytes:
-        """Return the complete response; ``closes`` announces the end of the connection."""
+        """Return the complete response; ``closes`` adds the header ``Connection: close``."""
         assert self.response_head is not None
         connection_header = CONNECTION_CLOSE if closes else b""
         return self.response_head + connection_header + self._length_and_body
@@ -191,7 +196,7 @@
     def begin_response(self, headers: bytes, stream: BodyStream) -> None:
         """Begin a streamed final response of status 200; its body follows from ``stream``.
 
-        A request that has its response already keeps that one, and the stream is abandoned.
+        If the request already has a response, the stream is abandoned.
         """
         if not self._may_answer(200):
             stream.abandon()
@@ -211,19 +216,19 @@
         self._connection.write_responses()
 
     def _may_answer(self, status: int) -> bool:
-        """Guard the invariant of one final response."""
+        """Whether the request has no response yet; a second response is reported as a violation."""
         if self.response_head is None and self.response_stream is None:
             return True
-        story = f"request {self.request_id.decode('latin-1')}: answered {status} behind its final answer"
+        story = f"request {self.request_id.decode('latin-1')}: status {status} dropped, already answered"
         self._connection.shared.metrics.invariants.report(Invariant.ANSWERED_ONCE, story)
         return False
 
     # The stream of the response.
 
     def start_stream(self, *, closes: bool, writable: bool) -> None:
-        """Write the head of a streamed response and attach the stream, unless that was done before.
+        """Write the head of a streamed response and attach the stream, unless this was done before.
 
-        ``closes`` announces the end of the connection; ``writable`` is whether the client accepts data.
+        ``closes`` adds the header ``Connection: close``; ``writable`` is whether the client accepts data.
         """
         head = self._stream_head
         stream = self.response_stream
@@ -259,7 +264,7 @@
         self._connection.on_stream_finished(self)
 
     def truncate(self) -> None:
-        """Abort the connection: its end shows the client that the response is incomplete."""
+        """Abort the connection, which shows the client that the response is incomplete."""
         self._end_stream(502)
         self._connection.abort(CloseReason.TRUNCATED)
 
--- a/quota_gateway/net/client/request_body.py
+++ b/quota_gateway/net/client/request_body.py
@@ -9,30 +9,31 @@
 from quota_gateway.net.common.body_stream import BodyStream
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES
 
-BODY_TIMEOUT_SECONDS = 2.05  # for a complete body, unless it arrives at ``MIN_BODY_BYTES_PER_SECOND``
-SILENCE_TIMEOUT_SECONDS = 2.05  # a client that stops within a body must receive an error within 3 s
+# A body may take longer than this only if it arrives at ``MIN_BODY_BYTES_PER_SECOND`` or faster.
+BODY_TIMEOUT_SECONDS = 2.05
+SILENCE_TIMEOUT_SECONDS = 2.05  # a client that stops sending within a body must receive an error within 3 s
 MIN_BODY_BYTES_PER_SECOND = 8192
-MAX_COLLECTION_SECONDS = 5.0  # for a collected body that arrives at the least rate
+MAX_COLLECTION_SECONDS = 5.0  # for a collected body, even if it arrives at the minimum rate
 
 
 class UploadObserver(Protocol):
     """The connection whose uploads are read."""
 
     def update_reading(self) -> None:
-        """Read the connection only while the upload is not paused."""
+        """Pause or resume reading the connection, depending on whether the upload is paused."""
 
     def may_resume_upload(self) -> bool:
-        """Whether the client is still there.
+        """Whether the client is still connected.
 
-        Input that a disconnected client sent before may be unread; reading it could complete the body.
+        If it is not, its unread input must not be read: it could complete the body.
         """
 
 
 class RequestBody:
-    """Collects the chunks of one body at a time; of an upload it is the source that can be paused.
+    """Collects the body of a request, or streams it as an upload, of which it is the source.
 
-    A connection has one of these for all its requests. The times and rates of an upload are measured anew
-    each time that it is paused or resumed.
+    A connection has one of these, which it uses for one request after the other. Whenever an upload is paused
+    or resumed, the measurement of its times and its rate starts again.
     """
 
     __slots__ = (
@@ -54,15 +55,15 @@
         self._clock = clock
         self._chunks = list[bytes]()
         self._started_at = 0.0  # when the head was complete, or the upload was last paused or resumed
-        self._last_byte_at = 0.0  # or when the upload was last paused or resumed
+        self._last_byte_at = 0.0  # when a byte last arrived, or the upload was last paused or resumed
         self._rate_base_size = 0  # bytes that had been received at ``_started_at``
-        self._resume_deferred = False  # the endpoint accepts more, but the client may have disconnected
-        self.paused = False  # the endpoint accepts no more for now
+        self._resume_deferred = False  # the endpoint accepts data, but the client may have disconnected
+        self.paused = False  # reading waits until the endpoint accepts more data
         self.size = 0  # bytes received
         self.upload: BodyStream | None = None  # the stream of a long body, until it is complete
 
     def begin(self) -> None:
-        """Start over for the next request, whose head is complete."""
+        """Reset for the next request, whose head is complete."""
         now = self._clock()
         self._chunks = []
         self._rate_base_size = 0
@@ -107,21 +108,22 @@
         return upload
 
     def discard_upload(self) -> None:
-        """Release the upload, whose request has its response already."""
+        """Release the upload, whose request has already been answered."""
         self.paused = False
         self.upload = None
 
     # Timeouts.
 
-    def is_overdue(self, now: float, *, is_head_late: bool) -> bool:
+    def is_overdue(self, now: float, *, head_timeout_passed: bool) -> bool:
         """Whether a collected body takes too long.
 
-        A late head leaves less time for the body: a faulty client must be answered within 3 s of its connect.
+        Once the head's timeout has passed, the minimum rate is required of a body of any age: a faulty client
+        must be answered within 3 s of its connect.
         """
         if self._is_silent(now):
             return True
         age = now - self._started_at
-        if age <= BODY_TIMEOUT_SECONDS and not is_head_late:
+        if age <= BODY_TIMEOUT_SECONDS and not head_timeout_passed:
             return False
         return age > MAX_COLLECTION_SECONDS or self.size < MIN_BODY_BYTES_PER_SECOND * age
 
@@ -142,7 +144,7 @@
     # The source of the upload's stream.
 
     def set_paused(self, *, paused: bool) -> None:
-        """Pause or resume reading the upload as its endpoint accepts it."""
+        """Pause or resume reading the upload, depending on whether the endpoint accepts more data."""
         self._resume_deferred = False
         if self.paused is paused:
             return
@@ -157,9 +159,9 @@
         self._observer.update_reading()
 
     def on_client_confirmed(self) -> None:
-        """Resume an upload whose resumption was deferred until the client proved to be half-closed."""
+        """Resume an upload that had to wait until the client proved to be half-closed."""
         if self._resume_deferred:
             self.set_paused(paused=False)
 
     def abandon(self) -> None:
-        """Do nothing: the decisions determine the response to a request without its endpoint."""
+        """Do nothing: when no endpoint receives the upload any more, the decisions determine the response."""
--- a/quota_gateway/net/client/request_head.py
+++ b/quota_gateway/net/client/request_head.py
@@ -11,15 +11,15 @@
 ABSOLUTE_FORM_PATTERN = re.compile(rb"https?://[^/?#]+(?=/)", re.IGNORECASE)
 TARGET_PATTERN = re.compile(rb"[!-~]+")
 HTTP_VERSIONS = ("1.0", "1.1")
-HEADERS_NOT_COPIED = NOT_FORWARDED | {TIMEOUT}  # each attempt is sent with the time that is left
+HEADERS_NOT_COPIED = NOT_FORWARDED | {TIMEOUT}  # each attempt is sent its own remaining time
 
 
 class RequestHead:
-    """Collects one head at a time from the HTTP parser's callbacks.
+    """Collects the head of a request from the HTTP parser's callbacks.
 
     Malformed input raises BadRequestError.
 
-    A connection has one of these for all its requests.
+    A connection has one of these, which it uses for one request after the other.
     """
 
     __slots__ = (
@@ -43,13 +43,13 @@
         self.begin()
 
     def begin(self) -> None:
-        """Start over for the next request."""
+        """Reset for the next request."""
         self._target = b""
-        self._forwarded_headers: list[bytes] = []  # as lines
+        self._forwarded_headers: list[bytes] = []  # complete header lines
         self._chunked = False
         self._is_complete = False
         self._trailer_size = 0  # bytes
-        self.headers: dict[bytes, bytes] = {}  # those of PARSED_HEADERS
+        self.headers: dict[bytes, bytes] = {}  # the received headers of PARSED_HEADERS
         self.size = 0  # bytes
         self.content_length: int | None = None
         self.expects_continue = False
@@ -70,7 +70,7 @@
         self.size += size
         if key in PARSED_HEADERS:
             if key in self.headers:
-                raise BadRequestError(400, "a header stands twice")
+                raise BadRequestError(400, "repeated header")
             self.headers[key] = value
         if key not in HEADERS_NOT_COPIED:
             self._forwarded_headers.append(b"%b: %b\r\n" % (name, value))
@@ -80,7 +80,7 @@
     def _read_framing(self, key: bytes, value: bytes) -> None:
         if key == b"content-length":
             if self.content_length is not None or not DECIMAL_PATTERN.fullmatch(value):
-                raise BadRequestError(400, "content-length is wrong")
+                raise BadRequestError(400, "invalid content-length")
             self.content_length = int(value)
             if self.content_length > MAX_STREAMED_BODY_BYTES:
                 raise BadRequestError(413, "body too large")
@@ -88,7 +88,7 @@
             self.expects_continue = value.lower() == b"100-continue"
         elif key == b"transfer-encoding":
             if self._chunked or value.lower() != b"chunked":
-                raise BadRequestError(400, "transfer-encoding is wrong")
+                raise BadRequestError(400, "invalid transfer-encoding")
             self._chunked = True
 
     def _skip_trailer(self, size: int) -> None:
@@ -98,34 +98,34 @@
             raise BadRequestError(400, "trailer too large")
 
     def finish(self, method: bytes, http_version: str) -> None:
-        """End the head, and check what only the complete head shows."""
+        """End the head, and check its size and framing."""
         self.method = method
         self.http_version = http_version
         if self.size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "head too large")
         if self._chunked and self.content_length is not None:
-            raise BadRequestError(400, "two framings: one of them may hide a request")
+            raise BadRequestError(400, "two framings, of which one may hide a request")
         self._is_complete = True
 
     def add_unparsed_input(self, size: int) -> bool:
-        """Count input of a head whose unfinished line no callback has shown yet; return whether it fits.
+        """Count input of an incomplete head, part of which the parser may buffer; return whether it fits.
 
-        Parts of the head that were shown before count twice, as the limit on memory need not be exact.
+        Parts that the parser has passed to a callback count twice, as the limit on memory need not be exact.
         """
         self.size += size
         return self.size <= MAX_HEAD_BYTES
 
     def normalize_target(self) -> str:
-        """Return the target in origin form; a proxy's absolute form (RFC 9112, 3.2.2) is accepted."""
+        """Return the target in origin form; the absolute form (RFC 9112, 3.2.2) is accepted as well."""
         if not TARGET_PATTERN.fullmatch(self._target) or self.http_version not in HTTP_VERSIONS:
-            raise BadRequestError(400, "target or version")
+            raise BadRequestError(400, "invalid target or HTTP version")
         absolute_form = ABSOLUTE_FORM_PATTERN.match(self._target)
         if absolute_form is not None:
             self._target = self._target[absolute_form.end() :]
         return self._target.decode("latin-1")
 
-    def forwarded(self, body: bytes, upload: BodyStream | None) -> bytes:
-        """Return the head for the endpoint without its empty line; the body is framed anew."""
+    def build_forwarded_head(self, body: bytes, upload: BodyStream | None) -> bytes:
+        """Return the head for the endpoint, without the empty line and with framing headers of its own."""
         framing = b""
         if upload is not None and upload.content_length is None:
             framing = b"Transfer-Encoding: chunked\r\n"
--- a/quota_gateway/net/client/request_intake.py
+++ b/quota_gateway/net/client/request_intake.py
@@ -1,4 +1,4 @@
-"""Accepts requests that were read: checks them against the settings and hands them to the handler."""
+"""Checks the received requests against the settings, and passes valid ones to the handler."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     __slots__ = ("_handler", "_shared")
 
     def __init__(self, handler: RequestHandler, shared: SharedState) -> None:
-        """Hand accepted requests to ``handler``."""
+        """Pass accepted requests to ``handler``."""
         self._handler = handler
         self._shared = shared
 
     def accept(self, request: ClientRequest, head: RequestHead, body: bytes) -> None:
-        """Hand over a request, or respond to it.
+        """Pass a request to the handler, or respond to it.
 
         Raises BadRequestError, without a response, if the request is not valid.
         """
@@ -33,7 +33,7 @@
             request.respond(503 if shared.draining else 200)
             return
         if body and head.method != b"POST":
-            raise BadRequestError(400, "a body where none belongs")
+            raise BadRequestError(400, "a body in a request other than POST")
         event = shared.parser.parse(head.method, target, head.headers, uploading=request.upload is not None)
         if request.seconds_since_arrival() >= event.timeout:
             # The client has stopped waiting: an attempt would be wasted work.
@@ -41,11 +41,11 @@
             request.respond(503, retry_after=0.0)
             return
         request_id = head.headers[REQUEST_ID].lower()
-        # Another request with this id is open: their outcomes could be confused.
+        # The outcomes of two open requests with the same id could be confused.
         if request_id in shared.open_request_ids:
-            raise BadRequestError(409, "the request id is in use")
+            raise BadRequestError(409, "another open request has the same id")
         shared.open_request_ids.add(request_id)
-        request.accept(event, request_id, head.forwarded(body, request.upload), body)
+        request.accept(event, request_id, head.build_forwarded_head(body, request.upload), body)
         self._handler.on_request(request)
 
     def complete_upload(self, request: ClientRequest) -> None:
--- a/quota_gateway/net/client/request_parser.py
+++ b/quota_gateway/net/client/request_parser.py
@@ -10,7 +10,8 @@
 
 MAX_TIMEOUT_MILLISECONDS = 60_000
 MILLISECONDS_PER_SECOND = 1000
-PREVIOUS_CLASSES_SECONDS = 3.0  # after a reload, in which requests of the previous classes are accepted
+# How long requests of the previous classes are accepted after a reload.
+PREVIOUS_CLASSES_SECONDS = 3.0
 ACCOUNT_ID_LIMIT = 2**33  # exclusive
 
 REQUEST_ID = b"x-request-id"
@@ -29,10 +30,10 @@
 
 
 class BadRequestError(Exception):
-    """A malformed or invalid request, which the limiter answers itself."""
+    """A malformed or invalid request, which is answered without being forwarded."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """``status`` is that of the response; ``reason`` describes the fault."""
+        """``status`` is the status code of the response; ``reason`` describes the error."""
         super().__init__(reason)
         self.status = status
 
@@ -46,10 +47,10 @@
     """Parses requests according to the classes, plans and limits of the settings in force."""
 
     def __init__(self, settings: model.Settings, clock: Callable[[], float] = lambda: 0.0) -> None:
-        """Parse according to ``settings``; ``clock`` returns seconds since any start."""
+        """Parse according to ``settings``; ``clock`` returns seconds from an arbitrary start."""
         self._clock = clock
         self._last_id = 0
-        self._classes = dict[str, bool]()  # by name: whether the method is GET
+        self._classes = dict[str, bool]()  # whether the method is GET, by name of the class
         self._plans = set[str]()
         self._previous_classes = dict[str, bool]()
         self._previous_classes_until = 0.0
@@ -76,16 +77,16 @@
     ) -> model.Request:
         """Return the request as an event; ``headers`` contains the received headers of ``PARSED_HEADERS``.
 
-        Raises BadRequestError for the first fault that is found.
+        Raises BadRequestError for the first error that is found.
         """
         path, _, query = target.partition("?")
         class_name = path[1:].partition("/")[0]
         self._check_class(class_name, method, headers)
         if not REQUEST_ID_PATTERN.fullmatch(headers[REQUEST_ID]):
-            raise BadRequestError(400, "x-request-id is wrong")
+            raise BadRequestError(400, "invalid x-request-id")
         plan = headers[PLAN].decode("latin-1")
         if headers[PRIORITY_CLASS].decode("latin-1") != class_name or plan not in self._plans:
-            raise BadRequestError(400, "unknown class or plan")
+            raise BadRequestError(400, "unknown plan, or class differs from the path")
         account = _parse_account(query)
         timeout = _parse_timeout(headers[TIMEOUT])
         quota = self._parse_quota(headers[QUOTA])
@@ -111,34 +112,34 @@
         for header in REQUIRED_HEADERS:
             if not headers.get(header):
                 raise BadRequestError(400, f"{header.decode()} is missing")
-        # The class determines the method; the body of a GET request could contain another request.
+        # The class determines the method: the body of a GET request could hide another request.
         if (method == b"GET") not in (self._classes.get(class_name), previous.get(class_name)):
             raise BadRequestError(405, "method")
 
     def _parse_quota(self, text: bytes) -> _QuotaHeader:
         match = QUOTA_PATTERN.fullmatch(text)
         if match is None:
-            raise BadRequestError(400, "x-quota is wrong")
+            raise BadRequestError(400, "invalid x-quota")
         units = float(match[1])
         serving_gateways = int(match[2])
         first_gateway = int(match[3])
         in_range = 1 <= serving_gateways <= self._gateway_count and first_gateway < self._gateway_count
         if not 0 < units <= self._max_units or not in_range:
-            raise BadRequestError(400, "x-quota is wrong")
+            raise BadRequestError(400, "invalid x-quota")
         return _QuotaHeader(units, serving_gateways)
 
 
 def _parse_account(query: str) -> str:
-    # Of two accounts, the limiter might charge one and the endpoint the other.
+    # If a request had two accounts, the limiter could charge one of them and the endpoint the other.
     accounts = [part for part in query.split("&") if part.partition("=")[0].lower() == "account"]
     match = ACCOUNT_PATTERN.fullmatch(accounts[0]) if len(accounts) == 1 else None
     if match is None or int(match[1], 16) >= ACCOUNT_ID_LIMIT:
-        raise BadRequestError(400, "account is missing or wrong")
+        raise BadRequestError(400, "missing, repeated or invalid account")
     return match[1].lower()
 
 
 def _parse_timeout(text: bytes) -> float:
-    """Return the seconds of a header in milliseconds."""
+    """Return the timeout in seconds; the header has it in milliseconds."""
     if not DECIMAL_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MILLISECONDS:
-        raise BadRequestError(400, "x-timeout-ms is wrong")
+        raise BadRequestError(400, "invalid x-timeout-ms")
     return int(text) / MILLISECONDS_PER_SECOND
--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -26,16 +26,16 @@
     """Closes the connection of a pipeline."""
 
     def close_after_response(self) -> None:
-        """Close behind the response that was written last."""
+        """Close the connection after the response that was written last."""
 
     def abort(self, reason: CloseReason) -> None:
         """Reset the connection."""
 
 
 class RequestPipeline:
-    """Joins the reader, the response queue and the liveness check of one connection.
+    """Connects the reader, the response queue and the liveness check of one connection.
 
-    These parts do not know each other. Reading is paused or resumed only by ``update_reading``.
+    These parts do not refer to each other. Only ``update_reading`` pauses or resumes reading.
     """
 
     __slots__ = (
@@ -66,7 +66,12 @@
         return not self.queue and not self.reader.in_request and self.reader.body.upload is None
 
     def update_reading(self) -> None:
-        """Read only while the client accepts responses, as unsent ones would fill the memory."""
+        """Pause or resume reading.
+
+        Unsent responses would fill the memory, so reading is paused while the client accepts none of them or
+        too many are pending. It is also paused while the upload is, and while the last responses of a stopped
+        reader are pending.
+        """
         queue = self.queue
         paused = queue.write_blocked or self.reader.body.paused or len(queue) >= MAX_PIPELINED_REQUESTS
         paused = paused or (bool(queue) and self.reader.is_stopped)
@@ -74,7 +79,7 @@
             self._transport.set_reading_paused(paused=paused)
 
     def set_write_blocked(self, *, blocked: bool) -> None:
-        """Produce output and read input only while the client accepts output."""
+        """Record whether the client accepts output; only then is output produced and input read."""
         self.queue.set_write_blocked(blocked=blocked)
         self.update_reading()
 
@@ -82,7 +87,7 @@
         """End all requests: their responses can no longer be written."""
         self.queue.disconnect(self._intake)
 
-    # Requests that the reader has read.
+    # Input and the requests that it contains.
 
     def receive(self, data: bytes) -> None:
         """Parse received bytes, or discard them once the reader has stopped."""
@@ -94,18 +99,18 @@
         self.reader.feed(data)
 
     def on_request_started(self, *, is_first: bool) -> float:
-        """Return the time at which the timeouts of a request begin: for the first one, the connect."""
+        """Return the time at which the timeouts of a request begin; for the first one, it is the connect."""
         return self.queue.active_at if is_first else self.queue.start_request()
 
     def on_continue_expected(self) -> None:
-        """Invite the client to send the body, unless other responses are sent first."""
+        """Invite the client to send the body, unless earlier responses are pending."""
         if not self.queue:
             self._transport.write(INTERIM_RESPONSE)
 
     def on_request_read(
         self, head: RequestHead, body: bytes, upload: BodyStream | None, *, keep_alive: bool
     ) -> None:
-        """Queue and hand over a request; raise BadRequestError if it was answered as malformed."""
+        """Queue a request and pass it to the intake; raise BadRequestError if it was answered as invalid."""
         if upload is not None:
             self._transport.limit_receive_buffer()
         request = ClientRequest(
@@ -123,7 +128,7 @@
             self.reader.stop_upload()
             request.reject_malformed(error.status)
             raise
-        if self.queue:  # otherwise the response has been written, and the reading updated
+        if self.queue:  # otherwise its response was written already, which called update_reading
             self.update_reading()
 
     def on_upload_completed(self) -> None:
@@ -133,11 +138,11 @@
         self._intake.complete_upload(request)
 
     def _record_arrival(self) -> float:
-        """Return when the input that was read last arrived: it may have been unread for a while.
+        """Return the time at which the last input arrived, which may be some time before it was read.
 
-        Its client was there at that time.
+        The client was connected at that time, which is recorded too.
         """
-        # The clock is read first: a stall of the process behind it can only make the arrival appear earlier.
+        # The clock is read first: a stall after that can only make the arrival appear earlier.
         now = self.shared.clock()
         data_age = self._transport.seconds_since_last_data() if self.shared.reports_data_age else None
         if data_age is None:
@@ -147,25 +152,25 @@
         return now - data_age
 
     def reject(self, status: int) -> None:
-        """Respond to malformed or overdue input behind the queued requests, and close."""
+        """Respond to malformed or overdue input after the queued requests, and close the connection."""
         self.reader.stop()
         request = ClientRequest(self, keep_alive=False)
         self.queue.append(request)
         request.respond(status)
 
     def discard_upload(self) -> None:
-        """Discard the rest of the upload of a request that has its response already."""
+        """Discard the rest of an upload whose request has already been answered."""
         self.reader.stop_upload()
         self._transport.allow_upload()
 
     def may_resume_upload(self) -> bool:
-        """Whether the client is still there, so that its unread input may be read."""
+        """Whether the client is still connected; only then may its unread input be read."""
         return not self.liveness.is_possibly_disconnected()
 
     # Responses.
 
     def write_responses(self) -> None:
-        """Write the responses whose turn it is."""
+        """Write the responses that are ready, in the order of their requests."""
         if self.queue.write_ready(input_ended=self.liveness.input_ended):
             self._closer.close_after_response()
         self.update_reading()
@@ -175,7 +180,7 @@
         self._transport.write(data)
 
     def on_stream_finished(self, request: ClientRequest) -> None:
-        """Write the responses behind a streamed one that is complete."""
+        """Write the responses that follow a completely written streamed one."""
         if self.queue.finish_stream(request, input_ended=self.liveness.input_ended):
             self._closer.close_after_response()
         self.write_responses()
@@ -211,11 +216,11 @@
             self._transport.write(INTERIM_RESPONSE)
 
     def on_client_maybe_disconnected(self) -> None:
-        """Withdraw unsent attempts; those in flight may still answer the client."""
+        """Withdraw the attempts that have not been sent; those in flight may still answer the client."""
         self.queue.withdraw_attempts(self._intake)
 
     def on_client_confirmed(self) -> None:
-        """Resume an upload of the client, which has proved to be half-closed."""
+        """Resume a deferred upload, as the client has proved to be half-closed."""
         self.reader.body.on_client_confirmed()
 
     # Timeouts.
@@ -225,7 +230,7 @@
         if self.reader.body.upload is not None:
             self._check_upload(now)
         elif self.reader.in_request and not self._transport.reading_paused and self.reader.is_overdue(now):
-            self.reject(408)  # also behind requests that wait for their responses
+            self.reject(408)  # also while earlier requests wait for their responses
         elif self.queue:
             self._check_response(now)
 
--- a/quota_gateway/net/client/request_reader.py
+++ b/quota_gateway/net/client/request_reader.py
@@ -24,7 +24,7 @@
     """The connection whose requests are read."""
 
     def receive(self, data: bytes) -> None:
-        """Receive the rest of the input again, which the parser has returned."""
+        """Receive the input that follows an upgrade offer, which the parser has left unread."""
 
     def on_request_started(self, *, is_first: bool) -> float:
         """Return the time at which the timeouts of a new request begin.
@@ -44,19 +44,19 @@
         """
 
     def on_upload_completed(self) -> None:
-        """Handle the complete receipt of the last request's upload, whose stream ends after this call."""
+        """Handle the complete receipt of the last request's upload; its stream ends after this call."""
 
     def reject(self, status: int) -> None:
         """Respond to malformed input, and close the connection."""
 
 
 class ReaderPhase(enum.Enum):
-    """The part of a request that is read next."""
+    """The part of a request that is expected next."""
 
     BETWEEN_REQUESTS = enum.auto()
     HEAD = enum.auto()
     BODY = enum.auto()
-    STOPPED = enum.auto()  # for good: all further input is discarded
+    STOPPED = enum.auto()  # final: all further input is discarded
 
 
 # The callbacks of the parser compare these often, and a lookup in an enum class is slow.
@@ -67,7 +67,7 @@
 
 
 class RequestReader:
-    """Turns received bytes into requests; the callbacks of the HTTP parser are the transitions of its phase.
+    """Turns received bytes into requests. The callbacks of the HTTP parser change its phase.
 
     BETWEEN_REQUESTS -> HEAD -> BODY -> BETWEEN_REQUESTS, and any of them -> STOPPED.
     """
@@ -114,16 +114,16 @@
         self.phase = _STOPPED
 
     def stop_upload(self) -> None:
-        """Parse no more input, and release the upload, whose request has its response already."""
+        """Parse no more input, and release the upload, whose request has already been answered."""
         self.phase = _STOPPED
         self.body.discard_upload()
 
     def is_overdue(self, now: float) -> bool:
         """Whether the current request takes too long."""
-        is_head_late = now - self._started_at > HEAD_TIMEOUT_SECONDS
+        head_timeout_passed = now - self._started_at > HEAD_TIMEOUT_SECONDS
         if self.phase is _HEAD:
-            return is_head_late
-        return self.body.is_overdue(now, is_head_late=is_head_late)
+            return head_timeout_passed
+        return self.body.is_overdue(now, head_timeout_passed=head_timeout_passed)
 
     def feed(self, data: bytes) -> None:
         """Parse received bytes; malformed input is answered and ends the connection."""
@@ -139,10 +139,10 @@
         else:
             self._check_head_size(len(data))
             return
-        self._receiver.receive(rest)  # not while the upgrade is handled: it would hide the cause of an error
+        self._receiver.receive(rest)  # not in the except clause: the upgrade would hide the cause of an error
 
     def _check_head_size(self, received_size: int) -> None:
-        # An endless header line grows within the parser, where no callback shows its size.
+        # The parser buffers a header line until its end, so no callback would notice an endless one.
         if self.phase is _HEAD and not self.head.add_unparsed_input(received_size):
             self._receiver.reject(400)
 
@@ -190,7 +190,7 @@
             self._start_upload()
 
     def _start_upload(self) -> None:
-        """Hand over a request before its body has been received completely."""
+        """Pass on a request before its body has been received completely."""
         if self.head.method != b"POST":
             raise BadRequestError(413, "body too large")
         upload = self.body.start_upload(self.head.content_length)
@@ -198,7 +198,7 @@
         self._receiver.on_request_read(self.head, b"", upload, keep_alive=keep_alive)
 
     def on_message_complete(self) -> None:
-        """Hand over the request, or end its upload."""
+        """Pass on the request, or end its upload if it is streamed."""
         if self.phase is _STOPPED:
             return
         self.phase = _BETWEEN_REQUESTS
--- a/quota_gateway/net/client/response_queue.py
+++ b/quota_gateway/net/client/response_queue.py
@@ -11,7 +11,7 @@
 from quota_gateway.net.client.shared_state import SharedState
 
 MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection; most clients send one at a time
-RESPONSE_STALL_TIMEOUT_SECONDS = 15.0  # in which a client accepts no data of a streamed response
+RESPONSE_STALL_TIMEOUT_SECONDS = 15.0  # without a client accepting data of a streamed response
 
 
 class ResponseOutput(Protocol):
@@ -26,9 +26,9 @@
 
 
 class ResponseQueue(deque[ClientRequest]):
-    """Writes the responses in order: only that of the first request is ever written.
+    """Writes the responses in the order of their requests: only the first one in the queue is written.
 
-    Methods that write return whether the connection must be closed behind the response that was written last.
+    Methods that write return whether the connection must be closed after the response that was written last.
     """
 
     __slots__ = ("_output", "_shared", "active_at", "write_blocked")
@@ -38,11 +38,11 @@
         super().__init__()
         self._output = output
         self._shared = shared
-        self.active_at = shared.clock()  # the connect, the start of a request or the end of a response
-        self.write_blocked = False  # the client does not accept the data that was written
+        self.active_at = shared.clock()  # last connect, start of a request or end of a response
+        self.write_blocked = False  # whether the client accepts no more data for now
 
     def start_request(self) -> float:
-        """Record that another request than the connection's first begins, and return the time.
+        """Record the start of a request after the connection's first one, and return the time.
 
         Raises BadRequestError if too many requests are unanswered.
         """
@@ -51,19 +51,20 @@
             self.active_at = now
         elif len(self) >= MAX_PIPELINED_REQUESTS:
             # Reading is paused at this number, but a single read may contain hundreds of requests.
-            raise BadRequestError(400, "too many requests at once")
+            raise BadRequestError(400, "too many pipelined requests")
         return now
 
     def write_ready(self, *, input_ended: bool) -> bool:
-        """Write the responses whose turn it is; ``input_ended`` is whether the client is half-closed."""
+        """Write the responses that are ready; ``input_ended`` is whether the client has ended its input."""
         while self and self._output.is_open:
             request = self[0]
             if request.response_head is None:
                 request.start_stream(closes=self._shared.closes_connections, writable=not self.write_blocked)
-                break  # the responses behind a streamed one follow when it is finished
+                break  # later responses wait until the streamed one is finished
             self.popleft()
             self.active_at = self._shared.clock()
-            # Of pipelined responses only the last one closes: the requests behind are accepted too.
+            # A drain or an end of input closes the connection only after the last queued response, because
+            # all queued requests have been accepted.
             closes = not self and (self._shared.closes_connections or input_ended)
             closes = closes or not request.keep_alive
             self._output.write(request.response_bytes(closes=closes))
@@ -80,7 +81,7 @@
         return not self and (not request.keep_alive or input_ended)
 
     def set_write_blocked(self, *, blocked: bool) -> None:
-        """Pause or resume the streamed response as the client accepts it."""
+        """Pause or resume the streamed response, depending on whether the client accepts more data."""
         self.write_blocked = blocked
         if self:
             self[0].set_client_writable(writable=not blocked)
