--- a/tests/http_bodies.py
+++ b/tests/http_bodies.py
@@ -1,4 +1,4 @@
-"""Helpers for tests with long bodies: writing them in all framings."""
+"""Helpers for tests with long bodies: encoding them with each framing, and reading heads."""
 
 from __future__ import annotations
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
 """Helpers for tests over loopback sockets: scripted endpoints and decisions, and a limiter between them.
 
-All of them listen on port 0.
+All servers listen on port 0.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from quota_gateway.net.dispatch.dispatcher import Dispatcher
 from quota_gateway.net.upstream.pool import ConnectionPool
 
-TIME_LIMIT = 20.0  # seconds; generous: only a hang takes this long
+TIME_LIMIT = 20.0  # seconds; only a test that hangs takes this long
 Parameters = ParamSpec("Parameters")
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 REQUEST_IDS = count(0x9B1F03AA5C7E2D41)  # a new one for each request
@@ -48,7 +48,7 @@
 
 
 def async_test(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
-    """Make a test of a coroutine function."""
+    """Turn a coroutine function into a test that runs it on an event loop of its own."""
 
     @wraps(test)
     def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -60,7 +60,11 @@
 def http_request(
     path: str = "/lookup?account=00000000b4d65521", body: bytes = b"", timeout_ms: int = 5000, **headers: str
 ) -> bytes:
-    """A client's request; headers with ``_`` for ``-``, those with an empty value are left out."""
+    """Return a client's request.
+
+    ``headers`` replace the default headers or are added to them. Their names have ``_`` in place of ``-``; an
+    empty value omits the header.
+    """
     method = "POST" if body else "GET"
     fields = {
         "Host": "origin.svc", "X-Request-ID": f"{next(REQUEST_IDS):016x}",
@@ -75,7 +79,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """Read an HTTP message with a Content-Length; returns its first line, headers and body."""
+    """Read an HTTP message with a Content-Length; return its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first_line, *header_lines = head.rstrip().split("\r\n")
     fields = (header_line.partition(":") for header_line in header_lines)
@@ -85,7 +89,7 @@
 
 @asynccontextmanager
 async def running_server(handle_connection: ConnectionHandler) -> AsyncIterator[str]:
-    """Serve each connection by the handler, and abort it when that returns; gives the address."""
+    """Run a server and yield its address; each connection is aborted when its handler returns."""
     tasks = set[asyncio.Task[None]]()
 
     async def handle_and_abort(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -111,9 +115,9 @@
 
 
 class ScriptedEndpoint:
-    """Gives each request the response that the script has for its number, counted from 1.
+    """Sends the response that ``response_for`` returns for the number of the request, counted from 1.
 
-    For ``None`` it stays silent, for an empty response it closes the connection.
+    If that is ``None``, no response is sent; if it is empty, the connection is closed.
     """
 
     def __init__(self, response_for: Callable[[int], bytes | None] = lambda _number: OK_RESPONSE) -> None:
@@ -140,7 +144,7 @@
 
 
 class ScriptedDecisions:
-    """Decisions as a test wants them; records the events."""
+    """Decisions that are made by a function of the test; all events are recorded."""
 
     def __init__(self, decide: Callable[[model.Event], list[model.Action]]) -> None:
         self.decide = decide
@@ -148,13 +152,13 @@
         self.event_received = asyncio.Event()
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Record the event and answer with the actions of the script."""
+        """Record the event, and return the actions that the function decides on."""
         self.events.append(event)
         self.event_received.set()
         return self.decide(event)
 
     async def wait_for(self, kind: type, count: int = 1) -> list[Any]:
-        """Wait for so many events of a kind; returns all events of that kind."""
+        """Wait until ``count`` events of a kind were received; return all events of that kind."""
         while len(found := [event for event in self.events if isinstance(event, kind)]) < count:
             self.event_received.clear()
             await self.event_received.wait()
@@ -162,7 +166,7 @@
 
 
 def forward_to_s1(event: model.Event) -> list[model.Action]:
-    """Forward each request to ``s1`` once, and reject what fails there."""
+    """Forward each request to ``s1`` once, and reject it if that attempt fails."""
     if isinstance(event, model.Request):
         return [model.Forward(event.id, "s1", event.timeout)]
     if isinstance(event, model.AttemptCompleted) and not event.request_finished:
@@ -186,7 +190,7 @@
     *,
     complete: bool = True,
 ) -> WatchEvent:
-    """An event of the endpoint watch with all endpoints in one state; addresses by endpoint name."""
+    """Return a watch event in which all endpoints have the same health; addresses by endpoint name."""
     endpoints = tuple(model.Endpoint(name, health, zone="a") for name in addresses)
     return WatchEvent(1, model.EndpointUpdate(endpoints, complete=complete), addresses)
 
@@ -207,7 +211,7 @@
         self.dispatcher = Dispatcher(SETTINGS, decisions, clock, self.pool, counter)
         self.listener = ClientListener(self.dispatcher, SETTINGS, max_connections=64)
         self.dispatcher.on_watch_event(watch_event(addresses))
-        self.address = ("", 0)  # of the clients' side, once it listens
+        self.address = ("", 0)  # the address that clients connect to, set when the limiter starts
 
     async def __aenter__(self) -> Self:
         self.address = await self.listener.listen("127.0.0.1", 0)
@@ -222,7 +226,7 @@
         return await asyncio.open_connection(*self.address)
 
     async def fetch(self, request: bytes) -> tuple[str, dict[str, str], bytes]:
-        """Send one request on a connection of its own; returns the response."""
+        """Send one request on a connection of its own; return the response."""
         reader, writer = await self.connect()
         writer.write(request)
         response = await read_message(reader)
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -242,7 +242,7 @@
 
 
 async def upload_until_backpressure(client: socket.socket, limiter: LoopbackLimiter) -> int:
-    """Send a body of which the limiter has not read the end because of backpressure; return its size."""
+    """Send a body whose end the limiter does not read because of backpressure; return the body's size."""
     client.sendall(upload_head("chunked", 0, timeout_ms=60_000))
     (connection,) = await wait_for_connections(limiter)
     client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
@@ -310,7 +310,7 @@
 
 
 @async_test
-async def test_request_behind_an_upload_that_was_complete_before_its_attempt_is_read() -> None:
+async def test_request_that_follows_an_upload_completed_before_its_attempt_is_read() -> None:
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -1,4 +1,4 @@
-"""All valid forms and framings of requests and responses, over loopback sockets."""
+"""Requests and responses in all valid forms and framings are forwarded, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 FINAL_CHUNK_AND_TRAILER = b"0\r\nX-Plan: none\r\n\r\n"
-REQUEST_FORMS = [  # a part of a plain request, and its replacement
+REQUEST_FORMS = [  # a part of a plain request, and an equivalent that replaces it
     (b"GET /lookup", b"GET http://origin.svc/lookup"),
     (b"GET /lookup", b"\r\nGET /lookup"),
     (b"X-Plan: basic", b"x-PLAN:\tbasic \t"),
--- a/tests/test_process_stalls.py
+++ b/tests/test_process_stalls.py
@@ -1,4 +1,8 @@
-"""A process that stands still at a certain point of its work, in front of sockets that go on."""
+"""Stalls of a limiter process at chosen points, while its sockets continue to receive input.
+
+Guards against decisions by a clock reading from before the stall: propagated deadlines that are too long,
+late responses, attempts for disconnected clients, and shutdowns that last until SIGKILL may be sent.
+"""
 
 from __future__ import annotations
 
@@ -28,24 +32,24 @@
 )
 
 STALL = 0.4  # seconds
-SHORT_STALL = 0.14  # seconds: shorter than what the specification allows between a clock and a write
+SHORT_STALL = 0.14  # seconds; less than the specification allows between a clock read and a write
 DEADLINE_SLACK = 0.15  # seconds
 TIMEOUT = 2.0  # seconds
-CLOCK_READS = 32  # more than there are from the read of a request to the write of its attempt
+CLOCK_READS = 32  # more than occur from the read of a request to the write of its attempt
 CONCURRENT_LIMITERS = 16
 RESPONSE_GRACE = 0.5  # seconds
 DISCONNECT_GRACE = 0.1  # seconds
-DRAIN_GRACE = 2.0  # seconds, from the moment at which a change is told
+DRAIN_GRACE = 2.0  # seconds after a change is sent, in which attempts are still allowed
 
 
 class StalledLimiter(NamedTuple):
-    """A running limiter whose start is over, and its endpoint."""
+    """A running limiter, whose start no longer counts as a stall, and its endpoint."""
 
     program: Program
     endpoint: ScriptedEndpoint
 
-    def propagated(self) -> float:
-        """The deadline of the last attempt, in seconds."""
+    def propagated_deadline(self) -> float:
+        """Return the propagated deadline of the last attempt, in seconds."""
         return int(self.endpoint.requests[-1][1]["x-timeout-ms"]) / 1000
 
 
@@ -59,7 +63,10 @@
     endpoint: ScriptedEndpoint | None = None,
     serve: ConnectionHandler | None = None,
 ) -> AsyncIterator[StalledLimiter]:
-    """Run a limiter until its start counts as a stall no longer; ``serve`` replaces the scripted endpoint."""
+    """Run a limiter, and wait until its start no longer counts as a stall.
+
+    ``serve`` replaces the scripted endpoint.
+    """
     scripted = endpoint or ScriptedEndpoint()
     async with (
         running_server(serve or scripted.handle_connection) as address,
@@ -80,10 +87,10 @@
     ],
 )
 @async_test
-async def test_the_propagated_deadline_has_no_time_that_passed_in_a_stall(
+async def test_the_time_of_a_stall_is_deducted_from_the_propagated_deadline(
     point: StallPoint, stall: float, count: int, faults: ProcessFaults, tmp_path: Path
 ) -> None:
-    """With two stalls, the process stands still at another client's read first."""
+    """With two stalls, the process first stalls at the read of the other request."""
     async with limiter_to_stall(faults, tmp_path) as limiter:
         connections = [await limiter.program.connect() for _ in range(count)]
         for reader, writer in connections:
@@ -95,13 +102,13 @@
         sent_at = time.monotonic()
         for reader, _writer in connections:
             assert " 200 " in (await read_message(reader))[0]
-        assert time.monotonic() - sent_at >= stall  # the process stood still
-        # The last of the requests has waited during all stalls.
-        assert limiter.propagated() <= TIMEOUT - count * stall + DEADLINE_SLACK
+        assert time.monotonic() - sent_at >= stall  # the process was stalled
+        # The last request has waited during all stalls.
+        assert limiter.propagated_deadline() <= TIMEOUT - count * stall + DEADLINE_SLACK
 
 
 class ArrivalTimes:
-    """When an endpoint received each request; it responds to all of them."""
+    """The times at which an endpoint receives its requests, all of which it answers."""
 
     def __init__(self) -> None:
         self.times = list[float]()
@@ -112,7 +119,7 @@
         return OK_RESPONSE
 
 
-async def propagated_too_much(clock_reads: int, faults: ProcessFaults, folder: Path) -> bool:
+async def propagated_deadline_is_too_long(clock_reads: int, faults: ProcessFaults, folder: Path) -> bool:
     """Whether the propagated deadline exceeds the remaining time after a stall before one clock read."""
     arrivals = ArrivalTimes()
     async with limiter_to_stall(faults, folder, ScriptedEndpoint(arrivals.respond)) as limiter:
@@ -124,11 +131,11 @@
         sent_at = time.monotonic()
         assert " 200 " in (await read_message(reader))[0]
         remaining = TIMEOUT - (arrivals.times[-1] - sent_at)
-        return limiter.propagated() > remaining + DEADLINE_SLACK
+        return limiter.propagated_deadline() > remaining + DEADLINE_SLACK
 
 
 async def answered_too_late(clock_reads: int, faults: ProcessFaults, folder: Path) -> bool:
-    """Whether a client waits for too long after a stall before one clock read; no endpoint responds."""
+    """Whether a client is answered too late after a stall before one clock read; the endpoint is silent."""
     timeout = 0.6
     stall = 0.9
     async with limiter_to_stall(faults, folder, ScriptedEndpoint(lambda _number: None)) as limiter:
@@ -140,10 +147,10 @@
         return time.monotonic() - sent_at > timeout + RESPONSE_GRACE
 
 
-async def forwarded_after_the_client_left(clock_reads: int, faults: ProcessFaults, folder: Path) -> bool:
-    """Whether an attempt begins for a client that leaves in a stall before one clock read.
+async def forwarded_after_disconnect(clock_reads: int, faults: ProcessFaults, folder: Path) -> bool:
+    """Whether an attempt begins for a client that disconnects in a stall before one clock read.
 
-    An attempt that was written before the client left is allowed.
+    An attempt that was written before the client disconnected is allowed.
     """
     arrivals = ArrivalTimes()
     async with limiter_to_stall(faults, folder, ScriptedEndpoint(arrivals.respond)) as limiter:
@@ -154,9 +161,9 @@
         writer.write(http_request())
         await asyncio.sleep(0.02)
         writer.close()
-        left_at = time.monotonic()
+        disconnected_at = time.monotonic()
         await asyncio.sleep(2 * STALL)
-        return any(at - left_at > DISCONNECT_GRACE for at in arrivals.times)
+        return any(at - disconnected_at > DISCONNECT_GRACE for at in arrivals.times)
 
 
 async def violating_clock_reads(violates: StallCheck, library: Path, folder: Path) -> list[int]:
@@ -183,27 +190,27 @@
 async def test_a_stall_between_any_two_clock_reads_counts_against_the_propagated_deadline(
     fault_library: Path, tmp_path: Path
 ) -> None:
-    """From the read of a request on: a stall shows only in the clock reads behind it."""
-    assert await violating_clock_reads(propagated_too_much, fault_library, tmp_path) == []
+    """A stall is noticed only by the clock reads after it, so a stall before each of them is tried."""
+    assert await violating_clock_reads(propagated_deadline_is_too_long, fault_library, tmp_path) == []
 
 
 @async_test
-async def test_a_stall_between_any_two_clock_reads_does_not_delay_the_answer(
+async def test_a_stall_between_any_two_clock_reads_does_not_delay_the_response(
     fault_library: Path, tmp_path: Path
 ) -> None:
-    """The client has its answer half a second after its time."""
+    """The client receives its response within ``RESPONSE_GRACE`` after its timeout."""
     assert await violating_clock_reads(answered_too_late, fault_library, tmp_path) == []
 
 
 @async_test
-async def test_no_attempt_begins_for_a_client_that_left_in_a_stall_before_any_clock_read(
+async def test_no_attempt_begins_for_a_client_that_disconnected_in_a_stall_before_any_clock_read(
     fault_library: Path, tmp_path: Path
 ) -> None:
-    assert await violating_clock_reads(forwarded_after_the_client_left, fault_library, tmp_path) == []
+    assert await violating_clock_reads(forwarded_after_disconnect, fault_library, tmp_path) == []
 
 
 @async_test
-async def test_no_attempt_begins_for_a_client_that_left_between_wake_up_and_read(
+async def test_no_attempt_begins_for_a_client_that_disconnected_between_wake_up_and_read(
     faults: ProcessFaults, tmp_path: Path
 ) -> None:
     async with limiter_to_stall(faults, tmp_path) as limiter:
@@ -218,16 +225,16 @@
         request = http_request()
         other_reader, other_writer = await limiter.program.connect()
         other_writer.write(request)
-        assert " 200 " in (await read_message(other_reader))[0]  # behind whatever else was forwarded
+        assert " 200 " in (await read_message(other_reader))[0]  # after all that was forwarded before
         assert limiter.endpoint.requests[-1][1]["x-request-id"].encode() in request
         assert len(limiter.endpoint.requests) == 2
 
 
 @async_test
-async def test_a_stall_within_the_shutdown_does_not_delay_its_end(
+async def test_a_stall_during_the_shutdown_does_not_delay_the_exit_beyond_sigkill(
     faults: ProcessFaults, tmp_path: Path
 ) -> None:
-    """SIGKILL comes at its earliest time, also where the process stood still for a second."""
+    """The earliest time of SIGKILL does not move when the process stalls for a second."""
     silent_endpoint = ScriptedEndpoint(lambda _number: None)
     async with limiter_to_stall(faults, tmp_path, silent_endpoint) as limiter:
         process = limiter.program.process
@@ -238,17 +245,17 @@
         terminated_at = time.monotonic()
         faults.control.stall_process(StallPoint.BEFORE_READ, 1.0)
         _reader, other_writer = await limiter.program.connect()
-        other_writer.write(b"G")  # the process reads it, and stands still
+        other_writer.write(b"G")  # the process stalls before it reads this
         await read_message(reader)
         await process.wait()
         assert time.monotonic() - terminated_at <= MAX_DEADLINE_SECONDS + KILL_GRACE_SECONDS
 
 
 @async_test
-async def test_a_shutdown_that_begins_in_a_stall_ends_before_sigkill_may_come(
+async def test_a_shutdown_that_begins_in_a_stall_ends_before_sigkill_may_be_sent(
     faults: ProcessFaults, tmp_path: Path
 ) -> None:
-    """SIGTERM is handled when the process goes on, and SIGKILL comes by the time of SIGTERM."""
+    """SIGTERM is handled when the process resumes, but SIGKILL is due at a fixed time after it was sent."""
     silent_endpoint = ScriptedEndpoint(lambda _number: None)
     async with limiter_to_stall(faults, tmp_path, silent_endpoint) as limiter:
         process = limiter.program.process
@@ -277,7 +284,7 @@
 async def test_a_shutdown_soon_after_a_stall_answers_the_requests_in_flight(
     faults: ProcessFaults, tmp_path: Path
 ) -> None:
-    """The signal was not sent during the stall: it would have been handled before."""
+    """SIGTERM was not sent during the stall, or it would have been handled when the process resumed."""
     async with limiter_to_stall(faults, tmp_path, serve=respond_late) as limiter:
         process = limiter.program.process
         process.send_signal(signal.SIGSTOP)
@@ -291,34 +298,34 @@
         assert " 200 " in (await read_message(reader))[0]
 
 
-class DrainingAgent:
-    """An agent of discovery that tells of a drain when the test says so."""
+class DiscoveryAgent:
+    """A discovery agent that sends an endpoint's drain when the test calls ``send_drain``."""
 
     def __init__(self) -> None:
         self._watches = asyncio.Queue[asyncio.StreamWriter]()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Open a watch."""
+        """Open a watch, and keep it open."""
         await read_request_path(reader)
         writer.write(RESPONSE_HEAD + chunk(b"\n"))
         self._watches.put_nowait(writer)
         await asyncio.Event().wait()
 
     async def opened_watch(self) -> asyncio.StreamWriter:
-        """Wait for a watch."""
+        """Wait until a watch was opened, and return its writer."""
         return await self._watches.get()
 
-    async def tell_drain(self, watch: asyncio.StreamWriter, endpoint: str) -> None:
-        """Write the change of the endpoint at this address to the watch."""
+    async def send_drain(self, watch: asyncio.StreamWriter, endpoint: str) -> None:
+        """Write the drain of the endpoint at this address to the watch."""
         watch.write(chunk(message(42, "draining", dial=endpoint, born_ms=0)))
         await watch.drain()
 
 
 @async_test
 async def test_no_attempt_goes_to_an_endpoint_whose_drain_was_told_during_a_stall(tmp_path: Path) -> None:
-    """The grace of two seconds has passed when the process goes on, and a request waits beside the change."""
+    """When the process resumes, the drain's grace has passed, and both the drain and a request are unread."""
     endpoint = ScriptedEndpoint()
-    agent = DrainingAgent()
+    agent = DiscoveryAgent()
     async with (
         running_server(endpoint.handle_connection) as address,
         running_server(agent.serve) as discovery,
@@ -329,7 +336,7 @@
         assert " 200 " in (await read_message(reader))[0]
         watch = await agent.opened_watch()
         program.process.send_signal(signal.SIGSTOP)
-        await agent.tell_drain(watch, address)
+        await agent.send_drain(watch, address)
         await asyncio.sleep(DRAIN_GRACE + DEADLINE_SLACK)
         writer.write(http_request())
         await asyncio.sleep(0.05)
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Target and headers of requests: the resulting event, and the faults that are rejected."""
+"""The request parser: the event that target and headers result in, and invalid requests."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 @async_test
-async def test_event_holds_the_values_of_the_headers() -> None:
+async def test_event_contains_the_values_of_the_headers() -> None:
     script = ScriptedDecisions(reject)
     async with LoopbackLimiter(script, {}) as limiter:
         await limiter.fetch(http_request(timeout_ms=480, X_Quota="units=1,spread=2,first=1", X_Retried="1"))
         (event,) = await script.wait_for(model.Request)
         assert (event.request_class, event.plan, event.account) == ("lookup", "basic", "00000000b4d65521")
         assert (event.units, event.serving_gateways, event.is_retry) == (1.0, 2, True)
-        assert 0.4 < event.timeout < 0.48  # without the margin for returning the response
+        assert 0.4 < event.timeout < 0.48  # the margin for returning the response is deducted
 
 
 @pytest.mark.parametrize(
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Framing, sizes and pipelining of the requests that are read from a connection."""
+"""The request reader: framing, size limits and pipelining of requests, and malformed requests."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 @async_test
-async def test_malformed_request_behind_an_upgrade_offer_is_rejected_for_its_own_fault() -> None:
+async def test_malformed_request_after_an_upgrade_offer_is_rejected_with_its_own_status() -> None:
     repeated_header = http_request().replace(b"Host: origin.svc\r\n", b"Host: a\r\nX-Plan: basic\r\n", 1)
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         reader, writer = await limiter.connect()
@@ -95,7 +95,7 @@
 
 
 @async_test
-async def test_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
+async def test_request_with_the_id_of_an_open_request_is_rejected_and_the_open_one_unaffected() -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
@@ -111,7 +111,7 @@
 
 
 @async_test
-async def test_pipeline_limit_holds_for_hundreds_of_requests_in_one_read() -> None:
+async def test_pipeline_limit_applies_to_hundreds_of_requests_in_one_read() -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -1,4 +1,8 @@
-"""A process that stood still: what waited meanwhile is served by the time that its client has left."""
+"""Input that arrives while the limiter process is stalled.
+
+The time of the stall counts: a request must not be forwarded with the timeout that it had before the stall,
+nor for a client that has disconnected since. A request or response that arrived in time must not time out.
+"""
 
 from __future__ import annotations
 
@@ -29,11 +33,11 @@
 )
 
 STALL = 0.4  # seconds
-SLACK = 0.1  # seconds: less than the 0.15 that the specification gives
+SLACK = 0.1  # seconds; less than the 0.15 s that the specification allows
 
 
 def forward_with_short_timeout(event: model.Event) -> list[model.Action]:
-    """Forward each request to ``s1`` for less time than a stall, and reject what fails there."""
+    """Forward each request to ``s1`` for less time than a stall, and reject it if that attempt fails."""
     if isinstance(event, model.Request):
         return [model.Forward(event.id, "s1", STALL / 2)]
     return forward_to_s1(event)
@@ -47,11 +51,11 @@
 
 @pytest.mark.parametrize("is_first", [True, False])
 @async_test
-async def test_a_request_that_waited_during_a_stall_has_so_much_less_time(is_first: bool) -> None:
+async def test_the_time_that_a_request_waits_in_a_stall_is_deducted_from_its_timeout(is_first: bool) -> None:
     script = ScriptedDecisions(forward_to_s1)
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         client = socket.create_connection(limiter.address)
@@ -63,8 +67,8 @@
         time.sleep(STALL)
         reader, writer = await asyncio.open_connection(sock=client)
         assert " 200 " in (await read_message(reader))[0]
-        told = int(origin.requests[-1][1]["x-timeout-ms"]) / 1000
-        assert told <= 2.0 - STALL + SLACK
+        propagated = int(endpoint.requests[-1][1]["x-timeout-ms"]) / 1000
+        assert propagated <= 2.0 - STALL + SLACK
         assert script.events[-2].timeout <= 2.0 - STALL + SLACK  # type: ignore[union-attr]
         writer.close()
 
@@ -72,14 +76,14 @@
 @pytest.mark.parametrize("close_client", DISCONNECTS)
 @pytest.mark.parametrize("is_first", [True, False])
 @async_test
-async def test_no_attempt_begins_for_a_client_that_sent_and_left_during_a_stall(
+async def test_no_attempt_begins_for_a_client_that_sends_a_request_and_disconnects_during_a_stall(
     close_client: Any, is_first: bool
 ) -> None:
-    """Request and end of input are both unread when the process goes on."""
+    """The request and the end of the input are both unread when the process resumes."""
     script = ScriptedDecisions(forward_to_s1)
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         client = socket.create_connection(limiter.address)
@@ -87,22 +91,22 @@
             client.sendall(http_request())
             await script.wait_for(model.AttemptCompleted)
             client.recv(1000)
-        served = len(origin.requests)
+        served = len(endpoint.requests)
         client.sendall(http_request())
         close_client(client)
         time.sleep(STALL)
         request = http_request()
-        assert " 200 " in (await limiter.fetch(request))[0]  # behind whatever else was forwarded
-        assert len(origin.requests) == served + 1
-        assert origin.requests[-1][1]["x-request-id"].encode() in request
+        assert " 200 " in (await limiter.fetch(request))[0]  # after all that was forwarded before
+        assert len(endpoint.requests) == served + 1
+        assert endpoint.requests[-1][1]["x-request-id"].encode() in request
 
 
 @async_test
-async def test_a_request_whose_time_ran_out_during_a_stall_is_rejected_and_not_forwarded() -> None:
+async def test_a_request_whose_timeout_passes_during_a_stall_is_rejected_and_not_forwarded() -> None:
     script = ScriptedDecisions(forward_to_s1)
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         client = socket.create_connection(limiter.address)
@@ -112,7 +116,7 @@
         status, headers, _ = await read_message(reader)
         assert " 503 " in status
         assert "retry-after" in headers
-        assert not origin.requests
+        assert not endpoint.requests
         assert not limiter.listener.shared.open_request_ids
         writer.write(http_request())
         assert " 200 " in (await read_message(reader))[0]
@@ -135,7 +139,7 @@
         writer.write(request[:-1])
         await script.wait_for(model.Request)
         await writer.drain()
-        await asyncio.sleep(0.3)  # the process was not stalled before, and has read all other bytes
+        await asyncio.sleep(0.3)  # the process has read all other bytes, and was not stalled until then
         client.send(request[-1:])
         time.sleep(STALL)
         resumed_at = time.monotonic()
@@ -145,7 +149,10 @@
 
 
 async def respond_before_a_stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Respond at once, as an endpoint of its own process, and let this process stand still then."""
+    """Respond and then stall this process.
+
+    The response is written to the socket at once, as by an endpoint in another process.
+    """
     await read_message(reader)
     os.write(writer.get_extra_info("socket").fileno(), OK_RESPONSE)
     time.sleep(STALL)
@@ -154,14 +161,14 @@
 
 @async_test
 async def test_a_response_that_arrived_during_a_stall_answers_its_request() -> None:
-    """The attempt's timeout has passed when the process goes on, and its response is unread."""
+    """When the process resumes, the attempt's timeout has passed and its response is unread."""
     script = ScriptedDecisions(forward_with_short_timeout)
     async with limiter_with_endpoint(respond_before_a_stall, script) as limiter:
         assert " 200 " in (await limiter.fetch(http_request(timeout_ms=5000)))[0]
 
 
 async def respond_in_two_parts(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Send the rest of a response while this process stands still behind its first part."""
+    """Send a response in two parts, and stall this process before it reads the second part."""
     await read_message(reader)
     descriptor = writer.get_extra_info("socket").fileno()
     os.write(descriptor, OK_RESPONSE[:-1])
@@ -193,12 +200,12 @@
 
 
 @async_test
-async def test_a_request_that_waited_during_a_stall_between_wake_up_and_read_has_less_time() -> None:
-    """The event loop has read its clock before the stall, and reads the request with that time after it."""
+async def test_a_stall_between_wake_up_and_read_is_deducted_from_the_timeout_of_a_request() -> None:
+    """The event loop reads its clock before the stall, and the request after it with that earlier time."""
     script = ScriptedDecisions(forward_to_s1)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
-        await asyncio.sleep(AFTERMATH_SECONDS + SLACK)  # the start counts as the end of a stall
+        await asyncio.sleep(AFTERMATH_SECONDS + SLACK)  # the start of a limiter counts as the end of a stall
         reader, writer = await limiter.connect()
         writer.write(http_request())
         await read_message(reader)
