--- a/quota_gateway/net/upstream/__init__.py
+++ b/quota_gateway/net/upstream/__init__.py
@@ -1,4 +1,4 @@
 """Connections to endpoints: the connection pool, exchanges on it, response parsing and health checks.
 
-It owns idle and open connections by endpoint, and imports only ``common``.
+The package owns the idle and open connections of each endpoint; of ``net`` it imports only ``common``.
 """
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -1,6 +1,6 @@
 """One connection to an endpoint: its transport, its exchange, and how each exchange ended.
 
-A request is never sent twice here: whether to retry is the caller's decision.
+A connection never sends a request twice; the caller decides whether to retry.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     stats: ConnectionStats
 
     def release(self, connection: UpstreamConnection, *, reusable: bool) -> None:
-        """The connection carries no exchange any more."""
+        """The connection no longer carries an exchange."""
 
     def record_stale_connection(self, connection: UpstreamConnection) -> None:
         """The connection was reused and broke before the first byte of a response."""
@@ -42,13 +42,13 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """A connection to an endpoint; the owner of its transport and its exchange.
+    """A connection to an endpoint, with its transport and its exchange.
 
     It carries one of these at a time:
 
     - an ``exchange``: its request is being written, or its response is received and buffered;
     - a streamed response in its receiver, after the exchange has succeeded and was detached;
-    - nothing: the connection is being connected, idle or closing. Any byte received then closes it.
+    - nothing: the connection is connecting, idle or closing, and any byte that it receives closes it.
     """
 
     __slots__ = (
@@ -68,7 +68,10 @@
     def __init__(
         self, owner: ConnectionEvents, exchanges: ExchangeEvents, endpoint: UpstreamEndpoint, number: int
     ) -> None:
-        """A connection to be opened to the endpoint's present address; the log shows ``number``."""
+        """Create a connection that is still to be opened to the endpoint's current address.
+
+        ``number`` identifies the connection in the log.
+        """
         self._owner = owner
         self._exchanges = exchanges
         self.endpoint = endpoint
@@ -77,12 +80,12 @@
         self.transport: asyncio.Transport | None = None  # None before the connection opens and after it ends
         self.exchange: Exchange | None = None
         self.idle_since: float | None = None  # by the owner's clock; None until its first release
-        self.reused_at = 0.0  # by the owner's clock; when it was last taken from the idle connections
+        self.reused_at = 0.0  # when it was last taken from the idle connections, by the owner's clock
         self._writer = RequestWriter(self, exchanges, owner.clock)
         self._receiver = ResponseReceiver(self, owner.clock)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
-        """Write a request; its response is read next."""
+        """Write the request of an exchange, and expect its response."""
         assert self.transport is not None
         self._receiver.begin()
         exchange.assign_connection(
@@ -102,11 +105,11 @@
         self.abort()
 
     def mark_idle(self, now: float) -> None:
-        """Record that the connection carries nothing from ``now`` on."""
+        """Record that the connection became idle at ``now``."""
         self.idle_since = now
 
     def mark_reused(self, now: float) -> None:
-        """Record that the connection was idle until ``now``."""
+        """Record that the idle connection was taken for an exchange at ``now``."""
         self.reused_at = now
 
     def idle_time(self, now: float) -> float:
@@ -114,49 +117,52 @@
         return now - (self.idle_since or 0.0)
 
     def is_stalled(self, now: float) -> bool:
-        """Whether a streamed body has waited too long for this endpoint."""
-        part = self._receiver.source if self._receiver.is_streaming else self._writer
-        return part.is_stalled(now)
+        """Whether the endpoint has stopped sending or accepting a streamed body."""
+        transfer = self._receiver.source if self._receiver.is_streaming else self._writer
+        return transfer.is_stalled(now)
 
     def is_reading_paused(self) -> bool:
-        """Whether a streamed response waits for its client."""
+        """Whether reading a streamed response is paused until its client accepts more."""
         return self._receiver.source.is_paused
 
     def close(self) -> None:
-        """Close once the buffered bytes are written."""
+        """Close the connection once the buffered bytes are written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once and send the end now: a retry written next must not overlap with this attempt."""
+        """Close the connection in this call, not in a later iteration of the event loop.
+
+        A retry that is written next would otherwise overlap with this attempt.
+        """
         if self.transport is not None:
             abort_transport(self.transport)
 
     # Events of the request writer.
 
     def on_upload_started(self) -> None:
-        """Have the owner watch the upload for stalls."""
+        """Have the owner check the upload for stalls."""
         self._owner.on_streaming_started(self)
 
     def on_upload_ended(self) -> None:
-        """Stop watching an upload that has been written completely."""
+        """Stop the stall checks of an upload that has been written completely."""
         self._owner.on_streaming_ended(self)
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and have it report each incomplete write."""
+        """Store the transport, and have it report each write that was not accepted in full."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
-        # With a limit of 0 a write is passed to the operating system in the call itself, and pause_writing
-        # reports that a part of it was not accepted.
+        # With a limit of 0 the transport passes each write to the operating system before the call returns,
+        # and calls pause_writing if a part of it was not accepted.
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Report to the writer that a part of a write stayed in the buffer."""
+        """Notify the writer that the transport buffers a part of a write."""
         self._writer.on_buffer_filled()
 
     def resume_writing(self) -> None:
-        """Report to the writer that the buffer is empty."""
+        """Notify the writer that the transport's buffer is empty."""
         self._writer.on_buffer_emptied()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -166,7 +172,7 @@
         if self.exchange is not None:
             self._record_break()
         self._owner.on_connection_lost(self)
-        self._receiver.end()
+        self._receiver.stop()
         exchange = self._detach_exchange()
         if exchange is not None:
             was_written = exchange.request_written
@@ -175,7 +181,7 @@
             )
 
     def eof_received(self) -> None:
-        """Complete a response that ends with the connection."""
+        """Complete a response whose end is the end of the connection."""
         if self.exchange is not None or self._receiver.is_streaming:
             self._receiver.receive_eof()
 
@@ -183,31 +189,31 @@
         """Receive a part of a response; close if none is expected."""
         exchange = self.exchange
         if exchange is None and not self._receiver.is_streaming:
-            self.abort()  # nothing was requested: these bytes must not answer the next request
+            self.abort()  # no response is expected: these bytes must not answer the next request
             return
         if exchange is not None and not exchange.request_written:
-            self.abort()  # no response to a request that is incomplete and so was never executed
+            self.abort()  # the request is incomplete, so the endpoint has not executed it
             return
         self._receiver.receive(data)
 
     # Events of the response receiver.
 
     def on_response_complete(self, exchange: Exchange, status: CallStatus, *, reusable: bool) -> None:
-        """End the exchange, after the connection is available for the next one."""
+        """Release the connection, then end the exchange: its callback may start the next one."""
         self.exchange = None
         self._owner.release(self, reusable=reusable and not self._writer.is_buffered)
         self._exchanges.complete(exchange, status)
 
     def on_response_streamed(self, exchange: Exchange, stream: BodyStream) -> bool:
-        """Detach the exchange, which has succeeded; return whether the client reads the stream."""
+        """End the exchange as successful; return whether the client reads the stream."""
         self._detach_exchange()
         self._owner.on_streaming_started(self)
         if self.transport is not None:
             limit_receive_buffer(self.transport, STREAM_RECEIVE_BUFFER_BYTES)
         assert exchange.on_response_started is not None
-        is_wanted = exchange.on_response_started(exchange, stream)
+        has_reader = exchange.on_response_started(exchange, stream)
         self._exchanges.complete(exchange, CallStatus.OK)
-        return is_wanted
+        return has_reader
 
     def on_stream_complete(self, *, reusable: bool) -> None:
         """Make the connection available for the next exchange."""
@@ -215,7 +221,7 @@
         self._owner.release(self, reusable=reusable)
 
     def on_malformed_response(self, error: ValueError) -> None:
-        """End an exchange whose request may have been executed, by an endpoint that is alive.
+        """End the exchange with an error: the endpoint responded, and may have executed the request.
 
         A malformed response does not count as a broken connection: all endpoints may send them at one time.
         """
@@ -229,7 +235,7 @@
         self._exchanges.complete(exchange, CallStatus.ERROR)
 
     def _detach_exchange(self) -> Exchange | None:
-        """Carry the exchange no longer, and write nothing more of its request."""
+        """Detach and return the exchange, and stop writing its request."""
         exchange = self.exchange
         self.exchange = None
         self._writer.stop()
--- a/quota_gateway/net/upstream/connection_limits.py
+++ b/quota_gateway/net/upstream/connection_limits.py
@@ -1,4 +1,4 @@
-"""How many connections to endpoints may be open."""
+"""Limits on the number of open connections to endpoints."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 class ConnectionLimits:
     """Counts open connections, in total and by endpoint, against their limits.
 
-    A connection counts from the start of connecting until it has ended. At the total limit a new connection
-    takes the place of the oldest idle one.
+    A connection is counted from the start of connecting until it has ended. At the total limit, the oldest
+    idle connection is evicted for a new one.
     """
 
     __slots__ = ("_idle", "_max_connections", "open_connections")
 
     def __init__(self, max_connections: int, idle: IdleConnections) -> None:
-        """Begin without connections; ``idle`` holds those that may be evicted."""
+        """Begin with no connections; ``idle`` holds those that may be evicted."""
         self._max_connections = max_connections
         self._idle = idle
         self.open_connections = 0  # to all endpoints
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set another limit, and evict idle connections that exceed it."""
+        """Change the total limit, and evict idle connections that exceed it."""
         self._max_connections = max_connections
         while self.open_connections > self._max_connections and self._idle.evict_oldest():
             pass
 
-    def allows_another(self, endpoint: UpstreamEndpoint) -> bool:
-        """Whether another connection to the endpoint may be opened.
+    def make_room(self, endpoint: UpstreamEndpoint) -> bool:
+        """Return whether another connection to the endpoint may be opened.
 
-        At the total limit an idle connection is evicted for it.
+        At the total limit, evict the oldest idle connection for it.
         """
         if endpoint.open_connections >= MAX_CONNECTIONS_PER_ENDPOINT:
             return False
--- a/quota_gateway/net/upstream/connector.py
+++ b/quota_gateway/net/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Opening of connections to endpoints, each for one exchange."""
+"""Opens connections to endpoints, each for one exchange."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from quota_gateway.net.upstream.endpoint import UpstreamEndpoint
 from quota_gateway.net.upstream.exchange import Exchange
 
-# Errors of this machine, for want of a descriptor, memory or a port: the endpoint was not contacted.
+# This machine is out of file descriptors, memory or ports: the endpoint was not contacted.
 LOCAL_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class ConnectorOwner(Protocol):
-    """Receives the results: the pool."""
+    """Receives the results of connecting; implemented by the connection pool."""
 
     def new_connection(self, endpoint: UpstreamEndpoint) -> UpstreamConnection:
-        """Create the connection that is to be opened."""
+        """Return a new connection that is still to be opened."""
 
     def on_connected(self, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """The connection was established; it may have ended again."""
+        """The connection was established, and may have ended since."""
 
     def on_never_connected(self, endpoint: UpstreamEndpoint) -> None:
         """A connection was not established; its ``connection_lost`` is not called."""
@@ -40,23 +40,23 @@
     __slots__ = ("_connect_timeout", "_owner", "_tasks")
 
     def __init__(self, owner: ConnectorOwner, connect_timeout: float) -> None:
-        """``connect_timeout``: seconds after which connecting has failed."""
+        """``connect_timeout``: seconds after which connecting fails."""
         self._owner = owner
         self._connect_timeout = connect_timeout
         self._tasks = set[asyncio.Task[None]]()
 
     def set_connect_timeout(self, connect_timeout: float) -> None:
-        """Set the seconds after which connecting has failed."""
+        """Set the seconds after which connecting fails."""
         self._connect_timeout = connect_timeout
 
     def start(self, endpoint: UpstreamEndpoint, exchange: Exchange) -> None:
-        """Begin to open a connection; the owner receives it, or the exchange ends."""
+        """Begin to open a connection for the exchange; the owner is notified of the result."""
         task = asyncio.get_running_loop().create_task(self._connect(endpoint, exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Cancel connecting."""
+        """Cancel all connects in progress."""
         for task in self._tasks:
             task.cancel()
 
@@ -76,7 +76,7 @@
             connection.abort()
             if connection.transport is None:
                 self._owner.on_never_connected(endpoint)
-            self._owner.on_connect_failed(exchange, _connect_failure(error))
+            self._owner.on_connect_failed(exchange, _connect_error_status(error))
             return
         except Exception:
             self._owner.on_never_connected(endpoint)
@@ -84,11 +84,11 @@
         self._owner.on_connected(connection, exchange)
 
 
-def _connect_failure(error: OSError) -> CallStatus:
-    """Return how an attempt ended whose connection could not be established."""
+def _connect_error_status(error: OSError) -> CallStatus:
+    """Return the status of an attempt whose connection could not be established."""
     if error.errno in LOCAL_RESOURCE_ERRORS:
         return CallStatus.NOT_SENT
-    # Only a peer that accepted the connection resets it; a port without a listener refuses it.
+    # A reset shows that the peer had accepted the connection; a port without a listener refuses it.
     if isinstance(error, ConnectionResetError):
         return CallStatus.RESET_BEFORE_REQUEST
     return CallStatus.UNREACHABLE
--- a/quota_gateway/net/upstream/endpoint.py
+++ b/quota_gateway/net/upstream/endpoint.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamEndpoint:
-    """An endpoint; two records are the same only if they are one object.
+    """An endpoint; records are compared by identity.
 
     An endpoint that is removed and listed again gets a new record, with no open connections.
     """
@@ -23,20 +23,20 @@
     name: str
     address: SocketAddress
     available: bool = True  # listed and healthy, according to discovery
-    started_at: float = 0.0  # Unix time of its start, according to discovery; 0 where that is unknown
+    started_at: float = 0.0  # Unix time of its start, according to discovery; 0 if unknown
     open_connections: int = 0  # including those that are being connected
 
     def update(self, address: SocketAddress | None, *, available: bool, started_at: float) -> bool:
-        """Apply a listing; ``address`` is None where it names none.
+        """Apply an endpoint update; ``address`` is None if the update has none.
 
-        Return whether connections that were opened before it are unusable.
+        Return whether the connections that are open already are no longer usable.
         """
         self.available = available
         self.started_at = started_at
-        has_moved = address is not None and address != self.address
+        address_changed = address is not None and address != self.address
         if address is not None:
             self.address = address
-        return has_moved or not available
+        return address_changed or not available
 
     def remove(self) -> None:
         """Make the endpoint unavailable: the complete list does not contain it."""
--- a/quota_gateway/net/upstream/endpoint_table.py
+++ b/quota_gateway/net/upstream/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints by name: those that discovery listed, and which of them may be used."""
+"""The endpoints that discovery has listed, by name, and whether they may receive requests."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOGGED_NAMES = 5  # of endpoints for each kind of transition, in a log line
+MAX_LOGGED_NAMES = 5  # endpoint names in a log line, for each kind of transition
 
 
 class Transition(StrEnum):
-    """How an endpoint list changed an endpoint; the values are the words in the log."""
+    """How an endpoint update changed an endpoint; the log shows the value."""
 
     NEW = "new"
     BACK = "back"
@@ -25,20 +25,20 @@
 
 
 class EndpointTable:
-    """The listed endpoints, and removed ones as long as connections to them are open.
+    """The listed endpoints, and removed ones while connections to them are open.
 
-    An endpoint is usable if it is available according to discovery and not excluded by operators. An endpoint
-    that stops being usable, or changes its address, has no idle connections from then on.
+    An endpoint is usable if it is available according to discovery and not suspended by operators. When it
+    stops being usable or its address changes, its idle connections are closed.
     """
 
-    __slots__ = ("_by_name", "_excluded", "_idle", "_transitions")
+    __slots__ = ("_by_name", "_idle", "_suspended", "_transitions")
 
     def __init__(self, idle: IdleConnections) -> None:
-        """Begin without endpoints; ``idle`` holds the idle connections to them."""
+        """Begin with no endpoints; ``idle`` holds the idle connections to them."""
         self._idle = idle
         self._by_name = dict[str, UpstreamEndpoint]()
         self._transitions = dict[Transition, list[str]]()  # names of endpoints, since the last log line
-        self._excluded = frozenset[str]()  # names of the endpoints that operators have suspended
+        self._suspended = frozenset[str]()  # names of the endpoints that operators have suspended
 
     def names(self) -> frozenset[str]:
         """Return the names of the listed endpoints, and of removed ones with open connections."""
@@ -57,7 +57,7 @@
             self._by_name[name] = UpstreamEndpoint(name, new_address, available, started_at)
 
     def retain_only(self, names: set[str]) -> None:
-        """Make the endpoints unavailable that a complete list, with these names, does not contain."""
+        """Make all endpoints unavailable that are not among ``names``, those of a complete endpoint list."""
         for name, endpoint in list(self._by_name.items()):
             if name not in names:
                 if endpoint.available:
@@ -67,8 +67,8 @@
                 self.remove_if_unused(endpoint)
 
     def exclude(self, names: frozenset[str]) -> None:
-        """Exclude exactly these endpoints from use, whether they are available or not."""
-        self._excluded = names
+        """Replace the names of the suspended endpoints, and close the idle connections to those."""
+        self._suspended = names
         for name in names:
             endpoint = self._by_name.get(name)
             if endpoint is not None:
@@ -77,18 +77,18 @@
     def find_usable(self, name: str) -> UpstreamEndpoint | None:
         """Return the endpoint of that name if new requests may be sent to it, None otherwise."""
         endpoint = self._by_name.get(name)
-        if endpoint is None or not endpoint.available or name in self._excluded:
+        if endpoint is None or not endpoint.available or name in self._suspended:
             return None
         return endpoint
 
     def is_usable(self, endpoint: UpstreamEndpoint) -> bool:
         """Whether new requests may be sent to the endpoint."""
-        return endpoint.available and endpoint.name not in self._excluded
+        return endpoint.available and endpoint.name not in self._suspended
 
     def remove_if_unused(self, endpoint: UpstreamEndpoint) -> None:
         """Remove an unavailable endpoint without open connections.
 
-        Endpoint names are not reused in general, so the table would grow without limit.
+        The table would otherwise grow without limit, since endpoint names are generally not reused.
         """
         if endpoint.available or endpoint.open_connections > 0:
             return
@@ -96,9 +96,9 @@
             del self._by_name[endpoint.name]
 
     def log_transitions(self) -> None:
-        """Write the transitions since the last call in one line; write nothing if there are none."""
+        """Log the transitions since the last call in one line, unless there are none."""
         if len(self._transitions.get(Transition.NEW, ())) == len(self._by_name):
-            self._transitions.clear()  # the first list: its endpoints are no change
+            self._transitions.clear()  # all endpoints are new: the first list is not a change
         if not self._transitions:
             return
         parts = list[str]()
--- a/quota_gateway/net/upstream/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -18,7 +18,7 @@
     """The connection that carries an exchange."""
 
     def abandon_exchange(self) -> None:
-        """Drop the exchange and close the connection at once."""
+        """Detach the exchange and close the connection at once."""
 
 
 class ExchangeEvents(Protocol):
@@ -35,24 +35,22 @@
 class Exchange:
     """One attempt at a request; ``on_complete`` is called exactly once, with ``status`` set.
 
-    It is carried by at most one connection at a time, and only while it is not ``completed``. The pool and
-    the connection change it through its methods alone.
+    At most one connection at a time carries the exchange, and none once it is ``completed``. The pool and the
+    connection change it only through its methods.
     """
 
     endpoint: str
-    request_head: (
-        bytes  # request line and headers, without the timeout header, which is added when it is sent
-    )
+    request_head: bytes  # request line and headers; the pool adds the timeout header when it sends them
     request_body: bytes
     expires_at: float  # seconds, by the pool's clock
     on_complete: Callable[[Exchange], None]
-    # Accepts a streamed response once its head is known; returns False if no client reads it any more.
+    # Called with a streamed response once its head is known; returns False if its client is gone.
     on_response_started: Callable[[Exchange, BodyStream], bool] | None = None
     upload: BodyStream | None = None  # a streamed request body; ``expires_at`` is set once it is complete
-    timeout: float = math.inf  # seconds; upper limit of the timeout that is propagated to the endpoint
-    not_after: float = math.inf  # latest time at which it may be written, in seconds by the pool's clock
+    timeout: float = math.inf  # seconds; limit of the timeout that is propagated to the endpoint
+    not_after: float = math.inf  # latest time to write the request, in seconds by the pool's clock
     started_at: float = 0.0  # seconds, by the pool's clock
-    request_written: bool = False  # completely: from then on the endpoint may execute it
+    request_written: bool = False  # all of it is written, so the endpoint may execute it
     completed: bool = False
     status: CallStatus = CallStatus.NOT_SENT
     elapsed: float = 0.0  # seconds from ``started_at``
@@ -61,30 +59,30 @@
     load_report: dict[str, float] = field(default_factory=dict)
     charged_units: float | None = None  # quota units that the endpoint charged for the request
     is_health_check: bool = False
-    endpoint_started_at: float = 0.0  # start time of the endpoint's incarnation that it was sent to
-    connection_number: int = 0  # of the connection that carried it, from 1; 0 if none did
+    endpoint_started_at: float = 0.0  # start time of the incarnation that the request was sent to
+    connection_number: int = 0  # number of the connection that carried the exchange, from 1; 0 if none
     on_reused_connection: bool = False
-    # Polls whether the client is still connected, just before the request is written.
+    # Called just before the request is written; returns whether the client is still connected.
     is_client_connected: Callable[[], bool] | None = None
-    connection: ExchangeConnection | None = None  # set while a connection carries it
+    connection: ExchangeConnection | None = None  # the connection that carries the exchange
     expiry_timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
 
     def start(self, now: float, on_expired: Callable[[Exchange], None]) -> None:
         """Begin at ``now``, and call ``on_expired`` at ``expires_at`` unless the exchange completes before.
 
-        The timer is not started for an exchange that has expired already or does not expire yet.
+        No timer is started if the exchange has expired already, or if its expiry is not set yet (infinite).
         """
         self.started_at = now
         remaining = self.expires_at - now
         if 0 < remaining < math.inf:
             self._start_timer(remaining, on_expired)
 
-    def restart(self, now: float) -> None:
-        """Count the time from ``now`` on, at which a streamed upload has been written completely."""
+    def reset_start_time(self, now: float) -> None:
+        """Measure the elapsed time from ``now``, when a streamed upload has been written completely."""
         self.started_at = now
 
     def set_expiry(self, now: float, at: float, on_expired: Callable[[Exchange], None]) -> None:
-        """Set the time of expiry, ``at``, of an exchange whose upload is complete."""
+        """Have the exchange, whose upload is complete, expire at the time ``at``."""
         self.expires_at = at
         self._start_timer(max(0.0, at - now), on_expired)
 
@@ -94,14 +92,14 @@
     def assign_connection(
         self, connection: ExchangeConnection, number: int, *, reused: bool, endpoint_started_at: float
     ) -> None:
-        """Have a connection carry the exchange from now on."""
+        """Record that a connection carries the exchange from now on."""
         self.connection = connection
         self.connection_number = number
         self.on_reused_connection = reused
         self.endpoint_started_at = endpoint_started_at
 
     def release_connection(self) -> None:
-        """Have no connection carry the exchange any more."""
+        """Record that no connection carries the exchange any more."""
         self.connection = None
 
     def record_request_written(self) -> None:
@@ -115,9 +113,9 @@
         charged_units: float | None,
         load_report: dict[str, float] | None,
     ) -> None:
-        """Store the response, and have no connection carry the exchange any more.
+        """Store the response, and record that no connection carries the exchange any more.
 
-        ``body`` is empty if it is streamed, ``load_report`` is None if the response has none.
+        ``body`` is empty if it is streamed; ``load_report`` is None if the response has none.
         """
         self.connection = None
         self.response_headers = headers
@@ -140,15 +138,15 @@
     def has_lost_client(self) -> bool:
         """Poll whether the client has disconnected; False where there is no client, as for a health check.
 
-        The exchanges of a client that may have disconnected are withdrawn if they are unsent, this one
-        included.
+        If the poll finds that the client may have disconnected, it withdraws the client's unsent exchanges,
+        which may include this one.
         """
         return self.is_client_connected is not None and not self.is_client_connected()
 
     def may_be_executing(self) -> bool:
-        """Whether the endpoint may be executing the request, so that a timeout is evidence on the endpoint.
+        """Whether the endpoint may be executing the request, so a timeout counts against the endpoint.
 
-        It is not while the exchange waits for a connection or its upload is incomplete.
+        False while the exchange waits for a connection or its upload is incomplete.
         """
         upload_incomplete = self.upload is not None and not self.request_written
         return self.connection is not None and not upload_incomplete
--- a/quota_gateway/net/upstream/exchange_control.py
+++ b/quota_gateway/net/upstream/exchange_control.py
@@ -14,18 +14,18 @@
     __slots__ = ("_clock", "_metrics", "_stats")
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
-        """Create it with the pool's clock; ``metrics`` counts the attempts that are written."""
+        """``clock`` is the pool's; ``metrics`` counts the attempts whose request is written."""
         self._clock = clock
         self._metrics = metrics
         self._stats = AttemptStats()
 
     def set_expiry(self, exchange: Exchange, at: float) -> None:
-        """Set the time at which an exchange whose upload is complete times out."""
+        """Have an exchange whose upload is complete expire at the time ``at``."""
         if not exchange.completed:
             exchange.set_expiry(self._clock(), at, self.expire)
 
     def withdraw_unsent(self, exchange: Exchange) -> None:
-        """End an exchange that no connection carries yet."""
+        """End an exchange if no connection carries it yet."""
         if exchange.connection is None:
             self._abandon(exchange, CallStatus.NOT_SENT)
 
@@ -49,10 +49,10 @@
         exchange.complete(status, self._clock())
 
     def record_request_written(self, exchange: Exchange) -> None:
-        """Mark the request as written; the time of an exchange with an upload starts here."""
+        """Mark the request as written; the elapsed time of an exchange with an upload counts from here."""
         exchange.record_request_written()
         if exchange.upload is not None:
-            exchange.restart(self._clock())
+            exchange.reset_start_time(self._clock())
         if not exchange.is_health_check:
             self._metrics.record_attempt()
 
@@ -61,7 +61,7 @@
         self._stats.log_and_reset()
 
     def expire(self, exchange: Exchange) -> None:
-        """End an exchange at its expiry: the endpoint timed out if it may be executing the request."""
+        """End an expired exchange: as a timeout if the endpoint may be executing it, else as not sent."""
         self._abandon(exchange, CallStatus.TIMEOUT if exchange.may_be_executing() else CallStatus.NOT_SENT)
 
     def _abandon(self, exchange: Exchange, status: CallStatus) -> None:
--- a/quota_gateway/net/upstream/health_check.py
+++ b/quota_gateway/net/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks as HTTP exchanges, with the load report where the endpoint sends one."""
+"""Health checks as HTTP exchanges, with a load report if the endpoint sends one."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 HEALTH_CHECK_TIMEOUT_SECONDS = 0.25
 HEALTH_PATH = b"/healthz"
-LOAD_PATH = b"/load"  # its response is a load report; a request of it also is a health check
+LOAD_PATH = b"/load"  # its response is a load report; requesting it is also a health check
 
 
 def new_health_check(
     *, endpoint: str, now: float, with_load: bool, on_complete: Callable[[Exchange], None]
 ) -> Exchange:
-    """Return a health check that is ready to be started at ``now``, in seconds of the pool's clock."""
+    """Return a health check that is to be started at ``now``, in seconds of the pool's clock."""
     path = LOAD_PATH if with_load else HEALTH_PATH
     return Exchange(
         endpoint=endpoint,
--- a/quota_gateway/net/upstream/idle_connections.py
+++ b/quota_gateway/net/upstream/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, by endpoint: which of them a request may reuse."""
+"""Idle connections by endpoint, which requests may reuse."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from quota_gateway.net.upstream.idle_policy import IdlePolicy
 from quota_gateway.net.upstream.stats import ConnectionStats
 
-# A connection stays idle for this long before its next request. Bytes that an endpoint sends after a response
-# (a duplicate, noise) then arrive while no request is waiting, and close the connection. Without the delay
-# they could be parsed as the response to the next request.
+# A connection is not reused before it has been idle for this long. Bytes that an endpoint sends after a
+# response (a duplicate, noise) then arrive while no request is waiting, and close the connection. Without the
+# delay they could be parsed as the response to the next request.
 SETTLE_DELAY_SECONDS = 0.03
 
 
 class IdleConnections:
     """The connections that carry no exchange and may be reused.
 
-    A connection belongs here from ``add`` until ``take`` returns it, it is closed here, or ``discard``.
+    A connection is held from ``add`` until ``take`` returns it, ``discard`` removes it or it is closed here.
     The connections of an endpoint are in the order in which they became idle.
     """
 
     __slots__ = ("_by_endpoint", "_policy", "_stats")
 
     def __init__(self, policy: IdlePolicy, stats: ConnectionStats) -> None:
-        """Begin without connections.
+        """Begin with no connections.
 
-        ``policy`` limits their idle time; ``stats`` counts those that are reused and those that expired.
+        ``policy`` limits their idle time; ``stats`` counts the reused connections and the expired ones.
         """
         self._by_endpoint = dict[UpstreamEndpoint, list[UpstreamConnection]]()
         self._policy = policy
@@ -44,15 +44,15 @@
             connections.append(connection)
 
     def take(self, endpoint: UpstreamEndpoint, now: float) -> UpstreamConnection | None:
-        """Remove and return the most recently used connection that has settled; None if there is none.
+        """Remove and return the last used connection whose settle delay is over; None if there is none.
 
-        The most recently used connection is the least likely to be closing. Connections that were idle for
+        The endpoint is least likely to be closing the last used connection. Connections that were idle for
         too long or have unread input are closed during the search.
         """
         connections = self._by_endpoint.get(endpoint)
         if not connections:
             return None
-        max_idle = self._policy.trusted_idle(now)
+        idle_limit = self._policy.idle_limit(now)
         for index in range(len(connections) - 1, -1, -1):
             connection = connections[index]
             idle_time = now - (connection.idle_since or 0.0)
@@ -62,8 +62,8 @@
             transport = connection.transport
             if transport is None or transport.is_closing():
                 continue
-            # After a stall of this process the delay may be over with bytes that arrived in it still unread.
-            if idle_time < max_idle and not has_unread_input(transport):
+            # After a stall of this process, bytes that arrived during the settle delay may still be unread.
+            if idle_time < idle_limit and not has_unread_input(transport):
                 connection.mark_reused(now)
                 self._stats.record_reused()
                 return connection
@@ -91,24 +91,24 @@
         return True
 
     def close_expired(self, now: float) -> None:
-        """Close the connections whose idle time has reached the longest one that is ever trusted."""
-        until = now - self._policy.max_idle
+        """Close the connections that have been idle for the policy's ``max_idle`` or longer."""
+        cutoff = now - self._policy.max_idle
         for endpoint, connections in list(self._by_endpoint.items()):
-            _close_until(connections, until)
+            _close_idle_since(connections, cutoff)
             if not connections:
                 del self._by_endpoint[endpoint]
 
     def close_all(self, endpoint: UpstreamEndpoint) -> None:
         """Close all idle connections to an endpoint."""
-        _close_until(self._by_endpoint.get(endpoint, []), math.inf)
+        _close_idle_since(self._by_endpoint.get(endpoint, []), math.inf)
 
     def close(self) -> None:
         """Close all idle connections."""
         for connections in self._by_endpoint.values():
-            _close_until(connections, math.inf)
+            _close_idle_since(connections, math.inf)
 
 
-def _close_until(connections: list[UpstreamConnection], until: float) -> None:
-    """Remove and close the connections that have been idle since ``until`` or before."""
-    while connections and (connections[0].idle_since or 0.0) <= until:
+def _close_idle_since(connections: list[UpstreamConnection], cutoff: float) -> None:
+    """Remove and close the connections that became idle at ``cutoff`` or before."""
+    while connections and (connections[0].idle_since or 0.0) <= cutoff:
         connections.pop(0).close()
--- a/quota_gateway/net/upstream/open_connections.py
+++ b/quota_gateway/net/upstream/open_connections.py
@@ -1,4 +1,4 @@
-"""The connections that are open or being connected: their creation, reuse and end."""
+"""The connections that are open or connecting: their creation, reuse and end."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class OpenConnections:
-    """Creates connections, holds those without an exchange for reuse and receives the events of all.
+    """Creates connections, holds idle ones for reuse, and receives the events of all of them.
 
     Each connection is counted in ``limits`` from ``create`` until ``on_connection_lost`` or
     ``on_never_connected``.
     """
 
     def __init__(self, clock: Clock, idle_timeout: float, max_connections: int) -> None:
-        """Endpoints close connections that are idle for ``idle_timeout`` seconds."""
+        """``idle_timeout``: seconds after which endpoints close idle connections."""
         self.clock = clock
         self.stats = ConnectionStats()
         self.idle_policy = IdlePolicy(idle_timeout)
@@ -32,36 +32,36 @@
         self.limits = ConnectionLimits(max_connections, self.idle)
         self.endpoints = EndpointTable(self.idle)
         self.streaming = set[UpstreamConnection]()  # connections with a streamed body in progress
-        self._created = 0
+        self._created_count = 0  # also the number of the last connection in the log
 
     def reserve(self, endpoint: UpstreamEndpoint) -> bool:
-        """Count a connection that is to be opened; return False if the limits allow no more."""
-        if not self.limits.allows_another(endpoint):
+        """Count a connection that is about to be opened; return False if the limits do not allow it."""
+        if not self.limits.make_room(endpoint):
             return False
         self.limits.count_opened(endpoint)
         self.stats.record_opened()
         return True
 
     def create(self, endpoint: UpstreamEndpoint, exchanges: ExchangeEvents) -> UpstreamConnection:
-        """Create the connection that was reserved, to the present address of the endpoint."""
-        self._created += 1
-        return UpstreamConnection(self, exchanges, endpoint, self._created)
+        """Create a connection that was reserved, to the endpoint's current address."""
+        self._created_count += 1
+        return UpstreamConnection(self, exchanges, endpoint, self._created_count)
 
     def is_usable(self, connection: UpstreamConnection) -> bool:
-        """Whether the connection leads to the address of an endpoint that may receive new requests."""
+        """Whether the endpoint may receive new requests, and the connection is to its current address."""
         endpoint = connection.endpoint
         return connection.address == endpoint.address and self.endpoints.is_usable(endpoint)
 
     def abort_stalled(self) -> None:
         """Abort the connections whose streamed body makes no progress."""
-        for connection in [each for each in self.streaming if each.is_stalled(self.clock())]:
+        for connection in [candidate for candidate in self.streaming if candidate.is_stalled(self.clock())]:
             log.warning("body stream to or from %s stalled", connection.endpoint.name)
             connection.abort()
 
-    # Events.
+    # Events of connections.
 
     def release(self, connection: UpstreamConnection, *, reusable: bool) -> None:
-        """Hold a connection that carries no exchange for reuse, or close it."""
+        """Hold a connection for reuse that no longer carries an exchange, or close it."""
         transport = connection.transport
         if transport is None or transport.is_closing():
             return
@@ -71,7 +71,7 @@
             transport.close()
 
     def record_stale_connection(self, connection: UpstreamConnection) -> None:
-        """Shorten the trusted idle time if a reused connection broke as soon as it was written to."""
+        """Reduce the idle limit if a reused connection broke as soon as it was written to."""
         now = self.clock()
         if now - connection.reused_at > STALE_BREAK_WINDOW_SECONDS:
             return
@@ -79,20 +79,20 @@
         self.idle_policy.record_stale(now, connection.idle_time(connection.reused_at))
 
     def on_streaming_started(self, connection: UpstreamConnection) -> None:
-        """Watch a streamed body for stalls."""
+        """Check the streamed body of a connection for stalls from now on."""
         self.streaming.add(connection)
 
     def on_streaming_ended(self, connection: UpstreamConnection) -> None:
-        """Stop watching a streamed body that is complete."""
+        """Stop the stall checks of a connection whose streamed body is complete."""
         self.streaming.discard(connection)
 
     def on_connection_lost(self, connection: UpstreamConnection) -> None:
-        """Remove a connection that has ended."""
+        """Stop tracking a connection that has ended."""
         self.streaming.discard(connection)
         self.idle.discard(connection)
         self.on_never_connected(connection.endpoint)
 
     def on_never_connected(self, endpoint: UpstreamEndpoint) -> None:
-        """Stop counting a connection to the endpoint."""
+        """Stop counting a connection to the endpoint; remove the endpoint if it is no longer used."""
         self.limits.count_closed(endpoint)
         self.endpoints.remove_if_unused(endpoint)
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -19,18 +19,19 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PROPAGATED_TIMEOUT_SECONDS = 3600.0  # sent to an endpoint where no deadline limits the exchange
-MAX_CHECK_AGE_SECONDS = 0.05  # of the checks before a write; a longer time is a stall of this process
-MAX_CHECKS = 5  # before a write, with a stall behind each of them
-SCAN_INTERVAL_SECONDS = 1.0  # between two scans for idle connections and stalled bodies
+MAX_PROPAGATED_TIMEOUT_SECONDS = 3600.0  # upper limit of X-Timeout-Ms, sent if there is no deadline
+# The checks before a write are repeated if they took longer than this: the process stalled meanwhile.
+MAX_CHECK_SECONDS = 0.05
+MAX_CHECKS_BEFORE_WRITE = 5  # a request is not sent if this many checks in a row were followed by a stall
+SCAN_INTERVAL_SECONDS = 1.0  # between two scans for expired idle connections and stalled bodies
 SCANS_PER_LOG_LINE = 10
 
 
 class ConnectionPool:
     """Carries each exchange to its endpoint, on an idle connection or a new one.
 
-    ``exchanges`` ends exchanges and counts how; ``OpenConnections`` owns the endpoints and the connections,
-    and the ``Connector`` the tasks that wait for new ones.
+    ``exchanges`` ends exchanges and counts how. ``OpenConnections`` owns the endpoints and the connections;
+    ``Connector`` owns the tasks that open connections.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         max_connections: int,
         metrics: Metrics | None = None,
     ) -> None:
-        """Timeouts are in seconds; endpoints close connections that are idle for ``idle_timeout``."""
+        """Timeouts are in seconds; endpoints close connections that have been idle for ``idle_timeout``."""
         metrics = metrics or Metrics()
         self.exchanges = ExchangeControl(clock, metrics)
         self._clock = clock
@@ -75,11 +76,11 @@
         self._connector.close()
         self._connections.idle.close()
 
-    # State, for observers.
+    # State that other components read.
 
     @property
     def open_connections(self) -> int:
-        """The number of connections that are open or being connected."""
+        """The number of connections that are open or connecting."""
         return self._connections.limits.open_connections
 
     @property
@@ -94,38 +95,41 @@
     # Endpoints and settings.
 
     def update_endpoint(self, name: str, address: str, *, available: bool, started_at: float = 0.0) -> None:
-        """Apply the listing of an endpoint; ``address`` is empty where the listing has none.
+        """Apply an endpoint update; ``address`` is empty if the update has none.
 
         Idle connections are closed at once if the endpoint is not available or its address changed.
-        ``started_at`` is the Unix time of its start, 0 where that is unknown.
+        ``started_at`` is the Unix time of its start, 0 if unknown.
         """
         self._endpoints.update(name, address, available=available, started_at=started_at)
 
     def retain_only(self, names: set[str]) -> None:
-        """Make the endpoints unavailable that a complete list, with these names, does not contain."""
+        """Make all endpoints unavailable that are not among ``names``, those of a complete endpoint list."""
         self._endpoints.retain_only(names)
 
     def log_transitions(self) -> None:
-        """Log the changes of endpoints since the last call, by name."""
+        """Log the endpoint updates since the last call, with the names of the endpoints."""
         self._endpoints.log_transitions()
 
     def exclude(self, names: frozenset[str]) -> None:
-        """Send no new requests to these endpoints, suspended by operators; close their idle connections."""
+        """Replace the names of the endpoints that operators have suspended.
+
+        They get no new requests, and their idle connections are closed.
+        """
         self._endpoints.exclude(names)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set another limit; idle connections that exceed it are closed at once."""
+        """Change the limit of open connections; idle connections that exceed it are closed at once."""
         self._connections.limits.set_max_connections(max_connections)
 
     def set_timeouts(self, connect_timeout: float, idle_timeout: float) -> None:
-        """Set other timeouts, in seconds, for connecting and for idle connections."""
+        """Change the timeouts, in seconds, of connecting and of idle connections."""
         self._connector.set_connect_timeout(connect_timeout)
         self._connections.idle_policy.set_idle_timeout(idle_timeout)
 
     # Events of the connector.
 
     def new_connection(self, endpoint: UpstreamEndpoint) -> UpstreamConnection:
-        """Create the connection that was reserved for an exchange."""
+        """Create a connection that was reserved for an exchange."""
         return self._connections.create(endpoint, self.exchanges)
 
     def on_connected(self, connection: UpstreamConnection, exchange: Exchange) -> None:
@@ -148,17 +152,21 @@
 
     def on_connect_error(self, exchange: Exchange, error: Exception) -> None:
         """End an exchange after an unexpected error, and report it."""
-        log.error("a connection to %s could not be opened", exchange.endpoint, exc_info=error)
+        log.error(
+            "unexpected error while connecting or sending to %s; attempt abandoned",
+            exchange.endpoint,
+            exc_info=error,
+        )
         self._invariants.report(Invariant.STARTED_COMPLETELY, describe_attempt(0, exchange))
         self.exchanges.fail(exchange)
 
     # Sending.
 
     def _send(self, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """Write a request unless that breaks an invariant, or the request must not be sent any more."""
+        """Write a request unless that violates an invariant or the request must not be sent any more."""
         violated = find_send_violation(connection, exchange)
         if violated is not None:
-            self._reject(violated, connection, exchange)
+            self._handle_violation(violated, connection, exchange)
             return
         now = self._check_before_write(connection, exchange)
         if now is None:
@@ -172,23 +180,25 @@
     def _check_before_write(self, connection: UpstreamConnection, exchange: Exchange) -> float | None:
         """Return the time of the write; None if the request must not be sent any more.
 
-        The clock is read last. If it shows a stall of the process behind the checks, these are
-        repeated: the client may have disconnected meanwhile.
+        The clock is read last. If it shows that the process stalled during the checks, they are repeated,
+        because the client may have disconnected meanwhile.
         """
-        for _ in range(MAX_CHECKS):
+        for _ in range(MAX_CHECKS_BEFORE_WRITE):
             checked_at = self._clock()
-            # Polling the client may withdraw this exchange.
+            # The poll of the client may withdraw this exchange.
             if not self._connections.is_usable(connection) or exchange.has_lost_client():
                 return None
             now = self._clock()
             if exchange.expires_at <= now or now > exchange.not_after:
                 return None
-            if now - checked_at <= MAX_CHECK_AGE_SECONDS:
+            if now - checked_at <= MAX_CHECK_SECONDS:
                 return now
         return None
 
-    def _reject(self, violated: Invariant, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """Do not send an exchange that would break an invariant."""
+    def _handle_violation(
+        self, violated: Invariant, connection: UpstreamConnection, exchange: Exchange
+    ) -> None:
+        """Report that sending an exchange would violate an invariant; do not send it."""
         report_send_violation(self._invariants, violated, connection, exchange)
         if violated is Invariant.SENT_WHILE_OPEN:
             self._connections.release(connection, reusable=True)
--- a/quota_gateway/net/upstream/request_writer.py
+++ b/quota_gateway/net/upstream/request_writer.py
@@ -1,4 +1,4 @@
-"""Writing of requests to an endpoint, with streamed uploads and flow control."""
+"""Writes requests to an endpoint, including streamed uploads with flow control."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net.upstream.exchange import Clock, Exchange, ExchangeEvents
 
-STALL_TIMEOUT_SECONDS = 15.0  # a streamed body that makes no progress for this long is abandoned
+STALL_TIMEOUT_SECONDS = 15.0  # without progress of a streamed body; then its connection is aborted
 
 
 class WriterConnection(Protocol):
-    """The connection that a request is written on."""
+    """The connection that a request is written to."""
 
     def on_upload_started(self) -> None:
         """The head of a request is written, and its streamed body follows."""
@@ -28,8 +28,8 @@
     """Writes the requests of one connection, one at a time.
 
     It holds an exchange from the start of the write until the request is written completely, or until
-    ``stop``. A request that was not written completely is never executed; once its last byte is written it
-    may be. It is the sink of an upload (``body_stream.BodySink``).
+    ``stop``. The endpoint never executes a request that was not written completely; once the last byte is
+    written, it may. The writer is the sink of an upload (``body_stream.BodySink``).
     """
 
     __slots__ = (
@@ -49,8 +49,8 @@
         self._connection = connection
         self._clock = clock
         self._transport: asyncio.Transport | None = None
-        self._exchange: Exchange | None = None  # whose request is being written
-        self._upload_finished = False  # the transport has the last chunk of the upload
+        self._exchange: Exchange | None = None  # the one whose request is being written
+        self._upload_finished = False  # the last chunk of the upload is passed to the transport
         self._last_progress = 0.0  # when the upload last advanced, in seconds of the clock
         self.is_buffered = False  # the transport holds bytes that the operating system has not accepted
 
@@ -60,7 +60,7 @@
         self._exchange = exchange
         self._upload_finished = False
         transport.write(data)
-        if transport.is_closing():  # the write itself failed: nothing of the request was sent
+        if transport.is_closing():  # the write itself failed: no part of the request was sent
             self._exchange = None
             self._exchanges.complete(exchange, CallStatus.RESET_BEFORE_REQUEST)
         elif exchange.upload is not None:
@@ -72,18 +72,18 @@
             self._exchanges.record_request_written(exchange)
 
     def stop(self) -> None:
-        """Write nothing more of the present request: its exchange or its connection has ended."""
+        """Stop writing the current request: its exchange or its connection has ended."""
         self._exchange = None
 
     def on_buffer_filled(self) -> None:
-        """Pause the upload: a part of a write stays in the transport's buffer."""
+        """Pause the upload: the transport buffers a part of a write."""
         self.is_buffered = True
         exchange = self._exchange
         if exchange is not None and exchange.upload is not None and not self._upload_finished:
             exchange.upload.set_writable(writable=False)
 
     def on_buffer_emptied(self) -> None:
-        """Resume the upload, or report the request as written where nothing of it remains."""
+        """Resume the upload, or report the request as written if no part of it remains."""
         self.is_buffered = False
         exchange = self._exchange
         if exchange is None:
@@ -95,7 +95,7 @@
             self._finish_request(exchange)
 
     def is_stalled(self, now: float) -> bool:
-        """Whether an upload has waited too long for the endpoint to read."""
+        """Whether the endpoint has accepted nothing of an upload for ``STALL_TIMEOUT_SECONDS``."""
         return self.is_buffered and now - self._last_progress > STALL_TIMEOUT_SECONDS
 
     def _finish_request(self, exchange: Exchange) -> None:
@@ -104,10 +104,10 @@
             self._connection.on_upload_ended()
         self._exchanges.record_request_written(exchange)
 
-    # As the sink of an upload.
+    # Methods of ``BodySink``, called by the upload.
 
     def write_chunk(self, data: bytes) -> None:
-        """Write a part of an upload."""
+        """Write a chunk of the upload."""
         exchange = self._exchange
         if exchange is None or exchange.upload is None or not data:
             return
@@ -117,7 +117,7 @@
         self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if is_chunked else data)
 
     def finish(self) -> None:
-        """End the upload: all of it is written."""
+        """End the upload: all of its chunks are written."""
         exchange = self._exchange
         if exchange is None or exchange.upload is None or self._upload_finished:
             return
--- a/quota_gateway/net/upstream/response_parser.py
+++ b/quota_gateway/net/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""Incremental parser of an endpoint's responses: framing, size limits, headers for the gateway."""
+"""Incremental parser of responses: framing, size limits and the headers that the gateway interprets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, NOT_FORWARDED
 from quota_gateway.net.upstream.response_status import STATUS_OK
 
-FIRST_FINAL_STATUS = 200  # lower status codes are those of interim responses
+FIRST_FINAL_STATUS = 200  # lower status codes are interim responses
 SERVER_LOAD_HEADER = b"x-server-load"
 NOT_PROCESSED_HEADER = b"x-not-processed"
 CHARGED_UNITS_HEADER = b"x-units-charged"
@@ -24,7 +24,7 @@
 
 
 class ResponseParser:
-    """Parses the responses of one connection, one after the other; ``reset`` before each request.
+    """Parses the responses of one connection, one after the other; call ``reset`` before each request.
 
     A body is buffered in ``body_parts``, or written to ``body_stream`` from ``start_streaming`` on. Interim
     responses are skipped. Bytes after a final response set ``has_surplus`` and are dropped.
@@ -77,14 +77,14 @@
         self._chunked = False
         self._closes_connection = False
         self._head_complete = False
-        self.ends_at_eof = False  # the end of the connection is the end of the body
+        self.ends_at_eof = False  # the body ends with the connection
         self.has_surplus = False
         self.status_code: int | None = None  # set once the final response is complete
 
     def feed(self, data: bytes) -> None:
         """Parse received bytes.
 
-        Raise ``MalformedResponseError`` if they cannot be parsed and the final response is not complete yet.
+        Raise ``MalformedResponseError`` if they cannot be parsed, unless the final response is complete.
         """
         try:
             self._parser.feed_data(data)
@@ -106,29 +106,29 @@
         return status
 
     def has_open_ended_body(self) -> bool:
-        """Whether part of a body of unknown length is buffered, and a client could detect its truncation."""
+        """Whether part of a body of unknown length is buffered, whose truncation a client could detect."""
         if not self._head_complete or self.body_size == 0:
             return False
         truncation_visible = self._chunked or (self.ends_at_eof and self._closes_connection)
         return truncation_visible and self.received_status() == STATUS_OK
 
     def start_streaming(self, stream: BodyStream) -> None:
-        """Write the rest of the body to a stream; the buffered parts are left to ``take_body_parts``."""
+        """Write the rest of the body to a stream; ``take_body_parts`` returns the parts buffered so far."""
         self.body_stream = stream
 
     def end_streaming(self) -> BodyStream | None:
-        """Write nothing more to the stream of the body; return the stream, None if there was none."""
+        """Detach and return the stream of the body; None if there is none."""
         stream = self.body_stream
         self.body_stream = None
         return stream
 
     def take_body_parts(self) -> list[bytes]:
-        """Return the buffered parts of the body and buffer them no longer."""
+        """Remove and return the buffered parts of the body."""
         parts = self.body_parts
         self.body_parts = []
         return parts
 
-    # Callbacks of httptools. It wraps the errors that they raise, and ``feed`` unwraps them.
+    # Callbacks of httptools, which wraps the errors that they raise; ``feed`` unwraps them.
 
     def on_message_begin(self) -> None:
         """Begin a message; it is surplus if the final response is complete."""
@@ -138,12 +138,12 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Interpret one header, or store it to be forwarded."""
         key = name.lower()
-        value = value.strip(b" \t")  # httptools leaves white space behind a value
-        if self.has_surplus or self._head_complete:  # a trailer, in the latter case
+        value = value.strip(b" \t")  # httptools does not strip trailing white space
+        if self.has_surplus or self._head_complete:  # after a complete head it is a trailer
             return
         self._head_size += len(name) + len(value)
         if self._head_size > MAX_HEAD_BYTES:
-            raise MalformedResponseError(f"response head over {MAX_HEAD_BYTES} bytes")
+            raise MalformedResponseError(f"response head exceeds {MAX_HEAD_BYTES} bytes")
         if key == b"content-length":
             self._set_content_length(value)
         elif key == b"transfer-encoding":
@@ -166,7 +166,7 @@
 
     def _set_transfer_encoding(self, value: bytes) -> None:
         if self._chunked or value.lower() != b"chunked":
-            raise MalformedResponseError(f"unknown or repeated Transfer-Encoding: {value!r:.40}")
+            raise MalformedResponseError(f"unsupported or repeated Transfer-Encoding: {value!r:.40}")
         self._chunked = True
 
     def on_headers_complete(self) -> None:
@@ -175,7 +175,7 @@
         if self.has_surplus or status < FIRST_FINAL_STATUS:
             return
         if self._chunked and self.content_length is not None:
-            raise MalformedResponseError("both Content-Length and Transfer-Encoding")
+            raise MalformedResponseError("response with both Content-Length and Transfer-Encoding")
         self._head_complete = True
         self.ends_at_eof = not self._chunked and self.content_length is None
         self._closes_connection = self._closes_connection or self._parser.get_http_version() == "1.0"
@@ -184,7 +184,9 @@
             and self.content_length > MAX_BUFFERED_BODY_BYTES
             and status != STATUS_OK
         ):
-            raise MalformedResponseError(f"body of {self.content_length} bytes with status {status}")
+            raise MalformedResponseError(
+                f"response body too large to buffer: {self.content_length} bytes with status {status}"
+            )
 
     def on_body(self, body: bytes) -> None:
         """Stream or buffer a part of the body."""
@@ -199,7 +201,7 @@
             self._on_large_body()
 
     def on_message_complete(self) -> None:
-        """Record the end of the final response; discard an interim one, which the final one follows."""
+        """Record the end of the final response, or discard an interim response."""
         self.in_message = False
         status = self.received_status()
         if self.has_surplus or status >= FIRST_FINAL_STATUS:
--- a/quota_gateway/net/upstream/response_receiver.py
+++ b/quota_gateway/net/upstream/response_receiver.py
@@ -1,4 +1,4 @@
-"""Reception of the responses of one connection: buffered or streamed, with limits on size and time."""
+"""Receives the responses on one connection, buffered or streamed, within limits on size and time."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from quota_gateway.net.upstream.response_status import STATUS_OK, call_status
 from quota_gateway.net.upstream.response_timer import ResponseTimer
 
-MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 2 * MAX_BUFFERED_BODY_BYTES  # with interim responses and chunk framing
+# Limit of a response that is not streamed, with interim responses and chunk framing.
+MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 2 * MAX_BUFFERED_BODY_BYTES
 
 
 class ReceiverConnection(Protocol):
     """The connection that responses are received on."""
 
     transport: asyncio.Transport | None
-    exchange: Exchange | None  # whose response is received; None for a streamed response
+    exchange: Exchange | None  # the one whose response is received; None while it is streamed
 
     def on_response_complete(self, exchange: Exchange, status: CallStatus, *, reusable: bool) -> None:
         """The response is complete and recorded in the exchange."""
@@ -43,8 +44,8 @@
 class ResponseReceiver:
     """Parses what the connection receives, and reports each response to it once.
 
-    A response is buffered until it is complete. A large one, and one of unknown length that takes long, is
-    streamed: from then on the receiver holds a stream, and the exchange has succeeded.
+    A response is buffered until it is complete, unless it is large, or of unknown length and slow. It is then
+    streamed: the exchange succeeds at once, and the receiver writes the rest of the body to a stream.
     """
 
     __slots__ = ("_connection", "_parser", "_received_bytes", "_timer", "source")
@@ -53,8 +54,8 @@
         """Create the receiver of a connection; ``clock`` returns seconds."""
         self._connection = connection
         self._parser = ResponseParser(self._on_large_body)
-        self._timer = ResponseTimer(self._on_overdue)
-        self._received_bytes = 0  # since the request
+        self._timer = ResponseTimer(self._on_timer_expired)
+        self._received_bytes = 0  # since the last request was sent
         self.source = ResponseSource(connection, clock, self._on_abandoned)
 
     @property
@@ -64,7 +65,7 @@
 
     @property
     def has_received(self) -> bool:
-        """Whether any byte has been received since the request."""
+        """Whether any byte has been received since the last request was sent."""
         return self._received_bytes > 0
 
     def begin(self) -> None:
@@ -81,7 +82,7 @@
         except MalformedResponseError as error:
             self._connection.on_malformed_response(error)
             return
-        # The connection may be reused only now, with all input parsed.
+        # The connection may be released for reuse only here, after all input is parsed.
         if parser.status_code is not None:
             self._complete(parser.status_code)
         elif parser.body_stream is not None:
@@ -90,44 +91,44 @@
             self._check_incomplete()
 
     def receive_eof(self) -> None:
-        """Complete a response that ends with the connection."""
+        """Complete a response whose end is the end of the connection."""
         parser = self._parser
         if parser.ends_at_eof and parser.status_code is None:
             self._complete(parser.finish_at_eof())
 
-    def end(self) -> None:
-        """Fail a streamed response: the connection has ended."""
+    def stop(self) -> None:
+        """Stop the timer and fail a streamed response: the connection has ended."""
         self._timer.cancel()
         stream = self._parser.end_streaming()
         if stream is not None:
             stream.fail()
 
     def _check_incomplete(self) -> None:
-        """Limit the size of an incomplete response and the wait for its rest."""
+        """Apply the limits on the size of an incomplete response and on the wait for its rest."""
         exchange = self._connection.exchange
         if exchange is None:
             self._connection.abort()  # the exchange ended while its response was parsed
         elif self._received_bytes > MAX_RESPONSE_BYTES:  # the parser's limits do not cover an endless head
-            message = f"response over {MAX_RESPONSE_BYTES} bytes without an end"
+            message = f"response still incomplete after {MAX_RESPONSE_BYTES} bytes"
             self._connection.on_malformed_response(MalformedResponseError(message))
         elif self._parser.in_message:
             self._limit_wait(exchange)
 
     def _limit_wait(self, exchange: Exchange) -> None:
-        """Start the timer for the rest; an open-ended response is streamed when it expires."""
+        """Start the timer for the rest of the response; an open-ended one is streamed when it expires."""
         if self._parser.has_open_ended_body():
             self._timer.start_streaming_delay(exchange)
         else:
             self._timer.restart_gap(exchange)
 
-    def _on_overdue(self, exchange: Exchange) -> None:
+    def _on_timer_expired(self, exchange: Exchange) -> None:
         if self._connection.exchange is not exchange:
             return
         try:
             if not self._parser.has_open_ended_body():
-                raise MalformedResponseError("response started and was not completed")
+                raise MalformedResponseError("response incomplete: no more data arrived in time")
             self._start_streaming()
-        except ValueError as error:  # MalformedResponseError, or an error of the receiver of the stream
+        except ValueError as error:  # raised here, or by the exchange's on_response_started
             self._connection.on_malformed_response(error)
 
     def _on_large_body(self) -> None:
@@ -135,11 +136,11 @@
             self._start_streaming()
 
     def _start_streaming(self) -> None:
-        """Stream the response to its client: the attempt succeeds with the first bytes."""
+        """Stream the response to its client; the attempt succeeds before the body is complete."""
         parser = self._parser
         exchange = self._connection.exchange
         if exchange is None or exchange.on_response_started is None or parser.received_status() != STATUS_OK:
-            raise MalformedResponseError("response body too large")
+            raise MalformedResponseError("response too large or too slow to buffer, and cannot be streamed")
         self._timer.cancel()
         stream = BodyStream(self.source, parser.content_length)
         parser.start_streaming(stream)
@@ -156,7 +157,7 @@
         self._connection.abort()
 
     def _complete(self, status_code: int) -> None:
-        """End a complete response; the connection is not reusable if surplus bytes follow it."""
+        """Report a complete response; the connection is not reusable if surplus bytes follow it."""
         self._timer.cancel()
         parser = self._parser
         reusable = parser.keep_alive and not parser.has_surplus
--- a/quota_gateway/net/upstream/response_source.py
+++ b/quota_gateway/net/upstream/response_source.py
@@ -17,9 +17,9 @@
 
 
 class ResponseSource:
-    """The source of the streamed responses of one connection (``body_stream.BodySource``).
+    """The source of the streamed responses on one connection (``body_stream.BodySource``).
 
-    Reading is paused while the client does not accept the bytes that were read.
+    Reading is paused while the client does not accept the bytes that have been read.
     """
 
     __slots__ = ("_clock", "_connection", "_last_progress", "_on_abandoned", "is_paused")
@@ -27,7 +27,7 @@
     def __init__(self, connection: SourceConnection, clock: Clock, on_abandoned: Callable[[], None]) -> None:
         """Create the source of a connection; ``clock`` returns seconds.
 
-        ``on_abandoned`` is called when no client reads the rest of a response.
+        ``on_abandoned`` is called when the client no longer reads a response.
         """
         self._connection = connection
         self._clock = clock
@@ -40,11 +40,11 @@
         self._last_progress = self._clock()
 
     def is_stalled(self, now: float) -> bool:
-        """Whether the response has waited too long for the endpoint."""
+        """Whether the endpoint has sent nothing of the response for ``STALL_TIMEOUT_SECONDS``."""
         return not self.is_paused and now - self._last_progress > STALL_TIMEOUT_SECONDS
 
     def set_paused(self, *, paused: bool) -> None:
-        """Stop reading, or resume it."""
+        """Pause or resume reading."""
         transport = self._connection.transport
         if transport is None or transport.is_closing() or paused is self.is_paused:
             return
@@ -56,5 +56,5 @@
             transport.resume_reading()
 
     def abandon(self) -> None:
-        """Drop the rest of the response: no client reads it."""
+        """Drop the rest of the response, which the client no longer reads."""
         self._on_abandoned()
--- a/quota_gateway/net/upstream/response_status.py
+++ b/quota_gateway/net/upstream/response_status.py
@@ -1,4 +1,4 @@
-"""What the status code of a response shows about the attempt."""
+"""The status of an attempt, from the HTTP status code of its response."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def call_status(status_code: int, *, not_processed: bool) -> CallStatus:
-    """Return how an attempt ended whose response has this status code.
+    """Return the status of an attempt whose response has this HTTP status code.
 
     ``not_processed``: the endpoint states that it did not execute the request.
     """
@@ -18,7 +18,7 @@
         return CallStatus.OK
     if status_code in CLIENT_ERROR_STATUSES:
         return CallStatus.REJECTED
-    # Without that statement a 503 or 504 does not show whether the request was executed.
+    # If not_processed is false, a 503 or 504 does not show whether the request was executed.
     if status_code in OVERLOAD_STATUSES and not_processed:
         return CallStatus.OVERLOADED
     return CallStatus.ERROR
--- a/quota_gateway/net/upstream/response_timer.py
+++ b/quota_gateway/net/upstream/response_timer.py
@@ -7,11 +7,11 @@
 
 from quota_gateway.net.upstream.exchange import Exchange
 
-# Longest time between two parts of a response. Without it a response that is shorter than its Content-Length
-# would end as a timeout, much later, and a timeout is evidence of an unresponsive endpoint.
+# Longest time between two parts of a response. Without this limit a response that is shorter than its
+# Content-Length would end in a timeout, much later, and count as evidence of an unresponsive endpoint.
 MAX_RESPONSE_GAP_SECONDS = 0.5
-# A response of unknown length is buffered for this long, which keeps a retry possible, and is then streamed:
-# it may last long, and its client needs the first bytes early.
+# A response of unknown length is buffered for this long, which keeps a retry possible. It is then streamed,
+# because it may take long to complete and its client needs the first bytes early.
 STREAMING_DELAY_SECONDS = 0.2
 
 
@@ -33,13 +33,13 @@
     def start_streaming_delay(self, exchange: Exchange) -> None:
         """Wait ``STREAMING_DELAY_SECONDS`` before an open-ended response is streamed.
 
-        A timer that is running already continues, whatever it was started for.
+        If the timer is running already, for this or another delay, it continues.
         """
         if self._handle is None:
             self._start(STREAMING_DELAY_SECONDS, exchange)
 
     def cancel(self) -> None:
-        """Stop waiting."""
+        """Stop the timer if it is running."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/quota_gateway/net/upstream/send_guard.py
+++ b/quota_gateway/net/upstream/send_guard.py
@@ -1,4 +1,4 @@
-"""The check that each request passes before it is written to an endpoint."""
+"""The invariant check on each request before it is written to an endpoint."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def find_send_violation(connection: UpstreamConnection, exchange: Exchange) -> Invariant | None:
-    """Return the invariant that sending the exchange on the connection would break, None if there is none."""
+    """Return the invariant that sending the exchange on the connection would violate, if any."""
     if exchange.completed or exchange.connection is not None:
         return Invariant.SENT_WHILE_OPEN
     if connection.exchange is not None:
@@ -19,5 +19,5 @@
 def report_send_violation(
     monitor: InvariantMonitor, violated: Invariant, connection: UpstreamConnection, exchange: Exchange
 ) -> None:
-    """Report that an exchange is not sent, with the attempt and its connection."""
+    """Report a violation that keeps an exchange from being sent, with the attempt and the connection."""
     monitor.report(violated, f"{describe_attempt(0, exchange)}, to be sent on connection {connection.number}")
--- a/quota_gateway/net/upstream/stats.py
+++ b/quota_gateway/net/upstream/stats.py
@@ -1,4 +1,4 @@
-"""Counts of how connections to endpoints and attempts ended, for two log lines."""
+"""Counts of connections to endpoints and of the results of attempts, each logged in one line."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(slots=True)
 class ConnectionStats:
-    """Counts since the last log line; the names of the fields are those in the line."""
+    """Counts since the last log line, which shows them under the names of the fields."""
 
     opened: int = 0
     reused: int = 0
     broken_on_first_request: int = 0
     broken_on_reuse: int = 0
-    closed_while_idle: int = 0  # of those broken on reuse: they broke as soon as they were written to
+    closed_while_idle: int = 0  # those in broken_on_reuse that broke as soon as they were written to
     idle_too_long: int = 0  # closed by this gateway instead of being reused
     malformed_responses: int = 0
 
@@ -39,7 +39,7 @@
             self.broken_on_first_request += 1
 
     def record_closed_while_idle(self) -> None:
-        """Count a reused connection that the endpoint's side had closed silently."""
+        """Count a reused connection that had been closed silently while it was idle."""
         self.closed_while_idle += 1
 
     def record_idle_too_long(self) -> None:
@@ -53,13 +53,13 @@
         self.malformed_responses += 1
 
     def log_and_reset(self, open_connections: int) -> None:
-        """Write the counts that are not zero, by name, and begin again; write nothing if all are zero."""
+        """Log the counts that are not zero, if any, and reset all of them."""
         counts = sorted(asdict(self).items())
         shown = [f"{name.replace('_', ' ')} {count}" for name, count in counts if count]
         if shown:
             log.info("connections: %s; open %d", ", ".join(shown), open_connections)
-        for each in fields(self):
-            setattr(self, each.name, 0)
+        for count_field in fields(self):
+            setattr(self, count_field.name, 0)
 
 
 class AttemptStats:
@@ -76,7 +76,7 @@
         self._counts[status] += 1
 
     def log_and_reset(self) -> None:
-        """Write the counts by status, and begin again; write nothing if there are none."""
+        """Log the counts by status, if any, and reset them."""
         if self._counts:
             shown = [f"{status.value} {count}" for status, count in self._counts.items()]
             log.info("attempts and health checks: %s", ", ".join(sorted(shown)))
