--- a/tests/connect_faults.py
+++ b/tests/connect_faults.py
@@ -1,4 +1,4 @@
-"""Connects of one module that fail or are late, by replacing ``create_connection`` of its event loop."""
+"""Connect faults for tests: replaces ``create_connection`` of the event loop as one module sees it."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 def replace_create_connection(
     monkeypatch: pytest.MonkeyPatch, module: ModuleType, create_connection: Callable[..., Awaitable[Any]]
 ) -> None:
-    """Have the module connect by another function; all else of asyncio stays as it is."""
+    """Replace ``create_connection`` in the module; it uses the rest of asyncio unchanged."""
 
     class Loop:
-        """The running event loop with the other function."""
+        """The running event loop with ``create_connection`` replaced."""
 
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio.get_running_loop(), name)
@@ -25,7 +25,7 @@
             return await create_connection(*args)
 
     class Asyncio:
-        """The asyncio module with that event loop."""
+        """The asyncio module with ``Loop`` as the running event loop."""
 
         get_running_loop = Loop
 
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -1,4 +1,4 @@
-"""A connection pool with one endpoint, for the tests of the pool and its parts."""
+"""Harness for tests of the connection pool and its parts: a pool with one endpoint."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StartedExchange(NamedTuple):
-    """An exchange, and a future whose result it is once it is complete."""
+    """An exchange, and a future that resolves to it when it completes."""
 
     exchange: Exchange
     completed: asyncio.Future[Exchange]
@@ -51,11 +51,11 @@
         return self._running_clock() if self._stopped_at is None else self._stopped_at
 
     def set_clock(self, now: float) -> None:
-        """Stop the pool's clock at a time."""
+        """Set the pool's clock to ``now`` and stop it."""
         self._stopped_at = now
 
     def start(self, timeout: float = 10.0, endpoint: str = ENDPOINT, body: bytes = b"") -> StartedExchange:
-        """Start an exchange."""
+        """Start an exchange without waiting for its completion."""
         future: asyncio.Future[Exchange] = asyncio.get_running_loop().create_future()
         head = REQUEST_HEAD
         if body:
@@ -65,5 +65,5 @@
         return StartedExchange(exchange, future)
 
     async def fetch(self, timeout: float = 10.0, endpoint: str = ENDPOINT) -> Exchange:
-        """Return an exchange that is complete."""
+        """Start an exchange and return it once it is complete."""
         return await self.start(timeout, endpoint).completed
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -1,4 +1,4 @@
-"""Connections to an endpoint that end before the connector is notified that they were established."""
+"""``Connector``: a connection that ends before ``create_connection`` returns must end its exchange."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 @async_test
-async def test_connection_that_ends_before_the_connector_is_notified_proves_that_nothing_was_executed(
+async def test_a_connection_that_ends_before_create_connection_returns_proves_that_nothing_was_executed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Otherwise the request would wait until its timeout for an event that never occurs."""
+    """The request would otherwise wait until its timeout, since ``connection_lost`` was called already."""
 
-    async def connect_and_wait_for_the_end(*args: Any) -> Any:
+    async def connect_and_wait_for_end(*args: Any) -> Any:
         """Return a connection only after the endpoint has ended it."""
         transport, protocol = await asyncio.get_running_loop().create_connection(*args)
         while protocol.transport is not None:
@@ -39,7 +39,7 @@
 
     script = ScriptedDecisions(forward_to_s1)
     async with running_server(break_at_once) as address, LoopbackLimiter(script, {"s1": address}) as limiter:
-        replace_create_connection(monkeypatch, connector, connect_and_wait_for_the_end)
+        replace_create_connection(monkeypatch, connector, connect_and_wait_for_end)
         reader, writer = await limiter.connect()
         writer.write(http_request(timeout_ms=60000))
         (outcome,) = await script.wait_for(model.AttemptCompleted)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool over loopback sockets: connecting, reuse, draining endpoints, limits."""
+"""``ConnectionPool`` over loopback sockets: connecting, reuse, draining and suspended endpoints, limits."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 @async_test
 async def test_a_refused_connection_proves_that_the_request_was_not_executed() -> None:
     with socket.socket() as bound:
-        bound.bind(("127.0.0.1", 0))  # bound and not listening: connections are refused
+        bound.bind(("127.0.0.1", 0))  # bound but not listening, so connections are refused
         async with PoolHarness(f"127.0.0.1:{bound.getsockname()[1]}") as harness:
             assert (await harness.fetch()).status is CallStatus.UNREACHABLE
 
 
 @contextmanager
 def full_backlog() -> Iterator[str]:
-    """Run a listener whose backlog is full, so that connecting never completes; yield its address."""
+    """Yield the address of a listener with a full backlog, where connecting never completes."""
     with ExitStack() as sockets:
         listener = sockets.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -50,7 +50,7 @@
     [(0.1, 10.0, CallStatus.UNREACHABLE), (10.0, 0.1, CallStatus.NOT_SENT)],
 )
 @async_test
-async def test_a_request_is_not_executed_where_connecting_never_completes(
+async def test_a_connect_that_never_completes_proves_that_the_request_was_not_executed(
     connect_timeout: float, timeout: float, status: CallStatus
 ) -> None:
     with full_backlog() as address:
@@ -90,7 +90,7 @@
 async def test_a_duplicate_response_that_is_still_unread_does_not_answer_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # As after a stall of the process: the settle delay is over and nothing was read.
+    # Simulates the state after a stall of the process: the settle delay is over and the duplicate is unread.
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -102,7 +102,7 @@
                 await loop.sock_recv(server, 4096)
                 await loop.sock_sendall(server, OK_RESPONSE)
                 assert (await completed).response_body == b"hi"
-                server.send(OTHER_RESPONSE)  # and no turn of the loop until the next request
+                server.send(OTHER_RESPONSE)  # the event loop does not run before the next request
 
 
 @async_test
@@ -124,7 +124,7 @@
 
 
 @async_test
-async def test_a_connection_that_the_endpoint_closes_is_not_reused() -> None:
+async def test_a_connection_is_not_reused_after_a_response_with_connection_close() -> None:
     closing = OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
     origin = ScriptedEndpoint(lambda _number: closing)
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
@@ -154,7 +154,7 @@
 
 
 @async_test
-async def test_an_endpoint_that_starts_draining_during_connecting_gets_no_request() -> None:
+async def test_an_endpoint_that_starts_draining_during_a_connect_gets_no_request() -> None:
     origin = ScriptedEndpoint()
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         _, completed = harness.start()
@@ -164,7 +164,7 @@
 
 
 @async_test
-async def test_a_new_address_gets_the_next_request() -> None:
+async def test_after_an_address_change_the_next_request_goes_to_the_new_address() -> None:
     old = ScriptedEndpoint()
     new = ScriptedEndpoint()
     async with (
@@ -197,7 +197,7 @@
 
 
 @async_test
-async def test_at_the_limit_an_idle_connection_is_evicted() -> None:
+async def test_at_the_total_limit_an_idle_connection_is_evicted_for_a_new_one() -> None:
     origin = ScriptedEndpoint()
     async with (
         running_server(origin.handle_connection) as address,
@@ -209,7 +209,7 @@
 
 
 @async_test
-async def test_a_removed_endpoint_is_forgotten_once_its_last_connection_is_closed() -> None:
+async def test_a_removed_endpoint_is_dropped_once_its_last_connection_is_closed() -> None:
     release = asyncio.Event()
 
     async def respond_when_released(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -228,17 +228,17 @@
             pool.retain_only({f"t{number}"})
         assert pool.endpoint_names() == {ENDPOINT, "t99"}
         release.set()
-        assert (await completed).status is CallStatus.OK  # an exchange in progress there may end
+        assert (await completed).status is CallStatus.OK  # an exchange in progress may complete
         while ENDPOINT in pool.endpoint_names():
             await asyncio.sleep(0.001)
         assert (await harness.fetch()).status is CallStatus.NOT_SENT
-        pool.update_endpoint(ENDPOINT, address, available=True)  # it is listed again, at the same address
+        pool.update_endpoint(ENDPOINT, address, available=True)  # listed again, at the same address
         assert pool.open_connections == 0
         assert (await harness.fetch()).status is CallStatus.OK
 
 
 @async_test
-async def test_a_suspended_endpoint_is_not_connected_to_until_it_is_restored() -> None:
+async def test_a_suspended_endpoint_gets_no_connection_until_it_is_restored() -> None:
     origin = ScriptedEndpoint()
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         await harness.fetch()
@@ -290,7 +290,7 @@
 
 
 @async_test
-async def test_the_time_of_an_exchange_with_an_upload_starts_with_the_last_byte_of_the_upload() -> None:
+async def test_the_elapsed_time_of_an_exchange_counts_from_the_last_byte_of_its_upload() -> None:
     origin = ScriptedEndpoint()
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         harness.set_clock(harness.clock())
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -9,7 +9,7 @@
 from tests.pool_harness import PoolHarness, empty_response
 
 
-def test_a_load_report_gives_numbers_by_name() -> None:
+def test_a_load_report_is_parsed_into_numbers_by_name() -> None:
     assert parse_load_report("inflight=7,queue=2,util=0.61") == {"inflight": 7.0, "queue": 2.0, "util": 0.61}
 
 
@@ -19,7 +19,7 @@
 
 
 @async_test
-async def test_the_load_report_of_a_response_header_is_parsed() -> None:
+async def test_a_load_report_in_a_response_header_is_parsed() -> None:
     origin = ScriptedEndpoint(lambda _number: empty_response("200 OK", "X-Server-Load: queue=2\r\n"))
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).load_report == {"queue": 2.0}
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection over loopback sockets: the status of each ending, and the limits on a response."""
+"""``UpstreamConnection`` over loopback sockets: the status of each exchange, and the limits on responses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 from tests.pool_harness import ENDPOINT, REQUEST_HEAD, PoolHarness, empty_response
 
-HUGE_BODY = b"x" * 32_000_000  # more than the sockets' buffers hold
+HUGE_BODY = b"x" * 32_000_000  # exceeds the socket buffers
 
 
 @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
         (empty_response("503 Full", "X-Not-Processed: 0\r\n"), CallStatus.ERROR),
         (b"", CallStatus.RESET_AFTER_REQUEST),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhi", CallStatus.TIMEOUT),
-        # Malformed: the request may have been executed, and the endpoint is alive. Each ends the exchange
+        # Malformed responses: the endpoint is alive and may have executed the request. The exchange ends
         # without a wait for the rest of the response.
         (b"what is this\r\n\r\n", CallStatus.ERROR),
         (b"\x00\xff\x13\x37", CallStatus.ERROR),
@@ -60,7 +60,7 @@
     ids=lambda value: value.name if isinstance(value, CallStatus) else repr(value[:60]),
 )
 @async_test
-async def test_each_response_or_end_of_the_connection_gives_the_status_of_the_exchange(
+async def test_the_response_or_end_of_the_connection_determines_the_status_of_the_exchange(
     response: bytes, status: CallStatus
 ) -> None:
     async with (
@@ -73,8 +73,8 @@
 
 
 @async_test
-async def test_a_break_while_part_of_the_request_is_buffered_proves_that_it_was_not_executed() -> None:
-    """Once the last byte is written, a break proves nothing."""
+async def test_a_break_before_the_request_is_fully_written_proves_that_it_was_not_executed() -> None:
+    """Once the last byte is written, a break does not show whether the request was executed."""
     accepted = asyncio.Event()
     break_connection = asyncio.Event()
 
@@ -92,7 +92,7 @@
 
 
 @async_test
-async def test_a_response_before_the_request_is_written_completely_is_ignored() -> None:
+async def test_a_response_before_the_request_is_fully_written_is_ignored() -> None:
     async def respond_without_reading(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         pause_reading(writer)
         writer.write(OK_RESPONSE)
@@ -124,7 +124,7 @@
             if len(bodies) == 2:
                 finished.set()
             else:
-                start_exchange()  # in the very call that reports the first response
+                start_exchange()  # within the callback of the first exchange
 
         start_exchange()
         await finished.wait()
@@ -141,7 +141,7 @@
     ],
 )
 @async_test
-async def test_an_incomplete_response_ends_as_malformed_and_not_as_a_timeout(
+async def test_an_incomplete_response_ends_in_an_error_and_not_in_a_timeout(
     incomplete: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.05)
@@ -153,7 +153,9 @@
 
 
 @async_test
-async def test_an_interim_response_does_not_start_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_interim_response_does_not_limit_the_wait_for_the_final_one(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.02)
 
     async def respond_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -171,7 +173,9 @@
     ("value", "charged"), [("3", 3.0), ("2.25", 2.25), ("-1", None), ("nan", None), ("", None), ("1e9", None)]
 )
 @async_test
-async def test_charged_units_are_read_if_they_are_a_number(value: str, charged: float | None) -> None:
+async def test_charged_units_are_accepted_only_as_a_plain_decimal_number(
+    value: str, charged: float | None
+) -> None:
     origin = ScriptedEndpoint(lambda _number: empty_response("200 OK", f"X-Units-Charged: {value}\r\n"))
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).charged_units == charged
