--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -201,7 +201,7 @@
     def on_response_complete(self, exchange: Exchange, status: CallStatus, *, reusable: bool) -> None:
         """Release the connection, then end the exchange: its callback may start the next one."""
         self.exchange = None
-        self._owner.release(self, reusable=reusable and not self._writer.is_buffered)
+        self._owner.release(self, reusable=reusable and not self._writer.has_unsent_bytes)
         self._exchanges.complete(exchange, status)
 
     def on_response_streamed(self, exchange: Exchange, stream: BodyStream) -> bool:
--- a/quota_gateway/net/upstream/endpoint_table.py
+++ b/quota_gateway/net/upstream/endpoint_table.py
@@ -51,7 +51,7 @@
         endpoint = self._by_name.get(name)
         if endpoint is not None:
             if endpoint.update(new_address, available=available, started_at=started_at):
-                self._idle.close_all(endpoint)
+                self._idle.close_connections_to(endpoint)
             self.remove_if_unused(endpoint)
         elif new_address is not None:
             self._by_name[name] = UpstreamEndpoint(name, new_address, available, started_at)
@@ -63,7 +63,7 @@
                 if endpoint.available:
                     self._record_transition(Transition.LEFT_OUT, name)
                 endpoint.remove()
-                self._idle.close_all(endpoint)
+                self._idle.close_connections_to(endpoint)
                 self.remove_if_unused(endpoint)
 
     def exclude(self, names: frozenset[str]) -> None:
@@ -72,7 +72,7 @@
         for name in names:
             endpoint = self._by_name.get(name)
             if endpoint is not None:
-                self._idle.close_all(endpoint)
+                self._idle.close_connections_to(endpoint)
 
     def find_usable(self, name: str) -> UpstreamEndpoint | None:
         """Return the endpoint of that name if new requests may be sent to it, None otherwise."""
--- a/quota_gateway/net/upstream/idle_connections.py
+++ b/quota_gateway/net/upstream/idle_connections.py
@@ -98,7 +98,7 @@
             if not connections:
                 del self._by_endpoint[endpoint]
 
-    def close_all(self, endpoint: UpstreamEndpoint) -> None:
+    def close_connections_to(self, endpoint: UpstreamEndpoint) -> None:
         """Close all idle connections to an endpoint."""
         _close_idle_since(self._by_endpoint.get(endpoint, []), math.inf)
 
--- a/quota_gateway/net/upstream/open_connections.py
+++ b/quota_gateway/net/upstream/open_connections.py
@@ -19,8 +19,7 @@
 class OpenConnections:
     """Creates connections, holds idle ones for reuse, and receives the events of all of them.
 
-    Each connection is counted in ``limits`` from ``create`` until ``on_connection_lost`` or
-    ``on_never_connected``.
+    ``limits`` counts each connection from ``reserve`` until ``on_connection_lost`` or ``on_never_connected``.
     """
 
     def __init__(self, clock: Clock, idle_timeout: float, max_connections: int) -> None:
--- a/quota_gateway/net/upstream/request_writer.py
+++ b/quota_gateway/net/upstream/request_writer.py
@@ -8,7 +8,7 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.net.upstream.exchange import Clock, Exchange, ExchangeEvents
 
-STALL_TIMEOUT_SECONDS = 15.0  # without progress of a streamed body; then its connection is aborted
+STALL_TIMEOUT_SECONDS = 15.0  # the connection of a streamed body is aborted after this time without progress
 
 
 class WriterConnection(Protocol):
@@ -40,7 +40,7 @@
         "_last_progress",
         "_transport",
         "_upload_finished",
-        "is_buffered",
+        "has_unsent_bytes",
     )
 
     def __init__(self, connection: WriterConnection, exchanges: ExchangeEvents, clock: Clock) -> None:
@@ -52,7 +52,7 @@
         self._exchange: Exchange | None = None  # the one whose request is being written
         self._upload_finished = False  # the last chunk of the upload is passed to the transport
         self._last_progress = 0.0  # when the upload last advanced, in seconds of the clock
-        self.is_buffered = False  # the transport holds bytes that the operating system has not accepted
+        self.has_unsent_bytes = False  # the transport holds bytes that the operating system has not accepted
 
     def write(self, transport: asyncio.Transport, exchange: Exchange, data: bytes) -> None:
         """Write the head of a request and its buffered body, then attach its upload if it has one."""
@@ -66,8 +66,8 @@
         elif exchange.upload is not None:
             self._last_progress = self._clock()
             self._connection.on_upload_started()
-            exchange.upload.attach(self, writable=not self.is_buffered)
-        elif not self.is_buffered:
+            exchange.upload.attach(self, writable=not self.has_unsent_bytes)
+        elif not self.has_unsent_bytes:
             self._exchange = None
             self._exchanges.record_request_written(exchange)
 
@@ -77,14 +77,14 @@
 
     def on_buffer_filled(self) -> None:
         """Pause the upload: the transport buffers a part of a write."""
-        self.is_buffered = True
+        self.has_unsent_bytes = True
         exchange = self._exchange
         if exchange is not None and exchange.upload is not None and not self._upload_finished:
             exchange.upload.set_writable(writable=False)
 
     def on_buffer_emptied(self) -> None:
         """Resume the upload, or report the request as written if no part of it remains."""
-        self.is_buffered = False
+        self.has_unsent_bytes = False
         exchange = self._exchange
         if exchange is None:
             return
@@ -96,7 +96,7 @@
 
     def is_stalled(self, now: float) -> bool:
         """Whether the endpoint has accepted nothing of an upload for ``STALL_TIMEOUT_SECONDS``."""
-        return self.is_buffered and now - self._last_progress > STALL_TIMEOUT_SECONDS
+        return self.has_unsent_bytes and now - self._last_progress > STALL_TIMEOUT_SECONDS
 
     def _finish_request(self, exchange: Exchange) -> None:
         self._exchange = None
@@ -125,7 +125,7 @@
         self._upload_finished = True
         if exchange.upload.content_length is None:
             self._transport.write(b"0\r\n\r\n")
-        if not self.is_buffered:
+        if not self.has_unsent_bytes:
             self._finish_request(exchange)
 
     def truncate(self) -> None:
--- a/quota_gateway/net/upstream/response_parser.py
+++ b/quota_gateway/net/upstream/response_parser.py
@@ -47,7 +47,7 @@
         "header_lines",
         "in_message",
         "keep_alive",
-        "load",
+        "load_header",
         "not_processed",
         "status_code",
     )
@@ -70,7 +70,7 @@
         self.body_parts: list[bytes] = []
         self.body_size = 0  # bytes in ``body_parts``
         self._head_size = 0  # bytes of header names and values
-        self.load: bytes | None = None
+        self.load_header: bytes | None = None  # value of X-Server-Load
         self.charged_units: float | None = None
         self.not_processed = False  # the endpoint states that it did not execute the request
         self.content_length: int | None = None
@@ -149,7 +149,7 @@
         elif key == b"transfer-encoding":
             self._set_transfer_encoding(value)
         elif key == SERVER_LOAD_HEADER:
-            self.load = value
+            self.load_header = value
         elif key == CHARGED_UNITS_HEADER:
             self.charged_units = float(value) if UNITS_VALUE.fullmatch(value) else None
         elif key == NOT_PROCESSED_HEADER:
--- a/quota_gateway/net/upstream/response_receiver.py
+++ b/quota_gateway/net/upstream/response_receiver.py
@@ -178,5 +178,7 @@
 
     def _record_response(self, exchange: Exchange, body: bytes) -> None:
         parser = self._parser
-        load_report = None if parser.load is None else parse_load_report(parser.load.decode("latin-1"))
+        load_report = (
+            None if parser.load_header is None else parse_load_report(parser.load_header.decode("latin-1"))
+        )
         exchange.record_response(b"".join(parser.header_lines), body, parser.charged_units, load_report)
