--- a/quota_gateway/net/dispatch/process_group_events.py
+++ b/quota_gateway/net/dispatch/process_group_events.py
@@ -34,7 +34,7 @@
         names = sorted(change.suspended_endpoints) or "none"
         log.info("processes of this limiter: %d; suspended endpoints: %s", change.process_count, names)
         self._dispatch(model.ProcessCountChanged(change.process_count, change.seconds_unknown))
-        self._pool.exclude(change.suspended_endpoints)
+        self._pool.set_suspended_endpoints(change.suspended_endpoints)
         self._dispatch(model.SuspensionsChanged(change.suspended_endpoints))
 
     def on_handover(self, state: model.HandoverState) -> None:
@@ -50,7 +50,7 @@
         suspensions = self._process_group.set_suspended(action.endpoint, suspended=action.suspended)
         if (action.endpoint in suspensions) is not action.suspended:  # the limit of suspensions is reached
             self._admin_calls.fail_next()
-        self._pool.exclude(suspensions)
+        self._pool.set_suspended_endpoints(suspensions)
         # Another process may have recorded further suspensions in the meantime.
         self._dispatch(model.SuspensionsChanged(suspensions))
 
--- a/quota_gateway/net/upstream/endpoint_table.py
+++ b/quota_gateway/net/upstream/endpoint_table.py
@@ -66,7 +66,7 @@
                 self._idle.close_connections_to(endpoint)
                 self.remove_if_unused(endpoint)
 
-    def exclude(self, names: frozenset[str]) -> None:
+    def set_suspended_endpoints(self, names: frozenset[str]) -> None:
         """Replace the names of the suspended endpoints, and close the idle connections to those."""
         self._suspended = names
         for name in names:
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -110,12 +110,12 @@
         """Log the endpoint updates since the last call, with the names of the endpoints."""
         self._endpoints.log_transitions()
 
-    def exclude(self, names: frozenset[str]) -> None:
+    def set_suspended_endpoints(self, names: frozenset[str]) -> None:
         """Replace the names of the endpoints that operators have suspended.
 
         They get no new requests, and their idle connections are closed.
         """
-        self._endpoints.exclude(names)
+        self._endpoints.set_suspended_endpoints(names)
 
     def set_max_connections(self, max_connections: int) -> None:
         """Change the limit of open connections; idle connections that exceed it are closed at once."""
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -242,11 +242,11 @@
     origin = ScriptedEndpoint()
     async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
         await harness.fetch()
-        harness.pool.exclude(frozenset({ENDPOINT}))
+        harness.pool.set_suspended_endpoints(frozenset({ENDPOINT}))
         await origin.disconnected.wait()
         assert (await harness.fetch()).status is CallStatus.NOT_SENT
         assert origin.connection_count == 1
-        harness.pool.exclude(frozenset())
+        harness.pool.set_suspended_endpoints(frozenset())
         assert (await harness.fetch()).status is CallStatus.OK
 
 
