--- a/quota_gateway/net/admin/__init__.py
+++ b/quota_gateway/net/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The admin address, on which operators send their commands.
+"""The admin address, to which operators send admin commands.
 
 It owns the admin connections and imports only ``common``.
 """
--- a/quota_gateway/net/admin/listener.py
+++ b/quota_gateway/net/admin/listener.py
@@ -19,10 +19,10 @@
 
 MAX_COMMAND_BYTES = 256  # without the newline
 MAX_CONNECTIONS = 16
-COMMAND_TIMEOUT_SECONDS = 5.0  # in which the command must arrive
-LINGER_SECONDS = (
-    0.5  # of reading further input after the reply: closing over unread input resets the connection
-)
+COMMAND_TIMEOUT_SECONDS = 5.0  # the command must arrive within this time
+# Time after the reply in which further input is read and discarded: closing a connection with unread input
+# resets it.
+LINGER_SECONDS = 0.5
 
 COMMANDS = {command.value.encode(): command for command in model.AdminCommand}
 COMMANDS_WITH_ENDPOINT = (model.AdminCommand.SUSPEND, model.AdminCommand.RESTORE)
@@ -35,7 +35,7 @@
     """The reply to a command."""
 
     succeeded: bool
-    metrics: str = ""  # the text of the metrics, for METRICS
+    metrics: str = ""  # empty unless the command is METRICS
 
 
 ReplyCallback = Callable[[CommandReply], None]
@@ -45,7 +45,7 @@
     """Executes the commands of operators."""
 
     def on_admin_command(self, command: model.AdminCommand, endpoint: str, reply: ReplyCallback) -> None:
-        """Execute a command and call ``reply`` once; ``endpoint`` is empty where the command takes none."""
+        """Execute a command and call ``reply`` once; ``endpoint`` is empty if the command takes none."""
 
 
 class _AdminConnection(asyncio.Protocol):
@@ -60,16 +60,16 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the command's timeout."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses
         self._timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT_SECONDS, self._on_timeout)
-        self._listener.connected(self)
+        self._listener.register(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the timer and unregister the connection."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
-        self._listener.disconnected(self)
+        self._listener.unregister(self)
 
     def data_received(self, data: bytes) -> None:
         """Collect input up to a newline, and execute the command; reject an overlong line."""
@@ -127,12 +127,12 @@
 
 
 class AdminListener:
-    """Listens on the admin address; holds at most ``MAX_CONNECTIONS`` connections."""
+    """Listens on the admin address; keeps at most ``MAX_CONNECTIONS`` connections open."""
 
     def __init__(self, handler: AdminHandler) -> None:
         """``handler`` executes the commands of all connections."""
         self.handler = handler
-        self._connections = dict[_AdminConnection, None]()  # in the order of their connecting
+        self._connections = dict[_AdminConnection, None]()  # oldest first
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
@@ -142,16 +142,16 @@
         return self._acceptor.address
 
     def _on_accept_error(self, error: OSError) -> None:
-        log.warning("accept failed at the admin address: %s", error)
+        log.warning("accepting a connection to the admin address failed, continuing to accept: %s", error)
 
-    def connected(self, connection: _AdminConnection) -> None:
+    def register(self, connection: _AdminConnection) -> None:
         """Register a connection; at the limit, close the oldest one."""
         if len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             oldest.abort()
         self._connections[connection] = None
 
-    def disconnected(self, connection: _AdminConnection) -> None:
+    def unregister(self, connection: _AdminConnection) -> None:
         """Unregister a connection that has ended."""
         self._connections.pop(connection, None)
 
--- a/quota_gateway/net/dispatch/__init__.py
+++ b/quota_gateway/net/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""The connection of the network to the decisions: events in, actions out.
+"""Connects the network with the decisions: passes events to them and executes the actions they return.
 
 It owns the open requests with their attempts and timers, and may import every other network package.
 """
--- a/quota_gateway/net/dispatch/attempt_forwarder.py
+++ b/quota_gateway/net/dispatch/attempt_forwarder.py
@@ -1,4 +1,4 @@
-"""Attempts of open requests: their start, and the reports of how they ended."""
+"""Starts and cancels attempts of open requests, and reports how each attempt ended."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quota_gateway import model
 from quota_gateway.net.common.body_stream import BodyStream
 from quota_gateway.net.common.invariants import Invariant, InvariantMonitor
-from quota_gateway.net.dispatch.attempt_guard import AttemptGuard, latest_write
+from quota_gateway.net.dispatch.attempt_guard import AttemptGuard, latest_write_time
 from quota_gateway.net.dispatch.pending_request import PendingRequest
 from quota_gateway.net.dispatch.request_log import describe_request
 from quota_gateway.net.dispatch.request_table import RequestTable
@@ -41,13 +41,13 @@
         self._guard = AttemptGuard(invariants, settings)
 
     def apply_settings(self, settings: model.Settings) -> None:
-        """Use other settings from now on."""
+        """Use these settings for attempts that start from now on."""
         self._guard.apply_settings(settings)
 
     def forward(self, action: model.Forward) -> None:
-        """Start an attempt, or report it as not sent if the request may have no further attempt."""
+        """Start an attempt, or report it as not sent if it may not start or has no time left."""
         pending = self._requests.find(action.request_id)
-        if pending is None:  # its client disconnected in this turn of the event loop
+        if pending is None:  # its client disconnected in the same iteration of the event loop
             log.error("dropped an attempt for a request that has ended")
             return
         number = len(pending.attempts)
@@ -55,8 +55,8 @@
         is_allowed = self._guard.may_start(pending, now)
         attempt = self._new_attempt(action, pending, number, now)
         pending.attempts.append(attempt)
-        has_attempts = number < min(pending.max_attempts, self._requests.max_attempts)
-        if is_allowed and has_attempts and action.timeout > 0:
+        has_attempts_left = number < min(pending.max_attempts, self._requests.max_attempts)
+        if is_allowed and has_attempts_left and action.timeout > 0:
             self._start(attempt, pending)
         else:
             self._pool.exchanges.complete(attempt, model.CallStatus.NOT_SENT)
@@ -71,7 +71,7 @@
         self, action: model.Forward, pending: PendingRequest, number: int, now: float
     ) -> Exchange:
         request = pending.request
-        expires_at = math.inf  # until the upload is complete
+        expires_at = math.inf  # set once the upload is complete
         if pending.deadline < math.inf:
             expires_at = min(pending.deadline, now + action.timeout)
         return Exchange(
@@ -83,16 +83,16 @@
             on_response_started=partial(self._on_response_started, action.request_id),
             upload=request.upload,
             timeout=action.timeout,
-            not_after=min(action.not_after, latest_write(pending)),
+            not_after=min(action.not_after, latest_write_time(pending)),
             is_client_connected=request.is_client_connected,
         )
 
     def _start(self, attempt: Exchange, pending: PendingRequest) -> None:
-        """Start an attempt; after an unexpected error it is reported as failed."""
+        """Start an attempt; end it as failed if that raises an exception."""
         try:
             self._pool.start(attempt)
         except Exception:
-            log.exception("an attempt could not be started")
+            log.exception("unexpected error while starting an attempt; the attempt ends as failed")
             self._invariants.report(Invariant.STARTED_COMPLETELY, describe_request(pending))
             self._pool.exchanges.fail(attempt)
 
@@ -113,7 +113,9 @@
                 elapsed=attempt.elapsed,
                 request_finished=succeeded or self._requests.find(request_id) is None,
                 load_report=attempt.load_report,
-                charged_units=attempt.charged_units if succeeded else None,  # only a success settles units
+                charged_units=attempt.charged_units
+                if succeeded
+                else None,  # only a success corrects the charge
                 may_retry=attempt.upload is None or not attempt.upload.consumed,
             )
         )
--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -31,11 +31,11 @@
 
 log = logging.getLogger(__name__)
 
-TIMER_RETRY_DELAY_SECONDS = 1.0  # until a timer fires again on which the decisions have failed
+TIMER_RETRY_DELAY_SECONDS = 1.0  # until a timer event on which the decisions failed is dispatched again
 
 
 class Decisions(Protocol):
-    """Responds to events with actions: ``decisions.gateway.Gateway``."""
+    """Responds to events with actions; implemented by ``decisions.gateway.Gateway``."""
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
         """Handle one event at ``now``, in seconds of Unix time; return the actions in their order."""
@@ -44,7 +44,7 @@
 class Dispatcher:
     """The only caller of the decisions: passes them one event at a time and executes their actions.
 
-    Events that an action causes are queued until all actions of the present event have been executed.
+    Events that an action causes are queued until all actions of the current event have been executed.
     """
 
     def __init__(
@@ -98,7 +98,10 @@
         return len(self.requests)
 
     def dispatch(self, event: model.Event) -> None:
-        """Pass an event to the decisions and execute their actions; during another event it is queued."""
+        """Pass an event to the decisions and execute their actions.
+
+        The event is queued if another one is being handled.
+        """
         self._events.append(event)
         if self._dispatching:
             return
@@ -120,16 +123,16 @@
             try:
                 self._executors[type(action)](action)
             except Exception:
-                log.exception("an action failed: %s", action)
+                log.exception("action of the decisions failed, continuing with the next action: %s", action)
 
     def _handle_failure(self, event: model.Event) -> None:
-        """Respond in place of the decisions, which have failed on the event."""
+        """Respond to the client or operator, or retry a timer, after the decisions raised an exception."""
         if isinstance(event, model.Request):
-            self.requests.abandon(event.id, STATUS_INTERNAL_ERROR)
+            self.requests.respond_without_decisions(event.id, STATUS_INTERNAL_ERROR)
         elif isinstance(event, model.AdminRequest):
             self._admin_calls.fail(event.id)
         elif isinstance(event, model.TimerFired):
-            # The decisions set their next timer when one fires: without a retry none would fire any more.
+            # The decisions set their next timer when one fires: without the retry no timer would fire again.
             self._loop.call_later(TIMER_RETRY_DELAY_SECONDS, self.dispatch, event)
 
     # Events of discovery, of client connections, of operators and of the process group.
@@ -149,7 +152,7 @@
         self.dispatch(update)
 
     def on_request(self, request: ClientRequest) -> None:
-        """Register a request that was received; of a streamed upload the head."""
+        """Dispatch a request that was received; of a streamed upload, only the head was received."""
         self._process_group.poll_if_late()
         event = request.event
         assert event is not None
@@ -177,7 +180,7 @@
             self.requests.stop_forwarding(request.event.id)
 
     def on_admin_command(self, command: model.AdminCommand, endpoint: str, on_reply: ReplyCallback) -> None:
-        """Dispatch an operator's command; ``endpoint`` is empty where it names none."""
+        """Dispatch an operator's command; ``endpoint`` is empty if the command takes none."""
         self.dispatch(model.AdminRequest(self._admin_calls.add(command, on_reply), command, endpoint))
 
     def on_process_group_changed(self, change: GroupChange) -> None:
@@ -191,7 +194,7 @@
     # Settings and shutdown.
 
     def reconfigure(self, settings: model.Settings) -> None:
-        """Use other settings; open requests keep their class and their timeout."""
+        """Replace the settings; open requests keep their class and their timeout."""
         self.settings = settings
         self.requests.apply_settings(settings)
         self._attempts.apply_settings(settings)
--- a/quota_gateway/net/dispatch/network_actions.py
+++ b/quota_gateway/net/dispatch/network_actions.py
@@ -18,7 +18,7 @@
 
 
 class NetworkActions:
-    """Executes these actions; their results are dispatched as events."""
+    """Executes the actions that belong to no request, and dispatches their results as events."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         counter: CounterClient | None,
         dispatch: Callable[[model.Event], None],
     ) -> None:
-        """Create it in a running event loop; ``counter`` is None for a limiter without a counter."""
+        """Create the object in a running event loop; ``counter`` is None for a limiter without a counter."""
         self._settings = settings
         self._clock = clock
         self._pool = pool
@@ -37,11 +37,11 @@
         self._loop = asyncio.get_running_loop()
 
     def apply_settings(self, settings: model.Settings) -> None:
-        """Use other settings from now on."""
+        """Use these settings for health checks from now on."""
         self._settings = settings
 
     def increment_counter(self, action: model.IncrementCounter) -> None:
-        """Call the counter; without one the call ends as unreachable."""
+        """Call the counter; if the limiter has none, the call ends as unreachable."""
         if self._counter is None:
             self._on_counter_replied(action.counter_id, CallResult(model.CallStatus.UNREACHABLE))
         else:
--- a/quota_gateway/net/dispatch/pending_request.py
+++ b/quota_gateway/net/dispatch/pending_request.py
@@ -1,4 +1,4 @@
-"""A request without its final response."""
+"""A request that has no final response yet."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class PendingRequest:
     """A request from its arrival to its final response, with its attempts in their order.
 
-    Its class and its limit of attempts are those of the settings at its arrival. Without a deadline, its
-    upload is still being received.
+    Its class and its maximum number of attempts come from the settings at its arrival. It has no deadline
+    while its upload is being received.
     """
 
     __slots__ = ("attempts", "deadline", "event", "max_attempts", "request", "request_class", "timer")
@@ -26,14 +26,14 @@
         request_class: model.RequestClass | None,
         max_attempts: int,
     ) -> None:
-        """Create a request of a class, None if the class is unknown."""
+        """Create a request without attempts; ``request_class`` is None if the class is unknown."""
         self.request = request
         self.event = event
         self.request_class = request_class
         self.max_attempts = max_attempts
         self.deadline = math.inf  # seconds of the dispatcher's clock
         self.attempts: list[Exchange] = []  # an attempt's number is its index
-        self.timer: asyncio.TimerHandle | None = None  # responds at the deadline if the decisions do not
+        self.timer: asyncio.TimerHandle | None = None  # responds after the deadline if the decisions have not
 
     @property
     def has_deadline(self) -> bool:
@@ -49,7 +49,7 @@
         """Remove an attempt whose response is being streamed, so that it is not cancelled with the others."""
         self.attempts.remove(attempt)
 
-    def forbid_attempts(self) -> None:
+    def forbid_further_attempts(self) -> None:
         """Allow no further attempt."""
         self.max_attempts = len(self.attempts)
 
@@ -59,5 +59,5 @@
             self.timer.cancel()
 
     def may_be_executing(self) -> bool:
-        """Whether an endpoint has received the request completely."""
+        """Whether an endpoint may be executing the request: an attempt has been written completely."""
         return any(attempt.request_written for attempt in self.attempts)
--- a/quota_gateway/net/dispatch/process_group_events.py
+++ b/quota_gateway/net/dispatch/process_group_events.py
@@ -1,4 +1,4 @@
-"""Changes of the process group as events, and the decisions' actions on it."""
+"""Dispatches changes of the process group as events, and executes the decisions' actions on the group."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ProcessGroupEvents:
-    """Joins the process group to the decisions and to the connection pool, which follows the suspensions."""
+    """Connects the process group with the decisions, and applies its suspensions to the connection pool."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._dispatch(model.SuspensionsChanged(change.suspended_endpoints))
 
     def on_handover(self, state: model.HandoverState) -> None:
-        """Another process of this limiter handed over its state."""
+        """Dispatch the state that another process of this limiter handed over."""
         log.info(
             "another process handed over %d endpoints, %d accounts", len(state.endpoints), len(state.accounts)
         )
@@ -48,12 +48,12 @@
         """Record that an endpoint is suspended or restored, for all processes of this limiter."""
         log.info("endpoint %s: %s", action.endpoint, "suspended" if action.suspended else "restored")
         suspensions = self._process_group.set_suspended(action.endpoint, suspended=action.suspended)
-        if (action.endpoint in suspensions) is not action.suspended:  # the limit of suspensions is reached
-            self._admin_calls.fail_next()
+        if (action.endpoint in suspensions) is not action.suspended:  # not recorded: too many suspensions
+            self._admin_calls.fail_next_reply()
         self._pool.exclude(suspensions)
         # Another process may have recorded further suspensions in the meantime.
         self._dispatch(model.SuspensionsChanged(suspensions))
 
     def hand_over(self, action: model.HandOver) -> None:
-        """Write the state for the other process."""
+        """Write the state for the process that has joined the group."""
         self._process_group.write_handover(action.state)
--- a/quota_gateway/net/dispatch/request_log.py
+++ b/quota_gateway/net/dispatch/request_log.py
@@ -1,6 +1,7 @@
-"""Log lines on single requests: those with more than one attempt, a failed attempt or a violation.
+"""Logs single requests that had more than one attempt, or an attempt that did not succeed.
 
-A request that is served by its first attempt, or rejected before it, has no line; it is counted elsewhere.
+Requests that were served by their first attempt, or had none, are not logged; the metrics count them.
+Reports of invariant violations describe their request in the same form.
 """
 
 from __future__ import annotations
@@ -18,24 +19,27 @@
 
 def describe_request(pending: PendingRequest) -> str:
     """Describe a request by its client's id, its class, and its attempts in their order."""
-    steps = [describe_attempt(number, attempt) for number, attempt in enumerate(pending.attempts)]
+    descriptions = [describe_attempt(number, attempt) for number, attempt in enumerate(pending.attempts)]
     request_id = pending.request.request_id.decode("latin-1")
-    return "; ".join([f"request {request_id} of class {pending.event.request_class}", *steps])
+    return "; ".join([f"request {request_id} of class {pending.event.request_class}", *descriptions])
 
 
 class RequestLog:
-    """Writes the lines, at most ``MAX_LINES_PER_SECOND``."""
+    """Logs requests that have ended, at most ``MAX_LINES_PER_SECOND``."""
 
     __slots__ = ("_current_second", "_lines_in_second", "_suppressed")
 
     def __init__(self) -> None:
-        """Begin without lines."""
+        """Start with no lines logged."""
         self._current_second = 0
         self._lines_in_second = 0
         self._suppressed = 0
 
     def record_end(self, now: float, pending: PendingRequest, status: int) -> None:
-        """Log a request that ends at ``now`` with the HTTP ``status``, if its attempts are worth a line."""
+        """Log a request that ends at ``now`` with the HTTP ``status``.
+
+        A request is not logged if it had no attempt, or only one that succeeded.
+        """
         attempts = pending.attempts
         if not attempts or (len(attempts) == 1 and attempts[0].status is model.CallStatus.OK):
             return
@@ -47,6 +51,8 @@
         if self._lines_in_second > MAX_LINES_PER_SECOND:
             self._suppressed += 1
             return
-        before = f" ({self._suppressed} such requests not logged before)" if self._suppressed else ""
+        suppressed_note = (
+            f" ({self._suppressed} earlier such requests were not logged)" if self._suppressed else ""
+        )
         self._suppressed = 0
-        log.info("%s; answered %d%s", describe_request(pending), status, before)
+        log.info("%s; answered %d%s", describe_request(pending), status, suppressed_note)
--- a/quota_gateway/net/dispatch/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -23,10 +23,10 @@
 # Part of the client's timeout that is reserved for the transfer of the response.
 RESPONSE_MARGIN_SECONDS = 0.02
 MAX_RESPONSE_MARGIN_FRACTION = 0.1  # of the timeout
-# Without a response of the decisions, the request fails this fraction of the margin before the timeout.
+# If the decisions do not respond, the request fails this fraction of the margin before the client's timeout.
 UNANSWERED_MARGIN_FRACTION = 0.5
-MIN_TIMEOUT_SECONDS = 0.001  # the least remaining time in an event for the decisions
-SHUTDOWN_RETRY_AFTER_SECONDS = 0.1  # Retry-After of requests that are rejected at the end of the process
+MIN_TIMEOUT_SECONDS = 0.001  # least timeout in an event for the decisions
+SHUTDOWN_RETRY_AFTER_SECONDS = 0.1  # Retry-After of requests rejected because the process ends
 STATUS_OK = 200
 STATUS_REJECTED = 429
 STATUS_INTERNAL_ERROR = 500
@@ -42,8 +42,8 @@
 class RequestTable:
     """The open requests by id.
 
-    A request is closed exactly once; closing it cancels its attempts and its timer. It gets no response from
-    here after that.
+    A request is closed exactly once; closing it cancels its attempts and its timer. The table sends no
+    response to it after that.
     """
 
     def __init__(
@@ -64,9 +64,9 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: model.Settings) -> None:
-        """Use other settings; a lower number of attempts applies to open requests too.
+        """Replace the settings; a lower ``max_attempts`` applies to open requests too.
 
-        Requests of removed classes that arrive later keep the terms of their class.
+        Removed classes are kept for requests of them that arrive later.
         """
         self._classes |= {request_class.name: request_class for request_class in settings.classes}
         self.max_attempts = settings.max_attempts
@@ -92,7 +92,7 @@
     # Arrival and deadline.
 
     def add(self, request: ClientRequest, event: model.Request) -> model.Request:
-        """Register a request; return its event with the time that the decisions have."""
+        """Register a request; return its event, whose timeout is the time left for the decisions."""
         request_class = self._classes.get(event.request_class)
         pending = PendingRequest(request, event, request_class, self.max_attempts)
         self._open[event.id] = pending
@@ -116,17 +116,18 @@
     def _start_deadline(self, pending: PendingRequest, now: float) -> None:
         """Count the timeout from the arrival of the request.
 
-        The time since then is read after ``now``: a stall of the process in between shortens the timeout.
+        The time since the arrival is read after ``now``: a stall of this process between the two readings
+        makes the deadline earlier, never later.
         """
         request = pending.request
         event = pending.event
         remaining = event.timeout - request.seconds_since_arrival()
         margin = _response_margin(max(0.0, remaining))
-        answer_at = request.arrived_at + event.timeout - UNANSWERED_MARGIN_FRACTION * margin
-        timer = self._loop.call_at(answer_at, self.abandon, event.id, STATUS_TIMEOUT)
+        respond_at = request.arrived_at + event.timeout - UNANSWERED_MARGIN_FRACTION * margin
+        timer = self._loop.call_at(respond_at, self.respond_without_decisions, event.id, STATUS_TIMEOUT)
         pending.start_deadline(now + remaining - margin, timer)
 
-    # Ends.
+    # End and final response.
 
     def close(self, request_id: int) -> PendingRequest | None:
         """Remove a request and cancel its attempts; return None if it is not open."""
@@ -138,11 +139,11 @@
         return pending
 
     def stop_forwarding(self, request_id: int) -> None:
-        """Allow no further attempt, and withdraw those that no connection carries yet."""
+        """Allow no further attempt, and withdraw the attempts that no connection carries yet."""
         pending = self._open.get(request_id)
         if pending is None:
             return
-        pending.forbid_attempts()
+        pending.forbid_further_attempts()
         for attempt in list(pending.attempts):
             self._exchanges.withdraw_unsent(attempt)
 
@@ -154,7 +155,7 @@
             pending.request.respond(STATUS_OK, attempt.response_body, attempt.response_headers)
 
     def begin_response(self, request_id: int, attempt: Exchange, body: BodyStream) -> bool:
-        """Pass a streamed response to the client; no deadline limits it.
+        """Pass a streamed response to the client; the stream has no deadline.
 
         Return False if the request is not open.
         """
@@ -167,21 +168,24 @@
         return True
 
     def reject(self, action: model.Reject) -> None:
-        """Reject a request as the decisions say."""
+        """Reject a request: respond with 429 and the delay that the decisions chose for a retry."""
         pending = self.close(action.request_id)
         if pending is not None:
             self._record_end(pending, STATUS_REJECTED)
             pending.request.respond(STATUS_REJECTED, retry_after=max(0.0, action.retry_after))
 
     def fail(self, action: model.Fail) -> None:
-        """Fail a request as the decisions say: it may have been executed."""
+        """Fail a request: respond with 502, since an endpoint may have executed it."""
         pending = self.close(action.request_id)
         if pending is not None:
             self._record_end(pending, STATUS_FAILED)
             pending.request.respond(STATUS_FAILED)
 
-    def abandon(self, request_id: int, status: int) -> None:
-        """Respond in place of the decisions, which did not respond in time or failed."""
+    def respond_without_decisions(self, request_id: int, status: int) -> None:
+        """Respond with ``status`` and notify the decisions that the request has ended.
+
+        The decisions did not respond in time or raised an exception, or this process is about to end.
+        """
         pending = self.close(request_id)
         if pending is None:
             return
@@ -192,9 +196,14 @@
         self._dispatch(model.ClientDisconnected(request_id))
 
     def abandon_all(self) -> None:
-        """Respond to all open requests; clients may retry those that no endpoint has received completely."""
+        """Respond to all open requests: with 504 if an endpoint may be executing the request, 503 otherwise.
+
+        Clients may retry after a 503.
+        """
         for request_id, pending in list(self._open.items()):
-            self.abandon(request_id, STATUS_TIMEOUT if pending.may_be_executing() else STATUS_SHUTTING_DOWN)
+            self.respond_without_decisions(
+                request_id, STATUS_TIMEOUT if pending.may_be_executing() else STATUS_SHUTTING_DOWN
+            )
 
     def _record_end(self, pending: PendingRequest, status: int) -> None:
         self._log.record_end(self._clock(), pending, status)
--- a/tests/admin_client.py
+++ b/tests/admin_client.py
@@ -11,7 +11,7 @@
 
 
 async def send_command(port: int, command: bytes, terminator: bytes = b"\n") -> str:
-    """The reply to one command; connects again while nobody listens there yet."""
+    """Send one command and return the reply; retry the connect while nothing listens on the port yet."""
     while True:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -27,21 +27,21 @@
 
 
 def parse_metrics(text: str) -> dict[str, int]:
-    """The metrics in a reply to METRICS, by name."""
+    """Return the metrics in a reply to METRICS, by name."""
     lines = text.splitlines()
     assert lines[-1] == "EOT"
     return {name: int(value) for name, value in (line.split("=") for line in lines[:-1])}
 
 
 async def fetch_metrics(port: int) -> dict[str, int]:
-    """The metrics that a limiter replies with, by name."""
+    """Send METRICS to a limiter; return its metrics by name."""
     return parse_metrics(await send_command(port, b"METRICS"))
 
 
 @asynccontextmanager
 async def stalled_connections(port: int) -> AsyncIterator[None]:
-    """Connections to the admin address that have sent the beginning of a command, and send no more."""
-    await send_command(port, b"STATUS")  # waits until the address is listened on
+    """Open connections to the admin address that send part of a command and then stall."""
+    await send_command(port, b"STATUS")  # waits until the limiter listens on the port
     writers = list[asyncio.StreamWriter]()
     for _ in range(STALLED_CONNECTIONS):
         _, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture(autouse=True)
 def no_violations() -> Iterator[list[invariants.Violation]]:
-    """Fail each test in which an invariant is violated; one that provokes a violation removes it here."""
+    """Fail each test in which an invariant is violated; a test that provokes violations clears this list."""
     violations = list[invariants.Violation]()
     invariants.observers.append(violations.append)
     yield violations
@@ -31,13 +31,13 @@
 
 @pytest.fixture(scope="session")
 def fault_library(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The library that makes system calls fail in a process that loads it."""
+    """Path of the library that makes system calls fail in a process that loads it."""
     return build_library(tmp_path_factory.mktemp("fault-library"))
 
 
 @pytest.fixture
 def faults(fault_library: Path, tmp_path: Path) -> Iterator[ProcessFaults]:
-    """Faults of one process, none at first."""
+    """Faults to inject into one process; none is active at first."""
     process_faults = ProcessFaults(fault_library, tmp_path)
     yield process_faults
     process_faults.control.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Tests of the admin address, alone and of a running limiter."""
+"""Tests of the admin address: of the listener alone, and of a running limiter."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
     run(main())
 
 
-def test_the_oldest_connection_is_closed_at_the_bound() -> None:
+def test_the_oldest_connection_is_closed_at_the_connection_limit() -> None:
     async def main() -> None:
         async with listening_admin() as (host, port):
             streams = [await asyncio.open_connection(host, port) for _ in range(admin.MAX_CONNECTIONS + 1)]
@@ -78,7 +78,9 @@
     run(main())
 
 
-def test_a_connection_without_a_command_fails_after_the_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_command_gets_a_failure_reply_after_the_timeout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def main() -> None:
         async with listening_admin() as (host, port):
             reader, writer = await asyncio.open_connection(host, port)
@@ -89,7 +91,7 @@
     run(main())
 
 
-def test_commands_are_answered_beside_stalled_connections(tmp_path: Path) -> None:
+def test_commands_get_replies_while_other_connections_stall(tmp_path: Path) -> None:
     async def main() -> None:
         port = free_port()
         async with (
@@ -106,7 +108,7 @@
     run(main())
 
 
-def test_nothing_is_shared_without_an_admin_address(tmp_path: Path) -> None:
+def test_no_shared_directory_is_created_without_an_admin_address(tmp_path: Path) -> None:
     async def main() -> None:
         async with (
             running_server(ScriptedEndpoint().handle_connection) as address,
--- a/tests/test_attempts_out.py
+++ b/tests/test_attempts_out.py
@@ -1,4 +1,7 @@
-"""Abandoned attempts: their connection ends before another attempt of the request is written."""
+"""Test of abandoned attempts: the connection of one is closed before the next attempt is written.
+
+Otherwise two attempts of one request could be in flight at once.
+"""
 
 from __future__ import annotations
 
@@ -21,37 +24,37 @@
     running_server,
 )
 
-ENDLESS_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nbegin"
+INCOMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nbegin"
 
 
-def has_received_end(connection: socket.socket) -> bool:
-    """Whether the peer has ended its side of a connection, at this moment."""
+def peer_has_closed(connection: socket.socket) -> bool:
+    """Whether the peer has closed its side of the connection by now."""
     poll = select.poll()
     poll.register(connection.fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 @async_test
-async def test_the_connection_of_an_abandoned_attempt_has_ended_when_the_next_attempt_is_written(
+async def test_the_connection_of_an_abandoned_attempt_is_closed_before_the_next_attempt_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """At the time of the second request the first endpoint can see the end of its connection."""
+    """When the second attempt is written, the first endpoint can already observe the close."""
     monkeypatch.setattr(response_timer, "MAX_RESPONSE_GAP_SECONDS", 0.05)
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     first_socket = list[socket.socket]()
-    has_ended = list[bool]()
+    was_closed = list[bool]()
 
     async def respond_incompletely(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         first_socket.append(writer.get_extra_info("socket"))
-        writer.write(ENDLESS_RESPONSE)
+        writer.write(INCOMPLETE_RESPONSE)
         await asyncio.Event().wait()
 
     def retry_after_error(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request):
             return [model.Forward(event.id, "s1", 5.0)]
         if isinstance(event, model.AttemptCompleted) and event.status is model.CallStatus.ERROR:
-            has_ended.append(has_received_end(first_socket[0]))
+            was_closed.append(peer_has_closed(first_socket[0]))
             return [model.Forward(event.request_id, "s2", 5.0)]
         return []
 
@@ -63,4 +66,4 @@
         LoopbackLimiter(script, {"s1": first_address, "s2": second_address}) as limiter,
     ):
         assert " 200 " in (await limiter.fetch(http_request()))[0]
-        assert has_ended == [True]
+        assert was_closed == [True]
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher over loopback sockets: one response to each request, deadlines, failing decisions."""
+"""Tests of the dispatcher over loopback sockets: one response per request, deadlines, failing decisions."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @async_test
-async def test_initial_endpoints_are_the_first_event_and_a_complete_list() -> None:
+async def test_the_first_event_is_a_complete_list_of_the_initial_endpoints() -> None:
     script = ScriptedDecisions(forward_to_s1)
     async with LoopbackLimiter(script, {"s1": "127.0.0.1:1"}):
         assert isinstance(script.events[0], model.EndpointUpdate)
@@ -60,11 +60,11 @@
         started_at = time.monotonic()
         assert " 504 " in (await limiter.fetch(http_request(timeout_ms=300)))[0]
         assert time.monotonic() - started_at > 0.2
-        await script.wait_for(model.ClientDisconnected)  # the decisions remove the request
+        await script.wait_for(model.ClientDisconnected)  # the decisions are notified of the end
 
 
 @async_test
-async def test_attempt_expires_before_the_client_timeout_whatever_its_own_timeout() -> None:
+async def test_attempt_expires_before_the_client_timeout_even_if_its_own_timeout_is_longer() -> None:
     def forward_with_long_timeout(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request):
             return [model.Forward(event.id, "s1", 60.0)]
@@ -76,9 +76,8 @@
         running_server(unresponsive.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
-        assert (
-            " 429 " in (await limiter.fetch(http_request(timeout_ms=400)))[0]
-        )  # as the decisions reject after the timeout
+        # The scripted decisions reject a request whose attempt has timed out.
+        assert " 429 " in (await limiter.fetch(http_request(timeout_ms=400)))[0]
         (completed,) = await script.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT
         assert completed.elapsed < 0.4
@@ -117,17 +116,17 @@
             model.CancelAttempt(event.id, 0), model.Forward(99, "unknown", 1.0), model.Reject(99, 0.1),
         ]  # fmt: skip
 
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     script = ScriptedDecisions(respond_and_continue)
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         reader, writer = await limiter.connect()
         writer.write(http_request() + http_request(Connection="close"))
-        answers = (await reader.read()).count(b"HTTP/1.1 429")
-        assert answers == 2
-        assert not origin.requests
+        rejections = (await reader.read()).count(b"HTTP/1.1 429")
+        assert rejections == 2
+        assert not endpoint.requests
 
 
 @async_test
@@ -166,16 +165,16 @@
 async def test_a_second_attempt_while_the_first_is_in_flight_is_a_violation_and_is_not_sent(
     no_violations: list[Violation],
 ) -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     script = ScriptedDecisions(forward_twice)
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         completed = await script.wait_for(model.AttemptCompleted, 2)
         assert [event.status for event in completed if event.attempt == 1] == [model.CallStatus.NOT_SENT]
-        assert len(origin.requests) == 1
+        assert len(endpoint.requests) == 1
     assert [violation.invariant for violation in no_violations] == [Invariant.ONE_ATTEMPT_AT_A_TIME]
     no_violations.clear()
 
@@ -193,17 +192,18 @@
             return [model.Fail(event.request_id)]
         return forward_to_s1(event)
 
-    origin = ScriptedEndpoint(lambda _number: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+    endpoint = ScriptedEndpoint(lambda _number: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(ScriptedDecisions(retry_once), {"s1": address}) as limiter,
     ):
         for _ in range(2):
             post = http_request("/post?account=00000000b4d65521", b"abc")
             assert " 502 " in (await limiter.fetch(post))[0]
-        assert len(origin.requests) == 2
+        assert len(endpoint.requests) == 2
     assert [violation.invariant for violation in no_violations] == [Invariant.REPEATED_SAFELY] * 2
-    assert caplog.text.count("invariant violated: repeated_safely") == 1  # logged once, with its attempts
+    # Only the first violation is logged; its trace lists the attempts.
+    assert caplog.text.count("invariant violated: repeated_safely") == 1
     assert "attempt 0 at s1" in no_violations[0].story
     assert "error after" in no_violations[0].story
     no_violations.clear()
@@ -225,16 +225,18 @@
         client_request.respond(504)
         script.decide = on_timer([model.Reject(first.id, 0.1), model.Reject(second.id, 0.1)])
         limiter.dispatcher.dispatch(model.TimerFired(1))
-        answers = await reader.read()
-        assert b" 429 " in answers
-        assert b" 502 " in answers
-        assert answers.count(b"HTTP/1.1 ") == 2
+        responses = await reader.read()
+        assert b" 429 " in responses
+        assert b" 502 " in responses
+        assert responses.count(b"HTTP/1.1 ") == 2
     assert [violation.invariant for violation in no_violations] == [Invariant.ANSWERED_ONCE] * 2
     no_violations.clear()
 
 
 @async_test
-async def test_exception_in_the_decisions_is_contained(caplog: pytest.LogCaptureFixture) -> None:
+async def test_an_exception_in_the_decisions_fails_only_the_affected_request(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     def fail_on_posts(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.Request) and event.request_class == "post":
             raise ZeroDivisionError
@@ -271,52 +273,54 @@
 async def test_draining_endpoint_receives_no_request_even_if_the_decisions_forward_to_it(
     complete: bool,
 ) -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     script = ScriptedDecisions(forward_to_s1)
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         remaining = {} if complete else {"s1": address}
         drained = watch_event(remaining, model.EndpointHealth.DRAINING, complete=complete)
         limiter.dispatcher.on_watch_event(drained)
-        await origin.disconnected.wait()
+        await endpoint.disconnected.wait()
         assert " 429 " in (await limiter.fetch(http_request()))[0]
-        assert len(origin.requests) == 1
+        assert len(endpoint.requests) == 1
 
 
 @async_test
-async def test_results_of_health_checks_and_counter_calls_are_events() -> None:
+async def test_results_of_health_checks_and_counter_calls_are_dispatched_as_events() -> None:
     def check_and_count(event: model.Event) -> list[model.Action]:
         if isinstance(event, model.EndpointUpdate):
             return [model.CheckHealth("s1"), model.IncrementCounter(5, 4.0, 1.0)]
         return []
 
     unavailable = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-    origin = ScriptedEndpoint(lambda number: OK_RESPONSE if number == 1 else unavailable)
+    endpoint = ScriptedEndpoint(lambda number: OK_RESPONSE if number == 1 else unavailable)
     script = ScriptedDecisions(check_and_count)
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         (healthy,) = await script.wait_for(model.HealthChecked)
         assert (healthy.endpoint, healthy.status) == ("s1", model.CallStatus.OK)
-        assert origin.requests[0][0] == "GET /healthz HTTP/1.1"
+        assert endpoint.requests[0][0] == "GET /healthz HTTP/1.1"
         limiter.dispatcher.on_watch_event(watch_event({"s1": address}))
         assert (await script.wait_for(model.HealthChecked, 2))[1].status is model.CallStatus.ERROR
-        without_counter = model.CounterReplied(5, model.CallStatus.UNREACHABLE)
-        assert script.events.count(without_counter) == 2
+        unreachable_reply = model.CounterReplied(5, model.CallStatus.UNREACHABLE)
+        assert script.events.count(unreachable_reply) == 2
 
 
 @async_test
-async def test_disconnected_client_gets_no_response_and_no_attempt(caplog: pytest.LogCaptureFixture) -> None:
+async def test_request_of_a_disconnected_client_gets_no_response_and_no_attempt(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     script = ScriptedDecisions(lambda _event: [])
     async with LoopbackLimiter(script, {}) as limiter:
         _, writer = await limiter.connect()
         writer.write(http_request())
         (request,) = await script.wait_for(model.Request)
-        writer.transport.abort()  # after a half-close a client still waits for its response
+        writer.transport.abort()  # not a half-close, after which the client would wait for a response
         await script.wait_for(model.ClientDisconnected)
         assert not limiter.dispatcher.open_requests
         assert not limiter.listener.shared.open_request_ids
@@ -355,10 +359,10 @@
 @async_test
 async def test_charged_units_are_reported_with_a_successful_attempt() -> None:
     response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Units-Charged: 3\r\n\r\nhi"
-    origin = ScriptedEndpoint(lambda _number: response)
+    endpoint = ScriptedEndpoint(lambda _number: response)
     script = ScriptedDecisions(forward_to_s1)
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         LoopbackLimiter(script, {"s1": address}) as limiter,
     ):
         assert " 200 " in (await limiter.fetch(http_request()))[0]
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -1,4 +1,4 @@
-"""Unexpected errors: the service continues, and each attempt is reported as ended."""
+"""Tests of unexpected exceptions: the service continues, and each attempt is reported as ended."""
 
 from __future__ import annotations
 
@@ -105,10 +105,10 @@
     async with running_server(serve) as address:
         host, port = address.split(":")
         watcher = EndpointWatcher(host, int(port), None, lambda _event: None)
-        following = asyncio.create_task(watcher.follow())
+        follow_task = asyncio.create_task(watcher.follow())
         async with asyncio.timeout(3.0):
             await polled.wait()
-        following.cancel()
+        follow_task.cancel()
 
 
 @pytest.mark.parametrize("on_reused_connection", [True, False])
@@ -116,7 +116,7 @@
 async def test_an_attempt_that_raises_after_its_write_counts_as_possibly_executed(
     on_reused_connection: bool, monkeypatch: pytest.MonkeyPatch, no_violations: list[Violation]
 ) -> None:
-    """Reported as not sent, it would allow an unsafe retry."""
+    """If the attempt were reported as not sent, the decisions could retry the request unsafely."""
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     script = ScriptedDecisions(forward_to_s1)
     async with (
