--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -35,7 +35,7 @@
         has_grown = event.count > self.context.process_count
         self.context.set_process_count(event.count)
         count = self.context.process_count
-        alone_until = now - event.seconds_unknown
+        alone_until = now - event.seconds_since_poll
         accounts = [
             account.set_process_count(now, count, alone_until) for account in self.table.accounts.values()
         ]
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -157,7 +157,7 @@
     """The number of processes of this limiter; above one while a new version takes over."""
 
     count: int
-    seconds_unknown: float = 0.0  # since the previous poll: the count may have changed at any time since
+    seconds_since_poll: float = 0.0  # since the previous poll: the count may have changed at any time since
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/net/dispatch/process_group_events.py
+++ b/quota_gateway/net/dispatch/process_group_events.py
@@ -33,7 +33,7 @@
         """Dispatch a change of the number of processes or of the suspended endpoints."""
         names = sorted(change.suspended_endpoints) or "none"
         log.info("processes of this limiter: %d; suspended endpoints: %s", change.process_count, names)
-        self._dispatch(model.ProcessCountChanged(change.process_count, change.seconds_unknown))
+        self._dispatch(model.ProcessCountChanged(change.process_count, change.seconds_since_poll))
         self._pool.exclude(change.suspended_endpoints)
         self._dispatch(model.SuspensionsChanged(change.suspended_endpoints))
 
--- a/quota_gateway/net/process_group/group.py
+++ b/quota_gateway/net/process_group/group.py
@@ -31,7 +31,7 @@
 
     process_count: int
     suspended_endpoints: frozenset[str]
-    seconds_unknown: float  # since the poll before: the change happened within this time
+    seconds_since_poll: float  # since the poll before: the change happened within this time
 
 
 OnChange = Callable[[GroupChange], None]
@@ -58,7 +58,7 @@
         self._notified_suspensions = frozenset[str]()
         self._poll_timer: asyncio.TimerHandle | None = None
         self._polled_at = 0.0  # seconds of the event loop's clock; 0 before the first poll
-        self._seconds_unknown = 0.0  # between the last two polls
+        self._seconds_since_poll = 0.0  # between the last two polls
         self._on_change: OnChange | None = None
         self._on_handover: OnHandover | None = None
 
@@ -158,7 +158,7 @@
             self._poll_timer.cancel()
         self._poll_timer = loop.call_later(POLL_INTERVAL_SECONDS, self._poll)
         now = loop.time()
-        self._seconds_unknown = now - self._polled_at if self._polled_at else 0.0
+        self._seconds_since_poll = now - self._polled_at if self._polled_at else 0.0
         self._polled_at = now
         steps = (
             self._membership.join,
@@ -186,7 +186,7 @@
         self._notified_process_count = process_count
         self._notified_suspensions = suspensions
         if self._on_change is not None:
-            self._on_change(GroupChange(process_count, suspensions, self._seconds_unknown))
+            self._on_change(GroupChange(process_count, suspensions, self._seconds_since_poll))
 
     def _take_over(self) -> None:
         state = self.read_handover()
