--- a/quota_gateway/lifecycle/shutdown.py
+++ b/quota_gateway/lifecycle/shutdown.py
@@ -30,7 +30,7 @@
     steps are timed from there, so that a stall of the process does not move the end beyond SIGKILL.
     """
     await _drain(components, terminated_at)
-    components.dispatcher.abandon_all()
+    components.dispatcher.respond_to_all()
     await components.listener.close(FLUSH_TIMEOUT_SECONDS)
     if components.admin is not None:
         await components.admin.close()
--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -93,7 +93,7 @@
         }
 
     @property
-    def open_requests(self) -> int:
+    def open_request_count(self) -> int:
         """The number of requests without a final response."""
         return len(self.requests)
 
@@ -206,7 +206,7 @@
         """Notify the decisions that this process is shutting down."""
         self.dispatch(model.ShutdownStarted())
 
-    def abandon_all(self) -> None:
+    def respond_to_all(self) -> None:
         """Respond to all open requests and to those that arrive later: the process is about to end."""
         self._terminating = True
-        self.requests.abandon_all()
+        self.requests.respond_to_all()
--- a/quota_gateway/net/dispatch/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -195,7 +195,7 @@
         pending.request.respond(status, retry_after=retry_after)
         self._dispatch(model.ClientDisconnected(request_id))
 
-    def abandon_all(self) -> None:
+    def respond_to_all(self) -> None:
         """Respond to all open requests: with 504 if an endpoint may be executing the request, 503 otherwise.
 
         Clients may retry after a 503.
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -104,7 +104,7 @@
         await script.wait_for(model.Request, request_count)
         close_client(client)
         assert len(await script.wait_for(model.ClientDisconnected, request_count)) == request_count
-        assert not limiter.dispatcher.open_requests
+        assert not limiter.dispatcher.open_request_count
 
 
 @async_test
@@ -191,7 +191,7 @@
         disconnect(client, close_client)
         execute(limiter, [action for event in events for action in forward_to_s1(event)])
         await assert_only_the_next_is_forwarded(limiter, endpoint, 1)
-        assert not limiter.dispatcher.open_requests
+        assert not limiter.dispatcher.open_request_count
 
 
 @async_test
@@ -331,7 +331,7 @@
         outcomes = await script.wait_for(model.AttemptCompleted, 2)
         assert outcomes[0].status is model.CallStatus.ERROR
         assert not clients
-        while limiter.dispatcher.open_requests:
+        while limiter.dispatcher.open_request_count:
             await asyncio.sleep(0)
         endpoint.response_for = lambda _n: OK_RESPONSE
         script.decide = forward_to_s1
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -50,7 +50,7 @@
         (completed,) = await script.wait_for(model.AttemptCompleted)
         result = completed.attempt, completed.status, completed.request_finished
         assert result == (0, model.CallStatus.OK, True)
-        assert limiter.dispatcher.open_requests == 0
+        assert limiter.dispatcher.open_request_count == 0
 
 
 @async_test
@@ -322,7 +322,7 @@
         (request,) = await script.wait_for(model.Request)
         writer.transport.abort()  # not a half-close, after which the client would wait for a response
         await script.wait_for(model.ClientDisconnected)
-        assert not limiter.dispatcher.open_requests
+        assert not limiter.dispatcher.open_request_count
         assert not limiter.listener.shared.open_request_ids
         late_actions: list[model.Action] = [
             model.Reject(request.id, 0.1),
@@ -350,7 +350,7 @@
         await unresponsive.request_received.wait()
         limiter.listener.start_draining()
         await limiter.listener.close(0.01)
-        limiter.dispatcher.abandon_all()
+        limiter.dispatcher.respond_to_all()
         assert " 504 " in (await read_message(reader))[0]
         await script.wait_for(model.ClientDisconnected)
         await limiter.listener.close(10)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -121,7 +121,7 @@
         await wait_for_partial_request(limiter)
         limiter.listener.start_draining()
         await limiter.listener.close(0.01)
-        limiter.dispatcher.abandon_all()
+        limiter.dispatcher.respond_to_all()
         closing = asyncio.create_task(limiter.listener.close(1000))
         writer.write(request[-2:])
         status, headers, _ = await read_message(reader)
@@ -141,7 +141,7 @@
         writer.write(http_request())
         await script.wait_for(model.Request)
         limiter.listener.start_draining()
-        limiter.dispatcher.abandon_all()
+        limiter.dispatcher.respond_to_all()
         status, headers, _ = await read_message(reader)
         assert " 503 " in status
         assert "retry-after" in headers
