--- a/quota_gateway/net/admin/listener.py
+++ b/quota_gateway/net/admin/listener.py
@@ -1,4 +1,4 @@
-"""The admin address: a connection carries one command of an operator and one reply.
+"""The admin address: a connection carries one admin command and its reply.
 
 Admin connections are separate from those of clients, so that neither load nor clients delay a reply. An admin
 client that stalls occupies one connection until its timeout; at ``MAX_CONNECTIONS`` the oldest connection is
@@ -54,7 +54,7 @@
     def __init__(self, listener: AdminListener) -> None:
         self._listener = listener
         self._command_text = b""
-        self._is_input_complete = False  # a command has been received, or the input rejected
+        self._is_input_complete = False  # a command or an overlong line was received, or the timeout is over
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -72,7 +72,7 @@
         self._listener.unregister(self)
 
     def data_received(self, data: bytes) -> None:
-        """Collect input up to a newline, and execute the command; reject an overlong line."""
+        """Collect input up to a newline and execute the command; reply with a failure to an overlong line."""
         if self._is_input_complete:
             return
         command_text, newline, _ = (self._command_text + data).partition(b"\n")
--- a/quota_gateway/net/dispatch/request_log.py
+++ b/quota_gateway/net/dispatch/request_log.py
@@ -18,7 +18,7 @@
 
 
 def describe_request(pending: PendingRequest) -> str:
-    """Describe a request by its client's id, its class, and its attempts in their order."""
+    """Describe a request: the id that its client gave it, its class, and its attempts in their order."""
     descriptions = [describe_attempt(number, attempt) for number, attempt in enumerate(pending.attempts)]
     request_id = pending.request.request_id.decode("latin-1")
     return "; ".join([f"request {request_id} of class {pending.event.request_class}", *descriptions])
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -39,7 +39,7 @@
 
 
 @asynccontextmanager
-async def listening_admin() -> AsyncIterator[tuple[str, int]]:
+async def running_admin_listener() -> AsyncIterator[tuple[str, int]]:
     listener = admin.AdminListener(EchoHandler())
     try:
         yield await listener.listen("127.0.0.1", 0)
@@ -49,7 +49,7 @@
 
 def test_a_command_is_passed_to_the_handler_with_its_endpoint() -> None:
     async def main() -> None:
-        async with listening_admin() as (_, port):
+        async with running_admin_listener() as (_, port):
             assert await send_command(port, b"RESTORE s1") == "RESTORE s1\nEOT\n"
             assert await send_command(port, b"STATUS") == "STATUS \nEOT\n"
 
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("command", MALFORMED_COMMANDS)
 def test_a_malformed_command_is_not_passed_to_the_handler(command: bytes) -> None:
     async def main() -> None:
-        async with listening_admin() as (_, port):
+        async with running_admin_listener() as (_, port):
             assert await send_command(port, command) == "FAILURE\n"
 
     run(main())
@@ -67,7 +67,7 @@
 
 def test_the_oldest_connection_is_closed_at_the_connection_limit() -> None:
     async def main() -> None:
-        async with listening_admin() as (host, port):
+        async with running_admin_listener() as (host, port):
             streams = [await asyncio.open_connection(host, port) for _ in range(admin.MAX_CONNECTIONS + 1)]
             oldest_reader, _ = streams[0]
             assert await oldest_reader.read() == b""
@@ -82,7 +82,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        async with listening_admin() as (host, port):
+        async with running_admin_listener() as (host, port):
             reader, writer = await asyncio.open_connection(host, port)
             writer.write(b"STAT")
             assert await reader.read() == b"FAILURE\n"
--- a/tests/test_attempts_out.py
+++ b/tests/test_attempts_out.py
@@ -1,4 +1,4 @@
-"""Test of abandoned attempts: the connection of one is closed before the next attempt is written.
+"""Test of abandoned attempts: their connection is closed before the next attempt of the request is written.
 
 Otherwise two attempts of one request could be in flight at once.
 """
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -15,7 +15,7 @@
 from quota_gateway.net.common.invariants import Invariant, Violation
 from quota_gateway.net.counter import connector as counter_connector
 from quota_gateway.net.counter.client import CounterClient
-from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery import watcher as watcher_module
 from quota_gateway.net.discovery.watcher import EndpointWatcher
 from quota_gateway.net.upstream import connector, idle_connections
 from quota_gateway.net.upstream.exchange_control import ExchangeControl
@@ -101,7 +101,7 @@
             raise failure
         return 0.0
 
-    monkeypatch.setattr(endpoint_watch, "poll_delay", fail_once)
+    monkeypatch.setattr(watcher_module, "poll_delay", fail_once)
     async with running_server(serve) as address:
         host, port = address.split(":")
         watcher = EndpointWatcher(host, int(port), None, lambda _event: None)
