--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -157,7 +157,7 @@
     """The number of processes of this limiter has changed; it is above one during an upgrade."""
 
     count: int
-    seconds_unknown: float = 0.0  # seconds since the previous poll; the change happened within this time
+    seconds_since_poll: float = 0.0  # seconds since the previous poll; the change happened within this time
 
 
 @dataclass(frozen=True, slots=True)
