--- a/soak/checker.py
+++ b/soak/checker.py
@@ -1,8 +1,8 @@
 """The checker: verifies the protocol's invariants on the history of a run.
 
-Each check is one function from the history to the violations that it finds. Times have the tolerance of the
-check, 50 ms more for sockets, and the runner's own delay around the moment. The limiters' own metrics are
-compared with what the clients observed.
+Each check is one function from the history to the violations that it finds. A time limit is exceeded only
+beyond the tolerance of the check, plus 50 ms for sockets, plus the runner's own delay around that time. The
+limiters' metrics are compared with what the clients observed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     find_attempts_after_disconnect,
     find_exceeded_ceilings,
     find_excessive_deadlines,
-    find_foreign_responses,
+    find_mismatched_responses,
     find_repeated_executions,
     find_unanswered_requests,
     find_unended_incomplete_requests,
@@ -27,7 +27,7 @@
 
 CHECKS: tuple[Check, ...] = (
     find_unanswered_requests,
-    find_foreign_responses,
+    find_mismatched_responses,
     find_repeated_executions,
     find_attempts_at_draining,
     find_attempts_at_suspended,
--- a/soak/client_behaviours.py
+++ b/soak/client_behaviours.py
@@ -1,4 +1,4 @@
-"""Faulty behaviours of clients that are more than one exchange: pipelining, resting, stopping, crowds."""
+"""Client behaviours other than one request and its response: pipelining, idle and incomplete requests."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from soak.request_factory import RequestFactory
 from soak.streams import write_open
 
-INCOMPLETE_REQUEST_PATIENCE_SECONDS = 8.0
+INCOMPLETE_REQUEST_WAIT_SECONDS = 8.0
 INCOMPLETE_HEAD_BYTES = 60
 PIPELINED_REQUESTS = 3
 MIN_REST_SECONDS = 0.2
 MAX_REST_SECONDS = 4.0  # a limiter may end an idle connection after 2 s
-MAX_CROWD_GAP_SECONDS = 0.3  # between two connections of one client of a crowd
+MAX_CROWD_CONNECT_DELAY_SECONDS = 0.3  # longest wait of a client of a crowd before it connects
 LONGER_THAN_ANY_RUN_SECONDS = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class _StoppingPoint:
-    """The point of a request at which a client stops; without body bytes it is within the head."""
+    """The point of a request at which a client stops sending; 0 sent body bytes: within the head."""
 
     name: str
     body_size: int
@@ -47,7 +47,7 @@
 
 
 class ClientBehaviours:
-    """These behaviours of the clients of one limiter."""
+    """Runs these behaviours for the clients of one limiter."""
 
     def __init__(
         self,
@@ -91,9 +91,10 @@
         await self._end_pipelined(requests)
 
     async def _end_pipelined(self, requests: list[ClientRequest]) -> None:
-        """End the requests whose connection has ended.
+        """End the open requests of a connection that has ended, or send them again.
 
-        The close of the limiter may have crossed all but the first one: these are sent again.
+        The limiter may have closed the connection before any but the first request reached it. The others are
+        therefore sent again on new connections.
         """
         for request in requests:
             if request.outcome is not RequestOutcome.OPEN:
@@ -104,9 +105,10 @@
                 await self._exchanges.resend(request)
 
     async def rest_between_requests(self) -> None:
-        """Send a request, rest until the limiter ends the connection or a while, and send another one.
+        """Send a request, leave the connection idle for a random time, and send a second request on it.
 
-        The second one may cross the limiter's end of the connection, and is sent again then.
+        No second request is sent if the limiter ends the connection while it is idle. If the limiter ends it
+        before the second request arrives, this request is sent again on a new connection.
         """
         first = self._factory.make(ClientBehaviour.RESTING)
         try:
@@ -129,7 +131,7 @@
             await self._exchanges.resend(second)
 
     async def send_incomplete_request(self) -> None:
-        """Stop within a request, stay connected, and record when the limiter ends the exchange."""
+        """Stop sending within a request, stay connected, and record when the limiter ends the exchange."""
         point = self._random.choice(STOPPING_POINTS)
         request = self._factory.make_incomplete(point.body_size)
         head = self._factory.format_head(request)
@@ -149,10 +151,10 @@
         )
         connection.abort()
 
-    async def hold_idle_connections(self) -> None:
-        """Hold an idle connection open until cancelled; one that the limiter closes is replaced."""
+    async def keep_idle_connection(self) -> None:
+        """Keep one idle connection open until cancelled; connect again when the limiter closes it."""
         while True:
-            await asyncio.sleep(self._random.uniform(0.0, MAX_CROWD_GAP_SECONDS))
+            await asyncio.sleep(self._random.uniform(0.0, MAX_CROWD_CONNECT_DELAY_SECONDS))
             try:
                 connection = await self._connections.connect()
             except OSError:
@@ -175,7 +177,7 @@
 
 
 async def _ends_within(connection: Connection, seconds: float) -> bool:
-    """Return whether the limiter ends an idle connection within a time."""
+    """Return whether the limiter ends an idle connection within ``seconds``."""
     try:
         async with asyncio.timeout(seconds):
             await connection.reader.read(1)
@@ -189,7 +191,7 @@
 async def _wait_for_end(connection: Connection) -> float:
     """Return when the first byte of a response or the close arrives; 0 if neither does in time."""
     try:
-        async with asyncio.timeout(INCOMPLETE_REQUEST_PATIENCE_SECONDS):
+        async with asyncio.timeout(INCOMPLETE_REQUEST_WAIT_SECONDS):
             await connection.reader.read(1)
     except TimeoutError:
         return 0.0
--- a/soak/client_connection.py
+++ b/soak/client_connection.py
@@ -1,4 +1,4 @@
-"""The HTTP connections of the clients: reading of responses, and reuse of idle connections."""
+"""The HTTP connections of the clients: they read responses and are reused while idle."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from soak.http_bodies import read_body
 from soak.proxy import LOOPBACK
 
-HTTP_STATUS_SLICE = slice(9, 12)  # in a status line
+HTTP_STATUS_SLICE = slice(9, 12)  # position of the status code in a status line
 MIN_FINAL_STATUS = 200
 
 
@@ -33,11 +33,11 @@
         return not self.writer.is_closing() and not self.reader.at_eof()
 
     def mark_reused(self) -> None:
-        """Record that the connection has had a request before."""
+        """Record that the connection has carried a request."""
         self.is_new = False
 
     def close(self) -> None:
-        """Close the connection after the buffered bytes."""
+        """Close the connection after the buffered bytes are sent."""
         self.writer.close()
 
     def abort(self) -> None:
@@ -85,7 +85,7 @@
     """The idle connections of the clients of one limiter."""
 
     def __init__(self, port: int) -> None:
-        """Connect to a port of loopback."""
+        """Connect to ``port`` on the loopback address."""
         self._port = port
         self._idle = deque[Connection]()
 
@@ -99,7 +99,7 @@
         return Connection(*await asyncio.open_connection(LOOPBACK, self._port))
 
     async def acquire(self) -> Connection:
-        """Return the connection that is idle for the longest time, or a new one."""
+        """Return the connection that has been idle for the longest time, or a new one."""
         while self._idle:
             connection = self._idle.popleft()
             if connection.is_reusable():
--- a/soak/client_exchanges.py
+++ b/soak/client_exchanges.py
@@ -1,4 +1,4 @@
-"""One exchange of a client: it sends a request and waits for the response as its behaviour says."""
+"""One exchange of a client: it sends a request and waits for the response, as its behaviour requires."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from soak.request_factory import RequestFactory
 from soak.streams import write_end, write_open
 
-RESPONSE_PATIENCE_SECONDS = 2.0  # after the request's timeout
+# A client waits for a response until this long after the request's timeout.
+RESPONSE_WAIT_AFTER_TIMEOUT_SECONDS = 2.0
 DISCONNECT_WITHIN_SECONDS = 0.2
 CLOSE_ON_DISCONNECT_FRACTION = 0.5  # the other clients reset the connection
 HEAD_FRAGMENT_BYTES = 40
@@ -72,7 +73,7 @@
         return None
 
     async def write(self, request: ClientRequest, writer: asyncio.StreamWriter) -> None:
-        """Write a request, in fragments if its client does so."""
+        """Write a request; write its head in fragments if its behaviour is ``FRAGMENTED_REQUEST``."""
         head = self._factory.format_head(request)
         if request.behaviour is ClientBehaviour.FRAGMENTED_REQUEST:
             for start in range(0, len(head), HEAD_FRAGMENT_BYTES):
@@ -87,13 +88,13 @@
                 await asyncio.sleep(UPLOAD_GAP_SECONDS)
 
     async def wait_for_response(self, request: ClientRequest, connection: Connection) -> Response | None:
-        """Wait as long as the client's behaviour says; return None if it gave up."""
+        """Return the response, or None if the client timed out or disconnected before it."""
         disconnects = request.behaviour is ClientBehaviour.DISCONNECT
-        patience = request.timeout + RESPONSE_PATIENCE_SECONDS
+        max_wait = request.timeout + RESPONSE_WAIT_AFTER_TIMEOUT_SECONDS
         if disconnects:
-            patience = self._random.uniform(0.0, DISCONNECT_WITHIN_SECONDS)
+            max_wait = self._random.uniform(0.0, DISCONNECT_WITHIN_SECONDS)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(max_wait):
                 response = await read_response(connection.reader)
         except TimeoutError:
             request.end(RequestOutcome.DISCONNECTED if disconnects else RequestOutcome.TIMED_OUT)
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: they send the traffic of one limiter, plain or with a faulty behaviour."""
+"""The clients of a run: they send the traffic to one limiter, plain or with a faulty behaviour."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from soak.client_behaviours import INCOMPLETE_REQUEST_PATIENCE_SECONDS, ClientBehaviours
+from soak.client_behaviours import INCOMPLETE_REQUEST_WAIT_SECONDS, ClientBehaviours
 from soak.client_connection import ConnectionPool
 from soak.client_exchanges import ClientExchanges
 from soak.history import ClientBehaviour, History, RequestOutcome
@@ -23,8 +23,8 @@
 class LimiterClients:
     """All clients of one limiter.
 
-    Behaviours are drawn by their fractions for each request; the other requests are plain. While new
-    connections are blocked, requests use idle connections only.
+    A behaviour is drawn for each request, with the fractions given to ``start_behaviour``; the other requests
+    are plain. While new connections are blocked, requests use idle connections only.
     """
 
     def __init__(
@@ -51,15 +51,15 @@
         self._rate *= factor
 
     def start_behaviour(self, behaviour: ClientBehaviour, fraction: float) -> None:
-        """Let a fraction of the requests show a behaviour."""
+        """Send a fraction of the requests with a faulty behaviour."""
         self._fractions[behaviour] = fraction
 
     def end_behaviour(self, behaviour: ClientBehaviour) -> None:
-        """Let no further request show a behaviour."""
+        """Send no further request with a behaviour."""
         self._fractions.pop(behaviour, None)
 
     def block_connects(self) -> None:
-        """Open no new connections."""
+        """Stop opening new connections."""
         self._may_connect = False
 
     def allow_connects(self) -> None:
@@ -67,8 +67,8 @@
         self._may_connect = True
 
     async def crowd(self, count: int, seconds: float) -> None:
-        """Hold idle connections open for a time."""
-        members = [self._start_task(self._behaviours.hold_idle_connections()) for _ in range(count)]
+        """Keep ``count`` idle connections open for ``seconds``."""
+        members = [self._start_task(self._behaviours.keep_idle_connection()) for _ in range(count)]
         await asyncio.sleep(seconds)
         for member in members:
             member.cancel()
@@ -83,7 +83,7 @@
     async def finish(self) -> None:
         """Wait for the open requests, then close the connections."""
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=2 * INCOMPLETE_REQUEST_PATIENCE_SECONDS)
+            await asyncio.wait(self._tasks, timeout=2 * INCOMPLETE_REQUEST_WAIT_SECONDS)
         for task in self._tasks:
             task.cancel()
         self._connections.close()
@@ -127,7 +127,7 @@
             return
         await self._exchanges.run(request, connection)
         if request.outcome is RequestOutcome.CONNECTION_CLOSED and not request.on_new_connection:
-            # The limiter may have closed the idle connection before the request.
+            # The limiter may have closed the idle connection before the request reached it.
             await self._exchanges.resend(request)
         is_rejected = request.status in RETRYABLE_STATUSES
         if behaviour is ClientBehaviour.IMMEDIATE_RETRIES and retries and is_rejected:
--- a/soak/endpoint_checks.py
+++ b/soak/endpoint_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what draining, suspended and warming up endpoints receive."""
+"""Checks of the attempts that draining, suspended and warming up endpoints receive."""
 
 from __future__ import annotations
 
@@ -26,13 +26,17 @@
 )
 from soak.violations import Invariant, Violation
 
+# A suspension that the limiter accepts is in force at the latest this long after SUSPEND was sent.
 SUSPENSION_TIMEOUT_SECONDS = 1.0
-NOTIFIED_FRACTION = 2 / 3  # of an overload, sent by limiters that knew of the restart
-MIN_BUNCHING_SECONDS = 0.05  # for which the endpoints of the soak test read nothing, and then much at once
-FEW_REQUESTS = 30  # below which the statistical tolerance is wider
+# An overload is a violation if notified limiters sent more than this fraction of its requests.
+NOTIFIED_FRACTION = 2 / 3
+# During a stall of the soak test its endpoints read nothing; afterwards they read many requests at once.
+MIN_STALL_SECONDS = 0.05
+# If fewer requests are expected, the statistical tolerance is wider.
+SMALL_SAMPLE_REQUESTS = 30
 
 
-class _Draining(NamedTuple):
+class _DrainPeriod(NamedTuple):
     """A time during which an endpoint was listed as draining."""
 
     change: EndpointChange
@@ -40,41 +44,44 @@
 
 
 def find_attempts_at_draining(history: History) -> Iterator[Violation]:
-    """Find attempts at a draining endpoint after the grace that follows the notification."""
-    drains = _find_drains(history)
+    """Find attempts at a draining endpoint after the notification deadline and the drain grace."""
+    periods = _find_drain_periods(history)
     for attempts in history.attempts.values():
         for attempt in attempts:
             request = history.requests.get(attempt.request_id)
             if request is None:
                 continue
-            for draining in drains.get(attempt.endpoint, []):
-                if draining.change.at < attempt.first_byte_at < draining.end:
-                    yield from _check_draining(history, draining, request, attempt)
+            for period in periods.get(attempt.endpoint, []):
+                if period.change.at < attempt.first_byte_at < period.end:
+                    yield from _check_drain_period(history, period, request, attempt)
 
 
-def _find_drains(history: History) -> dict[str, list[_Draining]]:
-    drains = defaultdict[str, list[_Draining]](list)
+def _find_drain_periods(history: History) -> dict[str, list[_DrainPeriod]]:
+    periods = defaultdict[str, list[_DrainPeriod]](list)
     for number, change in enumerate(history.endpoint_changes):
         if change.health is EndpointHealth.READY:
             continue
-        later = (
+        later_times = (
             other.at for other in history.endpoint_changes[number + 1 :] if other.endpoint == change.endpoint
         )
-        drains[change.endpoint].append(_Draining(change, next(later, float("inf"))))
-    return drains
+        periods[change.endpoint].append(_DrainPeriod(change, next(later_times, float("inf"))))
+    return periods
 
 
-def _check_draining(
-    history: History, draining: _Draining, request: ClientRequest, attempt: Attempt
+def _check_drain_period(
+    history: History, period: _DrainPeriod, request: ClientRequest, attempt: Attempt
 ) -> Iterator[Violation]:
     at = attempt.first_byte_at
-    notified_at = notification_deadline(history, request.limiter, draining.change.at)
-    latest = notified_at + DRAIN_GRACE_SECONDS + WRITE_DELAY_SECONDS + timing_tolerance(history, at)
-    fault_free_latest = latest - notified_at + draining.change.at + FAULT_FREE_NOTIFICATION_SECONDS
+    notified_by = notification_deadline(history, request.limiter, period.change.at)
+    latest = notified_by + DRAIN_GRACE_SECONDS + WRITE_DELAY_SECONDS + timing_tolerance(history, at)
+    fault_free_latest = latest - notified_by + period.change.at + FAULT_FREE_NOTIFICATION_SECONDS
     if fault_free_latest < at <= latest:
         history.excuse(Excuse.LATE_NOTIFICATION)
     if at > latest and not is_excused_by_network(history, attempt, at):
-        text = f"attempt at draining {attempt.endpoint} {at - notified_at:.3f} s after the notification"
+        text = (
+            f"attempt at draining endpoint {attempt.endpoint} {at - notified_by:.3f} s after the time "
+            "by which the limiter must have been notified"
+        )
         yield Violation(Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS, at, text, request.id, request.limiter)
 
 
@@ -89,7 +96,10 @@
             for suspension in accepted:
                 if _violates_suspension(history, suspension, request, attempt):
                     age = attempt.first_byte_at - suspension.accepted_at
-                    text = f"attempt at suspended {attempt.endpoint} {age:.3f} s after the success of SUSPEND"
+                    text = (
+                        f"attempt at suspended endpoint {attempt.endpoint} {age:.3f} s "
+                        "after the limiter accepted SUSPEND"
+                    )
                     yield Violation(
                         Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS,
                         attempt.first_byte_at,
@@ -112,7 +122,7 @@
 
 
 def find_overloads(history: History) -> Iterator[Violation]:
-    """Find endpoints that received more than their budget from all limiters while they warmed up."""
+    """Find endpoints that received too many requests from all limiters together while they warmed up."""
     attempts_by_endpoint = defaultdict[str, list[Attempt]](list)
     for attempts in history.attempts.values():
         for attempt in attempts:
@@ -141,20 +151,20 @@
 
 
 def _estimate_capacity(history: History, attempts_by_endpoint: dict[str, list[Attempt]]) -> float:
-    """Return the mean requests a second of an endpoint, which a warm endpoint is able to serve."""
+    """Return the mean rate of an endpoint, in requests a second, as a rate that a warm endpoint can serve."""
     times = [attempt.complete_at for attempts in attempts_by_endpoint.values() for attempt in attempts]
     seconds = max(1.0, max(times, default=1.0) - history.started_at)
     return len(times) / seconds / max(1, len(attempts_by_endpoint))
 
 
 def allowed_requests(capacity: float, age: float) -> float:
-    """Return the requests that an endpoint may receive within the overload window.
+    """Return how many requests an endpoint may receive within the overload window.
 
-    ``capacity`` is in requests a second when warm, ``age`` in seconds since the endpoint's start.
+    ``capacity`` is what a warm endpoint serves, in requests a second; ``age`` is seconds since its start.
     """
     warm_fraction = INITIAL_CAPACITY_FRACTION + (1 - INITIAL_CAPACITY_FRACTION) * age / WARM_UP_SECONDS
     requests = OVERLOAD_FACTOR * capacity * min(1.0, warm_fraction) * OVERLOAD_WINDOW_SECONDS
-    if requests < FEW_REQUESTS:
+    if requests < SMALL_SAMPLE_REQUESTS:
         return requests + 3 * sqrt(requests) + 3
     return requests + 2 * sqrt(requests) + 2
 
@@ -162,7 +172,10 @@
 def _find_overload(
     history: History, change: EndpointChange, received: list[Attempt], capacity: float
 ) -> Iterator[Violation]:
-    """Report the first overload, if limiters that had to know of the restart sent most of it."""
+    """Report the first window that exceeds the allowed requests, if notified limiters sent most of them.
+
+    Later windows are not checked.
+    """
     received = sorted(received, key=lambda attempt: attempt.complete_at)
     begin = 0
     for end, last in enumerate(received):
@@ -172,10 +185,10 @@
         allowed = allowed_requests(capacity, max(0.0, age))
         window = received[begin : end + 1]
         if age < WARM_UP_SECONDS and len(window) > allowed:
-            notified = sum(_had_to_know(history, change, attempt) for attempt in window)
-            begun_at = window[0].complete_at - OVERLOAD_WINDOW_SECONDS
-            is_inexact = is_excused_by_runner(history, begun_at, last.complete_at, MIN_BUNCHING_SECONDS)
-            if notified > NOTIFIED_FRACTION * len(window) and not is_inexact:
+            notified = sum(_is_from_notified_limiter(history, change, attempt) for attempt in window)
+            window_start = window[0].complete_at - OVERLOAD_WINDOW_SECONDS
+            is_excused = is_excused_by_runner(history, window_start, last.complete_at, MIN_STALL_SECONDS)
+            if notified > NOTIFIED_FRACTION * len(window) and not is_excused:
                 text = (
                     f"{change.endpoint} received {len(window)} requests within "
                     f"{OVERLOAD_WINDOW_SECONDS:.0f} s, {notified} from notified limiters, "
@@ -185,7 +198,8 @@
             return
 
 
-def _had_to_know(history: History, change: EndpointChange, attempt: Attempt) -> bool:
+def _is_from_notified_limiter(history: History, change: EndpointChange, attempt: Attempt) -> bool:
+    """Whether the limiter must have been notified of the change when its attempt arrived."""
     request = history.requests.get(attempt.request_id)
     if request is None:
         return False
--- a/soak/endpoints.py
+++ b/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a run: they record each attempt, and show faulty behaviour on command."""
+"""The endpoints of a run: they record each attempt, and behave faultily while a fault is injected."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 MIN_SERVICE_SECONDS = 0.004
 MAX_SERVICE_SECONDS = 0.03
 DRAINING_REJECTION_FRACTION = 0.5
-FRAGMENTS = 8  # of a response
+FRAGMENTS_PER_RESPONSE = 8
 MIN_FRAGMENT_BYTES = 20
 FRAGMENT_GAP_SECONDS = 0.01
 LONG_RESPONSE_BYTES = 200_000
-MISSING_BYTES = 1000  # of an incomplete response
+MISSING_BYTES = 1000  # Content-Length of an incomplete response less the bytes sent
 LONGER_THAN_ANY_RUN_SECONDS = 3600.0
 HEALTH_CHECK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -29,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """The faulty behaviour of an endpoint; fractions are of its requests."""
+    """The faulty behaviour of an endpoint; the fractions are fractions of its requests."""
 
-    hangs: bool = False  # accepts requests and sends no response
+    hangs: bool = False  # True: the endpoint accepts requests and sends no response
     error_fraction: float = 0.0
     rejection_fraction: float = 0.0
     fragmented_fraction: float = 0.0
@@ -43,14 +43,14 @@
 
 
 class SoakEndpoint:
-    """One endpoint behind a proxy of its own."""
+    """One endpoint, which the limiters reach through its own proxy."""
 
     def __init__(self, name: str, zone: str, history: History, random: Random) -> None:
-        """``random`` draws service times and the requests that meet a fault."""
+        """``random`` draws the service times, and the requests that a fault affects."""
         self.name = name
         self.zone = zone
         self.incarnation = 0
-        self.started_at_ms = 0  # Unix time; 0: unknown, long ago
+        self.started_at_ms = 0  # Unix time; 0: unknown, a long time before the run
         self.health = EndpointHealth.READY
         self.proxy: Proxy
         self._behaviour = Behaviour()
@@ -61,7 +61,7 @@
         self._tasks = set[asyncio.Task[None]]()
 
     async def open(self) -> None:
-        """Listen behind the proxy."""
+        """Start to listen, and open the proxy that forwards to this endpoint."""
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0, backlog=1024)
         self.proxy = Proxy(Address(LOOPBACK, self._server.sockets[0].getsockname()[1]))
         await self.proxy.open()
@@ -77,7 +77,7 @@
         self.end_fault()
 
     def start_draining(self) -> None:
-        """Reject half of the requests, and report the draining."""
+        """Reject half of the requests, and report draining in the next endpoint update."""
         self.health = EndpointHealth.DRAINING
 
     def end_draining(self) -> None:
@@ -85,11 +85,11 @@
         self.health = EndpointHealth.READY
 
     def start_fault(self, behaviour: Behaviour) -> None:
-        """Show a faulty behaviour in place of the one before."""
+        """Replace the current behaviour by a faulty one."""
         self._behaviour = behaviour
 
     def end_fault(self) -> None:
-        """Show normal behaviour."""
+        """Return to normal behaviour."""
         self._behaviour = Behaviour()
 
     def close(self) -> None:
@@ -196,7 +196,7 @@
 
 
 async def _write_fragments(writer: asyncio.StreamWriter, response: bytes) -> None:
-    size = max(MIN_FRAGMENT_BYTES, len(response) // FRAGMENTS)
+    size = max(MIN_FRAGMENT_BYTES, len(response) // FRAGMENTS_PER_RESPONSE)
     for start in range(0, len(response), size):
         write_open(writer, response[start : start + size])
         await asyncio.sleep(FRAGMENT_GAP_SECONDS)
@@ -223,7 +223,7 @@
 
 
 async def _closes_within(reader: asyncio.StreamReader, seconds: float) -> bool:
-    """Return whether the limiter closes the connection within a time, as it does to abandon an attempt."""
+    """Return whether the limiter closes the connection, and so abandons the attempt, within ``seconds``."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             return await reader.read(1) == b""
--- a/soak/excuses.py
+++ b/soak/excuses.py
@@ -1,4 +1,4 @@
-"""Why something that looks like a violation is none; each run prints how often each reason was used."""
+"""The reasons why an observation is no violation; each run prints how often it used each reason."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 
 class Excuse(StrEnum):
-    """A reason, with the sentence of the pages or the fault of the run behind it."""
+    """The reasons, with the rule of the specification or the fault of the run that justifies them."""
 
-    KILLED = "its process was killed"  # when a process dies, its connections are reset (PROTOCOL)
-    # What SIGKILL finds unanswered, if it arrived over 0.7 s after SIGTERM (PROTOCOL).
+    # The connections of a process are reset when it dies (PROTOCOL).
+    KILLED = "its process was killed"
+    # A request that arrived more than 0.7 s after SIGTERM may be unanswered at SIGKILL (PROTOCOL).
     KILLED_IN_SHUTDOWN = "arrived late in a shutdown, killed"
     RESENT_AFTER_KILL = "sent again by its client after a kill"
     READ_FAILED = "a read of its connection failed"
-    # A crowd of idle clients fills the descriptors: new connections may be shut unread (STANDING).
-    CROWDED = "shut unread in a crowd"
+    # While idle clients use up the file descriptors, new connections may be closed unread (STANDING).
+    DESCRIPTORS_EXHAUSTED = "shut unread in a crowd"
     PROCESS_STOPPED = "its process was stopped"
-    LEFT_AT_DOOR = "no process served the accept queue"
+    ACCEPT_QUEUE_UNSERVED = "no process served the accept queue"
     RUNNER_LATE = "the soak test itself was late"
     NO_PROCESS = "refused while no process had to accept"
     NETWORK_FAULT = "a network fault delayed the attempt"
--- a/soak/history.py
+++ b/soak/history.py
@@ -86,9 +86,9 @@
     body_size: int = 0  # bytes
     sent_at: float = 0.0  # time of the last byte; 0: not sent completely
     on_new_connection: bool = False
-    resent: bool = False  # on a new connection, after the limiter closed an idle one
+    resent: bool = False  # True: sent again on a new connection, because the limiter closed an idle one
     resent_at: float = 0.0
-    client_port: int = 0  # of the connection that carried it last
+    client_port: int = 0  # the client's port of the last connection that carried the request
     outcome: RequestOutcome = RequestOutcome.OPEN
     status: int = 0
     body: bytes = b""
@@ -122,7 +122,7 @@
 
     @property
     def has_complete_response(self) -> bool:
-        """Whether the client received a response to its last byte."""
+        """Whether the client received a response up to its last byte."""
         return self.outcome is RequestOutcome.RESPONSE_RECEIVED and self.status != TRUNCATED_RESPONSE_STATUS
 
 
@@ -132,15 +132,15 @@
 
     request_id: str
     endpoint: str
-    incarnation: int  # of the endpoint, from 0
+    incarnation: int  # incarnation of the endpoint, from 0
     connection: int
     first_byte_at: float
     complete_at: float
     propagated_deadline: float  # seconds; 0: none
     body_size: int  # bytes
-    executed: bool = True  # False: rejected as not executed
+    executed: bool = True  # False: the endpoint rejected the request without executing it
     response: bytes = b""
-    ended_at: float = 0.0  # time of the response or of the connection's end; 0: neither
+    ended_at: float = 0.0  # time of the response or of the connection's end; 0: not ended
 
     def reject(self) -> None:
         """Record that the endpoint does not execute the request."""
@@ -209,17 +209,17 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequest:
-    """A request that its client did not complete while it stayed connected."""
+    """A request whose client stopped sending within it and stayed connected."""
 
     limiter: int
-    sent_part: str
+    stopped_in: str  # name of the stopping point
     stopped_at: float
     ended_at: float  # time of the error response or the close; 0: neither
 
 
 @dataclass(frozen=True, slots=True)
 class CommandReply:
-    """An operator's command and its reply."""
+    """An admin command and its reply."""
 
     limiter: int
     command: str
@@ -242,7 +242,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerDelay:
-    """A moment at which the runner itself was late; its recorded times are off by as much."""
+    """A delay of the runner itself; times that it recorded around ``at`` may be late by ``seconds``."""
 
     at: float
     seconds: float
@@ -250,7 +250,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerEvent:
-    """Something that the runner did."""
+    """An action of the runner."""
 
     at: float
     text: str
@@ -269,11 +269,14 @@
     incomplete_requests: list[IncompleteRequest] = field(default_factory=list)
     replies: list[CommandReply] = field(default_factory=list)
     processes: list[ProcessLifetime] = field(default_factory=list)
-    held_accept_queues: set[int] = field(default_factory=set)  # limiters whose listening socket stays open
-    failed_reads: dict[int, set[int]] = field(default_factory=lambda: defaultdict(set))  # ports by limiter
+    # Limiters whose listening socket stays open while no process runs.
+    held_accept_queues: set[int] = field(default_factory=set)
+    # Client ports of the connections on which a read failed, by limiter.
+    failed_reads: dict[int, set[int]] = field(default_factory=lambda: defaultdict(set))
     excuses: Counter[Excuse] = field(default_factory=Counter)
     exits: list[ProcessExit] = field(default_factory=list)
-    metrics: dict[int, dict[str, int]] = field(default_factory=dict)  # of limiters that never restarted
+    # Metrics by limiter, without the limiters that were restarted.
+    metrics: dict[int, dict[str, int]] = field(default_factory=dict)
     runner_delays: list[RunnerDelay] = field(default_factory=list)
     runner_errors: list[str] = field(default_factory=list)  # faults of the soak test itself
     runner_events: list[RunnerEvent] = field(default_factory=list)
@@ -289,7 +292,7 @@
         self.runner_events.append(RunnerEvent(time.monotonic(), text))
 
     def record_runner_error(self, context: str, error: BaseException | None) -> None:
-        """Record an unexpected error in the soak test itself: the run has no verdict."""
+        """Record an unexpected error in the soak test itself; the command exits with ``SOAK_FAILURE``."""
         trace = "".join(traceback.format_exception(error)) if error is not None else ""
         self.runner_errors.append(f"{context}\n{trace}".strip())
 
@@ -299,7 +302,7 @@
 
     @contextmanager
     def span(self, kind: SpanKind, limiter: int) -> Iterator[None]:
-        """Record a span around the body; nothing is recorded if the body raises."""
+        """Record the time of the ``with`` block as a span; record nothing if the block raises."""
         start = time.monotonic()
         yield
         self.spans.append(Span(kind, limiter, start, time.monotonic()))
@@ -315,7 +318,7 @@
         return [process for process in self.processes if process.limiter == limiter]
 
     def runner_delay_around(self, at: float) -> float:
-        """Return the seconds by which times recorded around a moment may be off."""
+        """Return the seconds by which times recorded around ``at`` may be late."""
         return max(
             (
                 delay.seconds
--- a/soak/http_bodies.py
+++ b/soak/http_bodies.py
@@ -1,14 +1,14 @@
-"""Reading of message bodies in all framings of HTTP/1.1."""
+"""Reads HTTP/1.1 message bodies in each framing."""
 
 from __future__ import annotations
 
 import asyncio
 
-LINE_END = b"\r\n"
+CRLF = b"\r\n"
 
 
 async def read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
-    """Return a body in the framing that the headers announce; it must have no trailers.
+    """Return a body in the framing that the headers announce; trailers are not supported.
 
     Raises ValueError if a chunk is malformed.
     """
@@ -19,12 +19,12 @@
     chunks = []
     while size := int((await reader.readline()).partition(b";")[0], 16):
         chunks.append(await reader.readexactly(size))
-        await _read_line_end(reader)
-    await _read_line_end(reader)
+        await _read_crlf(reader)
+    await _read_crlf(reader)
     return b"".join(chunks)
 
 
-async def _read_line_end(reader: asyncio.StreamReader) -> None:
+async def _read_crlf(reader: asyncio.StreamReader) -> None:
     line = await reader.readline()
-    if line != LINE_END:
-        raise ValueError(f"expected the end of a line, found {line[:40]!r}")
+    if line != CRLF:
+        raise ValueError(f"malformed chunked body: expected CRLF, got {line[:40]!r}")
--- a/soak/process_checks.py
+++ b/soak/process_checks.py
@@ -1,4 +1,4 @@
-"""Checks of processes: replies to operators' commands, exits, logs and metrics."""
+"""Checks of processes: replies to admin commands, exits, logs and metrics."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 METRICS_TOLERANCE_FRACTION = 0.01
 METRICS_TOLERANCE_REQUESTS = 3
 EXPECTED_EXIT_CODES = (0, -signal.SIGKILL)
-ERROR_MARKS = ("Traceback", "invariant violated")  # in the log of a process
+# A process that logs one of these texts had an internal error.
+ERROR_MARKERS = ("Traceback", "invariant violated")
 LOG_TAIL_CHARACTERS = 600
-CHARACTERS_BEFORE_MARK = 200
-CHARACTERS_AFTER_MARK = 1500
+CHARACTERS_BEFORE_MARKER = 200
+CHARACTERS_AFTER_MARKER = 1500
 # While one of these affects a limiter, its admin address may be unreachable.
 REPLY_DELAYING_KINDS = (
     FaultKind.KILL,
@@ -30,7 +31,10 @@
 
 
 def find_late_replies(history: History) -> Iterator[Violation]:
-    """Find operators' commands with a late reply or none."""
+    """Find admin commands with a late reply or without a reply.
+
+    The time in which the limiter was stopped does not count.
+    """
     for reply in history.replies:
         start, end = reply.sent_at, reply.received_at
         waited = end - start - history.span_seconds(LimiterState.STOPPED, reply.limiter, start, end)
@@ -39,44 +43,49 @@
             Excuse.ADMIN_UNREACHABLE,
             applies=history.is_affected(reply.limiter, start, end, *REPLY_DELAYING_KINDS),
         ):
-            text = f"{reply.command}: {reply.text or 'no reply'} after {waited:.3f} s"
+            text = f"admin command {reply.command}: {reply.text or 'no reply'} after {waited:.3f} s"
             yield Violation(Invariant.ADMIN_REPLY, end, text, limiter=reply.limiter)
 
 
 def find_crashes(history: History) -> Iterator[Violation]:
     """Find processes that exited unexpectedly or with an error code, or logged an internal error."""
     for ended in history.exits:
-        # Before it is ready, a process may not handle SIGTERM yet.
+        # SIGTERM may end a process that is not ready: it has no handler for the signal yet.
         is_early = ended.code == -signal.SIGTERM and not ended.was_ready
         if not ended.expected or (ended.code not in EXPECTED_EXIT_CODES and not is_early):
-            text = f"exit code {ended.code}: {ended.log[-LOG_TAIL_CHARACTERS:]}"
+            text = f"process exited with code {ended.code}; log ends with: {ended.log[-LOG_TAIL_CHARACTERS:]}"
             yield Violation(Invariant.CLEAN_EXIT, ended.at, text, limiter=ended.limiter)
-        for mark in ERROR_MARKS:
-            if mark in ended.log:
+        for marker in ERROR_MARKERS:
+            if marker in ended.log:
                 yield Violation(
                     Invariant.NO_INTERNAL_ERROR,
                     ended.at,
-                    f"log: {_excerpt(ended.log, mark)}",
+                    f"internal error in the log: {_excerpt(ended.log, marker)}",
                     limiter=ended.limiter,
                 )
 
 
-def _excerpt(log: str, mark: str) -> str:
-    start = log.index(mark)
-    return log[max(0, start - CHARACTERS_BEFORE_MARK) : start + CHARACTERS_AFTER_MARK]
+def _excerpt(log: str, marker: str) -> str:
+    start = log.index(marker)
+    return log[max(0, start - CHARACTERS_BEFORE_MARKER) : start + CHARACTERS_AFTER_MARKER]
 
 
 def find_wrong_metrics(history: History) -> Iterator[Violation]:
-    """Find metrics that count invariant violations or other responses than the clients received."""
+    """Find metrics that count invariant violations, or count other responses than the clients received."""
     for limiter, metrics in history.metrics.items():
         for name, value in metrics.items():
             if name.startswith("app.violations.") and value:
-                yield Violation(Invariant.NO_INTERNAL_ERROR, 0.0, f"{name}={value}", limiter=limiter)
+                yield Violation(
+                    Invariant.NO_INTERNAL_ERROR, 0.0, f"metric {name} is {value}", limiter=limiter
+                )
         requests = [request for request in history.requests.values() if request.limiter == limiter]
         served = sum(request.status == HTTPStatus.OK for request in requests)
-        unclear = sum(not request.has_complete_response for request in requests)
+        unanswered = sum(not request.has_complete_response for request in requests)
         counted = sum(value for name, value in metrics.items() if name.endswith(".passed"))
         tolerance = max(METRICS_TOLERANCE_REQUESTS, METRICS_TOLERANCE_FRACTION * served)
-        if not served - tolerance <= counted <= served + unclear + tolerance:
-            text = f"{counted} counted as served, clients received {served}, {unclear} without a response"
+        if not served - tolerance <= counted <= served + unanswered + tolerance:
+            text = (
+                f"the metrics count {counted} served requests; the clients received {served} responses "
+                f"with status 200, and no complete response to {unanswered} requests"
+            )
             yield Violation(Invariant.METRICS, 0.0, text, limiter=limiter)
--- a/soak/request_checks.py
+++ b/soak/request_checks.py
@@ -35,14 +35,16 @@
 )
 from soak.violations import Invariant, Violation
 
-RESPONSE_GRACE_SECONDS = 0.5  # after the client's timeout
-KILL_GRACE_SECONDS = 0.7  # after SIGTERM; what arrives up to then must be answered before SIGKILL
+# A response may arrive up to this long after the client's timeout.
+RESPONSE_GRACE_SECONDS = 0.5
+# Requests that arrive within this time after SIGTERM must be answered before SIGKILL.
+KILL_GRACE_SECONDS = 0.7
 LONG_RESPONSE_BYTES = 64 * 1024
 DISCONNECT_GRACE_SECONDS = 0.1
 DEADLINE_TOLERANCE_SECONDS = 0.15
 INCOMPLETE_REQUEST_TIMEOUT_SECONDS = 3.0
 TIMEOUT_SCAN_SECONDS = 0.25
-CEILING_TOLERANCE_FRACTION = 0.1  # of the ceiling's burst
+CEILING_TOLERANCE_FRACTION = 0.1  # fraction of the ceiling's burst
 
 
 def _attempts_of(history: History, request: ClientRequest) -> list[Attempt]:
@@ -50,7 +52,7 @@
 
 
 def find_unanswered_requests(history: History) -> Iterator[Violation]:
-    """Find requests that were sent completely and got no response, or a late one."""
+    """Find completely sent requests with no response or a late one, and refused connections."""
     for request in history.requests.values():
         was_refused = request.outcome is RequestOutcome.CONNECTION_REFUSED
         if not (request.sent_at or was_refused) or request.behaviour is ClientBehaviour.INCOMPLETE_REQUEST:
@@ -59,11 +61,11 @@
         if request.outcome is RequestOutcome.RESPONSE_RECEIVED:
             delay = _response_delay(history, request)
             if delay > 0 and not _is_response_time_unbounded(request):
-                text = f"response {request.status} received {delay:.3f} s too late"
+                text = f"response {request.status} received {delay:.3f} s after the latest allowed time"
         elif _has_no_response(request) and not _may_lack_response(history, request):
             text = request.outcome.value
         elif request.outcome is RequestOutcome.CONNECTION_REFUSED and not _may_be_refused(history, request):
-            text = "connection refused although a process had to accept"
+            text = "connection refused although a process had to accept it"
         if text:
             yield Violation(
                 Invariant.EVERY_REQUEST_ANSWERED, request.ended_at, text, request.id, request.limiter
@@ -71,24 +73,27 @@
 
 
 def _response_delay(history: History, request: ClientRequest) -> float:
-    """Return the seconds by which a response was late, without the time the limiter could not run."""
+    """Return by how many seconds a response was late.
+
+    The time in which the process was stopped, or in which no process served the accept queue, does not count.
+    """
     latest = request.sent_at + request.timeout + RESPONSE_GRACE_SECONDS
     delay = request.ended_at - latest - timing_tolerance(history, request.ended_at)
     if delay <= 0 or _is_response_time_unbounded(request):
         return delay
     stopped = _stopped_seconds(history, request)
-    at_door = _seconds_at_door(history, request)
-    if delay <= stopped + at_door:
-        history.excuse(Excuse.PROCESS_STOPPED if stopped else Excuse.LEFT_AT_DOOR)
-    return delay - stopped - at_door
+    queued = _unserved_queue_seconds(history, request)
+    if delay <= stopped + queued:
+        history.excuse(Excuse.PROCESS_STOPPED if stopped else Excuse.ACCEPT_QUEUE_UNSERVED)
+    return delay - stopped - queued
 
 
 def _stopped_seconds(history: History, request: ClientRequest) -> float:
     return history.span_seconds(LimiterState.STOPPED, request.limiter, request.sent_at, request.ended_at)
 
 
-def _seconds_at_door(history: History, request: ClientRequest) -> float:
-    """Return the time in which a new connection waited in an accept queue that no process served."""
+def _unserved_queue_seconds(history: History, request: ClientRequest) -> float:
+    """Return how many seconds a new connection waited in an accept queue that no process served."""
     if not request.on_new_connection or request.limiter not in history.held_accept_queues:
         return 0.0
     processes = history.processes_of(request.limiter)
@@ -96,7 +101,7 @@
 
 
 def _is_response_time_unbounded(request: ClientRequest) -> bool:
-    """Whether other requests or the sizes of the bodies, not the limiter, decide on the response time."""
+    """Whether other requests or the size of a body, not only the limiter, determine the response time."""
     return (
         request.behaviour in (ClientBehaviour.PIPELINING, ClientBehaviour.LONG_UPLOAD)
         or len(request.body) > LONG_RESPONSE_BYTES
@@ -108,22 +113,22 @@
 
 
 def _may_lack_response(history: History, request: ClientRequest) -> bool:
-    """Whether the process could not run, or the connection ended by a kill or a failed read."""
+    """Whether an excuse applies to a request without a response; count the excuse."""
     if request.outcome is RequestOutcome.TIMED_OUT:
         due_at = request.sent_at + request.timeout + RESPONSE_GRACE_SECONDS
         stopped = _stopped_seconds(history, request)
         if request.ended_at - stopped < due_at:
             return history.excuse(Excuse.PROCESS_STOPPED)
-        at_door = _seconds_at_door(history, request)
-        if request.ended_at - stopped - at_door < due_at:
-            return history.excuse(Excuse.LEFT_AT_DOOR)
-        # The client gave up at a moment at which it could not have read the response.
+        queued = _unserved_queue_seconds(history, request)
+        if request.ended_at - stopped - queued < due_at:
+            return history.excuse(Excuse.ACCEPT_QUEUE_UNSERVED)
+        # A delay of the runner may have kept the client from reading the response before it timed out.
         runner_delay = history.runner_delay_around(request.ended_at)
         return history.excuse(Excuse.RUNNER_LATE, applies=request.ended_at - runner_delay < due_at)
     if request.client_port in history.failed_reads.get(request.limiter, ()):
         return history.excuse(Excuse.READ_FAILED)
-    if _was_shut_in_crowd(history, request):
-        return history.excuse(Excuse.CROWDED)
+    if _may_be_closed_unread(history, request):
+        return history.excuse(Excuse.DESCRIPTORS_EXHAUSTED)
     killed = _process_killed_around(history, request.limiter, request.ended_at)
     if killed is None:
         return False
@@ -133,8 +138,8 @@
     return history.excuse(Excuse.KILLED_IN_SHUTDOWN, applies=arrived_late)
 
 
-def _was_shut_in_crowd(history: History, request: ClientRequest) -> bool:
-    """Whether a new connection may have been shut unread because idle clients filled the descriptors."""
+def _may_be_closed_unread(history: History, request: ClientRequest) -> bool:
+    """Whether the limiter may have closed a new connection unread because it had no file descriptors left."""
     if not request.on_new_connection or _attempts_of(history, request):
         return False
     return history.is_affected(request.limiter, request.sent_at, request.ended_at, FaultKind.CROWD)
@@ -148,21 +153,21 @@
 
 
 def _may_be_refused(history: History, request: ClientRequest) -> bool:
-    """Whether no process had to accept at some moment around the refusal."""
+    """Whether there was a moment around the refusal at which no process had to accept."""
     tolerance = timing_tolerance(history, request.ended_at)
-    uncovered = seconds_without_accepting_process(
+    unserved = seconds_without_accepting_process(
         history.processes_of(request.limiter), request.ended_at - tolerance, request.ended_at + tolerance
     )
-    return history.excuse(Excuse.NO_PROCESS, applies=uncovered > 0)
+    return history.excuse(Excuse.NO_PROCESS, applies=unserved > 0)
 
 
-def find_foreign_responses(history: History) -> Iterator[Violation]:
-    """Find responses with status 200 whose body is not exactly what an endpoint sent for the request."""
+def find_mismatched_responses(history: History) -> Iterator[Violation]:
+    """Find responses with status 200 whose body is none of those that endpoints sent for the request."""
     for request in history.requests.values():
         if request.outcome is not RequestOutcome.RESPONSE_RECEIVED or request.status != HTTPStatus.OK:
             continue
         if request.body not in [attempt.response for attempt in _attempts_of(history, request)]:
-            text = f"status 200 with a body that no endpoint sent: {request.body[:60]!r}"
+            text = f"status 200 with a body that no endpoint sent for this request: {request.body[:60]!r}"
             yield Violation(
                 Invariant.EVERY_REQUEST_ANSWERED, request.ended_at, text, request.id, request.limiter
             )
@@ -176,7 +181,7 @@
             yield Violation(
                 Invariant.NO_REPEATED_EXECUTION,
                 attempts[0].complete_at,
-                "a request that no client sent",
+                "an endpoint received a request that no client sent",
                 request_id,
             )
             continue
@@ -199,7 +204,7 @@
     history: History, request: ClientRequest, first: Attempt, previous: Attempt, repeated: Attempt
 ) -> str:
     """Return the text of the violation; empty if the repetition is allowed."""
-    # The client took the kill for the close of an idle connection.
+    # The client sent the request again: it took the reset by SIGKILL for the close of an idle connection.
     if request.resent and _process_killed_around(history, request.limiter, request.resent_at) is not None:
         history.excuse(Excuse.RESENT_AFTER_KILL)
         return ""
@@ -210,11 +215,11 @@
     is_late = age > DEDUPLICATION_WINDOW_SECONDS + tolerance
     is_keyed = request.request_class == RequestClass.KEYED
     if is_keyed and is_late and not is_excused_by_network(history, repeated):
-        return f"a request with an idempotency key was repeated after {age:.3f} s"
+        return f"a request with an idempotency key was executed again {age:.3f} s after the first time"
     previous_end = previous.ended_at or repeated.ended_at or repeated.complete_at
     overlap = previous_end - repeated.complete_at
     if overlap > tolerance and not is_excused_by_network(history, previous, repeated.complete_at):
-        return f"two attempts were in flight together for {overlap:.3f} s"
+        return f"two attempts were in flight at the same time for {overlap:.3f} s"
     return ""
 
 
@@ -252,7 +257,10 @@
                 is_excused_by_network(history, attempt)
                 or is_excused_by_runner(history, request.sent_at, attempt.first_byte_at, excess)
             ):
-                text = f"deadline {attempt.propagated_deadline:.3f} s, {remaining:.3f} s remained"
+                text = (
+                    f"propagated deadline {attempt.propagated_deadline:.3f} s, "
+                    f"but {remaining:.3f} s of the client's timeout remained"
+                )
                 yield Violation(
                     Invariant.DEADLINE_PROPAGATION,
                     attempt.first_byte_at,
@@ -270,7 +278,7 @@
 
 
 def find_exceeded_ceilings(history: History) -> Iterator[Violation]:
-    """Find accounts that were granted more than their ceiling over all limiters."""
+    """Find accounts to which all limiters together granted more than the ceiling."""
     forwarded_by_account = defaultdict[int, list[_ForwardedRequest]](list)
     for request in history.requests.values():
         attempts = _attempts_of(history, request)
@@ -284,7 +292,7 @@
 def _find_exceeded_ceiling(
     account: int, forwarded: list[_ForwardedRequest], started_at: float
 ) -> Iterator[Violation]:
-    """Report the first request of an account that finds its token bucket empty."""
+    """Report the first request that overdraws the account's token bucket by more than the tolerance."""
     tolerance = (
         max(1.0, CEILING_TOLERANCE_FRACTION * CEILING_BURST_UNITS)
         + CEILING_RATE_UNITS_PER_SECOND * WRITE_DELAY_SECONDS
@@ -296,7 +304,7 @@
         tokens = min(CEILING_BURST_UNITS, tokens + refill) - 1
         refilled_at = at
         if tokens < -tolerance:
-            text = f"account {account:x} exceeds its ceiling by {-tokens:.1f} units"
+            text = f"account {account:x} exceeded its ceiling by {-tokens:.1f} units"
             yield Violation(Invariant.CEILING, at, text, request.id, request.limiter)
             return
 
@@ -312,16 +320,19 @@
             + timing_tolerance(history, due_at)
             + history.span_seconds(LimiterState.STOPPED, incomplete.limiter, incomplete.stopped_at, due_at)
         )
-        if waited > allowed and not _was_left_at_door(history, incomplete, waited - allowed):
-            text = f"a client that stopped within its {incomplete.sent_part} waited {waited:.2f} s"
+        if waited > allowed and not _is_excused_by_unserved_queue(history, incomplete, waited - allowed):
+            text = (
+                f"a client that stopped sending ({incomplete.stopped_in}) waited {waited:.2f} s "
+                "for an error response or the close"
+            )
             yield Violation(Invariant.INCOMPLETE_REQUEST_TIMEOUT, due_at, text, limiter=incomplete.limiter)
 
 
-def _was_left_at_door(history: History, incomplete: IncompleteRequest, excess: float) -> bool:
-    """Whether the connection waited for so long in an accept queue that no process served."""
+def _is_excused_by_unserved_queue(history: History, incomplete: IncompleteRequest, excess: float) -> bool:
+    """Whether the connection waited at least ``excess`` seconds in an accept queue that no process served."""
     if incomplete.limiter not in history.held_accept_queues:
         return False
     end = incomplete.ended_at or incomplete.stopped_at + INCOMPLETE_REQUEST_TIMEOUT_SECONDS
     processes = history.processes_of(incomplete.limiter)
-    at_door = seconds_without_accepting_process(processes, incomplete.stopped_at, end)
-    return history.excuse(Excuse.LEFT_AT_DOOR, applies=at_door >= excess)
+    queued = seconds_without_accepting_process(processes, incomplete.stopped_at, end)
+    return history.excuse(Excuse.ACCEPT_QUEUE_UNSERVED, applies=queued >= excess)
--- a/soak/request_factory.py
+++ b/soak/request_factory.py
@@ -20,7 +20,7 @@
 class RequestFactory:
     """Creates the requests of one limiter's clients and adds them to the history.
 
-    A group of limiters serves the same accounts.
+    The limiters of a group of ``LIMITERS_PER_ACCOUNT`` serve the same accounts.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         return self._add(self._draw(behaviour))
 
     def make_incomplete(self, body_size: int) -> ClientRequest:
-        """Draw a request that announces a body of ``body_size`` bytes and is not going to be completed."""
+        """Draw a request that announces a body of ``body_size`` bytes and will not be sent completely."""
         drawn = self._draw(ClientBehaviour.INCOMPLETE_REQUEST)
         return self._add(replace(drawn, request_class=RequestClass.POST, body_size=body_size))
 
--- a/soak/request_trace.py
+++ b/soak/request_trace.py
@@ -1,4 +1,4 @@
-"""The trace of a violation: its time, and its request as client, endpoints and limiters recorded it."""
+"""Formats a violation with its request, as the client, the endpoints and the limiters recorded it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def format_trace(history: History, violation: Violation) -> str:
-    """Return the trace of a violation as lines."""
+    """Return the lines of a trace; its times are seconds since the traffic started."""
     at = violation.at - history.started_at if violation.at else 0.0
     limiter = f", limiter {violation.limiter}" if violation.limiter >= 0 else ""
     lines = [f"VIOLATED {violation.invariant} at {at:.3f} s{limiter}: {violation.text}"]
@@ -29,9 +29,10 @@
     connection = "new" if request.on_new_connection else "reused"
     resent = ", sent twice" if request.resent else ""
     return (
-        f"  client: {request.id} {request.request_class} plan {request.plan} timeout {request.timeout} s, "
-        f"{request.behaviour}, sent {request.sent_at - started_at:.3f} on a {connection} connection{resent}; "
-        f"{request.outcome.value} {request.status} at {request.ended_at - started_at:.3f}"
+        f"  client: {request.id} {request.request_class} plan {request.plan}, timeout {request.timeout} s, "
+        f"{request.behaviour}, sent at {request.sent_at - started_at:.3f} s "
+        f"on a {connection} connection{resent}; "
+        f"{request.outcome.value} {request.status} at {request.ended_at - started_at:.3f} s"
     )
 
 
@@ -40,9 +41,9 @@
     outcome = "executed" if attempt.executed else "rejected"
     return (
         f"  {attempt.endpoint} (incarnation {attempt.incarnation}) connection {attempt.connection}: "
-        f"first byte {attempt.first_byte_at - started_at:.3f}, "
-        f"complete {attempt.complete_at - started_at:.3f}, "
-        f"deadline {attempt.propagated_deadline} s, {outcome}, ended {attempt.ended_at - started_at:.3f}"
+        f"first byte at {attempt.first_byte_at - started_at:.3f} s, "
+        f"complete at {attempt.complete_at - started_at:.3f} s, "
+        f"deadline {attempt.propagated_deadline} s, {outcome}, ended at {attempt.ended_at - started_at:.3f} s"
     )
 
 
@@ -62,7 +63,7 @@
     if not violation.at:
         return []
     return [
-        f"  runner {event.at - history.started_at:7.3f}: {event.text}"
+        f"  runner at {event.at - history.started_at:7.3f} s: {event.text}"
         for event in history.runner_events
         if abs(event.at - violation.at) < EVENT_WINDOW_SECONDS
     ]
--- a/soak/streams.py
+++ b/soak/streams.py
@@ -1,4 +1,4 @@
-"""Writing to connections that the other side may end at any time."""
+"""Writes to connections that the other side may close at any time."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 def write_open(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Write to a connection; raise ``ConnectionResetError`` if it has ended.
+    """Write to a connection; raise ``ConnectionResetError`` if it is closed.
 
-    The event loop raises a ``RuntimeError`` then, which an error in the soak test raises too.
+    The event loop would raise ``RuntimeError``, which an error in the soak test may raise too.
     """
     if writer.is_closing():
-        raise ConnectionResetError("the connection has ended")
+        raise ConnectionResetError("cannot write: the connection is closed")
     writer.write(data)
 
 
 def write_end(writer: asyncio.StreamWriter) -> None:
-    """End the output; raise ``ConnectionResetError`` if the connection has ended."""
+    """Close the sending side of a connection; raise ``ConnectionResetError`` if the connection is closed."""
     if writer.is_closing():
-        raise ConnectionResetError("the connection has ended")
+        raise ConnectionResetError("cannot write: the connection is closed")
     writer.write_eof()
--- a/soak/tolerances.py
+++ b/soak/tolerances.py
@@ -7,10 +7,13 @@
 from soak.history import ALL_LIMITERS, Attempt, History, LimiterState
 
 SOCKET_TOLERANCE_SECONDS = 0.05
-WRITE_DELAY_SECONDS = 0.15  # between the limiter's decision and its write to the socket
+WRITE_DELAY_SECONDS = 0.15  # from the limiter's decision to its write to the socket
 NETWORK_RECOVERY_SECONDS = 1.0
-MAX_NOTIFICATION_SECONDS = 6.0  # after discovery has a change, under any fault
+# Under any fault, a limiter must be notified within this time after discovery has a change. An outage of
+# discovery and the time in which the limiter is stopped are added.
+MAX_NOTIFICATION_SECONDS = 6.0
 FAULT_FREE_NOTIFICATION_SECONDS = 0.2
+# A fault that ended up to this long before a change may still delay its notification.
 NOTIFICATION_LOOKBACK_SECONDS = 0.5
 NOTIFICATION_DELAYING_KINDS = (
     FaultKind.DISCOVERY_UNRESPONSIVE,
@@ -32,7 +35,7 @@
 
 
 def may_be_delayed_by_network(history: History, attempt: Attempt, until: float | None = None) -> bool:
-    """Whether a network fault may have delayed an attempt, or the end of its connection before ``until``."""
+    """Whether a network fault may have delayed the request of an attempt, or with ``until`` its end."""
     end = attempt.complete_at if until is None else until
     start = attempt.first_byte_at - NETWORK_RECOVERY_SECONDS
     return any(
@@ -42,21 +45,21 @@
 
 
 def is_excused_by_network(history: History, attempt: Attempt, until: float | None = None) -> bool:
-    """Whether a network fault excuses what would be a violation otherwise; it is counted."""
+    """Whether a network fault may explain the observation; count the excuse if so."""
     return history.excuse(Excuse.NETWORK_FAULT, applies=may_be_delayed_by_network(history, attempt, until))
 
 
 def is_excused_by_runner(history: History, start: float, end: float, seconds: float) -> bool:
-    """Whether the soak test itself stood still for so long between two times; it is counted.
+    """Whether the soak test itself was stalled for ``seconds`` between two times; count the excuse if so.
 
-    Its endpoints then read late what had arrived in time.
+    After a stall, its endpoints read requests later than these arrived.
     """
     late = history.span_seconds(LimiterState.RUNNER_LATE, ALL_LIMITERS, start, end)
     return history.excuse(Excuse.RUNNER_LATE, applies=late >= seconds)
 
 
 def notification_deadline(history: History, limiter: int, at: float) -> float:
-    """Return the latest time at which a limiter has to know of a change that discovery had at ``at``."""
+    """Return the time by which a limiter must be notified of a change that discovery had at ``at``."""
     latest = at + MAX_NOTIFICATION_SECONDS
     if not history.is_affected(
         limiter, at - NOTIFICATION_LOOKBACK_SECONDS, latest, *NOTIFICATION_DELAYING_KINDS
--- a/soak/violations.py
+++ b/soak/violations.py
@@ -1,4 +1,4 @@
-"""Violations of an invariant, as the checks report them."""
+"""The invariants, and the violations of them that the checks report."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """One violation, with the request and the limiter that it concerns."""
 
     invariant: Invariant
-    at: float  # 0: no moment
+    at: float  # 0: the violation has no time
     text: str
     request_id: str = ""
-    limiter: int = -1  # -1: none
+    limiter: int = -1  # -1: the violation concerns no single limiter
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -1,4 +1,4 @@
-"""The checker of the soak test: each check finds its violation, and finds none in a clean history."""
+"""Tests of the soak checker: each check finds its violation, and finds none in a clean history."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("outcome", [RequestOutcome.CONNECTION_CLOSED, RequestOutcome.TIMED_OUT])
 def test_a_request_without_a_response_is_found_unless_its_process_was_killed(outcome: RequestOutcome) -> None:
-    """The kill has to be the end of its connection; a client without an answer had a connection left."""
+    """The kill must have ended the request's connection; a client that timed out was still connected."""
     history = make_history(replace(REQUEST, outcome=outcome, ended_at=13.0))
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
     history.spans.append(Span(FaultKind.KILL, 0, 9.99, 10.3))
@@ -89,22 +89,22 @@
     assert history.excuses[Excuse.KILLED] == is_excused
 
 
-def test_a_request_that_arrived_before_or_early_in_a_shutdown_is_owed_its_answer() -> None:
-    """Only what SIGKILL finds unanswered, and arrived over 0.7 s after SIGTERM, has none."""
+def test_a_request_that_arrived_before_or_early_in_a_shutdown_must_be_answered() -> None:
+    """SIGKILL excuses a request without a response only if it arrived more than 0.7 s after SIGTERM."""
     closed = replace(REQUEST, outcome=RequestOutcome.CONNECTION_CLOSED, ended_at=12.71)
     history = make_history(closed)
-    by_itself = ProcessLifetime(0, 1.0, ready_at=1.5, terminated_at=9.0, exited_at=12.7)
-    history.processes.append(by_itself)
+    terminated = ProcessLifetime(0, 1.0, ready_at=1.5, terminated_at=9.0, exited_at=12.7)
+    history.processes.append(terminated)
     history.spans.append(Span(LimiterState.UNAVAILABLE, 0, 9.0, 14.0))
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes[0] = replace(by_itself, terminated_at=9.5, killed_at=12.69)
+    history.processes[0] = replace(terminated, terminated_at=9.5, killed_at=12.69)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes[0] = replace(by_itself, terminated_at=9.2, killed_at=12.69)
+    history.processes[0] = replace(terminated, terminated_at=9.2, killed_at=12.69)
     assert violated_invariants(history) == []
     assert history.excuses[Excuse.KILLED_IN_SHUTDOWN] == 1
 
 
-def test_a_request_on_another_connection_than_that_of_a_failed_read_is_found() -> None:
+def test_a_failed_read_excuses_only_the_request_on_its_connection() -> None:
     closed = replace(REQUEST, outcome=RequestOutcome.CONNECTION_CLOSED, client_port=4001)
     history = make_history(closed)
     history.spans.append(Span(FaultKind.READ_ERRORS, 0, 9.0, 11.0))
@@ -114,7 +114,7 @@
     assert violated_invariants(history) == []
 
 
-def test_a_request_that_waited_for_a_process_is_found_unless_the_platform_holds_the_queue() -> None:
+def test_a_timeout_is_excused_only_while_no_process_serves_a_held_accept_queue() -> None:
     waited = replace(REQUEST, outcome=RequestOutcome.TIMED_OUT, ended_at=13.0, on_new_connection=True)
     history = make_history(waited)
     history.spans.append(Span(LimiterState.UNAVAILABLE, 0, 9.0, 12.8))
@@ -122,12 +122,12 @@
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
     history.held_accept_queues.add(0)
     assert violated_invariants(history) == []
-    peer = ProcessLifetime(0, 1.0, ready_at=1.5)  # a process that has to accept
+    peer = ProcessLifetime(0, 1.0, ready_at=1.5)  # this process has to accept
     history.processes.append(peer)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
 
 
-def test_a_new_connection_that_was_shut_unread_is_found_unless_a_crowd_fills_the_descriptors() -> None:
+def test_a_crowd_excuses_only_the_close_of_a_new_connection_without_an_attempt() -> None:
     closed = replace(REQUEST, outcome=RequestOutcome.CONNECTION_CLOSED, on_new_connection=True)
     history = make_history(closed)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
@@ -141,7 +141,7 @@
     assert violated_invariants(is_reused) == [Invariant.EVERY_REQUEST_ANSWERED]
 
 
-def test_a_client_that_gave_up_while_the_soak_test_was_late_is_no_evidence() -> None:
+def test_a_timeout_is_excused_only_by_a_long_enough_delay_of_the_soak_test() -> None:
     history = make_history(replace(REQUEST, outcome=RequestOutcome.TIMED_OUT, ended_at=13.0))
     history.runner_delays.append(RunnerDelay(13.0, 1.4))  # the response was due at 11.5
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
@@ -156,7 +156,7 @@
     running = ProcessLifetime(0, 1.0, ready_at=1.5)
     history.processes.append(running)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes[0] = replace(running, terminated_at=9.9)  # new connections arrive for 0.4 s
+    history.processes[0] = replace(running, terminated_at=9.9)  # it has to accept for 0.4 s more
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
     history.processes[0] = replace(running, terminated_at=9.7)
     assert violated_invariants(history) == []
@@ -164,7 +164,7 @@
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
 
 
-def test_a_late_response_is_found_without_the_time_that_the_process_was_stopped() -> None:
+def test_time_in_which_the_process_was_stopped_does_not_make_a_response_late() -> None:
     history = make_history(replace(REQUEST, ended_at=11.6), ATTEMPT)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
     history.spans.append(Span(LimiterState.STOPPED, 0, 10.0, 10.2))
@@ -177,7 +177,7 @@
     ]
 
 
-def test_a_request_that_is_not_idempotent_and_was_executed_twice_is_found() -> None:
+def test_a_second_execution_of_a_request_that_is_not_idempotent_is_found() -> None:
     second = replace(ATTEMPT, endpoint="s-2", first_byte_at=10.3, complete_at=10.3, propagated_deadline=0.6)
     assert violated_invariants(make_history(REQUEST, ATTEMPT, second)) == [Invariant.NO_REPEATED_EXECUTION]
     resent = make_history(replace(REQUEST, resent=True, resent_at=10.25), ATTEMPT, second)
@@ -190,12 +190,12 @@
     assert violated_invariants(make_history(REQUEST, rejected, second)) == []
 
 
-def test_a_keyed_retry_after_its_window_and_concurrent_attempts_are_found() -> None:
+def test_late_repeats_of_a_keyed_request_and_concurrent_attempts_are_found() -> None:
     keyed = replace(REQUEST, request_class=RequestClass.KEYED, timeout=2.0, ended_at=11.2)
     late = replace(ATTEMPT, first_byte_at=11.1, complete_at=11.1, propagated_deadline=0.5, ended_at=11.15)
     assert violated_invariants(make_history(keyed, ATTEMPT, late)) == [Invariant.NO_REPEATED_EXECUTION]
-    together = replace(late, first_byte_at=10.1, complete_at=10.1)
-    assert violated_invariants(make_history(keyed, ATTEMPT, together)) == [Invariant.NO_REPEATED_EXECUTION]
+    concurrent = replace(late, first_byte_at=10.1, complete_at=10.1)
+    assert violated_invariants(make_history(keyed, ATTEMPT, concurrent)) == [Invariant.NO_REPEATED_EXECUTION]
 
 
 def test_an_attempt_without_a_client_request_is_found() -> None:
@@ -210,7 +210,7 @@
     assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
     history.spans.append(Span(FaultKind.COUNTER_DOWN, 0, 7.0, 8.0))
     assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
-    # Without discovery the limiter may be notified late.
+    # While discovery is unresponsive, the limiter may be notified late.
     history.spans.append(Span(FaultKind.DISCOVERY_UNRESPONSIVE, 0, 7.0, 8.0))
     assert violated_invariants(history) == []
 
@@ -223,7 +223,7 @@
     assert violated_invariants(history) == []
 
 
-def test_an_endpoint_that_is_overloaded_while_it_warms_up_is_found() -> None:
+def test_an_overload_of_a_warming_up_endpoint_is_found() -> None:
     history = make_history(REQUEST, ATTEMPT)
     history.endpoint_changes.append(EndpointChange(9.0, "s-1", EndpointHealth.READY, 1))
     for number in range(40):
@@ -235,11 +235,11 @@
     late.endpoint_changes = history.endpoint_changes
     late.requests = history.requests
     late.attempts = history.attempts
-    late.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 7.0, 8.9))  # over before
+    late.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 7.0, 8.9))  # ended before the overload
     assert violated_invariants(late) == [Invariant.SLOW_START]
     late.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 9.2, 9.4))
     assert violated_invariants(late) == []
-    # Without discovery no limiter has to know of the restart.
+    # While discovery is unresponsive, no limiter has to be notified of the restart yet.
     history.spans.append(Span(FaultKind.DISCOVERY_UNRESPONSIVE, ALL_LIMITERS, 8.5, 9.5))
     assert violated_invariants(history) == []
 
@@ -251,10 +251,10 @@
 
 
 def test_an_attempt_for_a_disconnected_client_is_found() -> None:
-    left = replace(REQUEST, outcome=RequestOutcome.DISCONNECTED, status=0, ended_at=10.1)
-    assert violated_invariants(make_history(left, ATTEMPT)) == []
+    disconnected = replace(REQUEST, outcome=RequestOutcome.DISCONNECTED, status=0, ended_at=10.1)
+    assert violated_invariants(make_history(disconnected, ATTEMPT)) == []
     late = replace(ATTEMPT, first_byte_at=10.3, complete_at=10.3, propagated_deadline=0.5)
-    assert violated_invariants(make_history(left, late)) == [Invariant.EVERY_REQUEST_ANSWERED]
+    assert violated_invariants(make_history(disconnected, late)) == [Invariant.EVERY_REQUEST_ANSWERED]
 
 
 def test_a_propagated_deadline_beyond_the_remaining_time_is_found() -> None:
@@ -263,9 +263,7 @@
     ]
 
 
-def test_a_deadline_that_an_endpoint_read_late_is_found_unless_the_soak_test_stood_still_for_so_long() -> (
-    None
-):
+def test_a_deadline_that_an_endpoint_read_late_is_excused_only_by_stalls_of_that_length() -> None:
     history = make_history(REQUEST, replace(ATTEMPT, first_byte_at=10.6, complete_at=10.6))
     assert violated_invariants(history) == [Invariant.DEADLINE_PROPAGATION]  # 0.3 s beyond the tolerance
     history.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 10.1, 10.35))
@@ -307,7 +305,7 @@
     ]
 
 
-def test_a_delay_by_a_network_fault_is_no_violation() -> None:
+def test_a_network_fault_excuses_a_delay_at_its_endpoint_only() -> None:
     history = make_history(REQUEST, replace(ATTEMPT, propagated_deadline=1.3))
     history.network_faults.append(NetworkFault("s-1", 9.0, 9.5))
     assert violated_invariants(history) == []
--- a/tests/test_soak_clients.py
+++ b/tests/test_soak_clients.py
@@ -1,4 +1,4 @@
-"""The clients of the soak test against a scripted limiter: every request that they send ends."""
+"""Tests of the soak clients against a scripted limiter: each request that they send gets an outcome."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tests.loopback import OK_RESPONSE, async_test, read_message, running_server
 
 RUN_SECONDS = 0.5
-CONNECTION_LIFETIME_REQUESTS = 2
+RESPONSES_PER_CONNECTION = 2
 
 
 async def respond_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer each request a while after the one before it."""
+    """Answer each request 20 ms after it was read, one after the other."""
     while True:
         await read_message(reader)
         await asyncio.sleep(0.02)
@@ -32,8 +32,8 @@
 
 
 async def respond_and_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Reset each connection behind its first responses, whatever was sent behind them."""
-    for _ in range(CONNECTION_LIFETIME_REQUESTS):
+    """Reset each connection after two responses, although the client may have sent more requests."""
+    for _ in range(RESPONSES_PER_CONNECTION):
         await read_message(reader)
         writer.write(OK_RESPONSE)
 
@@ -48,7 +48,7 @@
 
 
 async def respond_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer the first request of each connection, and no other one."""
+    """Answer only the first request of each connection, and leave the connection open."""
     await read_message(reader)
     writer.write(OK_RESPONSE)
     await reader.read()
@@ -64,7 +64,7 @@
 
 @async_test
 async def test_a_pipelining_client_keeps_its_connection_until_the_last_response() -> None:
-    """Another request on it would read the responses of the others."""
+    """Otherwise another request on the connection would read the responses of the pipelined ones."""
     history = History()
     async with running_server(respond_slowly) as address:
         await send_traffic(make_clients(address, history))
@@ -74,7 +74,7 @@
 
 
 @async_test
-async def test_pipelined_requests_that_a_reset_leaves_unanswered_are_sent_again() -> None:
+async def test_pipelined_requests_without_a_response_are_sent_again_after_a_reset() -> None:
     history = History()
     async with running_server(respond_and_reset) as address:
         await send_traffic(make_clients(address, history))
@@ -86,8 +86,8 @@
 
 
 @async_test
-async def test_a_pipelining_client_that_gives_up_sends_nothing_again() -> None:
-    """It has closed its connection itself: what it had sent may have been executed."""
+async def test_a_pipelining_client_that_gives_up_does_not_resend_requests() -> None:
+    """The client closed the connection itself, and the limiter may have executed the requests."""
     history = History()
     async with running_server(respond_once) as address:
         clients = make_clients(address, history)
