--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The decisions behind the simulator's protocol: each line of messages gets a line of commands."""
+"""Runs gateways for a simulator: reads one batch of messages per line and replies to each with commands."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from quota_gateway.settings_parser import SettingsError, parse_settings
 from quota_gateway.simulator_protocol import (
     EndpointLists,
-    WireError,
+    MalformedInputError,
     decode_endpoint,
     decode_event,
     encode_command,
@@ -21,47 +21,48 @@
 )
 
 ERROR_PREFIX = "simulator_adapter: "
-EXIT_CODE_BAD_INPUT = 2
+EXIT_CODE_INVALID_INPUT = 2
 
 
 @dataclass(slots=True)
 class Batch:
-    """One line of the simulator: the messages to its gateways at one time."""
+    """The messages that the simulator sends to its gateways at one point in simulated time, as one line."""
 
-    number: Any  # repeated in the reply
+    number: Any  # number of the batch, which the reply repeats
     now: float  # simulated time in seconds
-    gateway_parts: list[Any]  # the messages to each gateway concerned; not checked yet
+    gateway_parts: list[Any]  # one part for each gateway that has messages; not validated yet
 
 
 def parse_batch(line: str) -> Batch:
-    """Return the batch of one line of JSON; ``WireError`` if it is malformed."""
+    """Parse a line of JSON as a batch; raise ``MalformedInputError`` if it is malformed."""
     try:
         batch = json.loads(line)
     except ValueError as error:
-        raise WireError(f"a line is not JSON: {error}") from None
+        raise MalformedInputError(f"batch: the line is not valid JSON: {error}") from None
     if not isinstance(batch, dict):
-        raise WireError("a batch is not an object")
+        raise MalformedInputError("batch: the line is not a JSON object")
     now = batch.get("moment_s")
     if isinstance(now, bool) or not isinstance(now, int | float):
-        raise WireError("batch: moment_s is missing or has the wrong type")
+        raise MalformedInputError("batch: moment_s is missing or has the wrong type")
     parts = batch.get("parts")
     if not isinstance(parts, list):
-        raise WireError("batch: parts is missing or has the wrong type")
+        raise MalformedInputError("batch: parts is missing or has the wrong type")
     return Batch(number=batch.get("n"), now=now, gateway_parts=parts)
 
 
 class SimulatorAdapter:
-    """The simulated gateways of this process; each batch of messages gets a reply with commands."""
+    """Holds the simulated gateways of this process, and replies to each batch of messages with commands."""
 
     def __init__(self) -> None:
-        """Create an adapter without gateways and endpoint lists."""
-        self._gateways: dict[str, Gateway] = {}  # by limiter_id
-        self._endpoint_lists: EndpointLists = {}  # by the number of the registration
+        """Create an adapter that has no gateways and no endpoint lists yet."""
+        self._gateways: dict[str, Gateway] = {}  # key: limiter_id
+        self._endpoint_lists: EndpointLists = {}  # key: list number of ``register``
 
     def handle_batch(self, line: str) -> str:
         """Return the reply to one line.
 
-        ``WireError`` for malformed input, ``InvalidSettingsError`` for settings that no gateway can run with.
+        Raises ``MalformedInputError`` for malformed input and ``InvalidSettingsError`` for settings that no
+        gateway can run with.
         """
         batch = parse_batch(line)
         replies = []
@@ -73,19 +74,19 @@
         return json.dumps({"n": batch.number, "parts": replies}, separators=(",", ":"))
 
     def _handle_part(self, now: float, part: Any) -> list[model.Action]:
-        """Return the actions of one gateway for its messages in a batch."""
+        """Apply one gateway's messages of a batch, and return the actions that it takes."""
         if not isinstance(part, dict) or not isinstance(part.get("limiter_id"), str):
-            raise WireError("batch: a part lacks its limiter_id")
+            raise MalformedInputError("batch: limiter_id of a part is missing or has the wrong type")
         messages = part.get("news")
         if not isinstance(messages, list):
-            raise WireError("batch: news is missing or has the wrong type")
+            raise MalformedInputError("batch: news is missing or has the wrong type")
         limiter_id = part["limiter_id"]
         actions: list[model.Action] = []
         for message in messages:
             name, values = unpack_message(message)
             if name == "shutdown":
                 self._gateways.pop(limiter_id, None)
-                actions.clear()  # those of a gateway that has exited are discarded
+                actions.clear()  # the gateway has exited: its earlier actions are discarded
             elif name == "begin":
                 self._begin(now, limiter_id, *values)
             elif name == "register":
@@ -95,20 +96,20 @@
         return actions
 
     def _handle_event(self, now: float, limiter_id: str, name: str, values: list[Any]) -> list[model.Action]:
-        """Return the actions of one gateway for a message that may be an event."""
+        """Return the gateway's actions for a message; there are none if the message is not an event."""
         event = decode_event(name, values, self._endpoint_lists)
         if event is None:
             return []
         gateway = self._gateways.get(limiter_id)
         if gateway is None:
-            raise WireError(f"{name}: {limiter_id} has not begun")
+            raise MalformedInputError(f"{name}: no gateway is running for {limiter_id}")
         return gateway.handle(now, event)
 
     def _begin(self, now: float, limiter_id: str, /, salt: int, raw_settings: dict[str, Any]) -> None:
         try:
             settings = parse_settings(raw_settings)
         except SettingsError as error:
-            raise WireError(str(error)) from None
+            raise MalformedInputError(str(error)) from None
         self._gateways[limiter_id] = Gateway(settings, salt, now)
 
     def _register(self, list_id: int, entries: list[Any]) -> None:
@@ -117,11 +118,11 @@
 
 def _exit_with_error(text: str) -> NoReturn:
     print(f"{ERROR_PREFIX}{text}", file=sys.stderr)
-    raise SystemExit(EXIT_CODE_BAD_INPUT)
+    raise SystemExit(EXIT_CODE_INVALID_INPUT)
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> None:
-    """Reply to each line of the source; malformed input ends the process with one line on standard error."""
+    """Reply to each line of the source; exit with one line on standard error if the input is malformed."""
     adapter = SimulatorAdapter()
     gc.freeze()
     for line in source:
@@ -129,7 +130,7 @@
             continue
         try:
             reply = adapter.handle_batch(line)
-        except (WireError, ValueError) as error:
+        except (MalformedInputError, ValueError) as error:
             _exit_with_error(str(error))
         sink.write(reply + "\n")
         sink.flush()
--- a/quota_gateway/simulator_protocol.py
+++ b/quota_gateway/simulator_protocol.py
@@ -1,7 +1,7 @@
-"""The simulator's messages and commands: the checks of their fields, and the events and actions they mean.
+"""The simulator's protocol: validates and decodes messages into events, and encodes actions as commands.
 
-The names of messages, commands and fields, and the order of the fields, are those of the simulator's
-protocol. Here they are mapped to the names of the code.
+The simulator defines the names of messages, commands and fields, and the order of the fields. This module
+maps them to the names that the code uses.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 from quota_gateway import model
 
-RETRY_FLAG = 2  # bit of ``opts``: the client retries an earlier request
-DEFAULT_UNITS = 1.0  # quota units of a request without a price
-DEFAULT_WEIGHT = 1.0  # of an endpoint without a size
+RETRY_FLAG = 2  # bit mask for ``opts``; set if the request is a client's retry
+DEFAULT_UNITS = 1.0  # cost in quota units of a request without ``price_units``
+DEFAULT_WEIGHT = 1.0  # weight of an endpoint without ``size``
 
 STATUSES = {
     "OK": model.CallStatus.OK,
@@ -30,23 +30,24 @@
     "cordoned": model.EndpointHealth.DRAINING,
     "deregistered": model.EndpointHealth.REMOVED,
 }
-# Whether an endpoint list of that kind is complete. A message of the kind FAILED has no list.
-MEMBERSHIP_KINDS = {"INCREMENTAL": False, "FULL": True, "SAVED": True}
-FAILED_MEMBERSHIP = "FAILED"
+# Maps the kind of a message ``membership`` to whether its endpoint list is complete. FAILED is not in the
+# map because that kind has no list.
+COMPLETE_BY_MEMBERSHIP_KIND = {"INCREMENTAL": False, "FULL": True, "SAVED": True}
+FAILED_MEMBERSHIP_KIND = "FAILED"
 T = TypeVar("T")
 EndpointLists = dict[int, tuple[model.Endpoint, ...]]
 
 
-class WireError(Exception):
-    """A malformed message; the text names the message and the field."""
+class MalformedInputError(Exception):
+    """The simulator sent malformed input; the text says where, usually with the message and the field."""
 
 
 class Field(NamedTuple):
-    """The description of one value of a message."""
+    """The name and allowed types of one field of a message."""
 
     name: str
     types: tuple[type, ...]
-    optional: bool  # may be null, or omitted at the end of the message
+    optional: bool  # the value may be null; it may be omitted if all later values are omitted too
 
 
 INTEGER = (int,)
@@ -114,7 +115,7 @@
     ),
     "peer": (_required("sender", INTEGER), _optional("msg", STRING)),
 }
-# An entry of an endpoint list (message ``register``).
+# The fields of one entry of the endpoint list in a message ``register``.
 ENDPOINT_FIELDS = (
     _optional("born_s", NUMBER),
     _optional("size", NUMBER),
@@ -127,46 +128,46 @@
 
 
 def _unpack(message: str, fields: tuple[Field, ...], values: list[Any]) -> list[Any]:
-    """Return a message's values, checked against its fields; an omitted optional value becomes None."""
+    """Validate a message's values against its fields, and return them with None for each omitted value."""
     if len(values) > len(fields):
-        raise WireError(f"{message}: {len(values)} values, {len(fields)} expected")
+        raise MalformedInputError(f"{message}: got {len(values)} values, expected at most {len(fields)}")
     padded = values + [None] * (len(fields) - len(values))
     for value, (name, types, optional) in zip(padded, fields, strict=True):
         if value is None:
             if not optional:
-                raise WireError(f"{message}: {name} is missing")
+                raise MalformedInputError(f"{message}: required value {name} is missing")
         elif not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
-            raise WireError(f"{message}: {name} has the wrong type: {value!r:.60}")
+            raise MalformedInputError(f"{message}: {name} has the wrong type: {value!r:.60}")
     return padded
 
 
 def unpack_message(message: Any) -> tuple[str, list[Any]]:
-    """Return a message's name and one value for each of its fields; ``WireError`` if it is malformed."""
+    """Return a message's name and one value for each of its fields; a malformed message raises an error."""
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise WireError("a message is not an array that starts with its name")
+        raise MalformedInputError("a message is not an array that starts with its name")
     name, *values = message
     fields = MESSAGE_FIELDS.get(name)
     if fields is None:
-        raise WireError(f"message: unknown word {name!r:.60}")
+        raise MalformedInputError(f"unknown message {name!r:.60}")
     return name, _unpack(name, fields, values)
 
 
-def _choice(choices: dict[str, T], message: str, word: str) -> T:
-    """Return the meaning of a word; the field allows only the words of ``choices``."""
+def _map_value(mapping: dict[str, T], message: str, protocol_value: str) -> T:
+    """Look up a value of a message; raise ``MalformedInputError`` if the mapping lacks it."""
     try:
-        return choices[word]
+        return mapping[protocol_value]
     except KeyError:
-        raise WireError(f"{message}: unknown word {word!r:.60}") from None
+        raise MalformedInputError(f"{message}: unknown value {protocol_value!r:.60}") from None
 
 
 def decode_endpoint(entry: Any) -> model.Endpoint:
-    """Return an endpoint that a message ``register`` lists; ``WireError`` if the entry is malformed."""
+    """Decode one entry of a message ``register``; raise ``MalformedInputError`` if the entry is malformed."""
     if not isinstance(entry, list):
-        raise WireError("register: an entry is not an array")
+        raise MalformedInputError("register: an entry of the endpoint list is not an array")
     born_s, size, group, _machine, server, health, zone = _unpack("register", ENDPOINT_FIELDS, entry)
     return model.Endpoint(
         name=server,
-        health=_choice(HEALTH_STATES, "register", health),
+        health=_map_value(HEALTH_STATES, "register", health),
         zone=zone or "",
         cell=group or 0,
         weight=DEFAULT_WEIGHT if size is None else size,
@@ -182,12 +183,12 @@
         if value is None:
             continue
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise WireError(f"server_stats: {name} has the wrong type: {value!r:.60}")
+            raise MalformedInputError(f"server_stats: {name} has the wrong type: {value!r:.60}")
         load_report[name] = value
     return load_report
 
 
-# The decoders take a message's values in the order of ``MESSAGE_FIELDS``.
+# The parameters of each decoder below are the message's values, in the order of ``MESSAGE_FIELDS``.
 
 
 def _decode_incoming(
@@ -219,7 +220,7 @@
     server: str,
     verdict: str,
     rtt_s: float | None,
-    closed: bool | None,  # noqa: FBT001 - the parameters are the columns of a row
+    closed: bool | None,  # noqa: FBT001 - the parameters are the values of a message
     _used: int | None,
     actual: float | None,
     server_stats: dict[str, Any] | None,
@@ -228,7 +229,7 @@
         request_id=request_id,
         attempt=attempt,
         endpoint=server,
-        status=_choice(STATUSES, "resolved", verdict),
+        status=_map_value(STATUSES, "resolved", verdict),
         elapsed=rtt_s or 0.0,
         request_finished=bool(closed),
         load_report=_decode_load_report(server_stats),
@@ -239,7 +240,7 @@
 def _decode_count_result(
     _rtt_s: float | None, counter_key: int, total: float | None, verdict: str
 ) -> model.CounterReplied:
-    status = _choice(STATUSES, "count_result", verdict)
+    status = _map_value(STATUSES, "count_result", verdict)
     return model.CounterReplied(counter_id=counter_key, status=status, total=total or 0.0)
 
 
@@ -248,7 +249,7 @@
 ) -> model.HealthChecked:
     return model.HealthChecked(
         endpoint=server,
-        status=_choice(STATUSES, "probe_result", verdict),
+        status=_map_value(STATUSES, "probe_result", verdict),
         elapsed=rtt_s or 0.0,
         load_report=_decode_load_report(server_stats),
     )
@@ -257,15 +258,16 @@
 def _decode_membership(
     endpoint_lists: EndpointLists, how: str, list_id: int | None, _index: int | None
 ) -> model.EndpointUpdate | None:
-    if how == FAILED_MEMBERSHIP:
+    if how == FAILED_MEMBERSHIP_KIND:
         return None
-    complete = _choice(MEMBERSHIP_KINDS, "membership", how)
+    complete = _map_value(COMPLETE_BY_MEMBERSHIP_KIND, "membership", how)
     if list_id not in endpoint_lists:
-        raise WireError(f"membership: list {list_id} was never registered")
+        raise MalformedInputError(f"membership: list {list_id} has not been registered")
     return model.EndpointUpdate(endpoint_lists[list_id], complete=complete)
 
 
-# Other messages are not events: ``begun`` and ``peer`` are ignored, and the rest is for the adapter itself.
+# ``decode_event`` handles ``membership``, which needs the endpoint lists. The adapter handles ``begin``,
+# ``register`` and ``shutdown``. ``begun`` and ``peer`` are ignored.
 EVENT_DECODERS: dict[str, Callable[..., model.Event]] = {
     "incoming": _decode_incoming,
     "resolved": _decode_resolved,
@@ -277,9 +279,10 @@
 
 
 def decode_event(message: str, values: list[Any], endpoint_lists: EndpointLists) -> model.Event | None:
-    """Return the event that a message and its unpacked values mean; None if it is not an event.
+    """Return the event for a message and its unpacked values, or None if the message is no event.
 
-    ``WireError`` names an unknown value.
+    Raises ``MalformedInputError`` for a value that the protocol does not define, and for an endpoint list
+    that has not been registered.
     """
     decode = EVENT_DECODERS.get(message)
     if decode is not None:
@@ -334,5 +337,5 @@
 
 
 def encode_command(action: model.Action) -> list[Any]:
-    """Return the command that executes an action."""
+    """Return the command that asks the simulator to execute an action."""
     return COMMAND_ENCODERS[type(action)](action)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Pytest plugin: expects failures of exactly the tests that KNOWN-RED.txt lists, and prints how each ended.
+"""Pytest plugin: marks the tests that KNOWN-RED.txt lists as expected failures, and prints their outcomes.
 
-``.ci/run`` loads it. A line of the file has the form of ``ENTRY_FORM``. TEST is a node id;
-the id of a parametrized test without its parameters names all of its cases. An entry whose TEST is a command
-of the soak test is printed; it is no test of pytest, and nothing is passed over for it.
+``.ci/run`` loads the plugin. Each line of the file has the form of ``ENTRY_FORM``. TEST is a node id; the
+node id of a parametrized test without its parameters selects all of its cases. TEST may also be a command
+line of the soak test: pytest does not run it, so the plugin only prints the entry and marks no test for it.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class KnownRedFileError(ValueError):
-    """A line of KNOWN-RED.txt is malformed, or names no test."""
+    """A line of KNOWN-RED.txt is malformed, or no collected test has its node id."""
 
 
 class KnownRedTest(NamedTuple):
-    """A test that fails for a known fault."""
+    """An entry of KNOWN-RED.txt: a test or a soak run that fails because of a known fault."""
 
     node_id: str
     command: str
@@ -32,16 +32,16 @@
 
     @property
     def is_soak_run(self) -> bool:
-        """Whether the entry stands for a run of the soak test."""
+        """Whether the entry is a command line of the soak test and not a node id."""
         return self.node_id.startswith(SOAK_COMMAND)
 
-    def names(self, node_id: str) -> bool:
-        """Whether the entry stands for the test of that node id."""
+    def matches(self, node_id: str) -> bool:
+        """Whether the entry selects the test with this node id."""
         return node_id == self.node_id or node_id.startswith(f"{self.node_id}[")
 
 
 def parse_known_red(text: str) -> list[KnownRedTest]:
-    """Parse KNOWN-RED.txt; raise KnownRedFileError with the line's number for a malformed line."""
+    """Parse the text of KNOWN-RED.txt; raise KnownRedFileError with the line number for a malformed line."""
     entries = []
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip():
@@ -54,11 +54,11 @@
 
 
 def expect_failures(items: list[pytest.Item], entries: list[KnownRedTest]) -> None:
-    """Mark the listed tests as expected failures; raise KnownRedFileError for an entry without a test."""
+    """Mark the listed tests as expected failures; raise KnownRedFileError if an entry matches no test."""
     for entry in entries:
         if entry.is_soak_run:
             continue
-        matching = [item for item in items if entry.names(item.nodeid)]
+        matching = [item for item in items if entry.matches(item.nodeid)]
         if not matching:
             raise KnownRedFileError(f"{KNOWN_RED_FILE}: no test is named {entry.node_id}")
         for item in matching:
@@ -66,12 +66,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Print the listed tests in the summary, with their outcome and entry."""
+    """Make the summary list the marked tests that failed and those that passed, with their entries."""
     config.option.reportchars += "xX"
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Apply KNOWN-RED.txt, where there is one, to the collected tests."""
+    """Mark the collected tests that KNOWN-RED.txt lists, if the file exists."""
     path = Path(config.rootpath) / KNOWN_RED_FILE
     if not path.exists():
         return
@@ -82,7 +82,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the listed runs of the soak test, which pytest does not run."""
+    """Print the listed soak runs, which pytest does not execute."""
     path = Path(config.rootpath) / KNOWN_RED_FILE
     entries = parse_known_red(path.read_text()) if path.exists() else []
     for entry in entries:
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -1,4 +1,4 @@
-"""The modules of the soak and scale tests import each other in one direction only."""
+"""Import cycles: no module of the soak and scale tests may import itself through other modules."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _modules(package: str) -> dict[str, Path]:
-    """Return the files of a package by the names of their modules."""
+    """Return the module files of a package, keyed by dotted module name."""
     modules = {}
     for path in (ROOT / package).rglob("*.py"):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -21,7 +21,7 @@
 
 
 def _imports(source: str) -> set[str]:
-    """Return the modules that a source imports, those for type checking included."""
+    """Return the dotted names that a source imports, including imports for type checking only."""
     imported = set[str]()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
@@ -33,8 +33,8 @@
 
 
 @pytest.mark.parametrize("package", ["soak", "scale"])
-def test_modules_do_not_import_each_other(package: str) -> None:
+def test_package_has_no_import_cycle(package: str) -> None:
     modules = _modules(package)
     graph = {name: _imports(path.read_text()) & modules.keys() - {name} for name, path in modules.items()}
     assert len(graph) > 20
-    TopologicalSorter(graph).prepare()  # raises CycleError with the modules of a cycle
+    TopologicalSorter(graph).prepare()  # raises CycleError, which names the modules of the cycle
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,7 +35,7 @@
 
 
 def run_pytest(folder: Path, known_red: str) -> subprocess.CompletedProcess[str]:
-    """Run the tests above with the plugin, beside a KNOWN-RED.txt."""
+    """Run the tests in ``TESTS`` with the plugin and with this text as KNOWN-RED.txt."""
     (folder / "test_sample.py").write_text(TESTS)
     (folder / "KNOWN-RED.txt").write_text(known_red)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "tests.known_red", "-p", "no:cacheprovider"]
@@ -43,7 +43,7 @@
     return subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True, check=False)
 
 
-def test_exactly_the_listed_tests_are_passed_over_and_printed(tmp_path: Path) -> None:
+def test_only_listed_tests_are_expected_to_fail_and_printed(tmp_path: Path) -> None:
     result = run_pytest(
         tmp_path, f"test_sample.py::test_fails{DETAILS}\ntest_sample.py::test_cases{DETAILS}\n"
     )
@@ -54,20 +54,20 @@
     assert result.returncode == pytest.ExitCode.TESTS_FAILED
 
 
-def test_a_listed_run_of_the_soak_test_is_printed_and_passes_over_no_test(tmp_path: Path) -> None:
+def test_listed_soak_run_is_printed_and_marks_no_test(tmp_path: Path) -> None:
     result = run_pytest(tmp_path, f"python -m soak --seed 5{DETAILS}\n")
     assert "KNOWN RED, not run: python -m soak --seed 5 | python -m pytest, seed 3" in result.stdout
     assert "xfailed" not in result.stdout
     assert result.returncode == pytest.ExitCode.TESTS_FAILED
 
 
-def test_a_listed_test_may_fail_in_a_fixture(tmp_path: Path) -> None:
+def test_listed_test_may_fail_in_a_fixture(tmp_path: Path) -> None:
     names = ("test_fails", "test_fails_too", "test_cases", "test_fails_at_its_end")
     result = run_pytest(tmp_path, "".join(f"test_sample.py::{name}{DETAILS}\n" for name in names))
     assert result.returncode == pytest.ExitCode.OK
 
 
-def test_an_entry_that_names_no_test_ends_the_run(tmp_path: Path) -> None:
+def test_entry_that_matches_no_test_aborts_the_run(tmp_path: Path) -> None:
     result = run_pytest(tmp_path, f"test_sample.py::test_fail{DETAILS}\n")
     assert "KNOWN-RED.txt: no test is named test_sample.py::test_fail" in result.stderr
     assert result.returncode == pytest.ExitCode.USAGE_ERROR
@@ -76,11 +76,11 @@
 @pytest.mark.parametrize(
     "line", ["test_a", "test_a | command | seen", "test_a | command |  | 12", " | b | c | d"]
 )
-def test_a_malformed_line_is_named_with_its_number(line: str) -> None:
+def test_error_for_malformed_line_names_its_line_number(line: str) -> None:
     with pytest.raises(KnownRedFileError, match=r"KNOWN-RED.txt:2: expected TEST \| COMMAND AND SEED"):
         parse_known_red(f"\n{line}\n")
 
 
-def test_an_entry_is_parsed() -> None:
+def test_entry_is_parsed() -> None:
     (entry,) = parse_known_red(f"tests/test_a.py::test_b{DETAILS}\n")
     assert entry == KnownRedTest("tests/test_a.py::test_b", "python -m pytest, seed 3", "seen once", "12")
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,7 @@
-"""The pages agree with the code: paths, names, rejection reasons, layers, example configuration."""
+"""Documentation pages: the paths, names, log texts and example configuration on them must match the code.
+
+Also checks that the packages import each other only in the permitted direction.
+"""
 
 from __future__ import annotations
 
@@ -36,21 +39,21 @@
 PAGES_NAMING_CODE = (ARCHITECTURE, PROMISES, KNOWN_ISSUES, *INCIDENTS)
 CODE_FOLDERS = ("quota_gateway", "soak", "scale", "tests")
 PATH_PATTERN = re.compile(r"`((?:quota_gateway|scale|soak|tests|docs|deploy|journal|\.ci)/[^`\s]*)`")
-# Names of at least two words: one word alone may be an ordinary one or a value.
+# A class name of at least two words: a single capitalized word may be an ordinary word or a value.
 CLASS_PATTERN = re.compile(r"`((?:[A-Z][a-z]+){2,})`")
-# A class, on pages that put no ordinary word in backticks.
+# A class name of any length, for pages that put no ordinary words in backticks.
 CAPITALIZED_PATTERN = re.compile(r"`([A-Z]+[a-z]\w*)`")
-# ``Class.member``, ``module.name``, or either with the packages before it, with or without arguments.
+# ``Class.member`` or ``module.name``, optionally preceded by packages and followed by arguments.
 DOTTED_PATTERN = re.compile(r"`((?:\w+\.)+[A-Za-z_]\w*)(?:\([^`]*\))?`")
 FILE_SUFFIXES = ("json", "md", "py", "toml", "txt")
 CONSTANT_PATTERN = re.compile(r"`([A-Z]+(?:_[A-Z0-9]+)+)`")
 ENVIRONMENT_PREFIX = "LB_"
-# Names of the configuration and the metrics, which belong to the wire.
+# Dotted names with these prefixes are metrics or configuration keys and not names in the code.
 WIRE_PREFIXES = ("app.", "limits.")
 BARE_NAME_PATTERN = re.compile(r"`([a-z_]+)`")
 SOAK_NAMES_PATTERN = re.compile(r"soak: ((?:`\w+`(?:, )?)+)")
 REASON_PATTERN = re.compile(r"^\| `([a-z ]+)` \|", re.MULTILINE)
-# Log texts that README or the on-call page quote; a changed text has to change its page as well.
+# Log texts that README or the on-call page quotes. Whoever changes a text must change the page as well.
 QUOTED_LOG_TEXTS = (
     "not reloaded: %s",
     "processes of this limiter: %d",
@@ -92,8 +95,8 @@
     "shutting down",
     "; answered %d",
 )
-START_TIMEOUT = 20.0  # seconds: generous, only a hang takes this long
-# What a module of each layer may import of the package.
+EXIT_TIMEOUT = 20.0  # seconds; only a hung process takes this long
+# Maps each layer to the parts of ``quota_gateway`` that its modules may import.
 ALLOWED_IMPORTS = {
     "model": ("model",),
     "state": ("state", "model", "arithmetic"),
@@ -111,7 +114,8 @@
     "process_group",
     "upstream",
 )
-# What a module of a network package may import beside its own package, where it is not ``common`` alone.
+# Maps a network package to the other network packages that its modules may import. Modules of a package that
+# is not in the map may import only ``common``.
 ALLOWED_NETWORK_IMPORTS = {"common": (), "dispatch": NETWORK_PACKAGES}
 
 
@@ -130,13 +134,13 @@
 
 
 class _DefinedNames:
-    """The classes of the repository with their members, and the names that each module defines."""
+    """The names that the code of the repository defines: classes, their members, and names in modules."""
 
     def __init__(self) -> None:
         self.classes: set[str] = set()
-        self._members: dict[str, set[str]] = {}  # by class name
-        self._bases: dict[str, set[str]] = {}  # by class name
-        self._modules: dict[str, set[str]] = {}  # by dotted path
+        self._members: dict[str, set[str]] = {}  # key: class name
+        self._bases: dict[str, set[str]] = {}  # key: class name
+        self._modules: dict[str, set[str]] = {}  # key: dotted module name
         for folder in CODE_FOLDERS:
             for path in (ROOT / folder).rglob("*.py"):
                 self._add_module(path)
@@ -159,11 +163,11 @@
 
     @property
     def module_names(self) -> set[str]:
-        """What any module defines at its top level."""
+        """All names that modules define at their top level."""
         return set[str]().union(*self._modules.values())
 
-    def has(self, dotted_name: str) -> bool:
-        """Whether the last part is defined by the class or module that the parts before it name."""
+    def defines(self, dotted_name: str) -> bool:
+        """Whether the class or module in front of the last dot defines the name that follows the dot."""
         owner, _, name = dotted_name.rpartition(".")
         if owner.rpartition(".")[2] in self.classes:
             return name in self._members_of(owner.rpartition(".")[2])
@@ -187,7 +191,7 @@
 
 
 def _assigned_attributes(class_node: ast.ClassDef) -> set[str]:
-    """The attributes that the methods of a class assign to ``self``."""
+    """Return the attributes that the methods of a class assign to ``self``."""
     return {
         node.attr
         for node in ast.walk(class_node)
@@ -217,7 +221,7 @@
         if not name.startswith(WIRE_PREFIXES) and name.rpartition(".")[2] not in FILE_SUFFIXES
     }
     assert named
-    assert {name for name in named if not defined_names.has(name)} == set()
+    assert {name for name in named if not defined_names.defines(name)} == set()
 
 
 @pytest.mark.parametrize("page", PAGES_NAMING_CODE, ids=lambda page: page.name)
@@ -229,13 +233,13 @@
 
 
 def _guarantee_rows() -> list[list[str]]:
-    """The cells of the rows on the page of guarantees, without the heads of its tables."""
+    """Return the cells of each table row on the page of guarantees, without the header rows."""
     lines = [line for line in PROMISES.read_text().splitlines() if line.startswith("| ")]
     rows = [line.strip("|").split("|") for line in lines]
     return [row for row in rows if row[0].strip() != "guarantee (page)" and "---" not in row[0]]
 
 
-def test_the_guards_of_the_guarantees_count_every_invariant_and_no_other() -> None:
+def test_guarantees_page_names_every_invariant_and_no_other_as_a_guard() -> None:
     guards = [row[2] for row in _guarantee_rows()]
     assert len(guards) > 30
     assert {name for guard in guards for name in BARE_NAME_PATTERN.findall(guard)} == set(
@@ -243,7 +247,7 @@
     )
 
 
-def test_invariants_and_faults_of_the_soak_test_that_check_a_guarantee_exist() -> None:
+def test_soak_invariants_and_faults_on_the_guarantees_page_exist() -> None:
     lists = [names for row in _guarantee_rows() for names in SOAK_NAMES_PATTERN.findall(row[3])]
     named = {name for names in lists for name in BARE_NAME_PATTERN.findall(names)}
     assert len(named) > 20
@@ -251,26 +255,27 @@
 
 
 @pytest.fixture(scope="module")
-def package_texts() -> list[str]:
-    """All string constants of the package, parts of formatted strings included."""
+def package_strings() -> list[str]:
+    """Return all string constants of ``quota_gateway``, including the literal parts of f-strings."""
     sources = [path.read_text() for path in (ROOT / "quota_gateway").rglob("*.py")]
     nodes = (node for source in sources for node in ast.walk(ast.parse(source)))
     return [node.value for node in nodes if isinstance(node, ast.Constant) and isinstance(node.value, str)]
 
 
 @pytest.mark.parametrize("text", QUOTED_LOG_TEXTS)
-def test_a_quoted_log_text_is_in_the_code_and_on_a_page(text: str, package_texts: list[str]) -> None:
-    assert any(text in constant for constant in package_texts)
+def test_quoted_log_text_is_in_the_code_and_on_a_page(text: str, package_strings: list[str]) -> None:
+    assert any(text in constant for constant in package_strings)
     quoted = re.split(r"%[sd]", text)[0].strip(" :;")
     assert any(quoted in page.read_text() for page in (README, ROOT / "docs" / "ON-CALL.md"))
 
 
-def test_the_readme_explains_every_rejection_reason_and_no_other() -> None:
+def test_readme_explains_every_rejection_reason_and_no_other() -> None:
     assert sorted(REASON_PATTERN.findall(README.read_text())) == sorted(model.RejectionReason)
 
 
-# The words in the log lines that count events; the README explains each in the row of its line.
-COUNTED_WORDS: dict[str, list[str]] = {
+# Maps the prefix of a log line with event counts to the names of the counted events. The README has one table
+# row for each of these log lines, which has to explain all of its events.
+COUNTED_EVENTS: dict[str, list[str]] = {
     "rejected": list(EjectionCause),
     "connections": [field.name.replace("_", " ") for field in fields(ConnectionStats)],
     "counter calls": [
@@ -288,15 +293,15 @@
 }
 
 
-@pytest.mark.parametrize("line", COUNTED_WORDS)
-def test_the_readme_explains_every_word_that_a_log_line_counts(line: str) -> None:
+@pytest.mark.parametrize("line", COUNTED_EVENTS)
+def test_readme_explains_every_event_that_a_log_line_counts(line: str) -> None:
     rows = [row for row in README.read_text().splitlines() if row.startswith(f"| `{line}: ...` |")]
     assert len(rows) == 1
-    assert [word for word in COUNTED_WORDS[line] if f"`{word}`" not in rows[0]] == []
+    assert [event for event in COUNTED_EVENTS[line] if f"`{event}`" not in rows[0]] == []
 
 
 def _imported_layers(source: str) -> set[str]:
-    """The parts of the package that a module imports, by the first name below ``quota_gateway``."""
+    """Return the modules and packages directly below ``quota_gateway`` that a module imports from."""
     layers = set[str]()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.ImportFrom) and node.module == "quota_gateway":
@@ -309,7 +314,7 @@
 
 
 @pytest.mark.parametrize("layer", ALLOWED_IMPORTS)
-def test_layers_import_downwards_only(layer: str) -> None:
+def test_layer_imports_only_permitted_layers(layer: str) -> None:
     modules = sorted((ROOT / "quota_gateway" / layer).rglob("*.py"))
     assert modules
     for module in modules:
@@ -317,7 +322,7 @@
 
 
 @pytest.mark.parametrize("package", NETWORK_PACKAGES)
-def test_network_packages_import_downwards_only(package: str) -> None:
+def test_network_package_imports_only_permitted_packages(package: str) -> None:
     allowed = {package, *ALLOWED_NETWORK_IMPORTS.get(package, ("common",))}
     modules = sorted((ROOT / "quota_gateway" / "net" / package).glob("*.py"))
     assert modules
@@ -332,11 +337,12 @@
     assert {path.name for path in net.iterdir() if (path / "__init__.py").exists()} == set(NETWORK_PACKAGES)
 
 
-def test_the_example_configuration_starts_a_limiter(tmp_path: Path) -> None:
+def test_example_configuration_starts_a_limiter(tmp_path: Path) -> None:
     found = re.search(r"```json\n(.*?)```", README.read_text(), re.DOTALL)
     assert found
     config = json.loads(found.group(1))
-    # Any free port, and addresses where nothing listens: the ports of the example may be in use.
+    # The ports of the example may be in use, so the limiter listens at any free port. Nothing listens at the
+    # addresses of discovery and the counter.
     config |= {
         "listen": "127.0.0.1:0",
         "mgmt": "127.0.0.1:0",
@@ -357,7 +363,7 @@
         assert process.stderr is not None
         first_line = process.stderr.readline()
         process.send_signal(signal.SIGTERM)
-        process.communicate(timeout=START_TIMEOUT)
+        process.communicate(timeout=EXIT_TIMEOUT)
     finally:
         process.kill()
         process.wait()
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed and forwards its request."""
+"""README example: the printed Python code runs and forwards its request."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 README = Path(__file__).parent.parent / "README.md"
 
 
-def test_the_example_runs() -> None:
+def test_example_runs_and_forwards_its_request() -> None:
     example = re.search(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
     assert example
-    names: dict[str, Any] = {}
-    exec(example.group(1), names)
-    assert any(isinstance(action, model.Forward) for action in names["actions"])
+    namespace: dict[str, Any] = {}
+    exec(example.group(1), namespace)
+    assert any(isinstance(action, model.Forward) for action in namespace["actions"])
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: requests, unusual batches and malformed input."""
+"""Simulator adapter: replies to requests, to unusual batches and to malformed input."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from quota_gateway.simulator_adapter import SimulatorAdapter
-from quota_gateway.simulator_protocol import WireError
+from quota_gateway.simulator_protocol import MalformedInputError
 
 SETTINGS = {
     "classes": [{"name": "read", "aim_s": 1.0, "effect": "idempotent", "worth": 1.0, "group": "all"}],
@@ -30,21 +30,21 @@
 
 
 def commands_for(adapter: SimulatorAdapter, now: float, *messages: list[Any]) -> list[Any]:
-    """Send one batch to a gateway, and return the commands of the reply."""
+    """Send a batch of messages to one gateway, and return the commands of the reply."""
     part = {"limiter_id": "limiter_0", "news": messages}
     reply = json.loads(adapter.handle_batch(json.dumps({"moment_s": now, "n": 3, "parts": [part]})))
     assert reply["n"] == 3
     return [command for part in reply["parts"] for command in part["cmds"]]
 
 
-def test_a_request_is_forwarded_and_its_completion_needs_no_command(adapter: SimulatorAdapter) -> None:
+def test_request_is_forwarded_and_its_completion_gives_no_command(adapter: SimulatorAdapter) -> None:
     commands = commands_for(adapter, 1.0, *BEGIN, INCOMING)
     assert ["pass_on", 11, 1.0, "s1"] in commands
     resolved = ["resolved", 11, 0, "s1", "OK", 0.1, True, None, None, {"qps": 3}]
     assert commands_for(adapter, 1.1, resolved) == []
 
 
-def test_an_empty_batch_gets_an_empty_reply_and_a_gateway_may_restart_within_a_batch(
+def test_adapter_replies_to_an_empty_batch_and_to_a_restart_within_a_batch(
     adapter: SimulatorAdapter,
 ) -> None:
     assert json.loads(adapter.handle_batch('{"moment_s":1.5,"n":9,"parts":[]}')) == {"n": 9, "parts": []}
@@ -53,16 +53,16 @@
     assert [command[0] for command in commands] == ["sleep"]
 
 
-def test_a_list_number_registered_again_in_a_batch_holds_for_the_messages_that_follow(
+def test_later_messages_of_a_batch_use_the_endpoint_list_registered_last(
     adapter: SimulatorAdapter,
 ) -> None:
-    other = ["register", 0, [[None, 1, 0, "k", "s2", "healthy", "a"]]]
-    commands = commands_for(adapter, 1.0, *BEGIN, other, ["membership", "FULL", 0, 2], INCOMING)
+    second_register = ["register", 0, [[None, 1, 0, "k", "s2", "healthy", "a"]]]
+    commands = commands_for(adapter, 1.0, *BEGIN, second_register, ["membership", "FULL", 0, 2], INCOMING)
     assert [command[3] for command in commands if command[0] == "pass_on"] == ["s2"]
 
 
 @pytest.mark.parametrize(
-    ("message", "named"),
+    ("message", "expected_text"),
     [
         (["incoming", "x"], "id"),
         (["resolved", 1, 0, "s1", "FINE", 0.1, True], "FINE"),
@@ -73,16 +73,16 @@
         (["begin", 1, {"limits": 3}], "limits"),
     ],
 )
-def test_error_for_a_malformed_message_names_its_fault(
-    adapter: SimulatorAdapter, message: list[Any], named: str
+def test_error_for_malformed_message_names_the_fault(
+    adapter: SimulatorAdapter, message: list[Any], expected_text: str
 ) -> None:
     commands_for(adapter, 1.0, *BEGIN)
-    with pytest.raises(WireError, match=named):
+    with pytest.raises(MalformedInputError, match=expected_text):
         commands_for(adapter, 2.0, message)
 
 
 @pytest.mark.parametrize("line", ["not json", "[]", '{"n":1}', '{"moment_s":1,"parts":[{"news":[]}]}'])
-def test_a_malformed_line_ends_the_process_with_one_line_on_standard_error(line: str) -> None:
+def test_malformed_line_ends_the_process_with_one_line_on_standard_error(line: str) -> None:
     completed = subprocess.run(
         [sys.executable, "-m", "quota_gateway.simulator_adapter"],
         input=line + "\n",
@@ -96,7 +96,7 @@
     assert completed.stderr.startswith("simulator_adapter: ")
 
 
-def test_error_for_impossible_settings_names_the_field(adapter: SimulatorAdapter) -> None:
-    impossible = dict(SETTINGS, n_instances=0)
+def test_error_for_invalid_settings_names_the_field(adapter: SimulatorAdapter) -> None:
+    invalid_settings = dict(SETTINGS, n_instances=0)
     with pytest.raises(ValueError, match="gateway_count"):
-        commands_for(adapter, 1.0, ["begin", 1, impossible])
+        commands_for(adapter, 1.0, ["begin", 1, invalid_settings])
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol: the events that single messages mean."""
+"""Simulator protocol: decoding of single messages into events."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from quota_gateway.simulator_protocol import decode_event
 
 
-def test_the_charged_units_of_a_response_are_decoded() -> None:
+def test_charged_units_of_a_response_are_decoded() -> None:
     charged = decode_event("resolved", [11, 0, "s1", "OK", 0.1, True, 0, 2.5, None], {})
     assert isinstance(charged, model.AttemptCompleted)
     assert charged.charged_units == 2.5
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -1,7 +1,7 @@
-"""The formats on disk and on the wire as literals, so that renaming in the code cannot change a byte of them.
+"""Formats on disk and on the wire, compared with literals: a rename in the code must not change any byte.
 
-Limiters of different versions exchange these files in one directory while both run, and the platform's
-programs parse these texts. Formats that other tests hold as literals are not repeated here.
+During an upgrade, processes of two versions exchange the files in the shared directory. Programs of the
+platform parse the texts on the wire. Formats that other tests compare with literals are not repeated here.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
     forward_to_s1,
     running_server,
 )
-from tests.loopback import watch_event as listing_of
+from tests.loopback import watch_event as watch_event_listing
 
 ROOT = Path(__file__).parent.parent
-OTHER_PROCESS_FILE = "process-31-0a1b2c3d"  # of a process of another version
+OTHER_PROCESS_FILE = "process-31-0a1b2c3d"  # name of the file that a process of another version locks
 HANDOVER_TEXT = """{"clock": 0.0,
  "done_rate": 0.5, "mean": 0.125, "units": 2.5, "bases": {"read": 0.04, "write": 0.08},
  "servers": [
@@ -67,7 +67,7 @@
 
 
 def open_locked(path: Path, flags: int = fcntl.LOCK_EX | fcntl.LOCK_NB) -> int:
-    """Create a file if missing, lock it as a process of another version does, and return its descriptor."""
+    """Lock a file as a process of another version does, creating it if missing; return its descriptor."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT)
     fcntl.flock(descriptor, flags)
     return descriptor
@@ -84,20 +84,22 @@
         ("a" * 40, "cypresspulley-" + "61" * 32),
     ],
 )  # fmt: skip
-def test_the_shared_directory_and_the_process_file(name: str, directory: str, tmp_path: Path) -> None:
+def test_names_and_permissions_of_the_shared_directory_and_the_process_file(
+    name: str, directory: str, tmp_path: Path
+) -> None:
     group = ProcessGroup(str(tmp_path), name)
     assert names_in(tmp_path) == [directory]
-    (own,) = (tmp_path / directory).iterdir()
-    assert re.fullmatch(f"process-{os.getpid()}-[0-9a-f]{{8}}", own.name)
+    (own_file,) = (tmp_path / directory).iterdir()
+    assert re.fullmatch(f"process-{os.getpid()}-[0-9a-f]{{8}}", own_file.name)
     assert (tmp_path / directory).stat().st_mode & 0o777 == 0o700
-    assert own.stat().st_mode & 0o777 == 0o600
+    assert own_file.stat().st_mode & 0o777 == 0o600
     with pytest.raises(BlockingIOError):
-        open_locked(own, fcntl.LOCK_SH | fcntl.LOCK_NB)  # a shared lock fails: the lock is exclusive
+        open_locked(own_file, fcntl.LOCK_SH | fcntl.LOCK_NB)  # fails because the group's lock is exclusive
     group.close()
     assert names_in(tmp_path / directory) == []
 
 
-def test_another_process_counts_as_running_while_its_file_is_locked(tmp_path: Path) -> None:
+def test_process_counts_as_running_while_its_file_is_locked(tmp_path: Path) -> None:
     group = ProcessGroup(str(tmp_path), "n1")
     directory = tmp_path / "cypresspulley-6e31"
     locked_file = open_locked(directory / OTHER_PROCESS_FILE)
@@ -110,7 +112,7 @@
     group.close()
 
 
-def test_the_handover_file_written_for_another_process(tmp_path: Path) -> None:
+def test_handover_file_is_written_for_another_process(tmp_path: Path) -> None:
     group = ProcessGroup(str(tmp_path), "n1")
     directory = tmp_path / "cypresspulley-6e31"
     locked_file = open_locked(directory / OTHER_PROCESS_FILE)
@@ -123,24 +125,24 @@
     os.close(locked_file)
 
 
-def test_the_handover_file_written_by_another_process(tmp_path: Path) -> None:
+def test_handover_file_of_another_process_is_read(tmp_path: Path) -> None:
     group = ProcessGroup(str(tmp_path), "n1")
     directory = tmp_path / "cypresspulley-6e31"
-    (own,) = names_in(directory)
-    (directory / f"notes-for-{own}").write_text(HANDOVER_TEXT)
+    (own_name,) = names_in(directory)
+    (directory / f"notes-for-{own_name}").write_text(HANDOVER_TEXT)
     assert group.read_handover() == HANDOVER_STATE
-    assert names_in(directory) == [own]
+    assert names_in(directory) == [own_name]
     group.close()
 
 
-def test_the_suspension_file_is_written_and_read(tmp_path: Path) -> None:
+def test_suspension_file_is_written_and_read(tmp_path: Path) -> None:
     group = ProcessGroup(str(tmp_path), "n1")
     directory = tmp_path / "cypresspulley-6e31"
-    (own,) = names_in(directory)
+    (own_name,) = names_in(directory)
     group.set_suspended("s2", suspended=True)
     group.set_suspended("s1", suspended=True)
     assert (directory / "bans.json").read_bytes() == b'{"out": ["s1", "s2"]}'
-    assert names_in(directory) == ["bans.json", "bans.lock", own]
+    assert names_in(directory) == ["bans.json", "bans.lock", own_name]
     (directory / "fresh").write_text('{"out": ["s7", "s3"]}')
     (directory / "fresh").rename(directory / "bans.json")
     assert group.read_suspensions() == {"s3", "s7"}
@@ -149,11 +151,11 @@
     group.close()
 
 
-def test_a_suspension_waits_for_the_lock_file(tmp_path: Path) -> None:
+def test_suspension_is_saved_only_after_the_lock_file_is_free(tmp_path: Path) -> None:
     group = ProcessGroup(str(tmp_path), "n1")
     directory = tmp_path / "cypresspulley-6e31"
     locked_file = open_locked(directory / "bans.lock")
-    # The lock is not waited for: nothing here may block the event loop.
+    # The process does not wait for the lock, because that would block its event loop.
     assert group.set_suspended("s1", suspended=True) == {"s1"}
     assert not group.suspensions_saved
     assert not (directory / "bans.json").exists()
@@ -188,7 +190,7 @@
 
 
 @async_test
-async def test_the_replies_at_the_admin_address() -> None:
+async def test_replies_at_the_admin_address() -> None:
     metrics = Metrics(["lookup", "post"])
     clock = unix_clock()
     for status in (200, 429, 503, 502, 504, 400):
@@ -205,22 +207,22 @@
     listener = AdminListener(dispatcher)
     address = await listener.listen("127.0.0.1", 0)
 
-    async def call(line: bytes) -> str:
+    async def send_command(line: bytes) -> str:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(line)
         reply = await reader.read()
         writer.close()
         return reply.decode()
 
-    assert await call(b"STATUS\n") == "FAILURE\n"
-    dispatcher.on_watch_event(listing_of({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
-    assert await call(b"STATUS\n") == "SUCCESS\n"
-    assert await call(b"SUSPEND s1\n") == "SUCCESS\n"
-    assert await call(b"METRICS\n") == METRICS_TEXT
-    assert await call(b"RESTORE s1\n") == "SUCCESS\n"
-    assert await call(b"RESTORE s1\n") == "SUCCESS\n"
-    assert await call(b"SUSPEND s9\n") == "FAILURE\n"
-    assert await call(b"METRICS\n") == METRICS_TEXT.replace("skipped_servers=1", "skipped_servers=0")
+    assert await send_command(b"STATUS\n") == "FAILURE\n"
+    dispatcher.on_watch_event(watch_event_listing({"s1": "127.0.0.1:1", "s2": "127.0.0.1:1"}))
+    assert await send_command(b"STATUS\n") == "SUCCESS\n"
+    assert await send_command(b"SUSPEND s1\n") == "SUCCESS\n"
+    assert await send_command(b"METRICS\n") == METRICS_TEXT
+    assert await send_command(b"RESTORE s1\n") == "SUCCESS\n"
+    assert await send_command(b"RESTORE s1\n") == "SUCCESS\n"
+    assert await send_command(b"SUSPEND s9\n") == "FAILURE\n"
+    assert await send_command(b"METRICS\n") == METRICS_TEXT.replace("skipped_servers=1", "skipped_servers=0")
     await listener.close()
     upstream.close()
 
@@ -275,24 +277,26 @@
 )
 
 
-def test_every_key_of_the_settings_object() -> None:
+def test_settings_object_with_every_key_is_parsed() -> None:
     raw = json.loads(SETTINGS_TEXT)
     assert parse_settings(raw) == PARSED_SETTINGS
     assert parse_timing(raw) == Timing(0.375, 21.5, 7, 3.0, 4.5)
     assert parse_timing(raw | {"discovery": "push"}) == Timing(0.375, 21.5, 1, 0.6, 1.2)
-    off = {"limits": raw["limits"] | {"retry_after": False}, "report": {"how": "on_answer"}}
-    assert parse_settings(raw | off) == replace(
+    disabled = {"limits": raw["limits"] | {"retry_after": False}, "report": {"how": "on_answer"}}
+    assert parse_settings(raw | disabled) == replace(
         PARSED_SETTINGS, max_retry_after=0.0, load_in_health_check=False
     )
 
 
-def test_the_one_class_key_that_reloaded_settings_may_omit() -> None:
+def test_reloaded_settings_may_omit_the_class_key_aim_stretch() -> None:
     raw = json.loads(SETTINGS_TEXT)
     check_reloaded_settings(raw, raw | {"classes": [row | {"aim_stretch": 2.0} for row in raw["classes"]]})
 
 
 @pytest.mark.parametrize("by_environment", [False, True])
-def test_every_key_of_the_configuration(by_environment: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_configuration_with_every_key_is_parsed(
+    by_environment: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     raw: dict[str, Any] = {
         "name": "n4", "listen": "127.0.0.1:7001", "discovery": "127.0.0.1:7002", "counter": "127.0.0.1:7003",
         "mgmt": "127.0.0.1:7004", "seed": "1f", "limits": {"sockets": 333},
@@ -307,21 +311,21 @@
         del raw["name"]
         monkeypatch.setenv("LB_NAME", "n5")
         monkeypatch.setenv("LB_MGMT", "127.0.0.1:7005")
-    read = parse_config(raw, Environment.from_variables(os.environ))
-    assert (read.name, read.seed, read.max_descriptors) == (name, 31, 333)
-    addresses = read.listen, read.discovery, read.counter, read.admin
+    config = parse_config(raw, Environment.from_variables(os.environ))
+    assert (config.name, config.seed, config.max_descriptors) == (name, 31, 333)
+    addresses = config.listen, config.discovery, config.counter, config.admin
     assert addresses == tuple(("127.0.0.1", port) for port in (7001, 7002, 7003, mgmt))
     entry = model.Endpoint("s1", model.EndpointHealth.HEALTHY, "")
-    assert read.initial_endpoints == WatchEvent(
+    assert config.initial_endpoints == WatchEvent(
         41, model.EndpointUpdate((entry,), complete=True), {"s1": "[::1]:70"}
     )
-    assert read.settings == PARSED_SETTINGS
-    assert read.timing == parse_timing(raw["settings"])
+    assert config.settings == PARSED_SETTINGS
+    assert config.timing == parse_timing(raw["settings"])
 
 
 @pytest.mark.parametrize(("since", "query"), [(None, b""), (41, b"&since=41")])
 @async_test
-async def test_the_request_to_discovery_and_an_event_line(since: int | None, query: bytes) -> None:
+async def test_request_to_discovery_and_parsing_of_a_watch_event(since: int | None, query: bytes) -> None:
     line = (
         b'{"seq": 58, "whole": false, "hosts": [{"host": "s1", "dial": "10.1.0.18:7070", "site": "a", '
         b'"class": "m2", "block": 3, "health": "ready", "share": 1.5, "born_ms": 1800000000250}, '
@@ -333,37 +337,37 @@
         model.Endpoint("s2", model.EndpointHealth.DRAINING, "b", 4, 2.5, 1.25),
         model.Endpoint("s3", model.EndpointHealth.REMOVED, ""),
     )
-    dials = {"s1": "10.1.0.18:7070", "s2": "10.1.0.19:7071", "s3": ""}
+    addresses = {"s1": "10.1.0.18:7070", "s2": "10.1.0.19:7071", "s3": ""}
     requests = asyncio.Queue[bytes]()
     events = asyncio.Queue[WatchEvent]()
 
-    async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         requests.put_nowait(await reader.readuntil(b"\r\n\r\n"))
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(b"%x\r\n%b\r\n" % (len(line), line))
         await asyncio.Event().wait()
 
-    async with running_server(agent) as address:
+    async with running_server(handle_connection) as address:
         host, port = address.split(":")
         task = asyncio.create_task(EndpointWatcher(host, int(port), since, events.put_nowait).follow())
-        assert await events.get() == WatchEvent(58, model.EndpointUpdate(entries, complete=False), dials)
+        assert await events.get() == WatchEvent(58, model.EndpointUpdate(entries, complete=False), addresses)
         request = b"GET /v1/servers?follow=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (query, address.encode())
         assert await requests.get() == request
         task.cancel()
 
 
 @async_test
-async def test_requests_to_an_endpoint_health_checks_and_responses_to_a_client() -> None:
-    heads = list[bytes]()
+async def test_requests_and_health_checks_to_an_endpoint_and_responses_to_a_client() -> None:
+    request_heads = list[bytes]()
     served = asyncio.Queue[None]()
 
     def decide(event: model.Event) -> list[model.Action]:
         return [model.CheckHealth("s1")] if isinstance(event, model.EndpointUpdate) else forward_to_s1(event)
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            heads.append(await reader.readuntil(b"\r\n\r\n"))
-            status = b"200 OK" if len(heads) < 4 else b"500 Error"
+            request_heads.append(await reader.readuntil(b"\r\n\r\n"))
+            status = b"200 OK" if len(request_heads) < 4 else b"500 Error"
             writer.write(b"HTTP/1.1 %b\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi" % status)
             served.put_nowait(None)
 
@@ -373,12 +377,12 @@
         b"X-Timeout-Ms: 5000\r\nX-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\n%b\r\n"
     )
     async with (
-        running_server(talk) as dial,
-        LoopbackLimiter(ScriptedDecisions(decide), {"s1": dial}) as limiter,
+        running_server(handle_connection) as address,
+        LoopbackLimiter(ScriptedDecisions(decide), {"s1": address}) as limiter,
     ):
         await served.get()
         limiter.dispatcher.reconfigure(replace(SETTINGS, load_in_health_check=True))
-        limiter.dispatcher.on_watch_event(listing_of({"s1": dial}))
+        limiter.dispatcher.on_watch_event(watch_event_listing({"s1": address}))
         await served.get()
         reader, writer = await limiter.connect()
         writer.write(client_request % (1, b""))
@@ -389,21 +393,21 @@
     assert accepted == b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi"
     rejection = b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nConnection: close\r\n"
     assert rejected == rejection + b"Content-Length: 0\r\n\r\n"
-    # The propagated deadline is the last header, and the only part that differs from run to run.
-    lookup = (
+    # The last header holds the propagated deadline, the only part of a request that differs between runs.
+    forwarded_request = (
         b"GET /lookup?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n"
         b"X-Request-ID: 9b1f03aa5c7e2d4%d\r\nX-Priority-Class: lookup\r\nX-Plan: basic\r\n"
         b"X-Quota: units=1,spread=3,first=1\r\nX-Retried: 1\r\nX-Timeout-Ms: N\r\n\r\n"
     )
-    assert [re.sub(rb": [0-9]+\r\n\r\n$", b": N\r\n\r\n", head) for head in heads] == [
+    assert [re.sub(rb": [0-9]+\r\n\r\n$", b": N\r\n\r\n", head) for head in request_heads] == [
         b"GET /healthz HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
         b"GET /load HTTP/1.1\r\nHost: s1\r\nX-Timeout-Ms: N\r\n\r\n",
-        lookup % 1,
-        lookup % 2,
+        forwarded_request % 1,
+        forwarded_request % 2,
     ]
 
 
-def test_the_deploy_file_names_existing_files() -> None:
+def test_deploy_file_names_existing_files_and_modules() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert sorted(deploy) == ["build", "node", "packages", "policy", "run", "sim"]
     assert deploy["packages"] == []
