--- a/quota_gateway/net/__init__.py
+++ b/quota_gateway/net/__init__.py
@@ -1,5 +1,5 @@
-"""The real limiter's sockets and files, around the decisions of ``quota_gateway.decisions``.
+"""Sockets and files of the running limiter; ``quota_gateway.decisions`` makes its decisions.
 
-Packages by concern. ``common`` imports none of the others, ``dispatch`` may import all of them, and the rest
-import only ``common``; ``tests/test_pages.py`` checks it.
+Each package has one concern. ``common`` imports none of the others, ``dispatch`` may import all of them, and
+the rest import only ``common``; ``tests/test_pages.py`` checks these imports.
 """
--- a/quota_gateway/net/counter/__init__.py
+++ b/quota_gateway/net/counter/__init__.py
@@ -1,4 +1,4 @@
-"""The client of the shared counter: pipelined calls, the standby connection and failover.
+"""The client of the shared counter: pipelined calls, a standby connection and failover.
 
-It owns the calls that have not completed and the connections, and imports only ``common``.
+The package owns the pending calls and the connections. Of the network packages it imports only ``common``.
 """
--- a/quota_gateway/net/counter/connection.py
+++ b/quota_gateway/net/counter/connection.py
@@ -8,7 +8,7 @@
 
 from quota_gateway.model import CallStatus
 from quota_gateway.net.counter.call import CounterCall
-from quota_gateway.net.counter.line_protocol import CallResult, may_begin_reply, parse_reply
+from quota_gateway.net.counter.line_protocol import CallResult, is_reply_prefix, parse_reply
 
 
 class Address(NamedTuple):
@@ -19,43 +19,45 @@
 
 
 class CallEvents(Protocol):
-    """Receives the results of calls: the client."""
+    """Receives the events of calls; implemented by ``CounterClient``."""
 
     def flush(self) -> None:
-        """The active connection may accept requests again."""
+        """Send queued calls; called when the active connection may accept requests again."""
 
     def complete(self, call: CounterCall, result: CallResult) -> None:
-        """A call has ended."""
+        """Set the result of a call that has ended."""
 
 
 class ConnectionOwner(Protocol):
     """Receives the events of a connection."""
 
     def on_malformed_reply(self, line: bytes) -> None:
-        """A reply cannot be parsed; the connection closes itself."""
+        """Handle a reply that cannot be parsed; the connection closes itself."""
 
     def on_connection_lost(self, connection: CounterConnection) -> None:
-        """The connection has ended, after its calls were completed."""
+        """Handle the end of a connection, whose calls have been completed before."""
 
 
 class CounterConnection(asyncio.Protocol):
     """One connection to the counter, with the calls in flight on it in the order of their requests.
 
-    While writing is paused, the last of them has not been written completely.
+    While writing is paused, the last of these requests has not been written completely.
     """
 
     def __init__(self, owner: ConnectionOwner, calls: CallEvents, address: Address) -> None:
-        """Create a connection that is to be opened to ``address``."""
+        """Create a connection to ``address``, which the caller opens."""
         self.address = address
         self.in_flight = deque[CounterCall]()
         self.write_paused = False
-        self.last_used_at = 0.0  # seconds of the event loop's clock: when it was opened or last written to
+        # Times are in seconds of the event loop's clock. Opening the connection counts as its first use,
+        # writing a request as a later one.
+        self.last_used_at = 0.0
         self.last_received_at = 0.0
         self._owner = owner
         self._calls = calls
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._buffer = b""  # the part of a reply line whose rest has not been received
+        self._buffer = b""  # an incomplete reply line
         self._draining = False
 
     @property
@@ -72,7 +74,7 @@
         self.last_used_at = now
 
     def send(self, call: CounterCall, now: float) -> None:
-        """Write a request to a usable connection."""
+        """Write the request of a call; the connection must be usable."""
         assert self._transport is not None
         self.in_flight.append(call)
         call.mark_sent(now)
@@ -80,7 +82,7 @@
         self._transport.write(call.request)
 
     def drain(self) -> None:
-        """Close once the calls in flight have their replies; the owner sends no more."""
+        """Close once all calls in flight have received their replies; the owner sends no further calls."""
         self._draining = True
         if not self.in_flight:
             self.abort()
@@ -93,22 +95,23 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and have it report each incomplete write."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
-        # With a limit of 0, pause_writing reports each write that was not accepted completely.
+        """Set the transport, and have it report each incomplete write."""
+        # The cast is needed because uvloop's transports are not subclasses of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
+        # With a limit of 0, the transport calls pause_writing when the socket accepts a write only partly.
         self._transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Record that the last request is not written completely."""
+        """Record that the last request has not been written completely."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Record that all requests are written completely."""
+        """Record that all requests have been written completely, and have queued calls sent."""
         self.write_paused = False
         self._calls.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the calls in flight: the counter may have added them."""
+        """Complete the calls in flight as reset: the counter may have added their amounts."""
         self._transport = None
         self._fail_in_flight(CallStatus.RESET_AFTER_REQUEST)
         self._owner.on_connection_lost(self)
@@ -123,8 +126,8 @@
             self._on_reply(line.rstrip(b"\r"))
         if self._draining and not self.in_flight:
             self.abort()
-        elif not may_begin_reply(self._buffer):
-            # A malformed line may never end; a wait for its end would look like an unresponsive counter.
+        elif not is_reply_prefix(self._buffer):
+            # Do not wait for the end of a malformed line: without one, the counter would seem unresponsive.
             self._on_malformed_reply(self._buffer)
 
     def _on_reply(self, line: bytes) -> None:
@@ -135,9 +138,10 @@
             self._calls.complete(self.in_flight.popleft(), result)
 
     def _on_malformed_reply(self, line: bytes) -> None:
-        """Abort: a malformed reply shows no total, and later lines cannot be matched to calls."""
+        """Abort: a malformed reply contains no total, and later replies cannot be matched to calls."""
         self._owner.on_malformed_reply(line)
-        # Before the calls fail: their handlers may make further calls, which must not be written here.
+        # Abort before the calls fail: their handlers may make further calls, which must not be sent on this
+        # connection.
         self.abort()
         self._fail_in_flight(CallStatus.MALFORMED)
 
--- a/quota_gateway/net/counter/connections.py
+++ b/quota_gateway/net/counter/connections.py
@@ -1,4 +1,4 @@
-"""The connections to the shared counter: an active one, a standby and those that drain."""
+"""The connections to the shared counter: the active one, the standby and draining ones."""
 
 from __future__ import annotations
 
@@ -15,26 +15,28 @@
 
 log = logging.getLogger(__name__)
 
-PING_INTERVAL_SECONDS = 2.0  # without a request; the counter closes idle connections
+# A ping is sent on a connection without a request for this time, because the counter closes idle connections.
+PING_INTERVAL_SECONDS = 2.0
 
 
 class CallQueue(CallEvents, Protocol):
-    """The calls that wait for the active connection, and the results of calls: the client."""
+    """Queues calls for the active connection and receives their events; implemented by ``CounterClient``."""
 
     def enqueue(self, call: CounterCall) -> None:
-        """Send a call on the active connection as soon as that accepts it."""
+        """Send a call on the active connection as soon as the connection accepts it."""
 
 
 class CounterConnections:
     """The connections to the counter.
 
-    Calls are sent on the active connection. The standby replaces it when it ends or is unresponsive: the
-    connections to a counter become unresponsive one by one. A connection to a new address becomes active
-    when it is open, and the previous one drains: it receives its replies and closes.
+    Calls are sent on the active connection. The standby replaces it when it is lost or unresponsive: the
+    connections to a counter become unresponsive one by one, not all at once. After a change of the address,
+    the first connection to the new address becomes active when it is open. The previous one then drains: it
+    closes once its calls in flight have received their replies.
     """
 
     def __init__(self, address: Address, calls: CallQueue, stats: CounterStats, rng: Random) -> None:
-        """``rng`` draws the jitter of the delays between attempts to connect."""
+        """Create the connections to ``address``; ``rng`` draws the jitter of the reconnect delays."""
         self.active: CounterConnection | None = None
         self.standby: CounterConnection | None = None
         self.draining = set[CounterConnection]()
@@ -42,7 +44,7 @@
         self._calls = calls
         self._stats = stats
         self._loop = asyncio.get_running_loop()
-        self._is_running = False  # between ``start`` and ``close``
+        self._is_running = False  # true from ``start`` to ``close``
 
     def start(self) -> None:
         """Keep connections open from now on."""
@@ -76,8 +78,11 @@
                 self.connector.connect()
                 return
 
-    def fail_over_from_unresponsive(self, call: CounterCall) -> None:
-        """Make the standby active if nothing has been received since ``call``, which timed out, was sent."""
+    def fail_over_if_unresponsive(self, call: CounterCall) -> None:
+        """Fail over to the standby if ``call`` has timed out on an unresponsive active connection.
+
+        The connection is unresponsive if it has received nothing since ``call`` was sent on it.
+        """
         active = self.active
         standby = self.standby
         if active is None or standby is None or not standby.usable or standby.in_flight:
@@ -125,11 +130,11 @@
     # Events of the connector and of connections.
 
     def new_connection(self, address: Address) -> CounterConnection:
-        """Create a connection that is to be opened."""
+        """Create a connection, which the connector opens."""
         return CounterConnection(self, self._calls, address)
 
     def on_connected(self, connection: CounterConnection) -> None:
-        """Use a new connection as the active one, or as the standby if an active one has its address."""
+        """Make a new connection active, or the standby if the active one has the same address."""
         previous = self.active
         if previous is not None and previous.address == connection.address:
             self.standby = connection
@@ -141,14 +146,14 @@
             self.on_connection_lost(connection)  # it ended before the connector was notified
         elif connection is self.active:
             self._calls.flush()
-            self.open_missing()  # the standby
+            self.open_missing()  # opens the standby
 
     def on_malformed_reply(self, line: bytes) -> None:
         """Count a malformed reply."""
         self._stats.record_malformed_reply(line)
 
     def on_connection_lost(self, connection: CounterConnection) -> None:
-        """Replace a connection that has ended; queued calls are sent on the standby."""
+        """Replace a lost connection. If it was the active one, queued calls are sent on the standby."""
         self._stats.record_connection_closed()
         self.draining.discard(connection)
         if connection is self.active:
@@ -160,4 +165,4 @@
         else:
             return
         if self._is_running:
-            self._loop.call_later(self.connector.remaining_interval(), self.open_missing)
+            self._loop.call_later(self.connector.seconds_until_reconnect(), self.open_missing)
--- a/quota_gateway/net/counter/connector.py
+++ b/quota_gateway/net/counter/connector.py
@@ -1,4 +1,4 @@
-"""Opening of connections to the shared counter, with backoff after failures."""
+"""Opens connections to the shared counter, with backoff after failures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_SECONDS = 0.25
-# Between two attempts, so that a counter that closes each connection at once does not cause a busy loop.
+# The minimum time between two attempts prevents a busy loop if the counter closes each connection at once.
 MIN_RECONNECT_INTERVAL_SECONDS = 0.05
 
 
@@ -21,14 +21,14 @@
     """Creates the connections and receives the opened ones."""
 
     def new_connection(self, address: Address) -> CounterConnection:
-        """Create a connection that is to be opened."""
+        """Create a connection, which the connector opens."""
 
     def on_connected(self, connection: CounterConnection) -> None:
-        """The connection was opened; it may have ended again."""
+        """Handle a connection that was opened and may have been lost since."""
 
 
 class CounterConnector:
-    """Opens connections to the present address, one at a time; owns the task of the attempt."""
+    """Opens connections to the current address, one at a time; owns the task of the attempt."""
 
     def __init__(self, address: Address, owner: ConnectorOwner, rng: Random) -> None:
         """``rng`` draws the jitter of the delays."""
@@ -43,26 +43,26 @@
         self._failure_logged = False
 
     def set_address(self, address: Address) -> None:
-        """Cancel the present attempt; connect to another address from now on, without delay."""
+        """Use another address from now on: cancel the attempt in progress and reset the backoff."""
         self.address = address
         self.consecutive_failures = 0
         self.next_attempt_at = 0.0
         self.cancel()
 
     def cancel(self) -> None:
-        """Cancel the present attempt."""
+        """Cancel the attempt in progress."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def connect(self) -> None:
-        """Start an attempt, unless one is in progress or the backoff has not passed."""
+        """Start an attempt, unless one is in progress or the backoff delay has not passed."""
         if self._task is not None or self._loop.time() < self.next_attempt_at:
             return
         self.last_attempt_at = self._loop.time()
         self._task = self._loop.create_task(self._connect(self.address))
 
-    def remaining_interval(self) -> float:
+    def seconds_until_reconnect(self) -> float:
         """Return the seconds until a lost connection may be replaced."""
         return max(0.0, self.last_attempt_at + MIN_RECONNECT_INTERVAL_SECONDS - self._loop.time())
 
@@ -75,11 +75,11 @@
             self._on_failure(error)
             connection.abort()
         except Exception as error:
-            log.exception("connecting to the counter failed unexpectedly")
+            log.exception("unexpected error while connecting to the counter; retrying with backoff")
             self._on_failure(error)
             connection.abort()
         except asyncio.CancelledError:
-            connection.abort()  # ``cancel`` has reset the task already
+            connection.abort()  # ``cancel`` has already reset ``_task``
         else:
             self._on_success(connection)
 
@@ -91,7 +91,7 @@
         self._owner.on_connected(connection)
 
     def _on_failure(self, error: Exception) -> None:
-        if not self._failure_logged:  # one line for consecutive failures
+        if not self._failure_logged:  # only the first of consecutive failures is logged
             log.warning("no connection to the counter: %r", error)
         self._failure_logged = True
         self._task = None
--- a/quota_gateway/net/counter/line_protocol.py
+++ b/quota_gateway/net/counter/line_protocol.py
@@ -17,7 +17,7 @@
 
 
 class CallResult(NamedTuple):
-    """How a call ended, and the counter's total after it; 0.0 where the reply has no total."""
+    """The status of a completed call, and the counter's total after it; 0.0 if no total was received."""
 
     status: CallStatus
     total: float = 0.0
@@ -45,7 +45,7 @@
     return WORD_REPLIES.get(line)
 
 
-def may_begin_reply(text: bytes) -> bool:
+def is_reply_prefix(text: bytes) -> bool:
     """Whether a reply line can begin with ``text``, which contains no line end."""
     if len(text) > MAX_REPLY_BYTES:
         return False
--- a/quota_gateway/net/counter/stats.py
+++ b/quota_gateway/net/counter/stats.py
@@ -1,4 +1,4 @@
-"""Counts of how counter calls ended and what happened to the connections, for one log line."""
+"""Counts of counter calls by status and of connection events, for a periodic log line."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class CounterStats:
-    """Counts since the last log line, by the words in that line."""
+    """Counts since the last log line; the keys are the words in that line."""
 
     __slots__ = ("_counts",)
 
     def __init__(self) -> None:
-        """Begin without counts."""
+        """Start with no counts."""
         self._counts = Counter[str]()
 
     def record_call(self, status: CallStatus) -> None:
-        """Count a call by how it ended."""
+        """Count a completed call by its status."""
         self._counts[status.name.lower()] += 1
 
     def record_connection_closed(self) -> None:
-        """Count a connection that has ended."""
+        """Count a connection that was closed or lost."""
         self._counts[CONNECTIONS_CLOSED] += 1
 
     def record_failover(self) -> None:
@@ -38,11 +38,11 @@
     def record_malformed_reply(self, line: bytes) -> None:
         """Count a malformed reply; log it if it is the first one since the last log line."""
         if not self._counts[MALFORMED_LINES]:
-            log.warning("malformed reply of the counter, reconnecting: %.80r", line)
+            log.warning("malformed reply from the counter, reconnecting: %.80r", line)
         self._counts[MALFORMED_LINES] += 1
 
     def log_and_reset(self) -> None:
-        """Write the counts and begin again; write nothing if there are none."""
+        """Log the counts and reset them; log nothing if there are none."""
         if self._counts:
             shown = ", ".join(f"{event} {count}" for event, count in sorted(self._counts.items()))
             log.info("counter calls: %s", shown)
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,4 +1,8 @@
-"""The client of the shared counter over loopback sockets: order, timeouts, lost connections, addresses."""
+"""Tests of the counter client over loopback sockets.
+
+They guard against results in the wrong order, replies matched to the wrong call, and calls that are lost or
+never complete at timeouts, lost connections, malformed replies and changes of the address.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 
 
 class CounterServer:
-    """A counter whose replies are written by a test; ``requests`` are the lines that it has received."""
+    """A counter whose replies the tests write; ``requests`` are the lines that it has received."""
 
     def __init__(self) -> None:
         self.requests = asyncio.Queue[bytes]()
@@ -87,12 +91,12 @@
 
 
 @async_test
-async def test_late_reply_to_a_timed_out_call_does_not_complete_the_next(
+async def test_late_reply_to_a_timed_out_call_does_not_complete_the_next_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with connected(0.05) as (server, writer, client):
         # The connection is slow, not unresponsive.
-        monkeypatch.setattr(client.connections, "fail_over_from_unresponsive", lambda _call: None)
+        monkeypatch.setattr(client.connections, "fail_over_if_unresponsive", lambda _call: None)
         assert await increment(client, 1) == (CallStatus.TIMEOUT, 0.0)
         client.set_timeout(10.0)
         second = increment(client, 2)
@@ -152,7 +156,7 @@
         await server.requests.get()
         writer.transport.abort()
         assert (await written)[0] is CallStatus.RESET_AFTER_REQUEST
-        # The last request that was passed to the transport before writing was paused.
+        # This request was the last one that was passed to the transport before writing was paused.
         assert (await partly_written)[0] is CallStatus.UNREACHABLE
         new_writer = await server.connections.get()  # reconnected at once
         assert (await server.requests.get()).startswith(b"tally 3 ")
@@ -187,7 +191,8 @@
         second = increment(client, 2)
         for _ in range(2):
             await server.requests.get()
-        writer.write(reply + b"ok 5\r\n" * reply.endswith(b"\n"))  # no reply to the second call
+        # After a malformed line, "ok 5" must not be taken for the reply to the second call.
+        writer.write(reply + b"ok 5\r\n" * reply.endswith(b"\n"))
         assert [await first, await second] == [(CallStatus.MALFORMED, 0.0)] * 2
         third = increment(client, 3)  # sent on the new connection
         new_writer = await server.connections.get()
@@ -197,7 +202,7 @@
 
 
 @async_test
-async def test_old_connection_is_used_until_the_new_address_is_connected_and_results_stay_in_order() -> None:
+async def test_old_connection_is_used_until_the_new_one_is_open_and_results_stay_in_order() -> None:
     new_server = CounterServer()
     async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
         in_flight = increment(client, 7)
@@ -225,7 +230,7 @@
 
 
 @async_test
-async def test_unreachable_address_leaves_the_old_connection_active_and_a_newer_one_replaces_it() -> None:
+async def test_old_connection_is_used_until_a_reachable_address_is_set() -> None:
     new_server = CounterServer()
     async with connected(10.0) as (old_server, old, client), running_server(new_server.serve) as address:
         host, port = address.split(":")
@@ -243,12 +248,12 @@
 async def test_idle_connection_is_pinged_and_an_unresponsive_one_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(counter_client, "CHECK_INTERVAL_SECONDS", 0.01)
+    monkeypatch.setattr(counter_client, "CONNECTION_CHECK_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(counter_connections, "PING_INTERVAL_SECONDS", 0.02)
-    monkeypatch.setattr(counter_client, "MAX_REPLY_TIMEOUTS", 0.01)
+    monkeypatch.setattr(counter_client, "REPLY_TIMEOUT_FACTOR", 0.01)
     async with connected(10.0) as (server, _, _):
         assert await server.requests.get() == b"ping\r\n"
-        await server.connections.get()  # no pong was sent: a new connection
+        await server.connections.get()  # a new connection, because no pong was sent on the first one
 
 
 @async_test
@@ -264,7 +269,7 @@
         for counter_id in range(3):
             assert (await increment(client, counter_id))[0] is CallStatus.MALFORMED
         client.close()
-    assert sum("malformed reply of the counter" in record.getMessage() for record in caplog.records) == 1
+    assert sum("malformed reply from the counter" in record.getMessage() for record in caplog.records) == 1
 
 
 @pytest.mark.parametrize(
