--- a/quota_gateway/net/discovery/client.py
+++ b/quota_gateway/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: follows its watch at the newest address."""
+"""The client of discovery: follows the watch at the newest address."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class DiscoveryClient:
     """Follows discovery at the newest address, and at the previous one until the newest has sent an event.
 
-    The tasks of both watches are owned here; events of a cancelled watch are dropped.
+    The client owns the tasks of both watches. Events of a cancelled watch are dropped.
     """
 
     def __init__(
@@ -31,12 +31,14 @@
         self._contact = DiscoveryContact()
         self._address: tuple[str, int] | None = None
         self._established: asyncio.Task[None] | None = None  # the watch that sent the last event
-        self._candidate: asyncio.Task[None] | None = None  # the watch at the newest address, without an event
+        # The watch at the newest address, until it sends its first event.
+        self._candidate: asyncio.Task[None] | None = None
 
     def set_address(self, host: str, port: int, since_version: int | None = None) -> None:
         """Follow discovery at another address.
 
-        Without a version discovery sends the complete list: its versions may differ from address to address.
+        The watch resumes from ``since_version``; if it is None, discovery sends the complete list first. A
+        version that was received from one address may not be valid at another one.
         """
         if (host, port) == self._address:
             return
--- a/quota_gateway/net/discovery/contact.py
+++ b/quota_gateway/net/discovery/contact.py
@@ -1,4 +1,4 @@
-"""When discovery last sent a line."""
+"""The time of the last line from discovery."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class DiscoveryContact:
-    """The time of the last line that was received from discovery, from any of its addresses."""
+    """The time when a line was last received from discovery, at any of its addresses."""
 
     __slots__ = ("_last_at",)
 
     def __init__(self) -> None:
-        """Begin without contact."""
+        """Start without a received line."""
         self._last_at = -math.inf  # seconds of the event loop's clock
 
-    def renew(self, now: float) -> float:
-        """Record a line that is received at ``now``; return the seconds since the one before."""
+    def record_line(self, now: float) -> float:
+        """Record a line that is received at ``now``; return the seconds since the previous line."""
         elapsed = now - self._last_at
         self._last_at = now
         return elapsed
--- a/quota_gateway/net/discovery/poll_timing.py
+++ b/quota_gateway/net/discovery/poll_timing.py
@@ -1,4 +1,4 @@
-"""Times of the polls of discovery."""
+"""Timing of the polls of discovery."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from quota_gateway.net.common.backoff import MAX_POLL_INTERVAL_SECONDS
 
-# A watch has failed after this time without a complete line, whatever the state of its socket. Discovery
-# sends an empty line as a heartbeat every 2 s. An update must be known 6 s after the last line, the next
-# request included.
+# A watch that receives no complete line for this time has failed, whatever the state of its socket. Discovery
+# sends an empty line as a heartbeat every 2 s. The limiter must be notified of an update within 6 s of the
+# last line; this time includes the next request.
 SILENCE_TIMEOUT_SECONDS = 3.0
 
 
@@ -16,9 +16,9 @@
 class PollTiming:
     """When discovery is polled, and how long a poll waits for its response. Times are in seconds."""
 
-    client_count: int = 1  # limiters that poll the same discovery
-    response_timeout: float = SILENCE_TIMEOUT_SECONDS  # from the start of a request to its response
-    max_interval: float = MAX_POLL_INTERVAL_SECONDS  # from the start of one request to that of the next
+    client_count: int = 1  # the number of limiters that poll the same discovery
+    response_timeout: float = SILENCE_TIMEOUT_SECONDS  # the time from the start of a request to its response
+    max_interval: float = MAX_POLL_INTERVAL_SECONDS  # the time between the starts of two requests
 
 
 DEFAULT_POLL_TIMING = PollTiming()
--- a/quota_gateway/net/discovery/watch_event.py
+++ b/quota_gateway/net/discovery/watch_event.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """An endpoint list, complete or only its changes, with the addresses of its endpoints."""
+    """An endpoint update, which may be the complete list, with the addresses of its endpoints."""
 
     version: int
     update: model.EndpointUpdate
@@ -31,7 +31,7 @@
 
 
 def parse_watch_event(raw: Any) -> WatchEvent:
-    """Return the event in a decoded message; raise ``MalformedEventError`` if the message is malformed."""
+    """Return the event in a decoded JSON message; raise ``MalformedEventError`` if it is malformed."""
     try:
         endpoints = []
         addresses = {}
@@ -43,11 +43,11 @@
         update = model.EndpointUpdate(tuple(endpoints), complete=bool(raw.get("whole")))
         return WatchEvent(version, update, addresses)
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise MalformedEventError(f"not an endpoint list: {error!r:.80}") from None
+        raise MalformedEventError(f"invalid endpoint update: {error!r:.80}") from None
 
 
 def _parse_host(host: dict[str, Any]) -> tuple[model.Endpoint, str]:
-    """Return an endpoint and its address, which only a removed endpoint can lack."""
+    """Return an endpoint and its address, which may be empty only if the endpoint is removed."""
     health = HEALTH_STATES[host["health"]]
     address = str(host.get("dial") or "")
     if address or health is not model.EndpointHealth.REMOVED:
@@ -55,7 +55,7 @@
     name = str(host["host"])
     started_at = float(host.get("born_ms") or 0) / MILLISECONDS_PER_SECOND
     if not math.isfinite(started_at):
-        raise ValueError("born_ms is not finite")
+        raise ValueError("born_ms is not a finite number")
     weight = float(host.get("share") or 1.0)
     cell = int(host.get("block") or 0)
     zone = str(host.get("site") or "")
--- a/quota_gateway/net/discovery/watch_request.py
+++ b/quota_gateway/net/discovery/watch_request.py
@@ -1,4 +1,4 @@
-"""One request for discovery's watch, and the event stream of its response."""
+"""A watch request to discovery, and the event stream in its response."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 
 log = logging.getLogger(__name__)
 
-QUEUE_TIMEOUT_SECONDS = 60.0  # for which a request may wait for the head of its response
+# The time limit for the head of the response, which an overloaded discovery sends after those of earlier
+# requests.
+QUEUE_TIMEOUT_SECONDS = 60.0
 MAX_LINE_BYTES = 4 * 1024 * 1024
 READ_BYTES = 65536
 STATUS_OK = 200
@@ -25,7 +27,7 @@
 
 
 class RequestOwner(Protocol):
-    """Receives the events of a request: the watcher."""
+    """Receives the events of a request; implemented by ``EndpointWatcher``."""
 
     host: str
     port: int
@@ -33,26 +35,26 @@
     contact: DiscoveryContact
 
     def on_response_started(self, request: WatchRequest) -> None:
-        """The request has received the head of a successful response: it is the watch now."""
+        """Handle the head of a successful response: the request becomes the watch."""
 
     def on_version_rejected(self) -> None:
-        """Discovery rejected the request, possibly because of the version."""
+        """Handle a rejection of the request, whose cause may be the version."""
 
     def on_ended(self, cause: str) -> None:
-        """The request or its event stream has ended."""
+        """Handle the end of the request or of its event stream."""
 
     def on_malformed_line(self, error: Exception) -> None:
-        """A line was dropped."""
+        """Handle a malformed line, which was dropped."""
 
     def on_event(self, event: WatchEvent, *, resumable: bool) -> None:
-        """An event was received; ``resumable`` if no line before it was dropped."""
+        """Handle an event; ``resumable`` is false if an earlier line of the same watch was dropped."""
 
     def permit_restart(self, now: float) -> bool:
-        """Whether the watch may restart for a dropped line."""
+        """Whether the watch may restart because a malformed line was dropped."""
 
 
 class WatchRequest:
-    """A request to discovery, from its connect to the end of the event stream.
+    """A watch request to discovery, from connecting to the end of the event stream.
 
     The response parser calls the ``on_`` methods.
     """
@@ -62,7 +64,7 @@
         self._owner = owner
         self._loop = asyncio.get_running_loop()
         self._buffer = b""  # an incomplete line
-        self._event_lost = False  # a line was malformed
+        self._event_lost = False  # whether a malformed line was dropped
         self.received_event = False
         self.started_at = self._loop.time()
         self.last_line_at = self.started_at
@@ -77,7 +79,7 @@
             cause = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else error
             self._owner.on_ended(repr(cause))
         except Exception:
-            log.exception("the watch on discovery failed")
+            log.exception("unexpected error in a watch request to discovery; sending a new one")
 
     async def _follow(self) -> None:
         async with asyncio.timeout_at(self._deadline):
@@ -101,13 +103,13 @@
         async with asyncio.timeout_at(self._deadline):
             data = await reader.read(READ_BYTES)
         if not data:
-            raise ConnectionError("closed by discovery")
+            raise ConnectionError("discovery closed the connection")
         self._parser.feed_data(data)
 
     def _restart_if_event_lost(self) -> None:
-        """End a watch in which a line was dropped: no later line repeats the changes in it."""
+        """End the watch if a malformed line was dropped: no later line repeats the changes in it."""
         if self._event_lost and self._owner.permit_restart(self._loop.time()):
-            raise ConnectionError("an event was lost in a malformed line")
+            raise ConnectionError("the changes in a malformed line are missing")
 
     # Callbacks of httptools. It wraps the errors that they raise, and ``_run`` unwraps them.
 
@@ -115,10 +117,10 @@
         """Handle the head of the response."""
         status = self._parser.get_status_code()
         if status != STATUS_OK:
-            # An overloaded discovery gets no request for the complete list, which would increase its load.
+            # The version is kept when discovery is overloaded: the complete list would increase its load.
             if status < MIN_SERVER_ERROR_STATUS and status != STATUS_TOO_MANY_REQUESTS:
                 self._owner.on_version_rejected()
-            raise ConnectionError(f"status {status}")
+            raise ConnectionError(f"discovery responded with status {status}")
         self._extend_deadline()
         self._owner.on_response_started(self)
 
@@ -128,11 +130,11 @@
         for line in lines:
             self._on_line(line.strip())
         if len(self._buffer) > MAX_LINE_BYTES:
-            raise ConnectionError(f"a line over {MAX_LINE_BYTES} bytes without an end")
+            raise ConnectionError(f"a line from discovery exceeds {MAX_LINE_BYTES} bytes")
 
     def on_message_complete(self) -> None:
         """Handle the end of the response: discovery does not end a watch in normal operation."""
-        raise ConnectionError("the watch was ended")
+        raise ConnectionError("discovery ended the response")
 
     def _extend_deadline(self) -> None:
         self._deadline = self._loop.time() + SILENCE_TIMEOUT_SECONDS
@@ -140,7 +142,7 @@
     def _on_line(self, line: bytes) -> None:
         self._extend_deadline()
         self.last_line_at = self._loop.time()
-        seconds_since_contact = self._owner.contact.renew(self.last_line_at)
+        seconds_since_contact = self._owner.contact.record_line(self.last_line_at)
         if not line:  # a heartbeat
             return
         try:
@@ -158,6 +160,6 @@
     """Return the event in a line; raise ``ValueError`` or ``RecursionError`` if the line is malformed."""
     event = parse_watch_event(json.loads(line))
     if event.update.complete and not event.update.endpoints:
-        # Discovery may have lost its state.
-        raise MalformedEventError("an empty list: the last one is kept")
+        # Discovery may have lost its state: the present endpoints stay in use.
+        raise MalformedEventError("a complete list without endpoints; keeping the previous list")
     return event
--- a/quota_gateway/net/discovery/watcher.py
+++ b/quota_gateway/net/discovery/watcher.py
@@ -19,19 +19,20 @@
 
 MAX_UNANSWERED_REQUESTS = 3
 MIN_WATCH_LIFETIME_SECONDS = 5.0  # a watch that ends earlier counts as a failure
-# A watch in which a line was malformed restarts from the version before that line, but not more often than
-# this, because the line may stay malformed.
+# After a malformed line the watch restarts from the version before that line, to receive its changes. The
+# line may stay malformed, so there is a minimum time between two such restarts.
 MIN_RESTART_INTERVAL_SECONDS = 10.0
-RECOVERY_DELAY_SECONDS = 0.5  # after an unexpected error
+RECOVERY_DELAY_SECONDS = 0.5  # the wait after an unexpected error
 
 
 class EndpointWatcher:
     """Follows discovery's watch; restarts it with backoff when it ends or sends no line in time.
 
-    A request without a response is not cancelled when the next one starts: an overloaded discovery responds
-    in the order of arrival, and a client that leaves the queue would never reach its head. A half-open
-    discovery responds only to requests that start after its return. The first request that receives a
-    response becomes the watch, and the others are cancelled.
+    A request without a response is not cancelled when the next one starts. An overloaded discovery responds
+    in the order of arrival: a client that cancelled its request each time would never reach the head of the
+    queue. The next request is needed because a half-open discovery, once it has returned, responds only to
+    requests that start after its return. The first request that receives a response becomes the watch, and
+    the others are cancelled.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         rng: Random | None = None,
         contact: DiscoveryContact | None = None,
     ) -> None:
-        """Create a watcher from a version on or, without one, from the complete list."""
+        """Create a watcher; without ``since_version`` it requests the complete list first."""
         self.host = host
         self.port = port
         self.since_version = since_version
@@ -53,10 +54,11 @@
         self._timing = timing
         self._rng = rng or Random()
         self._consecutive_failures = 0
-        self._last_restart_at = -math.inf  # for a malformed line, in seconds of the event loop's clock
+        # The time of the last restart because of a malformed line, in seconds of the event loop's clock.
+        self._last_restart_at = -math.inf
         self._malformed_line_logged = False
         self._unanswered = list[WatchRequest]()  # in the order of their start
-        self._latest: WatchRequest | None = None  # the one that started last, or the watch
+        self._latest: WatchRequest | None = None  # the watch or, without one, the request that started last
         self._first_answered: asyncio.Future[WatchRequest] | None = None
         self._log = WatchLog()
 
@@ -67,7 +69,8 @@
 
     async def follow(self) -> None:
         """Follow the watch until cancelled."""
-        elapsed = 0.0  # seconds since discovery's last line in the request that has ended
+        # Seconds from the last line (or the start) of the request that has ended until its end.
+        elapsed = 0.0
         try:
             while True:
                 elapsed = await self._poll_or_recover(elapsed)
@@ -77,11 +80,11 @@
                     request.task.cancel()
 
     async def _poll_or_recover(self, elapsed: float) -> float:
-        """Poll once, or wait after an unexpected error; return the new ``elapsed``."""
+        """Poll once and return the new ``elapsed``; after an error, wait and return it unchanged."""
         try:
             request = await self._poll(elapsed)
         except Exception:
-            log.exception("following discovery failed")
+            log.exception("unexpected error in the watch on discovery; polling again")
             await asyncio.sleep(RECOVERY_DELAY_SECONDS)
             return elapsed
         now = asyncio.get_running_loop().time()
@@ -91,7 +94,8 @@
     async def _poll(self, elapsed: float) -> WatchRequest:
         """Send a request after a delay; return the request that has failed, or the watch that has ended.
 
-        The first request is delayed too. None is sent if an earlier one receives a response in the meantime.
+        The first request is delayed too. No request is sent if an earlier one receives a response during the
+        delay.
         """
         first_answered: asyncio.Future[WatchRequest] = asyncio.get_running_loop().create_future()
         self._first_answered = first_answered
@@ -117,7 +121,7 @@
     def _start_request(self) -> WatchRequest:
         self._unanswered = [request for request in self._unanswered if not request.task.done()]
         if len(self._unanswered) >= MAX_UNANSWERED_REQUESTS:
-            # Not the oldest request, which is nearest to the head of discovery's queue.
+            # The second oldest request is cancelled: the oldest is nearest to the head of discovery's queue.
             self._unanswered.pop(1).task.cancel()
         request = WatchRequest(self, self._timing.response_timeout)
         self._unanswered.append(request)
@@ -132,10 +136,13 @@
             (first_answered, request.task), timeout=timeout, return_when=asyncio.FIRST_COMPLETED
         )
         if not first_answered.done() and not request.task.done():
-            self.on_ended(f"no answer in {timeout:.1f} s")
+            self.on_ended(f"no response within {timeout:.1f} s")
 
     def _record_end(self, request: WatchRequest, now: float) -> None:
-        """Count a failed request or an ended watch, as a failure unless the watch was of use."""
+        """Record a failed request or an ended watch, and update the number of consecutive failures.
+
+        A watch resets the number if it received an event and lasted ``MIN_WATCH_LIFETIME_SECONDS``.
+        """
         lifetime = now - request.started_at
         if lifetime > MIN_WATCH_LIFETIME_SECONDS and request.received_event:
             self._consecutive_failures = 0
@@ -146,7 +153,7 @@
     # Events of requests.
 
     def on_response_started(self, answered: WatchRequest) -> None:
-        """Make a request the watch, and cancel the others."""
+        """Make the answered request the watch, and cancel the others."""
         if self._first_answered is None or self._first_answered.done():
             return
         self._first_answered.set_result(answered)
@@ -157,23 +164,23 @@
         self._latest = answered  # before ``_poll`` resumes, since ``follow`` may be cancelled first
 
     def on_version_rejected(self) -> None:
-        """Request the complete list next time: the version may be the cause of the rejection."""
+        """Request the complete list from now on: the version may be the cause of the rejection."""
         self.since_version = None
 
     def on_ended(self, cause: str) -> None:
-        """Log the end of a request or of the watch, once for consecutive failures."""
+        """Log a failed request or the end of the watch, but only the first of consecutive failures."""
         if not self._consecutive_failures:
-            log.warning("the watch on discovery ended: %s", cause)
+            log.warning("the watch on discovery has failed, polling again: %s", cause)
 
     def on_malformed_line(self, error: Exception) -> None:
-        """Count a malformed line; log it if no line was malformed since the last resumable event."""
+        """Count a malformed line, and log it if it is the first one since the last resumable event."""
         if not self._malformed_line_logged:
             log.warning("dropped a malformed line of discovery: %s", error)
         self._malformed_line_logged = True
         self._log.record(WatchOutcome.DROPPED)
 
     def on_event(self, event: WatchEvent, *, resumable: bool) -> None:
-        """Deliver an event; the watch can resume from it if no line before it was dropped."""
+        """Deliver an event; if it is ``resumable``, the next watch resumes from its version."""
         if resumable:
             self.since_version = event.version
             self._malformed_line_logged = False
@@ -182,7 +189,7 @@
         self._on_event(event)
 
     def permit_restart(self, now: float) -> bool:
-        """Whether the watch may restart for a malformed line; the restart is recorded."""
+        """Whether the watch may restart because of a malformed line; if so, record the restart."""
         if now - self._last_restart_at <= MIN_RESTART_INTERVAL_SECONDS:
             return False
         self._last_restart_at = now
--- a/tests/discovery_server.py
+++ b/tests/discovery_server.py
@@ -1,4 +1,4 @@
-"""Servers that act as discovery on loopback sockets, and their messages."""
+"""Discovery servers for tests, on loopback sockets, and the messages that they send."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def message(seq: int, health: str = "ready", **changes: Any) -> bytes:
-    """Return a line of the watch, with one host; a complete list if ``seq`` is 1."""
+    """Return a line of the watch, with one host; the list is complete if ``seq`` is 1."""
     host = {
         "host": "s1", "dial": "10.1.0.18:7070", "site": "a", "class": "m2", "block": 3,
         "health": health, "share": 1.5, "born_ms": 1_800_000_000_250,
@@ -36,15 +36,15 @@
 
 
 class ScriptedDiscovery:
-    """Writes to each connection the chunks of the next script.
+    """Serves each connection by the next script, whose chunks it writes to the connection.
 
-    The connection is closed then if ``end`` is set, unless the script was the last one.
+    With ``close_connections`` it closes the connection after the script, unless the script was the last one.
     """
 
-    def __init__(self, *scripts: list[bytes], end: bool = True) -> None:
+    def __init__(self, *scripts: list[bytes], close_connections: bool = True) -> None:
         self.scripts = list(scripts)
         self.request_paths = list[str]()
-        self._end = end
+        self._close_connections = close_connections
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
@@ -53,12 +53,15 @@
             writer.write(data)
             await writer.drain()
             await asyncio.sleep(0)
-        if not self._end or not self.scripts:
+        if not self._close_connections or not self.scripts:
             await asyncio.Event().wait()
 
 
 class QueueingDiscovery:
-    """Responds to requests in sequence, also to those of clients that have disconnected."""
+    """Responds to requests one by one, in the order of arrival.
+
+    A request whose client has disconnected takes as much time as any other.
+    """
 
     def __init__(self, responses_per_second: float) -> None:
         self.open_connections = 0
@@ -82,7 +85,7 @@
             self.open_connections -= 1
 
     async def process_queue(self) -> None:
-        """Let the requests have their turns until cancelled."""
+        """Process the queued requests, at ``responses_per_second``, until cancelled."""
         while True:
             turn = await self._queue.get()
             await asyncio.sleep(self._interval)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,8 @@
-"""Backoff: the spread of a fleet's attempts, and the latest time of each."""
+"""Tests of the backoff.
+
+They guard against limiters that all poll or reconnect at the same moment, and against polls that are too late
+to receive an endpoint update in time.
+"""
 
 from __future__ import annotations
 
@@ -22,11 +26,11 @@
     assert max_per_tenth < 20
 
 
-def test_polls_of_a_fleet_that_lost_discovery_together_do_not_stay_in_phase() -> None:
-    """No second has more than twice the mean number of polls.
+def test_polls_of_a_fleet_do_not_stay_in_phase_when_discovery_is_lost() -> None:
+    """Forty limiters lose discovery at the same moment, and all of their polls fail.
 
-    Forty limiters poll at the same time and fail. All must poll within the rest of the 6 s after a return,
-    which fixes the mean.
+    No second may have more than twice the mean number of polls. The mean follows from the maximum interval:
+    each limiter must poll soon enough to receive an update within 6 s of discovery's return.
     """
     rngs = [Random(seed) for seed in range(40)]
     first_polls = [poll_delay(40, 0, rng.random()) for rng in rngs]
@@ -50,7 +54,7 @@
         for second in range(20)
     ]
     assert max(polls_by_second) <= 2 * 40 / MAX_POLL_INTERVAL_SECONDS, (
-        f"they poll in phase: {polls_by_second}"
+        f"the limiters poll in phase; polls in each second: {polls_by_second}"
     )
     assert poll_delay(3, 0, 0.99) <= 0.25
     assert poll_delay(3, 9, 0.99) <= 1.0
@@ -66,51 +70,55 @@
 
 @pytest.mark.parametrize("client_count", [1, 3, 40, 200, 420, 2000])
 def test_polls_leave_time_for_a_response_within_six_seconds(client_count: int) -> None:
-    """An update must be known 6 s after a return, at any delay after a failed poll."""
+    """A limiter must be notified of an update within 6 s of discovery's return, whenever a poll failed."""
     timing = parse_timing({"discovery": "ask", "n_instances": client_count})
     for failures in range(1, 40):
         for elapsed in (0.0, 0.5, timing.answer_timeout, timing.max_poll_interval, 30.0):
             interval = elapsed + poll_delay(
                 client_count, failures, 1.0, max_interval=timing.max_poll_interval, elapsed=elapsed
             )
-            assert interval <= max(4.5, elapsed), "a return just after a poll is found too late"
+            assert interval <= max(4.5, elapsed), "too late if discovery returns just after the last poll"
     assert timing.answer_timeout <= timing.max_poll_interval <= 4.5
     assert timing.max_poll_interval == MAX_POLL_INTERVAL_SECONDS
 
 
-def test_polls_are_spread_by_the_number_of_limiters_only_where_discovery_is_polled() -> None:
+def test_number_of_limiters_affects_the_poll_timing_only_if_discovery_is_polled() -> None:
     raw = {"n_instances": 40, "discovery": "ask"}
     assert parse_timing(raw).client_count == 40
     assert parse_timing(raw | {"discovery": "push"}).client_count == parse_timing({}).client_count == 1
 
 
 def test_first_poll_of_a_fleet_of_any_size_leaves_time_for_a_response() -> None:
-    """An update must be known 6 s after discovery becomes unresponsive and 4 s after its address changes."""
+    """A limiter must be notified of an update in time when its watch is lost.
+
+    The limits are 6 s after discovery becomes unresponsive and 4 s after its address changes.
+    """
     for client_count in (1, 40, 200, 1000):
         assert SILENCE_TIMEOUT_SECONDS + poll_delay(client_count, 0, 1.0) < 5.5
         assert poll_delay(client_count, 0, 1.0) < 2.5
         assert poll_delay(client_count, 9, 1.0) <= 4.5
     timing = parse_timing({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
     assert timing.answer_timeout + timing.max_poll_interval < 1.0, (
-        "a drain must be known 1 s after the agent knows of it"
+        "the limiter must be notified of a drain within 1 s after the agent"
     )
     assert parse_timing({"discovery": "ask"}).answer_timeout == 3.0
 
 
 class SimulatedFleet:
-    """Limiters that poll one discovery on a virtual clock: when they poll and get a response."""
+    """Limiters that poll one discovery, simulated on a virtual clock."""
 
     def __init__(self, client_count: int, seed: int) -> None:
         self.client_count = client_count
         self.rngs = [Random(f"{seed} {number}") for number in range(client_count)]
         self.timing = parse_timing({"discovery": "ask", "n_instances": client_count})
 
-    def response_delays(self, mode: str, outage: float, responses_per_second: float) -> list[float]:
-        """Return the seconds from the return until each limiter has the list, with one queue for the polls.
+    def response_delays(self, failure_mode: str, outage: float, responses_per_second: float) -> list[float]:
+        """Return the seconds from discovery's return until each limiter receives the list.
 
-        ``outage`` is the time in seconds from the loss of discovery until its return.
+        Discovery responds to the polls one by one. ``outage`` is the time in seconds from the loss of
+        discovery until its return.
         """
-        polls = [self._first_poll_after(outage, mode, rng) for rng in self.rngs]
+        polls = [self._first_poll_after(outage, failure_mode, rng) for rng in self.rngs]
         served_at = outage
         delays = list[float]()
         for polled_at in sorted(polls):
@@ -118,10 +126,10 @@
             delays.append(served_at - outage)
         return delays
 
-    def _first_poll_after(self, outage: float, mode: str, rng: Random) -> float:
+    def _first_poll_after(self, outage: float, failure_mode: str, rng: Random) -> float:
         max_interval = self.timing.max_poll_interval
-        # A poll of a half-open discovery before its return never gets a response; a refused one ends at once.
-        elapsed = 0.0 if mode == "refused" else self.timing.answer_timeout
+        # A poll before the return ends at once if it is refused. A half-open discovery lets it time out.
+        elapsed = 0.0 if failure_mode == "refused" else self.timing.answer_timeout
         polled_at = poll_delay(self.client_count, 0, rng.random(), max_interval=max_interval)
         failures = 0
         while polled_at < outage:
@@ -132,14 +140,16 @@
         return polled_at
 
 
-@pytest.mark.parametrize("mode", ["refused", "half-open"])
+@pytest.mark.parametrize("failure_mode", ["refused", "half-open"])
 @pytest.mark.parametrize("outage", [1.0, 4.0, 12.0, 60.0])
 @pytest.mark.parametrize("client_count", [24, 200, 420])
 def test_list_is_received_within_six_seconds_of_the_return_of_discovery(
-    mode: str, outage: float, client_count: int
+    failure_mode: str, outage: float, client_count: int
 ) -> None:
-    """Discovery is able to respond to all polls in 6 s; otherwise no spread of polls would suffice."""
+    """Discovery is fast enough to respond to all polls in 6 s; otherwise no spread of polls would suffice."""
     fleet = SimulatedFleet(client_count, 7)
-    delays = fleet.response_delays(mode, outage, responses_per_second=max(8.0, client_count / 4))
+    delays = fleet.response_delays(failure_mode, outage, responses_per_second=max(8.0, client_count / 4))
     late = sum(delay > 6 for delay in delays)
-    assert max(delays) <= 6.0, f"{late} of {client_count} late, the last after {max(delays):.1f} s"
+    assert max(delays) <= 6.0, (
+        f"{late} of {client_count} limiters received the list late, the last one after {max(delays):.1f} s"
+    )
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,7 @@
-"""The client of discovery over loopback sockets: changes of its address."""
+"""Tests of the discovery client over loopback sockets, at changes of discovery's address.
+
+They guard against a limiter that drops the old address too early or is notified too late at the new one.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
 
 @async_test
 async def test_old_address_is_followed_until_the_new_one_has_sent_an_event() -> None:
-    old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], end=False)
+    old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], close_connections=False)
     new_discovery = DelayedDiscovery()
     versions = list[int]()
     notified = asyncio.Event()
@@ -92,12 +95,12 @@
 async def test_new_address_is_polled_without_the_backoff_of_failures_at_the_old_one(
     monkeypatch: pytest.MonkeyPatch, failures: list[int]
 ) -> None:
-    """The list must be known 4 s after the signal, however often polls of the old address have failed."""
+    """The limiter must have the list 4 s after the address changes, however many polls have failed before."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
     loop = asyncio.get_running_loop()
     notified = asyncio.Event()
-    discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], end=False)
+    discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], close_connections=False)
     timing = parse_timing({"discovery": "ask", "n_instances": 200})
     async with running_server(discovery.serve) as address:
         client = DiscoveryClient(
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,8 @@
-"""The watcher over loopback sockets: chunks, versions, heartbeats, malformed lines, overload."""
+"""Tests of the endpoint watcher over loopback sockets.
+
+They guard against updates that are lost or late when a watch ends, stops sending heartbeats or contains
+malformed lines, and when discovery is down or overloaded.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
 
 
 async def follow(discovery: ScriptedDiscovery, count: int, connections: int = 1) -> list[WatchEvent]:
-    """Follow a discovery until there were ``count`` events and ``connections``; return the events."""
+    """Follow a discovery until ``count`` events and ``connections`` were received; return the events."""
     events = list[WatchEvent]()
     enough = asyncio.Event()
 
@@ -57,15 +61,15 @@
     timing: PollTiming,
     seed: int,
 ) -> EndpointWatcher:
-    """Return a watcher that has version 41."""
+    """Return a watcher that resumes from version 41."""
     host, port = address.split(":")
     return EndpointWatcher(host, int(port), 41, on_event, timing, rng=Random(seed))
 
 
 class FleetMember:
-    """A watcher that is one of ``FLEET_SIZE``, with its times multiplied by ``time_scale``.
+    """A watcher in a fleet of ``FLEET_SIZE``, with its times multiplied by ``time_scale``.
 
-    The result of ``first_event_at`` is the event loop's time at its first event.
+    ``first_event_at`` completes at the first event, with the event loop's time.
     """
 
     def __init__(self, address: str, seed: int, time_scale: float) -> None:
@@ -110,7 +114,9 @@
 @async_test
 async def test_watch_without_heartbeats_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_request, "SILENCE_TIMEOUT_SECONDS", 0.2)
-    discovery = ScriptedDiscovery([RESPONSE_HEAD], [RESPONSE_HEAD, chunk(message(58))], end=False)
+    discovery = ScriptedDiscovery(
+        [RESPONSE_HEAD], [RESPONSE_HEAD, chunk(message(58))], close_connections=False
+    )
     await follow(discovery, 1, 2)
     assert len(discovery.request_paths) == 2
 
@@ -149,8 +155,8 @@
     discovery = ScriptedDiscovery(*scripts, [RESPONSE_HEAD, chunk(message(58))])
     events = await follow(discovery, 1, 13)
     assert events[0].version == 58
-    ended = [record for record in caplog.records if "watch on discovery ended" in record.getMessage()]
-    assert len(ended) == 1
+    failed = [record for record in caplog.records if "watch on discovery has failed" in record.getMessage()]
+    assert len(failed) == 1
 
 
 @async_test
@@ -184,7 +190,7 @@
             await reader.read()
             return
         writer.write(start)
-        while True:  # a slow stream until the limiter closes the connection
+        while True:  # sends slowly until the watcher closes the connection
             writer.write(chunk(b"{") if start is RESPONSE_HEAD else b"x")
             await writer.drain()
             await asyncio.sleep(0.02)
@@ -199,12 +205,12 @@
 
 
 @async_test
-async def test_watch_is_restarted_for_the_change_in_a_malformed_line() -> None:
+async def test_watch_is_restarted_to_receive_the_change_in_a_malformed_line() -> None:
     malformed_and_next = message(58, "upbeat") + message(59, host="s2")
     discovery = ScriptedDiscovery(
         [RESPONSE_HEAD, chunk(message(57) + malformed_and_next)],
         [RESPONSE_HEAD, chunk(message(59, "draining"))],
-        end=False,
+        close_connections=False,
     )
     events = await follow(discovery, 3, 2)
     assert [event.version for event in events] == [57, 59, 59]
@@ -218,7 +224,7 @@
     discovery = ScriptedDiscovery(
         [RESPONSE_HEAD, chunk(malformed)],
         [RESPONSE_HEAD, chunk(malformed), chunk(message(60))],
-        end=False,
+        close_connections=False,
     )
     events = await follow(discovery, 1, 2)
     assert [event.version for event in events] == [60]
@@ -226,17 +232,17 @@
 
 
 async def respond_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Serve a connection as a discovery without load."""
+    """Serve a connection in the manner of a discovery without load."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(RESPONSE_HEAD + chunk(message(58)))
     await reader.read()
 
 
 @async_test
-async def test_watcher_has_the_list_in_time_after_a_long_refusal_of_its_connections(
+async def test_watchers_receive_the_list_within_six_seconds_after_their_connections_were_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On sockets, in a tenth of the time: connections are refused, then discovery returns."""
+    """Connections are refused for 12 s, then discovery returns. The test runs in a tenth of these times."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
     loop = asyncio.get_running_loop()
@@ -257,10 +263,13 @@
 
 
 @async_test
-async def test_all_watchers_get_a_response_of_an_overloaded_discovery_that_responds_in_the_order_of_arrival(
+async def test_all_watchers_get_a_response_from_an_overloaded_discovery_with_a_queue(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The queue takes eight times the interval of requests; a client that leaves it gets none."""
+    """Discovery responds in the order of arrival, and its queue takes eight times the interval of requests.
+
+    A client that leaves the queue gets no response.
+    """
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
     discovery = QueueingDiscovery(responses_per_second=16.0)
@@ -299,8 +308,8 @@
             await asyncio.sleep(0.01)
 
 
-class DiscoveryOfFirstRequest:
-    """Responds to its first request alone, once ``may_respond`` is set."""
+class FirstRequestDiscovery:
+    """Responds only to its first request, once ``may_respond`` is set."""
 
     def __init__(self) -> None:
         self.may_respond = asyncio.Event()
@@ -322,12 +331,15 @@
 
 
 @async_test
-async def test_a_watcher_that_is_cancelled_when_a_request_gets_its_response_leaves_no_task(
+async def test_watcher_leaves_no_task_if_cancelled_when_a_response_starts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The response is that to an earlier request, whose task would otherwise last as long as its watch."""
+    """An earlier request than the latest one gets the response.
+
+    If the watcher did not cancel the task of that request, the task would run until the new watch ends.
+    """
     scale_times(monkeypatch, 0.1)
-    discovery = DiscoveryOfFirstRequest()
+    discovery = FirstRequestDiscovery()
     async with running_server(discovery.serve) as address:
         host, port = split_address(address)
         watcher = EndpointWatcher(host, port, None, lambda _event: None, PollTiming(response_timeout=0.1))
--- a/tests/test_watch_event.py
+++ b/tests/test_watch_event.py
@@ -1,4 +1,4 @@
-"""Parsing of discovery's messages."""
+"""Tests of the parsing of discovery's messages."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
         '{"seq": 1e999, "hosts": []}',
         '{"seq": 2, "hosts": [{"host": "s1", "health": "ready", "dial": "10.1.0.1:1", "born_ms": NaN}]}',
     ],
-    ids=["start", "cell", "version", "no number"],
+    ids=["start time", "cell", "version", "not a number"],
 )
-def test_a_number_out_of_range_is_a_malformed_message(text: str) -> None:
-    """Any other error would end the watch, each time at the same line."""
+def test_message_with_a_number_out_of_range_is_malformed(text: str) -> None:
+    """Any other exception would end the watch, and each new watch would end at the same line."""
     with pytest.raises(MalformedEventError):
         parse_watch_event(json.loads(text))
