--- a/quota_gateway/net/common/__init__.py
+++ b/quota_gateway/net/common/__init__.py
@@ -1,4 +1,4 @@
-"""Parts that several network packages use: listening sockets, body streams, backoff, metrics and invariants.
+"""Code that several network packages use: listening sockets, body streams, backoff, metrics and invariants.
 
-It imports none of the other network packages.
+The package imports none of the other network packages.
 """
--- a/quota_gateway/net/common/acceptor.py
+++ b/quota_gateway/net/common/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections from listening sockets, also after calls of accept that fail for a short time.
+"""Accepts connections from listening sockets, and continues after temporary failures of accept(2).
 
-The event loop's own servers close the waiting connections when accept fails. Here a failure only pauses
-accepting: the connections stay in the accept queue of the system until the pause is over.
+The event loop's own servers close the waiting connections when accept fails. An ``Acceptor`` only pauses: the
+connections stay in the accept queue of the system until the pause is over.
 """
 
 from __future__ import annotations
@@ -16,13 +16,14 @@
 log = logging.getLogger(__name__)
 
 ACCEPT_QUEUE_CONNECTIONS = 1024
-# Accepts in one iteration of the event loop: evicted connections release their descriptors in the next one.
+# Limits the connections that are accepted in one iteration of the event loop: connections that are evicted
+# for them release their descriptors only in the next iteration.
 MAX_ACCEPTS_PER_ITERATION = 8
-RETRY_INTERVAL_SECONDS = 0.01  # between a failed call and its retry
+RETRY_INTERVAL_SECONDS = 0.01  # the time between a failed call and its retry
 MAX_LISTEN_RETRIES = 100
-# Errors of the connection that was to be accepted; the next connection may have none (accept(2)).
+# Errors of one waiting connection, which do not affect the next one; see accept(2).
 CONNECTION_ERRORS = frozenset((errno.ECONNABORTED, errno.EPROTO, errno.EPERM))
-# Errors of a call that may succeed a moment later.
+# Errors of a call that may succeed when it is retried.
 TRANSIENT_ERRORS = frozenset((errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR))
 
 ErrorObserver = Callable[[OSError], None]
@@ -30,9 +31,10 @@
 
 
 async def create_listening_socket(host: str, port: int, *, reuse_port: bool = False) -> socket.socket:
-    """Return a socket that listens at an address; wait out a lack of descriptors or memory.
+    """Return a socket that listens at an address.
 
-    With ``reuse_port`` other sockets may listen at the same address. Raises ``OSError``.
+    Retries while descriptors or memory are exhausted, up to ``MAX_LISTEN_RETRIES`` times. With ``reuse_port``
+    other sockets may listen at the same address. Raises ``OSError``.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     for _ in range(MAX_LISTEN_RETRIES):
@@ -41,7 +43,7 @@
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS:
                 raise
-            log.warning("cannot listen yet: %s", error)
+            log.warning("cannot open a listening socket yet, retrying: %s", error)
         await asyncio.sleep(RETRY_INTERVAL_SECONDS)
     return _listen(host, port, family, reuse_port=reuse_port)
 
@@ -53,19 +55,19 @@
 
 
 class Acceptor:
-    """Accepts from one listening socket until it is closed."""
+    """Accepts connections from one listening socket until it is closed."""
 
     def __init__(
         self, listening: socket.socket, make_protocol: ProtocolFactory, on_error: ErrorObserver
     ) -> None:
-        """Accept from now on; ``on_error`` is called with each failure."""
+        """Start accepting; ``on_error`` is called with the error of each failure."""
         listening.setblocking(False)  # noqa: FBT003 - positional only
         self._loop = asyncio.get_running_loop()
         self._listening = listening
         self._make_protocol = make_protocol
         self._on_error = on_error
         self._retry_timer: asyncio.TimerHandle | None = None
-        self._connecting = set[asyncio.Task[None]]()
+        self._transport_tasks = set[asyncio.Task[None]]()
         self._loop.add_reader(listening, self._accept)
 
     @property
@@ -75,7 +77,7 @@
         return name[0], name[1]
 
     def _accept(self) -> None:
-        """Accept the waiting connections, up to the limit of one iteration."""
+        """Accept the waiting connections, up to ``MAX_ACCEPTS_PER_ITERATION``."""
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 accepted, _address = self._listening.accept()
@@ -87,12 +89,12 @@
                     self._pause()
                     return
             else:
-                self._connect(accepted)
+                self._start_transport(accepted)
 
-    def _connect(self, accepted: socket.socket) -> None:
+    def _start_transport(self, accepted: socket.socket) -> None:
         task = self._loop.create_task(self._make_transport(accepted))
-        self._connecting.add(task)
-        task.add_done_callback(self._connecting.discard)
+        self._transport_tasks.add(task)
+        task.add_done_callback(self._transport_tasks.discard)
 
     async def _make_transport(self, accepted: socket.socket) -> None:
         try:
@@ -102,7 +104,10 @@
             self._on_error(error)
 
     def _pause(self) -> None:
-        """Stop accepting for a while: the socket stays readable as long as the error lasts."""
+        """Stop accepting for ``RETRY_INTERVAL_SECONDS``.
+
+        The socket stays readable while the error lasts, so retrying at once would be a busy loop.
+        """
         self._loop.remove_reader(self._listening)
         self._retry_timer = self._loop.call_later(RETRY_INTERVAL_SECONDS, self._resume)
 
@@ -115,7 +120,7 @@
         """Close the listening socket.
 
         With ``drain_seconds`` the connections in the accept queue are accepted first; a failing accept is
-        retried for this time. Without it the queue is left to the other processes that have the socket.
+        retried for this time. Without it they are left to the other processes that share the socket.
         """
         if self._retry_timer is not None:
             self._retry_timer.cancel()
@@ -124,8 +129,8 @@
         if drain_seconds is not None:
             await self._empty_queue(self._loop.time() + drain_seconds)
         self._listening.close()
-        if self._connecting:
-            await asyncio.wait(self._connecting)
+        if self._transport_tasks:
+            await asyncio.wait(self._transport_tasks)
 
     async def _empty_queue(self, deadline: float) -> None:
         while True:
@@ -136,12 +141,12 @@
             except OSError as error:
                 self._on_error(error)
                 if self._loop.time() > deadline:
-                    log.error("the accept queue could not be emptied: %r", error)
+                    log.error("accept keeps failing, closing the socket before its queue is empty: %r", error)
                     return
                 if error.errno not in CONNECTION_ERRORS:
                     await asyncio.sleep(RETRY_INTERVAL_SECONDS)
             else:
-                self._connect(accepted)
+                self._start_transport(accepted)
 
 
 def errno_name(error: OSError) -> str:
--- a/quota_gateway/net/common/body_stream.py
+++ b/quota_gateway/net/common/body_stream.py
@@ -1,4 +1,4 @@
-"""Streaming of long bodies with backpressure: neither side is read faster than the other one is written."""
+"""Streaming of long bodies with backpressure: a source is read no faster than its sink accepts the data."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
         """Pause or resume reading."""
 
     def abandon(self) -> None:
-        """Drop the rest of the body, which has no sink any more."""
+        """Drop the rest of the body, whose sink has disconnected."""
 
 
 class BodySink(Protocol):
     """The connection that a body is written to.
 
-    It reports by ``BodyStream.set_writable`` whether it accepts more data.
+    It calls ``BodyStream.set_writable`` when it stops or resumes accepting data.
     """
 
     def write_chunk(self, data: bytes) -> None:
         """Write the next bytes of the body."""
 
     def finish(self) -> None:
-        """End the body, which is complete."""
+        """End the body, all of whose bytes were written."""
 
     def truncate(self) -> None:
-        """Break off the body, whose source failed before the end."""
+        """End the body incompletely, because its source has failed."""
 
 
 class BodyStream:
-    """One body between its source and its sink.
+    """Passes one body from its source to its sink.
 
-    Data that the sink does not accept is buffered. The source is paused when the buffer holds
-    ``MAX_BUFFERED_BODY_BYTES``, and while an attached sink accepts nothing.
+    Data that the sink does not accept is buffered. The source is paused when the buffer contains
+    ``MAX_BUFFERED_BODY_BYTES``, and while an attached sink accepts no data.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         self.writable = False  # whether the sink accepts more data
         self.complete = False  # whether the source has delivered the complete body
         self.failed = False  # whether the source failed before the end
-        self.consumed = False  # whether a sink was attached: the body cannot be sent a second time then
+        self.consumed = False  # whether a sink was attached; the body cannot be sent again then
 
     # Calls of the source.
 
@@ -77,7 +77,7 @@
             self._source.set_paused(paused=True)
 
     def finish(self) -> None:
-        """End the body; the source may continue to read the input behind it."""
+        """Record that the body is complete; the source may read the input after it."""
         if not self.complete:
             self.complete = True
             self._source.set_paused(paused=False)
@@ -104,7 +104,7 @@
         self.writable = False
 
     def set_writable(self, *, writable: bool) -> None:
-        """Record whether the sink accepts more data; the source is read only while it does."""
+        """Record whether the sink accepts more data; the source is paused while it does not."""
         self.writable = writable
         if self._sink is None:
             return
@@ -112,21 +112,21 @@
             self._sink.truncate()
             return
         if not writable:
-            if not self.complete:  # a source with a complete body may already be reading another one
+            if not self.complete:  # after a complete body the source may already be reading another one
                 self._source.set_paused(paused=True)
             return
         if self._buffer:
             data = b"".join(self._buffer)
             self._buffer = []
             self._buffered_size = 0
-            self._sink.write_chunk(data)  # which may call set_writable(writable=False) before it returns
+            self._sink.write_chunk(data)  # the sink may call set_writable(writable=False) during this call
         if self.complete:
             self._sink.finish()
         elif self.writable:
             self._source.set_paused(paused=False)
 
     def abandon(self) -> None:
-        """Detach the disconnected sink, and stop the source."""
+        """Detach a sink that has disconnected, and stop the source."""
         self.detach()
         if not self.complete and not self.failed:
             self._source.abandon()
--- a/quota_gateway/net/common/invariants.py
+++ b/quota_gateway/net/common/invariants.py
@@ -21,22 +21,20 @@
     ANSWERED_ONCE = "answered_once"  # a request gets one final response
     ANSWERED_BEFORE_CLOSE = "answered_before_close"  # a connection closes after its last response
     SENT_WHILE_OPEN = "sent_while_open"  # an attempt is sent once, for a request without a response
-    ONE_REQUEST_A_CONNECTION = "one_request_a_connection"  # in flight
+    ONE_REQUEST_A_CONNECTION = "one_request_a_connection"  # a connection has one request in flight
     ONE_ATTEMPT_AT_A_TIME = "one_attempt_at_a_time"  # a request has one attempt in flight
     REPEATED_SAFELY = "repeated_safely"  # a retry is sent only if a second execution is harmless
-    STARTED_COMPLETELY = (
-        "started_completely"  # an attempt that was started is in flight or reported as completed
-    )
+    STARTED_COMPLETELY = "started_completely"  # a started attempt is in flight or reported as completed
 
 
 class Violation(NamedTuple):
-    """A violated invariant, with the trace of the request or connection that led to it."""
+    """A violated invariant, with a description of the request, attempt or connection that violates it."""
 
     invariant: Invariant
     story: str
 
 
-# Called with each violation of every monitor; the tests register an observer that fails them.
+# These are called with each violation of every monitor; the tests register an observer that makes them fail.
 observers: list[Callable[[Violation], None]] = []
 
 
@@ -50,7 +48,7 @@
         self.counts = dict.fromkeys(Invariant, 0)
 
     def report(self, invariant: Invariant, story: str) -> None:
-        """Count a violation; log the first one of each invariant with its trace."""
+        """Count a violation; log the first one of each invariant with its description."""
         self.counts[invariant] += 1
         if self.counts[invariant] == 1:
             log.error("invariant violated: %s: %s", invariant, story)
--- a/quota_gateway/net/common/metrics.py
+++ b/quota_gateway/net/common/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of this process, which start at 0, and the text in which operators read them."""
+"""The metrics of this process, whose counters start at 0, and their text format for operators."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """Requests by class and outcome, attempts, reloads, and violations of invariants."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
-        """Show the request classes of these names from the start."""
+        """Create metrics that include the request classes of these names."""
         self._requests_by_class = dict[str, _RequestCounts]()
         self.streaming_responses = 0  # accepted requests whose response body is being streamed
         self._upstream_attempts = 0
@@ -34,15 +34,16 @@
         self.register_classes(classes)
 
     def register_classes(self, classes: Iterable[str]) -> None:
-        """Show these request classes from now on; removed classes keep their counts."""
+        """Include these request classes from now on; the counts of all other classes are kept."""
         for request_class in classes:
             if request_class not in self._requests_by_class:
                 self._requests_by_class[request_class] = _RequestCounts()
 
     def record_request(self, request_class: str, status: int) -> None:
-        """Count a request by the HTTP status of its response; any other number counts as failed.
+        """Count a request by the HTTP status of its response.
 
-        Requests of unregistered classes are not counted.
+        Status 200 counts as passed, 429 and 503 as dropped, and any other number as failed. Requests of
+        unregistered classes are not counted.
         """
         counts = self._requests_by_class.get(request_class)
         if counts is None:
@@ -63,11 +64,11 @@
         self.streaming_responses += 1
 
     def record_streaming_ended(self) -> None:
-        """Count the end of a streamed response."""
+        """Record the end of a streamed response."""
         self.streaming_responses -= 1
 
     def record_reload(self, *, succeeded: bool) -> None:
-        """Count a configuration reload that was applied, or rejected."""
+        """Count a configuration reload by whether it was applied or rejected."""
         if succeeded:
             self._reloads += 1
         else:
@@ -76,7 +77,8 @@
     def render(self, *, open_requests: int, known_endpoints: int, avoided_endpoints: int) -> str:
         """Return the reply to METRICS without its last line, with the names of the wire format.
 
-        ``open_requests`` are those that have been received completely and have no final response yet.
+        ``open_requests`` is the number of requests that have been received completely and have no final
+        response yet.
         """
         lines = list[str]()
         for request_class, counts in self._requests_by_class.items():
--- a/quota_gateway/net/common/socket_calls.py
+++ b/quota_gateway/net/common/socket_calls.py
@@ -1,4 +1,4 @@
-"""System calls on the sockets of transports that the event loop offers no method for."""
+"""System calls on the sockets of transports for which the event loop has no methods."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 NATIVE_INT = struct.Struct("i")
 NATIVE_UNSIGNED = struct.Struct("I")
 TCP_INFO_BYTES = 64  # struct tcp_info (Linux) up to the times of the last segments
-RETRANSMISSION_TIMEOUT_OFFSET = 8  # of tcpi_rto; never 0 where the system fills in the structure
-LAST_DATA_RECEIVED_OFFSET = 52  # of tcpi_last_data_recv: milliseconds since the last data segment arrived
+RETRANSMISSION_TIMEOUT_OFFSET = 8  # offset of tcpi_rto, which is never 0 if the system fills in the structure
+LAST_DATA_RECEIVED_OFFSET = 52  # offset of tcpi_last_data_recv: milliseconds since the last data segment
 MILLISECONDS_PER_SECOND = 1000
 
 
 class PeerState(enum.Enum):
-    """What a socket shows of its peer without being read."""
+    """The state of a socket's peer that can be seen without reading from the socket."""
 
     CONNECTED = enum.auto()
     INPUT_ENDED = enum.auto()  # the peer closed its sending side or the whole connection
@@ -53,7 +53,7 @@
 
 
 def seconds_since_last_data(transport: asyncio.Transport) -> float | None:
-    """Return the age of the last data segment; None if the system does not report it."""
+    """Return the seconds since the last data segment arrived; None if the system does not report them."""
     with contextlib.suppress(OSError, struct.error):
         client_socket = transport.get_extra_info("socket")
         info = client_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -73,13 +73,13 @@
 
 
 def limit_receive_buffer(transport: asyncio.Transport, size: int) -> None:
-    """Bound the bytes that the system buffers for a socket that is not read."""
+    """Limit the bytes that the system buffers for a socket while it is not read."""
     with contextlib.suppress(OSError):
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
 
 
 def shut_down_sending(transport: asyncio.Transport) -> None:
-    """Send the end of the output at once; the event loop would do so in a later iteration."""
+    """Shut down the sending side at once; the event loop would do so in a later iteration."""
     descriptor = transport.get_extra_info("socket").fileno()
     if descriptor < 0:
         return
@@ -90,9 +90,9 @@
 
 
 def abort_transport(transport: asyncio.Transport) -> None:
-    """Close at once; nothing more is written or read.
+    """Close the connection at once; nothing more is written or read.
 
-    The end of the connection is sent in this very call, and not in a later iteration of the event loop.
+    The peer is sent the end of the connection during this call, not in a later iteration of the event loop.
     """
     if not transport.is_closing():
         shut_down_sending(transport)
--- a/quota_gateway/net/common/unix_clock.py
+++ b/quota_gateway/net/common/unix_clock.py
@@ -14,8 +14,8 @@
 def unix_clock(offset: float | None = None) -> Callable[[], float]:
     """Return a clock of Unix time, in seconds, that is not affected by steps of the wall clock.
 
-    Unix time is needed since endpoints report their start in it. ``offset`` is that of ``unix_offset``; by
-    default it is determined now.
+    Unix time is needed because endpoints report their start times in it. ``offset`` is a result of
+    ``unix_offset``; the default is the present one.
     """
     fixed_offset = unix_offset() if offset is None else offset
     return lambda: fixed_offset + time.monotonic()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics; the bytes of their text are held by ``test_wire_formats.py``."""
+"""Tests of the counts in the metrics. ``test_wire_formats.py`` compares the bytes of their text."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     ("status", "name"),
     [(200, "passed"), (429, "dropped"), (503, "dropped"), (502, "bad_gateway"), (504, "bad_gateway")],
 )
-def test_a_request_is_counted_by_the_status_of_its_response(status: int, name: str) -> None:
+def test_request_is_counted_by_the_status_of_its_response(status: int, name: str) -> None:
     metrics = Metrics(["lookup"])
     metrics.record_request("lookup", status)
     counts = {key: value for key, value in rendered(metrics).items() if key.startswith("app.handled.")}
@@ -35,7 +35,7 @@
     assert list(counts.values()) == [0, 0]
 
 
-def test_a_class_that_is_registered_again_keeps_its_counts() -> None:
+def test_request_class_that_is_registered_again_keeps_its_counts() -> None:
     metrics = Metrics(["lookup"])
     metrics.record_request("lookup", 200)
     metrics.record_request("fresh", 200)  # not registered yet
@@ -49,7 +49,7 @@
 
 
 async def request(program: Program) -> str:
-    """The first line of the response to one request."""
+    """Send a request; return the status line of its response."""
     reader, writer = await program.connect()
     writer.write(http_request())
     status_line, _, _ = await read_message(reader)
@@ -82,7 +82,7 @@
 
 
 @async_test
-async def test_the_metrics_of_a_running_limiter(tmp_path: Path) -> None:
+async def test_running_limiter_counts_requests_and_endpoints(tmp_path: Path) -> None:
     port = free_port()
     async with (
         running_server(ScriptedEndpoint(break_second_response).handle_connection) as address,
