--- a/quota_gateway/net/counter/call.py
+++ b/quota_gateway/net/counter/call.py
@@ -44,8 +44,8 @@
     """The calls whose results have not been delivered; delivers those of each counter in call order.
 
     The gateway matches results to calls by this order. While an old connection drains and a new one is in
-    use, a reply on the new one may precede the reply to an earlier call on the old one. Its result waits for
-    that of the earlier call, at most for the timeout of a call.
+    use, a reply on the new one may precede the reply to an earlier call on the old one. Its result is then
+    delivered after that of the earlier call, which completes within the timeout of a call.
     """
 
     __slots__ = ("_calls",)
@@ -68,8 +68,7 @@
         while calls and (result := calls[0].result) is not None:
             first = calls.popleft()
             if not calls:
-                # Requests of clients determine which counters are called: entries of idle counters would
-                # accumulate.
+                # Clients choose the counters by their requests, so entries of idle counters would accumulate.
                 del self._calls[counter_id]
             assert first.on_complete is not None
             first.on_complete(result)
--- a/quota_gateway/net/counter/connection.py
+++ b/quota_gateway/net/counter/connection.py
@@ -35,7 +35,7 @@
         """Handle a reply that cannot be parsed; the connection closes itself."""
 
     def on_connection_lost(self, connection: CounterConnection) -> None:
-        """Handle the end of a connection, whose calls have been completed before."""
+        """Handle the end of a connection, after its calls have been completed."""
 
 
 class CounterConnection(asyncio.Protocol):
@@ -106,7 +106,7 @@
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Record that all requests have been written completely, and have queued calls sent."""
+        """Record that all requests have been written completely, and send queued calls."""
         self.write_paused = False
         self._calls.flush()
 
@@ -127,7 +127,7 @@
         if self._draining and not self.in_flight:
             self.abort()
         elif not is_reply_prefix(self._buffer):
-            # Do not wait for the end of a malformed line: without one, the counter would seem unresponsive.
+            # A malformed line may never end; waiting for its end would look like an unresponsive counter.
             self._on_malformed_reply(self._buffer)
 
     def _on_reply(self, line: bytes) -> None:
--- a/quota_gateway/net/discovery/contact.py
+++ b/quota_gateway/net/discovery/contact.py
@@ -8,14 +8,14 @@
 class DiscoveryContact:
     """The time when a line was last received from discovery, at any of its addresses."""
 
-    __slots__ = ("_last_at",)
+    __slots__ = ("_last_line_at",)
 
     def __init__(self) -> None:
-        """Start without a received line."""
-        self._last_at = -math.inf  # seconds of the event loop's clock
+        """Start with no line received."""
+        self._last_line_at = -math.inf  # seconds of the event loop's clock
 
     def record_line(self, now: float) -> float:
         """Record a line that is received at ``now``; return the seconds since the previous line."""
-        elapsed = now - self._last_at
-        self._last_at = now
+        elapsed = now - self._last_line_at
+        self._last_line_at = now
         return elapsed
--- a/quota_gateway/net/discovery/watch_event.py
+++ b/quota_gateway/net/discovery/watch_event.py
@@ -18,7 +18,7 @@
 
 
 class MalformedEventError(ValueError):
-    """A message is not an event of the watch."""
+    """Raised for a message that is not an event of the watch."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/net/discovery/watcher.py
+++ b/quota_gateway/net/discovery/watcher.py
@@ -69,8 +69,7 @@
 
     async def follow(self) -> None:
         """Follow the watch until cancelled."""
-        # Seconds from the last line (or the start) of the request that has ended until its end.
-        elapsed = 0.0
+        elapsed = 0.0  # seconds since the last line of the previous request, or since its start without one
         try:
             while True:
                 elapsed = await self._poll_or_recover(elapsed)
@@ -164,7 +163,7 @@
         self._latest = answered  # before ``_poll`` resumes, since ``follow`` may be cancelled first
 
     def on_version_rejected(self) -> None:
-        """Request the complete list from now on: the version may be the cause of the rejection."""
+        """Have the next request ask for the complete list: the version may be the cause of the rejection."""
         self.since_version = None
 
     def on_ended(self, cause: str) -> None:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -89,7 +89,7 @@
 
 
 def test_first_poll_of_a_fleet_of_any_size_leaves_time_for_a_response() -> None:
-    """A limiter must be notified of an update in time when its watch is lost.
+    """A limiter must be notified of an update in time when it has to start a new watch.
 
     The limits are 6 s after discovery becomes unresponsive and 4 s after its address changes.
     """
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -37,7 +37,10 @@
 
 
 async def follow(discovery: ScriptedDiscovery, count: int, connections: int = 1) -> list[WatchEvent]:
-    """Follow a discovery until ``count`` events and ``connections`` were received; return the events."""
+    """Follow a discovery until it has sent ``count`` events on ``connections`` connections or more.
+
+    Returns the events.
+    """
     events = list[WatchEvent]()
     enough = asyncio.Event()
 
@@ -232,7 +235,7 @@
 
 
 async def respond_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Serve a connection in the manner of a discovery without load."""
+    """Serve a connection as an idle discovery does."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(RESPONSE_HEAD + chunk(message(58)))
     await reader.read()
