--- a/quota_gateway/net/common/backoff.py
+++ b/quota_gateway/net/common/backoff.py
@@ -24,8 +24,8 @@
 MAX_FIRST_POLL_SPREAD_SECONDS = 2.0
 FIRST_POLL_SPREAD_FACTOR = 3.0
 # A limiter must be notified of an update within 6 s after discovery returns, even if its last poll started
-# just before the return and is lost. The interval between the starts of two polls leaves 1.5 s of the 6 s for
-# the response.
+# just before the return and is lost. With this maximum time between the starts of two polls, 1.5 s of the
+# 6 s remain for the response.
 MAX_POLL_INTERVAL_SECONDS = 4.5
 SPREAD_OUT_FAILURES = 2  # After this number of consecutive failures the polls of a fleet are out of phase.
 SPREAD_OUT_JITTER_FRACTION = 0.25  # the random part of a poll delay after these failures
--- a/quota_gateway/net/common/body_stream.py
+++ b/quota_gateway/net/common/body_stream.py
@@ -27,7 +27,7 @@
         """Write the next bytes of the body."""
 
     def finish(self) -> None:
-        """End the body, all of whose bytes were written."""
+        """End the body after its last byte was written."""
 
     def truncate(self) -> None:
         """End the body incompletely, because its source has failed."""
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("client_count", [1, 3, 40, 200, 420, 2000])
 def test_polls_leave_time_for_a_response_within_six_seconds(client_count: int) -> None:
-    """A limiter must be notified of an update within 6 s of discovery's return, whenever a poll failed."""
+    """A limiter must be notified of an update within 6 s of discovery's return, however long a poll took."""
     timing = parse_timing({"discovery": "ask", "n_instances": client_count})
     for failures in range(1, 40):
         for elapsed in (0.0, 0.5, timing.answer_timeout, timing.max_poll_interval, 30.0):
@@ -99,7 +99,7 @@
         assert poll_delay(client_count, 9, 1.0) <= 4.5
     timing = parse_timing({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
     assert timing.answer_timeout + timing.max_poll_interval < 1.0, (
-        "the limiter must be notified of a drain within 1 s after the agent"
+        "the limiter must be notified of a drain within 1 s after the agent is"
     )
     assert parse_timing({"discovery": "ask"}).answer_timeout == 3.0
 
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -156,7 +156,7 @@
         await server.requests.get()
         writer.transport.abort()
         assert (await written)[0] is CallStatus.RESET_AFTER_REQUEST
-        # This request was the last one that was passed to the transport before writing was paused.
+        # Writing was paused after this request, so the request counts as not written completely.
         assert (await partly_written)[0] is CallStatus.UNREACHABLE
         new_writer = await server.connections.get()  # reconnected at once
         assert (await server.requests.get()).startswith(b"tally 3 ")
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -37,10 +37,7 @@
 
 
 async def follow(discovery: ScriptedDiscovery, count: int, connections: int = 1) -> list[WatchEvent]:
-    """Follow a discovery until it has sent ``count`` events on ``connections`` connections or more.
-
-    Returns the events.
-    """
+    """Follow a discovery until it has accepted ``connections`` and sent ``count`` events, and return them."""
     events = list[WatchEvent]()
     enough = asyncio.Event()
 
@@ -269,9 +266,9 @@
 async def test_all_watchers_get_a_response_from_an_overloaded_discovery_with_a_queue(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Discovery responds in the order of arrival, and its queue takes eight times the interval of requests.
+    """Discovery responds in the order of arrival, and a client that leaves its queue gets no response.
 
-    A client that leaves the queue gets no response.
+    Serving the whole queue takes eight times the interval between two requests of a watcher.
     """
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the counts in the metrics. ``test_wire_formats.py`` compares the bytes of their text."""
+"""Tests of the counts in the metrics. ``test_wire_formats.py`` checks their text byte by byte."""
 
 from __future__ import annotations
 
