--- a/quota_gateway/net/common/invariants.py
+++ b/quota_gateway/net/common/invariants.py
@@ -31,7 +31,7 @@
     """A violated invariant, with a description of the request, attempt or connection that violates it."""
 
     invariant: Invariant
-    story: str
+    description: str
 
 
 # These are called with each violation of every monitor; the tests register an observer that makes them fail.
@@ -47,10 +47,10 @@
         """Start with no violations."""
         self.counts = dict.fromkeys(Invariant, 0)
 
-    def report(self, invariant: Invariant, story: str) -> None:
+    def report(self, invariant: Invariant, description: str) -> None:
         """Count a violation; log the first one of each invariant with its description."""
         self.counts[invariant] += 1
         if self.counts[invariant] == 1:
-            log.error("invariant violated: %s: %s", invariant, story)
+            log.error("invariant violated: %s: %s", invariant, description)
         for observer in observers:
-            observer(Violation(invariant, story))
+            observer(Violation(invariant, description))
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -204,8 +204,8 @@
         assert len(origin.requests) == 2
     assert [violation.invariant for violation in no_violations] == [Invariant.REPEATED_SAFELY] * 2
     assert caplog.text.count("invariant violated: repeated_safely") == 1  # logged once, with its attempts
-    assert "attempt 0 at s1" in no_violations[0].story
-    assert "error after" in no_violations[0].story
+    assert "attempt 0 at s1" in no_violations[0].description
+    assert "error after" in no_violations[0].description
     no_violations.clear()
 
 
