--- a/quota_gateway/net/counter/client.py
+++ b/quota_gateway/net/counter/client.py
@@ -75,7 +75,7 @@
         self.enqueue(call)
 
     def enqueue(self, call: CounterCall) -> None:
-        """Send a call on the active connection as soon as that accepts it."""
+        """Send a call on the active connection as soon as the connection accepts it."""
         self._unsent.append(call)
         self.flush()
 
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -209,7 +209,7 @@
         await old_server.requests.get()
         host, port = address.split(":")
         client.set_address(host, int(port))
-        during = increment(client, 8)  # the new connection is not open: the old one is still used
+        sent_on_old = increment(client, 8)  # the new connection is not open: the old one is still used
         assert (await old_server.requests.get()).startswith(b"tally 8 ")
         new = await new_server.connections.get()
         while (active := client.connections.active) is None or active.address.port != int(port):
@@ -222,7 +222,7 @@
         assert await other == (CallStatus.OK, 9.0)
         assert not later.done()  # an earlier call for this counter is in flight on the old connection
         old.write(b"ok 1\r\nok 8\r\n")
-        results = [await in_flight, await later, await during]
+        results = [await in_flight, await later, await sent_on_old]
         assert results == [(CallStatus.OK, 1.0), (CallStatus.OK, 2.0), (CallStatus.OK, 8.0)]
         assert not client.pending_counters
         while client.connections.draining:  # the old connection closes by itself
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -13,7 +13,7 @@
 
 from quota_gateway.net.common.backoff import poll_delay
 from quota_gateway.net.common.http_common import split_address
-from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery import watcher as endpoint_watcher
 from quota_gateway.net.discovery.client import DiscoveryClient
 from quota_gateway.net.discovery.poll_timing import PollTiming
 from quota_gateway.net.discovery.watch_event import WatchEvent
@@ -87,7 +87,7 @@
         recorded.append(consecutive_failures)
         return poll_delay(client_count, consecutive_failures, **options)
 
-    monkeypatch.setattr(endpoint_watch, "poll_delay", recording_poll_delay)
+    monkeypatch.setattr(endpoint_watcher, "poll_delay", recording_poll_delay)
     return recorded
 
 
@@ -111,9 +111,9 @@
         client.set_address("127.0.0.1", 1, 41)
         while max(failures, default=0) < 3:
             await asyncio.sleep(0.01)
-        moved_at = loop.time()
+        address_changed_at = loop.time()
         client.set_address(*split_address(address))
         await notified.wait()
         assert failures[-1] == 0
-        assert loop.time() - moved_at < 4 * time_scale
+        assert loop.time() - address_changed_at < 4 * time_scale
         client.close()
