--- a/soak/fault_control.py
+++ b/soak/fault_control.py
@@ -1,4 +1,4 @@
-"""The fault library that is loaded into limiters, and the control block through which faults are switched."""
+"""Builds the fault library that limiters preload, and switches its faults through a mapped control block."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 MAX_COMPILER_OUTPUT_CHARACTERS = 400
 NANOSECONDS_PER_SECOND = 1_000_000_000
 
-# Layout of the control block, ``struct control`` in the library.
+# Byte offsets in the control block, ``struct control`` in fault_library.c.
 BLOCK_BYTES = 208
 CLOCK_OFFSET_POSITION = 0
 INTERRUPTED_WAITS_POSITION = 40
@@ -36,9 +36,10 @@
 
 
 class SystemCall(IntEnum):
-    """The system calls that can fail a number of times; the value is the position of their error number.
+    """The system calls that can fail a given number of times.
 
-    The number of failures that remain follows the error number.
+    The value is the offset of the call's error number in the control block. The number of remaining failures
+    follows it.
     """
 
     ACCEPT = 8
@@ -48,7 +49,7 @@
 
 
 class DirectoryCalls(IntFlag):
-    """The calls on files of the shared directory that fail."""
+    """A mask of the calls on files of the shared directory that fail."""
 
     NONE = 0
     WRITING = 1
@@ -57,19 +58,19 @@
 
 
 class StallPoint(IntEnum):
-    """Where a process stalls: around a read or write of a socket."""
+    """The call before or after which a process stalls."""
 
-    BEFORE_READ = 1  # the event loop has been notified of the input
-    AFTER_READ = 2
-    BEFORE_WRITE = 3
-    BEFORE_CLOCK_READ = 4  # counted from the next input on
+    BEFORE_READ = 1  # of a socket that epoll has reported as readable
+    AFTER_READ = 2  # of a socket, if it returned data
+    BEFORE_WRITE = 3  # to a socket
+    BEFORE_CLOCK_READ = 4  # after a socket read that returned data
 
 
 def build_library(directory: Path) -> Path:
-    """Compile the library into a directory. Raise ``SoakError`` without a compiler or if it fails."""
+    """Compile the library into ``directory``. Raise ``SoakError`` if there is no compiler or it fails."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
-        raise SoakError("no C compiler (cc or gcc) to build the fault library")
+        raise SoakError("cannot build the fault library: no C compiler (cc or gcc) on the PATH")
     library = directory / "fault_library.so"
     command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
     built = subprocess.run(
@@ -77,46 +78,46 @@
     )
     if built.returncode != 0:
         output = built.stderr.strip()[-MAX_COMPILER_OUTPUT_CHARACTERS:]
-        raise SoakError(f"the fault library could not be built: {output}")
+        raise SoakError(f"cannot build the fault library: the C compiler failed: {output}")
     return library
 
 
 class FaultControl:
-    """The control block of one process."""
+    """A control block, shared with the processes that map it through the fault library."""
 
     def __init__(self, path: Path) -> None:
-        """Create the block in a file, without faults."""
+        """Create the file of the block, with all faults off."""
         self.path = path
         path.write_bytes(bytes(BLOCK_BYTES))
         with path.open("r+b") as file:
             self._block = mmap.mmap(file.fileno(), BLOCK_BYTES)
 
     def fail_calls(self, call: SystemCall, error: int, count: int) -> None:
-        """Let the next ``count`` calls fail with an error number."""
+        """Make the next ``count`` calls fail with the error number ``error``."""
         self._set(call, error)
         self._set(call + INT32.size, count)
 
     def interrupt_waits(self, count: int) -> None:
-        """Let the next ``count`` waits for events return EINTR."""
+        """Make the next ``count`` calls of epoll_wait fail with EINTR."""
         self._set(INTERRUPTED_WAITS_POSITION, count)
 
     def limit_transfers(self, max_bytes: int) -> None:
-        """Let reads and writes of sockets transfer at most ``max_bytes``; 0 means no limit."""
+        """Limit each read and write of a socket to ``max_bytes``; 0 means no limit."""
         self._set(MAX_TRANSFER_POSITION, max_bytes)
 
     def step_clock(self, seconds: float) -> None:
-        """Set the error of the wall clock."""
+        """Make the wall clock wrong by ``seconds``; a previous offset is replaced."""
         INT64.pack_into(self._block, CLOCK_OFFSET_POSITION, int(seconds * NANOSECONDS_PER_SECOND))
 
     def fail_directory_calls(self, error: int, calls: DirectoryCalls) -> None:
-        """Let these calls on the shared directory fail, and no others."""
+        """Make only these calls on the shared directory fail, with the error number ``error``."""
         self._set(DIRECTORY_ERRNO_POSITION, error or errno.EIO)
         self._set(DIRECTORY_CALLS_POSITION, calls)
 
     def stall_process(self, point: StallPoint, seconds: float, count: int = 1, clock_reads: int = 0) -> None:
-        """Let the process stand still at its next ``count`` calls that reach the point.
+        """Stall the process for ``seconds`` at each of its next ``count`` calls that reach ``point``.
 
-        ``clock_reads`` precede the stall at ``BEFORE_CLOCK_READ``.
+        At ``BEFORE_CLOCK_READ``, ``clock_reads`` clock reads after a socket read with data precede the stall.
         """
         self._set(CLOCK_READS_POSITION, clock_reads)
         self._set(STALL_POINT_POSITION, point)
@@ -124,7 +125,7 @@
         self._set(STALLS_POSITION, count)
 
     def failed_peer_ports(self) -> set[int]:
-        """Return the peers' ports of the sockets whose read failed; the oldest ones are overwritten."""
+        """Return the peer ports of the last ``FAILED_PEER_PORTS`` socket reads that were made to fail."""
         positions = range(
             FAILED_PEER_PORTS_POSITION,
             FAILED_PEER_PORTS_POSITION + FAILED_PEER_PORTS * INT32.size,
@@ -133,7 +134,7 @@
         return {INT32.unpack_from(self._block, position)[0] for position in positions} - {0}
 
     def clear_call_faults(self) -> None:
-        """End all faults of system calls; the clock keeps its error."""
+        """End all faults except the error of the wall clock."""
         for call in SystemCall:
             self._set(call + INT32.size, 0)
         self.interrupt_waits(0)
@@ -142,7 +143,7 @@
         self.fail_directory_calls(0, DirectoryCalls.NONE)
 
     def close(self) -> None:
-        """Release the block."""
+        """Unmap the block."""
         self._block.close()
 
     def _set(self, position: int, value: int) -> None:
--- a/soak/fault_library.c
+++ b/soak/fault_library.c
@@ -1,8 +1,9 @@
-/* Loaded into a limiter with LD_PRELOAD: lets system calls fail, transfer few bytes or return another time.
+/* Fault library, loaded into a limiter with LD_PRELOAD: makes system calls fail, transfer fewer bytes, stall or
+ * return a shifted wall clock.
  *
- * The faults are switched in a control block, a file that the soak runner and the limiter both map
- * (SOAK_FAULT_CONTROL; `soak/fault_control.py` has the same layout). Calls on files fail below
- * SOAK_FAULT_DIRECTORY only.
+ * Faults are switched through a control block, a file that the soak runner and the limiter both map
+ * (SOAK_FAULT_CONTROL). `soak/fault_control.py` has the same layout. File operations fail only on paths below
+ * SOAK_FAULT_DIRECTORY, except locks, which fail on every file.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -34,16 +35,18 @@
     int32_t read_errno, read_failures;
     int32_t interrupted_waits;
     int32_t max_transfer; /* bytes that a read or write of a socket transfers; 0: no limit */
-    int32_t directory_errno, directory_calls; /* a mask of FAIL_... */
-    int32_t stall_point, stall_ms, stalls; /* the next calls at that point stall the process */
-    int32_t clock_reads; /* before the stall at STALL_BEFORE_CLOCK_READ, counted from the next input on */
-    int32_t read_failure_count, failed_peer_ports[FAILED_PORTS]; /* of the sockets whose read failed */
+    int32_t directory_errno, directory_calls; /* directory_calls is a mask of FAIL_... */
+    int32_t stall_point, stall_ms, stalls; /* the next `stalls` calls at stall_point sleep stall_ms */
+    int32_t clock_reads; /* clock reads after input that precede the stall at STALL_BEFORE_CLOCK_READ */
+    /* Ring buffer of the peer ports of the sockets whose read was made to fail. */
+    int32_t read_failure_count, failed_peer_ports[FAILED_PORTS];
 };
 
-static struct control none, *control = &none;
-static int input_read; /* since the stall at STALL_BEFORE_CLOCK_READ was requested */
+static struct control no_faults, *control = &no_faults;
+/* While stalls are pending: whether the last socket read returned data. The stall before a clock read clears it. */
+static int input_read;
 static const char *directory;
-static char in_directory[MAX_FDS];
+static char in_directory[MAX_FDS]; /* by descriptor: whether the file was opened below `directory` */
 
 #define REAL(name) \
     static __typeof__(&name) real; \
@@ -55,12 +58,12 @@
     if (!path) return;
     int fd = open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return;
-    void *block = mmap(NULL, sizeof none, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void *block = mmap(NULL, sizeof no_faults, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     close(fd);
     if (block != MAP_FAILED) control = block;
 }
 
-/* Return whether this call is one of the calls that are to fail. */
+/* Count down the remaining failures and set errno; return whether this call has to fail. */
 static int fails(int32_t *remaining, int32_t error) {
     if (*remaining <= 0 || __sync_fetch_and_sub(remaining, 1) <= 0) return 0;
     errno = error;
@@ -73,7 +76,7 @@
     return 1;
 }
 
-/* Stall the process if its stalls are due at this point: the event loop has one thread. */
+/* Stall the process if a stall is pending at this point. Sleeping stops its single-threaded event loop. */
 static void stall(int32_t point) {
     int saved_errno = errno;
     if (control->stall_point != point || control->stalls <= 0) return;
@@ -86,7 +89,7 @@
     return fstat(fd, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
-/* Only connections fail: the event loop wakes itself up through a pair of sockets of its own. */
+/* Only reads of TCP connections fail: the event loop wakes itself up through a socket pair, which must work. */
 static int read_fails(int fd) {
     struct sockaddr_in peer = {0};
     socklen_t size = sizeof peer;
@@ -99,9 +102,9 @@
     return 1;
 }
 
-static size_t shortened(int fd, size_t size) {
-    size_t most = (size_t)control->max_transfer;
-    return most && size > most && is_socket(fd) ? most : size;
+static size_t limited_size(int fd, size_t size) {
+    size_t limit = (size_t)control->max_transfer;
+    return limit && size > limit && is_socket(fd) ? limit : size;
 }
 
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict size, int flags) {
@@ -128,9 +131,9 @@
 ssize_t read(int fd, void *data, size_t size) {
     REAL(read);
     if (read_fails(fd)) return -1;
-    if (control->stalls <= 0 || !is_socket(fd)) return real(fd, data, shortened(fd, size));
+    if (control->stalls <= 0 || !is_socket(fd)) return real(fd, data, limited_size(fd, size));
     stall(STALL_BEFORE_READ);
-    ssize_t result = real(fd, data, shortened(fd, size));
+    ssize_t result = real(fd, data, limited_size(fd, size));
     if (result > 0) stall(STALL_AFTER_READ);
     input_read = result > 0;
     return result;
@@ -139,7 +142,7 @@
 ssize_t recv(int fd, void *data, size_t size, int flags) {
     REAL(recv);
     if (read_fails(fd)) return -1;
-    return real(fd, data, shortened(fd, size), flags);
+    return real(fd, data, limited_size(fd, size), flags);
 }
 
 static int file_write_fails(int fd) {
@@ -153,12 +156,12 @@
 ssize_t write(int fd, const void *data, size_t size) {
     REAL(write);
     if (control->stalls > 0 && is_socket(fd)) stall(STALL_BEFORE_WRITE);
-    return file_write_fails(fd) ? -1 : real(fd, data, shortened(fd, size));
+    return file_write_fails(fd) ? -1 : real(fd, data, limited_size(fd, size));
 }
 
 ssize_t send(int fd, const void *data, size_t size, int flags) {
     REAL(send);
-    return real(fd, data, shortened(fd, size), flags);
+    return real(fd, data, limited_size(fd, size), flags);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
@@ -186,38 +189,38 @@
     }
     int result = real(clock, now);
     if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t total = now->tv_sec * INT64_C(1000000000) + now->tv_nsec + control->clock_offset_ns;
-        now->tv_sec = total / INT64_C(1000000000);
-        now->tv_nsec = total % INT64_C(1000000000);
+        int64_t shifted_ns = now->tv_sec * INT64_C(1000000000) + now->tv_nsec + control->clock_offset_ns;
+        now->tv_sec = shifted_ns / INT64_C(1000000000);
+        now->tv_nsec = shifted_ns % INT64_C(1000000000);
     }
     return result;
 }
 
 int gettimeofday(struct timeval *restrict now, void *restrict zone) {
-    struct timespec exact;
+    struct timespec shifted;
     (void)zone;
-    clock_gettime(CLOCK_REALTIME, &exact);
-    now->tv_sec = exact.tv_sec;
-    now->tv_usec = exact.tv_nsec / 1000;
+    clock_gettime(CLOCK_REALTIME, &shifted);
+    now->tv_sec = shifted.tv_sec;
+    now->tv_usec = shifted.tv_nsec / 1000;
     return 0;
 }
 
 time_t time(time_t *now) {
-    struct timespec exact;
-    clock_gettime(CLOCK_REALTIME, &exact);
-    if (now) *now = exact.tv_sec;
-    return exact.tv_sec;
+    struct timespec shifted;
+    clock_gettime(CLOCK_REALTIME, &shifted);
+    if (now) *now = shifted.tv_sec;
+    return shifted.tv_sec;
 }
 
 static int open_fails(const char *path, int flags) {
     int writes = (flags & O_ACCMODE) != O_RDONLY;
     if (directory_fails(path, FAIL_READING)) return 1;
-    /* Without space an existing file can still be opened; only the writes to it fail. */
+    /* On a full disk an existing file can still be opened for writing; only the writes to it fail. */
     if (writes && control->directory_errno == ENOSPC && access(path, F_OK) == 0) return 0;
     return writes && directory_fails(path, FAIL_WRITING);
 }
 
-static int remember(int fd, const char *path) {
+static int record_if_in_directory(int fd, const char *path) {
     if (fd >= 0 && fd < MAX_FDS) in_directory[fd] = directory && strncmp(path, directory, strlen(directory)) == 0;
     return fd;
 }
@@ -229,7 +232,7 @@
         va_start(arguments, flags); \
         mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, mode_t) : 0; \
         va_end(arguments); \
-        return open_fails(path, flags) ? -1 : remember(real(path, flags, mode), path); \
+        return open_fails(path, flags) ? -1 : record_if_in_directory(real(path, flags, mode), path); \
     }
 
 OPEN(open)
