--- a/soak/cli.py
+++ b/soak/cli.py
@@ -1,7 +1,7 @@
-"""The command line: seeds and size of the runs, printed verdicts, exit codes.
+"""Runs the soak test's scenario of one seed or of a range of seeds, and prints a verdict for each seed.
 
-The exit code is 0 if no invariant was violated, 1 if one was, 2 if there is no verdict (the arguments
-are wrong, a limiter does not start, a port is in use, there is no compiler), and 3 if the soak test failed.
+The exit code is 0 if no invariant was violated, 1 if one was, 2 if the run gave no verdict (invalid
+arguments, a limiter that did not start, a port in use, no C compiler), and 3 if the soak test itself failed.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 MAX_LIMITERS = 60
 MAX_RUN_SECONDS = 3600.0
-MAX_PRINTED_TRACES = 6  # of one seed
+MAX_PRINTED_TRACES = 6  # per seed
 SEED_RANGE = re.compile(r"(\d{1,9})\.\.(\d{1,9})")
 
 
@@ -53,31 +53,41 @@
 def _parse_seeds(text: str) -> range:
     match = SEED_RANGE.fullmatch(text)
     if match is None or int(match[1]) > int(match[2]):
-        raise argparse.ArgumentTypeError(f"not a range of seeds like 1..50: {text!r}")
+        raise argparse.ArgumentTypeError(
+            f"invalid range of seeds {text!r}: expected FIRST..LAST, such as 1..50"
+        )
     return range(int(match[1]), int(match[2]) + 1)
 
 
 def _parse_arguments(arguments: list[str]) -> argparse.Namespace:
     parser = _Parser(prog="python -m soak", description=__doc__)
     parser.add_argument("--seed", type=int, help="run the scenario of this seed")
-    parser.add_argument("--seeds", type=_parse_seeds, help="run these, one after the other, such as 1..50")
-    parser.add_argument("--seconds", type=float, default=20.0, help="seconds of traffic in a run (20)")
+    parser.add_argument(
+        "--seeds",
+        type=_parse_seeds,
+        help="run the scenarios of a range of seeds one after the other, such as 1..50",
+    )
+    parser.add_argument(
+        "--seconds", type=float, default=20.0, help="duration of the traffic of each run, in seconds (20)"
+    )
     parser.add_argument("--limiters", type=int, default=24, help="number of limiters (24)")
-    parser.add_argument("--list", action="store_true", help="list the kinds of faults and exit")
-    parser.add_argument("--scenario", action="store_true", help="print the scenario of the seed and exit")
+    parser.add_argument("--list", action="store_true", help="list the fault kinds and exit")
+    parser.add_argument(
+        "--scenario", action="store_true", help="print the scenario of each seed and exit without running it"
+    )
     parser.add_argument(
         "--scenario-version",
         type=int,
         choices=range(FIRST_VERSION, LATEST_VERSION + 1),
         default=LATEST_VERSION,
-        help=f"version of the scenarios ({LATEST_VERSION}); 1 has fewer kinds of faults",
+        help=f"scenario version ({LATEST_VERSION}); version 1 has fewer fault kinds",
     )
-    parser.add_argument("--keep", type=Path, help="keep logs and files in this directory")
+    parser.add_argument("--keep", type=Path, help="keep the limiters' logs and files in this directory")
     options = parser.parse_args(arguments)
     if options.list:
         return options
     if (options.seed is None) == (options.seeds is None):
-        raise SoakError("either --seed or --seeds is needed")
+        raise SoakError("exactly one of --seed and --seeds is required")
     if not MIN_RUN_SECONDS <= options.seconds <= MAX_RUN_SECONDS:
         raise SoakError(f"--seconds must be from {MIN_RUN_SECONDS:.0f} to {MAX_RUN_SECONDS:.0f}")
     if not 1 <= options.limiters <= MAX_LIMITERS:
@@ -91,7 +101,7 @@
 
 
 async def _run(scenario: Scenario, directory: Path, library: Path) -> History:
-    """Run a scenario; SIGTERM and SIGINT end it together with the processes that it started."""
+    """Run a scenario. SIGTERM and SIGINT cancel the run, which also kills the limiters that it started."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
@@ -116,14 +126,14 @@
         f"seed {scenario.seed}: {verdict or 'no invariant violated'}; "
         f"{len(history.requests)} requests {dict(outcomes)}, "
         f"statuses {dict(statuses)}, {len(history.exits)} processes, "
-        f"runner late by {max_delay:.3f} s at most, {seconds:.0f} s"
+        f"runner delayed by at most {max_delay:.3f} s, run took {seconds:.0f} s"
     )
     if history.excuses:
         used = ", ".join(f"{reason.value} {count}" for reason, count in history.excuses.most_common())
         print(f"  excuses: {used}")
     if violations:
         print(
-            f"run it again: python -m soak --seed {scenario.seed} --seconds {scenario.seconds:g} "
+            f"to reproduce: python -m soak --seed {scenario.seed} --seconds {scenario.seconds:g} "
             f"--limiters {scenario.limiter_count} --scenario-version {scenario.version}"
         )
 
@@ -155,7 +165,7 @@
     if len(seeds) > 1:
         print(
             f"{len(seeds)} seeds, {len(violating_seeds)} with violations: {violating_seeds}, "
-            f"{len(failed_seeds)} in which the soak test failed: {failed_seeds}"
+            f"{len(failed_seeds)} in which the soak test itself failed: {failed_seeds}"
         )
     if failed_seeds:
         return ExitCode.SOAK_FAILURE
--- a/soak/fault_kinds.py
+++ b/soak/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults that a scenario can contain, each with its family, its target and its effect."""
+"""The fault kinds of the scenarios, and the family, target and effect of each kind."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class FaultFamily(Enum):
-    """The part of the system that fails. Faults that overlap are drawn from different families.
+    """The part of the system that fails. The faults of one group are of different families.
 
-    The order of the families is part of how a scenario is drawn: a changed order changes every scenario.
+    Scenarios draw families by position: reordering the members would change the scenario of every seed.
     """
 
     PROCESS = "process"
@@ -20,14 +20,14 @@
 
 
 class FaultTarget(Enum):
-    """The objects that a fault affects."""
+    """Whether a fault affects limiters or endpoints."""
 
     LIMITERS = "limiters"
     ENDPOINTS = "endpoints"
 
 
 class FaultKind(StrEnum):
-    """One kind of fault, by what the process, endpoint, network, system or client does."""
+    """The fault kinds; ``FAULT_SPECS`` describes their effects."""
 
     KILL = "kill"
     RELOAD = "reload"
@@ -94,18 +94,19 @@
     CROWD = "crowd"
 
 
-FIRST_VERSION = 1  # of the scenarios
+# Scenario versions.
+FIRST_VERSION = 1
 LATEST_VERSION = 2
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSpec:
-    """Family, target and effect of a kind of fault."""
+    """The family, target and effect of a fault kind."""
 
     family: FaultFamily
     target: FaultTarget
     description: str
-    since_version: int = FIRST_VERSION  # the first version of scenarios that contains the kind
+    since_version: int = FIRST_VERSION  # first scenario version that contains the kind
 
 
 def _specs(
@@ -117,27 +118,27 @@
     return {kind: FaultSpec(family, target, text, since_version) for kind, text in descriptions.items()}
 
 
-# Scenarios draw a kind by its position within its family: a changed order changes every scenario.
+# Scenarios draw a kind by its position within its family: reordering kinds would change every scenario.
 FAULT_SPECS: dict[FaultKind, FaultSpec] = {
     **_specs(
         FaultFamily.PROCESS,
         FaultTarget.LIMITERS,
         {
-            FaultKind.KILL: "SIGKILL; a new process starts after half of the duration",
-            FaultKind.RELOAD: "SIGHUP with a new address of discovery; the old address closes 1.5 s later",
-            FaultKind.RELOAD_TWICE: "two such reloads, the second one before the first has ended",
-            FaultKind.RESTART: "SIGTERM, then SIGKILL if needed, and a new process at the same address",
+            FaultKind.KILL: "SIGKILL; a new process starts after half of the fault's duration",
+            FaultKind.RELOAD: "SIGHUP with a new discovery address; the old one closes 1.5 s later",
+            FaultKind.RELOAD_TWICE: "two reloads; the second begins before the first has ended",
+            FaultKind.RESTART: "SIGTERM, SIGKILL after a timeout, and a new process at the same address",
             FaultKind.STOP: "SIGSTOP, then SIGCONT within the duration",
-            FaultKind.RESTART_WHILE_STOPPED: "SIGSTOP, SIGTERM, SIGCONT, and a new process",
-            FaultKind.SUSPEND_ENDPOINT: "SUSPEND of an endpoint, and RESTORE after the duration",
+            FaultKind.RESTART_WHILE_STOPPED: "SIGSTOP, SIGTERM and SIGCONT, then a new process",
+            FaultKind.SUSPEND_ENDPOINT: "SUSPEND of an endpoint, and RESTORE 1 s after the fault's duration",
             FaultKind.SUSPEND_ENDPOINT_AND_UPGRADE: (
-                "SUSPEND, in half of the cases with a full shared directory, an upgrade, RESTORE"
+                "SUSPEND, in half of the cases while the shared directory is full; an upgrade; RESTORE"
             ),
             FaultKind.UPGRADE: "a second process starts, then the first one gets SIGTERM",
             FaultKind.UPGRADE_ROLLED_BACK: "a second process starts, then the second one gets SIGTERM",
             FaultKind.UPGRADE_BOTH_TERMINATED: "a second process starts, both get SIGTERM, a third starts",
             FaultKind.UPGRADE_WHILE_STOPPED: (
-                "a second process starts while the first one is stopped; the first one continues and exits"
+                "a second process starts while the first one is stopped, which then gets SIGCONT and SIGTERM"
             ),
         },
     ),
@@ -145,14 +146,14 @@
         FaultFamily.ENDPOINT,
         FaultTarget.ENDPOINTS,
         {
-            FaultKind.RESTART_WARMING_UP: "the endpoint restarts and warms up, as a new incarnation",
-            FaultKind.RESTART_WITH_EARLIER_START_TIME: "the same, with a start time one hour in the past",
-            FaultKind.DRAIN: "the endpoint drains, and is ready again 6 s after the duration",
+            FaultKind.RESTART_WARMING_UP: "the endpoint restarts as a new incarnation and warms up",
+            FaultKind.RESTART_WITH_EARLIER_START_TIME: "the endpoint restarts, with a start time an hour ago",
+            FaultKind.DRAIN: "the endpoint drains, and is ready again 6 s after the fault's duration",
             FaultKind.INCOMPLETE_RESPONSES: "responses are shorter than their Content-Length",
             FaultKind.ERROR_RESPONSES: "half of the requests get status 500",
             FaultKind.HANG: "requests are accepted and get no response",
             FaultKind.RESPONSES_WITHOUT_LENGTH: "responses have no length and end with the connection",
-            FaultKind.FRAGMENTED_RESPONSES: "responses are sent in fragments, some of them are long",
+            FaultKind.FRAGMENTED_RESPONSES: "responses are sent in fragments; some responses are long",
             FaultKind.CONNECTION_RESETS: "connections are reset while a request is executed",
             FaultKind.SLOW_RESPONSES: "responses take five times as long",
             FaultKind.REJECTIONS: "half of the requests are rejected without execution",
@@ -164,10 +165,10 @@
         {
             FaultKind.COUNTER_DELAY: "the counter's replies are delayed by 60 ms",
             FaultKind.COUNTER_DOWN: "the counter refuses connections and resets the open ones",
-            FaultKind.COUNTER_UNRESPONSIVE: "the counter's connections stay open and get no reply",
+            FaultKind.COUNTER_UNRESPONSIVE: "connections to the counter stay open, but it does not reply",
             FaultKind.DISCOVERY_DOWN: "discovery refuses connections and resets the open ones",
-            FaultKind.DISCOVERY_FRAGMENTED: "discovery's lines arrive in fragments",
-            FaultKind.DISCOVERY_UNRESPONSIVE: "discovery's connections stay open and send nothing",
+            FaultKind.DISCOVERY_FRAGMENTED: "data from discovery arrives in fragments of 200 bytes",
+            FaultKind.DISCOVERY_UNRESPONSIVE: "connections to discovery stay open, but it sends nothing",
         },
     ),
     **_specs(
@@ -176,26 +177,26 @@
         {
             FaultKind.NETWORK_BLACKHOLE: "the connections to an endpoint stay open and transfer nothing",
             FaultKind.NETWORK_DELAY: "data to and from an endpoint is delayed by 50 to 150 ms each way",
-            FaultKind.NETWORK_RESETS: "all connections to an endpoint are reset, several times",
+            FaultKind.NETWORK_RESETS: "all connections to an endpoint are reset, five times",
             FaultKind.NETWORK_FRAGMENTATION: "data to and from an endpoint arrives in fragments of 50 bytes",
-            FaultKind.NETWORK_TRUNCATION: "the connections to an endpoint are reset within a response",
+            FaultKind.NETWORK_TRUNCATION: "connections to an endpoint are reset in the middle of a response",
         },
     ),
     **_specs(
         FaultFamily.SYSTEM,
         FaultTarget.LIMITERS,
         {
-            FaultKind.ACCEPT_ERRORS: "some calls of accept fail: ECONNABORTED, ENFILE, ENOBUFS, ENOMEM",
+            FaultKind.ACCEPT_ERRORS: "some accept calls fail: ECONNABORTED, ENFILE, ENOBUFS or ENOMEM",
             FaultKind.CLOCK_STEP_BACK: "the wall clock is stepped one hour back",
             FaultKind.CLOCK_STEP_FORWARD: "the wall clock is stepped one hour forward",
-            FaultKind.CONNECT_ERRORS: "some calls of connect fail: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS",
+            FaultKind.CONNECT_ERRORS: "some connect calls fail: EADDRNOTAVAIL, ENETUNREACH or ENOBUFS",
             FaultKind.SHARED_DIRECTORY_IO_ERRORS: "reads and writes in the shared directory fail: EIO",
             FaultKind.SHARED_DIRECTORY_FULL: "writes in the shared directory fail: ENOSPC",
-            FaultKind.INTERRUPTED_WAITS: "some calls of epoll_wait fail: EINTR",
-            FaultKind.SHARED_DIRECTORY_LOCK_ERRORS: "locks in the shared directory fail: ENOLCK",
-            FaultKind.READ_ERRORS: "some reads of sockets fail: ETIMEDOUT, EHOSTUNREACH, ECONNRESET",
-            FaultKind.SHORT_TRANSFERS: "reads and writes of sockets transfer 7 bytes at most",
-            FaultKind.SOCKET_ERRORS: "some calls of socket fail: ENFILE, ENOBUFS",
+            FaultKind.INTERRUPTED_WAITS: "some epoll_wait calls fail: EINTR",
+            FaultKind.SHARED_DIRECTORY_LOCK_ERRORS: "file locks in the shared directory fail: ENOLCK",
+            FaultKind.READ_ERRORS: "some socket reads fail: ETIMEDOUT, EHOSTUNREACH or ECONNRESET",
+            FaultKind.SHORT_TRANSFERS: "socket reads and writes transfer at most 7 bytes",
+            FaultKind.SOCKET_ERRORS: "some socket calls fail: ENFILE or ENOBUFS",
         },
     ),
     **_specs(
@@ -205,7 +206,7 @@
             FaultKind.TRAFFIC_BURST: "the request rate is multiplied by four",
             FaultKind.HALF_CLOSE: "half of the clients close their sending side after the request",
             FaultKind.DISCONNECT: "half of the clients disconnect before the response",
-            FaultKind.PIPELINING: "one client in four sends three requests at once",
+            FaultKind.PIPELINING: "one client in four sends three pipelined requests",
             FaultKind.IMMEDIATE_RETRIES: "clients retry rejected requests at once",
             FaultKind.FRAGMENTED_REQUESTS: "half of the clients send the request's head in fragments",
             FaultKind.INCOMPLETE_REQUESTS: "one client in ten stops within a request and stays connected",
@@ -216,9 +217,11 @@
         FaultFamily.PROCESS,
         FaultTarget.LIMITERS,
         {
-            FaultKind.RELOAD_SERIES: "several such reloads close together",
-            FaultKind.SIGNALS_IN_SHUTDOWN: "SIGTERM, then SIGHUP, SIGTERM and SIGHUP again; a new process",
-            FaultKind.UPGRADE_ABORTED: "a second process starts, and gets SIGTERM around its readiness",
+            FaultKind.RELOAD_SERIES: "four reloads with new discovery addresses, 0 to 0.2 s apart",
+            FaultKind.SIGNALS_IN_SHUTDOWN: "SIGTERM; in the shutdown SIGHUP, SIGTERM, SIGHUP; a new process",
+            FaultKind.UPGRADE_ABORTED: (
+                "a second process gets SIGTERM 0.2 to 0.8 s after its start, around its readiness"
+            ),
             FaultKind.UPGRADE_WITH_SIGNALS: (
                 "an upgrade with SIGHUP to both processes before and after SIGTERM, and a second SIGTERM"
             ),
@@ -230,7 +233,7 @@
         FaultTarget.LIMITERS,
         {
             FaultKind.RESTING_CLIENTS: (
-                "one client in four rests on its connection until the limiter ends it, or sends again later"
+                "one client in four keeps a connection idle, and sends again later if it has not been closed"
             ),
             FaultKind.CROWD: "more idle clients connect than the limiter has descriptors for",
         },
@@ -240,7 +243,7 @@
 
 
 def kinds_of(family: FaultFamily, version: int) -> list[FaultKind]:
-    """Return the kinds of a family in the order in which scenarios of a version draw them."""
+    """Return the fault kinds of a family in a scenario version, in the order that scenarios draw from."""
     return [
         kind for kind, spec in FAULT_SPECS.items() if spec.family is family and spec.since_version <= version
     ]
--- a/soak/scenario.py
+++ b/soak/scenario.py
@@ -1,4 +1,4 @@
-"""The scenario of a run, which follows from its seed alone: size, clock error and faults with their times."""
+"""Generates the scenario of a run from a seed: number of endpoints, clock error, faults and their times."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 )
 
 WARM_UP_SECONDS = 2.5
-FAULT_FREE_END_SECONDS = 4.0  # open requests and recoveries complete in this time
+FAULT_FREE_END_SECONDS = 4.0  # without faults at the end of a run: open requests end, the limiters recover
 MIN_RUN_SECONDS = 12.0
 MIN_GROUP_GAP_SECONDS = 1.5
 MAX_GROUP_GAP_SECONDS = 3.0
 MAX_OFFSET_IN_GROUP_SECONDS = 0.8
 MIN_FAULT_SECONDS = 0.5
 MAX_FAULT_SECONDS = 3.5
-HELD_ACCEPT_QUEUE_FRACTION = 0.5  # of the limiters
-ALL_LIMITERS_FRACTION = 0.2  # of the faults of limiters, which then affect all of them
-MAX_AFFECTED_LIMITERS_DIVISOR = 4
-MAX_AFFECTED_ENDPOINTS_DIVISOR = 3
+HELD_ACCEPT_QUEUE_FRACTION = 0.5  # of the limiters, see ``Scenario.accept_queue_held``
+ALL_LIMITERS_FRACTION = 0.2  # of the faults that target limiters: these faults affect every limiter
+MAX_AFFECTED_LIMITERS_DIVISOR = 4  # the other faults affect up to a quarter of the limiters
+MAX_AFFECTED_ENDPOINTS_DIVISOR = 3  # a fault affects up to a third of the endpoints
 MIN_ENDPOINTS = 8
 MAX_ENDPOINTS = 12
 CLOCK_ERRORS_SECONDS = (0.0, 0.0, 0.0, 30.0, 3600.0, -3600.0, -30.0)
@@ -40,7 +40,7 @@
     duration: float  # seconds
     limiters: tuple[int, ...]
     endpoints: tuple[int, ...]
-    draw: float  # 0 to 1, decides the details of the kind
+    draw: float  # random number in [0, 1) that sets a detail of the fault, such as an error number or a gap
 
     def describe(self) -> str:
         """Return the fault's line of the printed scenario."""
@@ -50,17 +50,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Everything that a run is to do."""
+    """The size of a run, its clock error and its faults."""
 
     seed: int
     seconds: float
     limiter_count: int
     endpoint_count: int
-    # By limiter: whether the platform keeps its listening socket, and so its accept queue, across processes.
+    # For each limiter: whether the platform keeps its listening socket open while its processes are replaced,
+    # which preserves the connections in the accept queue.
     accept_queue_held: tuple[bool, ...]
-    clock_error: float  # seconds by which all wall clocks are off when the limiters start
+    clock_error: float  # seconds by which the wall clocks of all limiters are wrong when they start
     faults: tuple[Fault, ...]
-    version: int = FIRST_VERSION  # a later version has more kinds of faults
+    version: int = FIRST_VERSION  # later versions have more fault kinds
 
     def describe(self) -> str:
         """Return the printed scenario, one line for each fault."""
@@ -73,7 +74,7 @@
 
 
 class _FaultGenerator:
-    """Draws faults for a number of limiters and endpoints."""
+    """Draws faults and their targets from a random number generator."""
 
     def __init__(self, random: Random, limiters: int, endpoints: int, version: int) -> None:
         self._random = random
@@ -82,7 +83,7 @@
         self._endpoints = endpoints
 
     def draw(self, family: FaultFamily, start: float, max_duration: float) -> Fault:
-        """Draw a fault of a family. The order of the draws is fixed: a seed keeps its scenario."""
+        """Draw a fault of a family. Another order of the draws would change the scenario of every seed."""
         kind = self._random.choice(kinds_of(family, self._version))
         limiters: tuple[int, ...] = ()
         endpoints: tuple[int, ...] = ()
@@ -108,7 +109,7 @@
 def make_scenario(seed: int, seconds: float, limiters: int, version: int = FIRST_VERSION) -> Scenario:
     """Return the scenario of a seed: groups of two or three overlapping faults of different families.
 
-    A seed keeps its scenario in each version.
+    The same arguments must give the same scenario in every revision of the code.
     """
     random = Random(f"soak {seed}" if version == FIRST_VERSION else f"soak {seed} version {version}")
     endpoints = random.randrange(MIN_ENDPOINTS, MAX_ENDPOINTS + 1)
--- a/tests/test_soak_scenario.py
+++ b/tests/test_soak_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of the soak test, the registered kinds of faults, and the command without a run."""
+"""The soak test without a run: generated scenarios, registered fault kinds, command-line arguments."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from soak.service_faults import ServiceFaults
 from soak.system_faults import SystemFaults
 
-# Seed 7, 20 s, 6 limiters: kind, start, duration, limiters, endpoints, draw. A renamed kind changes its name
-# here and nothing else: a seed keeps its draws, times and targets.
+# Version 1, seed 7, 20 s, 6 limiters: kind, start, duration, limiters, endpoints, draw. If a fault kind is
+# renamed, only its name changes here: the draws, times and targets of a seed must not change.
 FAULTS_OF_SEED_7 = [
     ("upgrade_both_terminated", 2.815974, 3.372498, (3,), (), 0.445375),
     ("incomplete_requests", 3.073719, 2.101419, (4,), (), 0.210536),
@@ -42,7 +42,7 @@
     return kind, round(start, 6), round(duration, 6)
 
 
-def test_a_seed_keeps_its_scenario() -> None:
+def test_seed_7_gives_its_recorded_scenario() -> None:
     scenario = make_scenario(7, 20.0, 6)
     assert scenario.accept_queue_held == (False, False, False, False, True, False)
     assert (scenario.endpoint_count, scenario.clock_error) == (9, 0.0)
@@ -58,18 +58,18 @@
     assert rows == FAULTS_OF_SEED_7
 
 
-def test_an_earlier_version_has_no_later_kinds_of_faults() -> None:
+def test_version_1_scenarios_contain_only_version_1_fault_kinds() -> None:
     for seed in range(60):
         faults = make_scenario(seed, 30.0, 24).faults
         assert all(FAULT_SPECS[fault.kind].since_version == 1 for fault in faults)
 
 
-def test_a_scenario_depends_on_its_seed_alone() -> None:
+def test_same_seed_gives_the_same_scenario_and_another_seed_another_one() -> None:
     assert make_scenario(7, 30.0, 24) == make_scenario(7, 30.0, 24)
     assert make_scenario(7, 30.0, 24) != make_scenario(8, 30.0, 24)
 
 
-def test_faults_overlap_and_the_end_of_a_run_is_free_of_faults() -> None:
+def test_faults_overlap_and_leave_the_start_and_end_of_a_run_free() -> None:
     overlapping = 0
     for seed in range(20):
         faults = make_scenario(seed, 30.0, 24).faults
@@ -79,7 +79,7 @@
     assert overlapping > 100
 
 
-def test_every_kind_of_fault_is_drawn_and_has_targets() -> None:
+def test_every_fault_kind_is_drawn_and_has_targets() -> None:
     drawn = set[str]()
     for seed in range(120):
         for fault in make_scenario(seed, 30.0, 24, LATEST_VERSION).faults:
@@ -96,7 +96,7 @@
         ["--seed", "1", "--limiters", "0"], ["--seed", "1", "--seconds", "1"], ["--nonsense"],
     ],
 )  # fmt: skip
-def test_wrong_arguments_give_one_line_and_exit_code_2(
+def test_invalid_arguments_print_an_error_and_give_exit_code_2(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(arguments) == ExitCode.NO_VERDICT
@@ -105,18 +105,18 @@
     assert captured.out == ""
 
 
-def test_the_list_names_every_kind_of_fault(capsys: pytest.CaptureFixture[str]) -> None:
+def test_list_option_prints_every_fault_kind(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["--list"]) == ExitCode.NO_VIOLATION
     listed = capsys.readouterr().out
     assert all(kind in listed for kind in FAULT_SPECS)
 
 
-def test_a_scenario_is_printed_without_a_run(capsys: pytest.CaptureFixture[str]) -> None:
+def test_scenario_option_prints_the_scenario_without_a_run(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["--seed", "3", "--scenario"]) == ExitCode.NO_VIOLATION
     assert capsys.readouterr().out.startswith("seed 3: 24 limiters")
 
 
-def test_every_kind_of_fault_is_injected_by_the_module_of_its_family() -> None:
+def test_every_fault_kind_is_injected_by_the_class_of_its_family_and_target() -> None:
     injectors = {
         (FaultFamily.PROCESS, FaultTarget.LIMITERS): ProcessFaults.KINDS,
         (FaultFamily.ENDPOINT, FaultTarget.ENDPOINTS): EndpointFaults.KINDS,
