--- a/soak/client_faults.py
+++ b/soak/client_faults.py
@@ -11,12 +11,12 @@
 from soak.scenario import Fault
 
 BURST_FACTOR = 4
-CROWD_CONNECTIONS = 300  # over half of the descriptors of a limiter, which are for its clients
+CROWD_CONNECTIONS = 300  # more than half of a limiter's ``MAX_SOCKETS``, its limit on client connections
 
 
 @dataclass(frozen=True, slots=True)
 class _FaultyBehaviour:
-    """A behaviour with the fraction of the requests that show it."""
+    """A client behaviour, and the fraction of the requests that are sent with it."""
 
     behaviour: ClientBehaviour
     fraction: float
@@ -35,12 +35,12 @@
 
 
 class ClientFaults:
-    """Faulty behaviour or a burst of the clients of one limiter."""
+    """Faulty behaviour, traffic bursts and crowds of the clients of one limiter."""
 
     KINDS = frozenset({*FAULTY_BEHAVIOURS, FaultKind.TRAFFIC_BURST, FaultKind.CROWD})
 
     async def inject(self, clients: LimiterClients, fault: Fault) -> None:
-        """Let the clients show a fault for its duration."""
+        """Inject a fault into the clients of one limiter, and undo it after its duration."""
         if fault.kind is FaultKind.TRAFFIC_BURST:
             clients.scale_rate(BURST_FACTOR)
             await asyncio.sleep(fault.duration)
--- a/soak/endpoint_faults.py
+++ b/soak/endpoint_faults.py
@@ -14,11 +14,11 @@
 
 READY_AFTER_DRAIN_SECONDS = 6.0
 EARLIER_START_TIME_OFFSET_SECONDS = -3600.0
-MIN_DELAY_SECONDS = 0.05
+MIN_DELAY_SECONDS = 0.05  # each way
 DELAY_RANGE_SECONDS = 0.1
 FRAGMENT_BYTES = 50
-TRUNCATED_RESPONSE_BYTES = 300
-RESETS = 5
+TRUNCATED_RESPONSE_BYTES = 300  # forwarded before the connection is reset
+RESETS_PER_FAULT = 5
 
 BEHAVIOURS = {
     FaultKind.HANG: Behaviour(hangs=True),
@@ -74,7 +74,7 @@
 
 
 class EndpointNetworkFaults:
-    """Faults of the network of an endpoint. Those that overlap end together with the first one that ends."""
+    """Faults of the network of an endpoint. ``clear_faults`` at the end of one also ends overlapping ones."""
 
     KINDS = frozenset(
         {
@@ -102,9 +102,9 @@
         self._history.network_faults.append(NetworkFault(endpoint.name, start, time.monotonic()))
 
     async def _reset_repeatedly(self, proxy: Proxy, duration: float) -> None:
-        for _ in range(RESETS):
+        for _ in range(RESETS_PER_FAULT):
             proxy.reset_all()
-            await asyncio.sleep(duration / RESETS)
+            await asyncio.sleep(duration / RESETS_PER_FAULT)
 
     def _start(self, proxy: Proxy, fault: Fault) -> None:
         if fault.kind is FaultKind.NETWORK_DELAY:
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -29,9 +29,9 @@
 
 
 class Environment:
-    """Starts and ends everything that a scenario needs.
+    """Starts and closes the limiters of a scenario and everything that they and their clients need.
 
-    Discovery's endpoint list follows the endpoints through ``publish``.
+    After a change of an endpoint, ``publish`` updates discovery's endpoint list.
     """
 
     def __init__(self, scenario: Scenario, directory: Path, library: Path, history: History) -> None:
@@ -107,7 +107,7 @@
         return LimiterClients(connections, factory, self.history, random)
 
     def publish(self, endpoint: SoakEndpoint) -> None:
-        """Update discovery's endpoint list with the present state of an endpoint."""
+        """Update discovery's endpoint list with the current state of an endpoint."""
         entry = _make_entry(endpoint)
         self._entries[endpoint.name] = entry
         self._discovery.publish(entry)
@@ -115,7 +115,7 @@
         self.history.endpoint_changes.append(change)
 
     def write_config(self, limiter: Limiter) -> None:
-        """Write a limiter's configuration with the present endpoint list."""
+        """Write a limiter's configuration file with the current endpoint list."""
         hosts = [entry.to_json() for entry in self._entries.values()]
         known: dict[str, Any] = {"seq": self._discovery.version, "whole": True, "hosts": hosts}
         limiter.write_config(self._scenario.limiter_count, known)
@@ -126,7 +126,7 @@
         for endpoint in self.endpoints:
             endpoint.close()
         self._discovery.close()
-        await asyncio.sleep(0)  # lets cancelled tasks end
+        await asyncio.sleep(0)  # lets cancelled tasks finish
 
 
 def _make_entry(endpoint: SoakEndpoint) -> EndpointEntry:
--- a/soak/errors.py
+++ b/soak/errors.py
@@ -2,4 +2,4 @@
 
 
 class SoakError(Exception):
-    """The scenario cannot be run, so that there is no verdict; the text names the cause."""
+    """The scenario cannot be run, and there is no verdict; the message states the cause."""
--- a/soak/fault_injector.py
+++ b/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario; each fault is undone after its duration."""
+"""Injects the faults of a scenario, and undoes each fault after its duration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from soak.service_faults import ServiceFaults
 from soak.system_faults import SystemFaults
 
-# More crowds at once would hold up the soak test's own process, in which the endpoints run.
+# Crowds at more limiters would delay the runner's own process, in which the endpoints run.
 MAX_CROWDED_LIMITERS = 3
 
 
@@ -22,7 +22,7 @@
     """Injects faults into an environment."""
 
     def __init__(self, environment: Environment) -> None:
-        """Inject into ``environment``, and record the faults in its history."""
+        """Inject faults into ``environment``, and record them in its history."""
         self._environment = environment
         self._history = environment.history
         self._clients = ClientFaults()
@@ -37,14 +37,14 @@
         self._history.record_event(f"{fault.kind}: limiters {fault.limiters}, endpoints {fault.endpoints}")
         endpoints = [self._environment.endpoints[index] for index in fault.endpoints]
         if fault.kind in ClientFaults.KINDS:
-            limiters_of_kind = fault.limiters
+            limiter_indices = fault.limiters
             if fault.kind is FaultKind.CROWD:
-                limiters_of_kind = fault.limiters[:MAX_CROWDED_LIMITERS]
-            await asyncio.gather(*(self._inject_at_clients(index, fault) for index in limiters_of_kind))
+                limiter_indices = fault.limiters[:MAX_CROWDED_LIMITERS]
+            await asyncio.gather(*(self._inject_at_clients(index, fault) for index in limiter_indices))
         elif fault.kind in EndpointFaults.KINDS:
-            await asyncio.gather(*(self._endpoints.inject(each, fault) for each in endpoints))
+            await asyncio.gather(*(self._endpoints.inject(endpoint, fault) for endpoint in endpoints))
         elif fault.kind in EndpointNetworkFaults.KINDS:
-            await asyncio.gather(*(self._endpoint_networks.inject(each, fault) for each in endpoints))
+            await asyncio.gather(*(self._endpoint_networks.inject(endpoint, fault) for endpoint in endpoints))
         else:
             limiters = [self._environment.limiters[index] for index in fault.limiters]
             await asyncio.gather(*(self._inject_at_limiter(limiter, fault) for limiter in limiters))
@@ -64,7 +64,7 @@
                 await self._system.inject(limiter, fault)
 
     async def _inject_into_processes(self, limiter: Limiter, fault: Fault) -> None:
-        """Inject a fault, unless another fault starts or ends processes of the limiter at the moment."""
+        """Inject a fault into a limiter's processes; skip it if another fault is starting or ending them."""
         if limiter.process_lock.locked():
             return
         with self._history.span(fault.kind, limiter.index):
--- a/soak/limiter.py
+++ b/soak/limiter.py
@@ -1,4 +1,4 @@
-"""A limiter of a run as real processes: start, exit, a second process beside the first, admin commands."""
+"""Starts, upgrades and ends the processes of one limiter, and sends admin commands to them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 READY_TIMEOUT_SECONDS = 20.0
 READY_POLL_SECONDS = 0.02
-KILL_GRACE_SECONDS = 0.7  # after the longest deadline, until SIGKILL follows SIGTERM
+KILL_GRACE_SECONDS = 0.7  # SIGKILL follows SIGTERM after the longest deadline and this time
 MAX_SOCKETS = 512
 LISTEN_BACKLOG = 1024
 LOG_TAIL_CHARACTERS = 4000
@@ -33,10 +33,10 @@
 
 
 class Limiter:
-    """One limiter: its address, directory, configuration, network and processes.
+    """One limiter: its address, files, configuration, proxies and processes.
 
-    The current process is the one that was started last. ``process_lock`` is held while processes are started
-    or ended, and while the address of discovery or the counter is closed.
+    Faults hold ``process_lock`` while they start or end processes, and while the proxy of discovery or of the
+    counter refuses connections.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         counter: Proxy,
         accept_queue_held: bool,
     ) -> None:
-        """With ``accept_queue_held`` the listening socket stays open across the processes."""
+        """With ``accept_queue_held`` the runner holds the listening socket open, and processes inherit it."""
         self.index = index
         self.process_lock = asyncio.Lock()
         self.control = FaultControl(directory / "control")
@@ -63,7 +63,7 @@
         self._shared_directory.mkdir()
         self._library = library
         self._started_processes = 0
-        self._exit_watches = set[asyncio.Task[None]]()
+        self._exit_monitors = set[asyncio.Task[None]]()
         self._listening_socket = _create_inheritable_listener() if accept_queue_held else None
         self.port = _port_of(self._listening_socket) if self._listening_socket else free_port()
         if accept_queue_held:
@@ -71,27 +71,27 @@
 
     @property
     def current_process(self) -> LimiterProcess | None:
-        """The process that was started last, unless it has exited."""
+        """The running process that was started last; ``None`` if no process runs."""
         return self._processes[-1] if self._processes else None
 
     @property
     def was_restarted(self) -> bool:
-        """Whether more than one process has been started."""
+        """Whether more than one process of this limiter has been started."""
         return self._started_processes > 1
 
-    async def move_discovery(self, target: Address) -> Proxy:
-        """Reach discovery through a new proxy; return the old one, which is still open."""
+    async def replace_discovery_proxy(self, target: Address) -> Proxy:
+        """Open a new discovery proxy for the next configuration; return the old one, which is still open."""
         new = Proxy(target)
         await new.open()
         old, self.discovery = self.discovery, new
         return old
 
     def write_config(self, limiter_count: int, known_endpoints: dict[str, Any]) -> None:
-        """Replace the configuration file in one step."""
+        """Replace the configuration file atomically."""
         config = {
             "name": f"n{self.index}",
             "listen": f"{LOOPBACK}:{self.port}",
-            "mgmt": f"{LOOPBACK}:1",  # each process has its own in LB_MGMT
+            "mgmt": f"{LOOPBACK}:1",  # overridden by LB_MGMT, which is different for each process
             "discovery": self.discovery.address,
             "counter": self.counter.address,
             "seed": f"{self.index + 1:016x}",
@@ -110,7 +110,7 @@
         return started
 
     async def spawn(self) -> LimiterProcess:
-        """Start a process, which is not ready yet."""
+        """Start a process without waiting until it is ready."""
         self._started_processes += 1
         admin_port = free_port()
         log_path = self._directory / f"process-{self._started_processes}.log"
@@ -132,9 +132,9 @@
         self._history.processes.append(lifetime)
         started = LimiterProcess(process, admin_port, log_path, lifetime)
         self._processes.append(started)
-        watch = asyncio.create_task(self._record_exit(started))
-        self._exit_watches.add(watch)
-        watch.add_done_callback(self._exit_watches.discard)
+        monitor = asyncio.create_task(self._record_exit(started))
+        self._exit_monitors.add(monitor)
+        monitor.add_done_callback(self._exit_monitors.discard)
         return started
 
     def _environment(self, admin_port: int) -> dict[str, str]:
@@ -156,12 +156,14 @@
         while time.monotonic() < deadline:
             if not started.is_running:
                 log = started.log_text[-LOG_TAIL_CHARACTERS:]
-                raise SoakError(f"limiter {self.index} exited during its start: {log}")
+                raise SoakError(f"limiter {self.index} exited before it was ready; its log ends with: {log}")
             if await started.send_command("STATUS") == SUCCESS:
                 started.lifetime.record_ready()
                 return
             await asyncio.sleep(READY_POLL_SECONDS)
-        raise SoakError(f"limiter {self.index} was not ready within {READY_TIMEOUT_SECONDS:.0f} s")
+        raise SoakError(
+            f"limiter {self.index} was not ready within {READY_TIMEOUT_SECONDS:.0f} s of its start"
+        )
 
     async def _record_exit(self, started: LimiterProcess) -> None:
         code = await started.wait()
@@ -180,34 +182,34 @@
         )
 
     async def terminate(self, process: LimiterProcess) -> None:
-        """Send SIGTERM, and SIGKILL after the longest deadline and a grace; return after the exit."""
+        """Send SIGTERM, then SIGKILL after the longest deadline and a grace period; return after the exit."""
         with self._history.span(LimiterState.TERMINATING, self.index):
-            process.end_with(signal.SIGTERM)
+            process.send_final_signal(signal.SIGTERM)
             try:
                 async with asyncio.timeout(MAX_DEADLINE_SECONDS + KILL_GRACE_SECONDS):
                     await process.wait()
             except TimeoutError:
                 process.send_signal(signal.SIGKILL)
                 await process.wait()
-                self._history.record_event(f"limiter {self.index}: SIGKILL after SIGTERM")
+                self._history.record_event(f"limiter {self.index}: no exit after SIGTERM, sent SIGKILL")
 
     async def terminate_all(self) -> None:
-        """Terminate all processes, one after the other."""
+        """Terminate all processes one after the other."""
         for process in list(self._processes):
             await self.terminate(process)
 
     async def kill(self, process: LimiterProcess) -> None:
         """Send SIGKILL; return after the exit."""
         with self._history.span(FaultKind.KILL, self.index):
-            process.end_with(signal.SIGKILL)
+            process.send_final_signal(signal.SIGKILL)
             await process.wait()
 
     def record_failed_reads(self) -> None:
-        """Record the client connections that the fault library has failed to read."""
+        """Record the client ports of the connections on which the fault library made a read fail."""
         self._history.failed_reads[self.index] |= self.control.failed_peer_ports()
 
     async def command(self, command: str) -> str:
-        """Send an operator's command to the current process and record the reply; return it."""
+        """Send an admin command to the current process; record and return the reply, which may be empty."""
         process = self.current_process
         if process is None:
             return ""
@@ -226,8 +228,8 @@
     async def close(self) -> None:
         """Kill all processes and release all resources."""
         for process in list(self._processes):
-            process.end_with(signal.SIGKILL)
-        await asyncio.gather(*self._exit_watches)
+            process.send_final_signal(signal.SIGKILL)
+        await asyncio.gather(*self._exit_monitors)
         self.control.close()
         if self._listening_socket is not None:
             self._listening_socket.close()
--- a/soak/limiter_process.py
+++ b/soak/limiter_process.py
@@ -1,4 +1,4 @@
-"""One process of a limiter: signals, log and admin commands."""
+"""One process of a limiter: its signals, its log and its admin commands."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not exited."""
+        """Whether the process has not exited yet."""
         return self.process.returncode is None
 
     @property
@@ -45,8 +45,8 @@
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    def end_with(self, number: signal.Signals) -> None:
-        """Send a signal that is to end the process."""
+    def send_final_signal(self, number: signal.Signals) -> None:
+        """Send a signal that ends the process, and record that the exit is expected."""
         self.exit_expected = True
         self.send_signal(number)
 
@@ -55,7 +55,7 @@
         return await self.process.wait()
 
     async def send_command(self, command: str) -> str:
-        """Send a command to the admin address; return the reply, empty if there is none."""
+        """Send a command to the admin address; return the reply, or an empty string without a reply."""
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(LOOPBACK, self.admin_port)
--- a/soak/ports.py
+++ b/soak/ports.py
@@ -1,4 +1,7 @@
-"""Free TCP ports of loopback for limiters, which have to get the same port again after a restart."""
+"""Allocates loopback ports to limiters, outside the range that the system uses for outgoing connections.
+
+A limiter keeps its port across restarts, so no outgoing connection may occupy it in the meantime.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +13,9 @@
 from soak.errors import SoakError
 from soak.proxy import LOOPBACK
 
-FIRST_PORT = 12_000  # below the ports that the system assigns to outgoing connections
+FIRST_PORT = 12_000  # all ports are below those that the system assigns to outgoing connections
 PORTS_PER_RUN = 1_000
-CONCURRENT_RUNS = 18  # that get different ports, by the number of their process
+CONCURRENT_RUNS = 18  # a run's range of ports is selected by its process id modulo this number
 
 _first_port = FIRST_PORT + os.getpid() % CONCURRENT_RUNS * PORTS_PER_RUN
 _ports = cycle(range(_first_port, _first_port + PORTS_PER_RUN))
@@ -21,11 +24,11 @@
 def free_port() -> int:
     """Return the next unused port. Raise ``SoakError`` if all are in use.
 
-    The ports are returned in turn: two limiters that get the same port before either of them listens would
-    both listen at it, because the processes of a limiter share their address.
+    Ports are allocated in rotation. If two limiters got the same port before either listened on it, both
+    would listen on it: limiters set SO_REUSEPORT, which lets the processes of one limiter share an address.
     """
     for port in islice(_ports, PORTS_PER_RUN):
         with socket.socket() as candidate, contextlib.suppress(OSError):
             candidate.bind((LOOPBACK, port))
             return port
-    raise SoakError(f"no free port from {_first_port} to {_first_port + PORTS_PER_RUN - 1}")
+    raise SoakError(f"all ports from {_first_port} to {_first_port + PORTS_PER_RUN - 1} are in use")
--- a/soak/process_faults.py
+++ b/soak/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a limiter's processes: signals, restarts, upgrades, operators' commands, reloads."""
+"""Faults of a limiter's processes: signals, restarts, upgrades, reloads, admin commands."""
 
 from __future__ import annotations
 
@@ -18,30 +18,31 @@
 from soak.limiter_process import LimiterProcess
 from soak.scenario import Fault
 
-OLD_DISCOVERY_SECONDS = 1.5  # after SIGHUP, during which the old address stays open
-RELOAD_SECONDS = 4.0  # after SIGHUP, within which the new configuration has to be in force
-CONNECT_BLOCK_DELAY_SECONDS = 0.3  # after the signal that ends a process
-KILLED_FRACTION = 0.5  # of the fault's duration, during which no process runs
+OLD_DISCOVERY_SECONDS = 1.5  # from SIGHUP until the connections to the old discovery address are reset
+RELOAD_SECONDS = 4.0  # from SIGHUP until the new configuration has to be in force
+CONNECT_BLOCK_DELAY_SECONDS = 0.3  # from the signal that ends the last process
+KILL_DOWNTIME_FRACTION = 0.5  # part of the fault's duration in which no process runs
 MAX_STOP_BEFORE_RESTART_SECONDS = 0.15
 MIN_RELOAD_GAP_SECONDS = 0.2
 RELOADS_IN_SERIES = 4
 MAX_RELOAD_SERIES_GAP_SECONDS = 0.2
-MAX_SIGNAL_GAP_SECONDS = 0.7  # the whole shutdown lasts 2.7 s at most
-MIN_PROCESS_SECONDS = 0.2  # before SIGTERM: until then the interpreter starts, which SIGTERM ends
-MAX_ABORTED_START_SECONDS = 0.6
+MAX_SIGNAL_GAP_SECONDS = 0.7  # three gaps fit into a shutdown, which lasts at most 2.7 s
+# From the start of a process to SIGTERM: an earlier SIGTERM kills the interpreter while it still starts.
+MIN_ABORTED_START_SECONDS = 0.2
+ABORTED_START_RANGE_SECONDS = 0.6
 MAX_UPGRADE_OVERLAP_SECONDS = 0.5
 MAX_TERMINATION_GAP_SECONDS = 0.4
-CONTINUED_SECONDS = 0.2  # from SIGCONT to SIGTERM
-FULL_DIRECTORY_FRACTION = 0.5  # of the suspensions that an upgrade follows
-SUSPENSION_EXTRA_SECONDS = 1.0
+SIGCONT_TO_SIGTERM_SECONDS = 0.2
+FULL_DIRECTORY_FRACTION = 0.5  # of the suspensions that are followed by an upgrade
+SUSPENSION_EXTRA_SECONDS = 1.0  # a suspension lasts for the fault's duration and this time
 UPGRADE_AFTER_SUSPENSION_SECONDS = 0.3
-SUSPENSION_ACROSS_UPGRADE_EXTRA_SECONDS = 2.0
+SUSPENSION_EXTRA_SECONDS_WITH_UPGRADE = 2.0  # as SUSPENSION_EXTRA_SECONDS, counted from the upgrade
 
 
 class ProcessFaults:
-    """Faults of the processes of one limiter. The caller holds the limiter's process lock.
+    """Faults of a limiter's processes. The caller holds the limiter's process lock.
 
-    While a limiter has no process, its clients open no new connections.
+    While a limiter has no running process, its clients open no new connections.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -59,15 +60,15 @@
             return await limiter.start()
 
     @contextmanager
-    def _unavailable(self, limiter: Limiter) -> Iterator[None]:
-        """Record the time without a ready process; the body starts the next one."""
+    def _record_unavailability(self, limiter: Limiter) -> Iterator[None]:
+        """Record the limiter as unavailable while the body ends its processes and starts the next one."""
         with self._history.span(LimiterState.UNAVAILABLE, limiter.index):
             yield
         self._environment.clients[limiter.index].allow_connects()
 
     @contextmanager
     def _blocked_connects(self, limiter: Limiter) -> Iterator[None]:
-        """Block new connections of clients soon after the body begins to end the last process."""
+        """Block new client connections from shortly after the body begins to end the last process."""
         clients = self._environment.clients[limiter.index]
         loop = asyncio.get_running_loop()
         timer = loop.call_later(CONNECT_BLOCK_DELAY_SECONDS, clients.block_connects)
@@ -77,7 +78,7 @@
 
     async def _restart(self, limiter: Limiter, _fault: Fault) -> None:
         process = limiter.current_process
-        with self._unavailable(limiter):
+        with self._record_unavailability(limiter):
             if process is not None:
                 with self._blocked_connects(limiter):
                     await limiter.terminate(process)
@@ -85,11 +86,11 @@
 
     async def _kill(self, limiter: Limiter, fault: Fault) -> None:
         process = limiter.current_process
-        with self._unavailable(limiter):
+        with self._record_unavailability(limiter):
             if process is not None:
                 with self._blocked_connects(limiter):
                     await limiter.kill(process)
-            await asyncio.sleep(fault.duration * KILLED_FRACTION)
+            await asyncio.sleep(fault.duration * KILL_DOWNTIME_FRACTION)
             await self._start_process(limiter)
 
     async def _stop(self, limiter: Limiter, fault: Fault) -> None:
@@ -105,7 +106,7 @@
         process = limiter.current_process
         if process is None:
             return
-        with self._unavailable(limiter):
+        with self._record_unavailability(limiter):
             with self._blocked_connects(limiter):
                 with self._history.span(LimiterState.STOPPED, limiter.index):
                     process.send_signal(signal.SIGSTOP)
@@ -119,7 +120,7 @@
         process = limiter.current_process
         if process is None:
             return
-        old = await limiter.move_discovery(self._environment.discovery_address)
+        old = await limiter.replace_discovery_proxy(self._environment.discovery_address)
         self._environment.write_config(limiter)
         reloaded_at = time.monotonic()
         process.send_signal(signal.SIGHUP)
@@ -147,7 +148,7 @@
         process = limiter.current_process
         if process is None:
             return
-        with self._unavailable(limiter):
+        with self._record_unavailability(limiter):
             with self._blocked_connects(limiter):
                 termination = asyncio.create_task(limiter.terminate(process))
                 await asyncio.sleep(0)
@@ -160,7 +161,7 @@
     async def _abort_upgrade(self, limiter: Limiter, fault: Fault) -> None:
         self._environment.write_config(limiter)
         new = await limiter.spawn()
-        await asyncio.sleep(MIN_PROCESS_SECONDS + MAX_ABORTED_START_SECONDS * fault.draw)
+        await asyncio.sleep(MIN_ABORTED_START_SECONDS + ABORTED_START_RANGE_SECONDS * fault.draw)
         await limiter.terminate(new)
 
     async def _upgrade_with_signals(self, limiter: Limiter, fault: Fault) -> None:
@@ -196,7 +197,7 @@
         new = await self._start_process(limiter)
         if old is None:
             return
-        with self._unavailable(limiter):
+        with self._record_unavailability(limiter):
             with self._blocked_connects(limiter):
                 termination = asyncio.create_task(limiter.terminate(old))
                 await asyncio.sleep(MAX_TERMINATION_GAP_SECONDS * fault.draw)
@@ -213,7 +214,7 @@
             await self._start_process(limiter)
             await asyncio.sleep(fault.duration * fault.draw)
             old.send_signal(signal.SIGCONT)
-        await asyncio.sleep(CONTINUED_SECONDS)
+        await asyncio.sleep(SIGCONT_TO_SIGTERM_SECONDS)
         await limiter.terminate(old)
 
     async def _suspend_endpoint(self, limiter: Limiter, fault: Fault) -> None:
@@ -228,7 +229,7 @@
         limiter.control.fail_directory_calls(0, DirectoryCalls.NONE)
         await asyncio.sleep(UPGRADE_AFTER_SUSPENSION_SECONDS)
         await self._upgrade(limiter, fault)
-        await asyncio.sleep(fault.duration + SUSPENSION_ACROSS_UPGRADE_EXTRA_SECONDS)
+        await asyncio.sleep(fault.duration + SUSPENSION_EXTRA_SECONDS_WITH_UPGRADE)
         await self._restore(limiter, suspension)
 
     async def _suspend(self, limiter: Limiter, fault: Fault) -> Suspension:
--- a/soak/process_lifetime.py
+++ b/soak/process_lifetime.py
@@ -1,4 +1,4 @@
-"""The lifetimes of a limiter's processes: readiness, signals and exit."""
+"""Records when a process of a limiter was ready, was sent signals and exited."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# After SIGTERM new connections keep arriving for this long; a process without a peer has to accept them.
+# New connections keep arriving for this long after SIGTERM. The process has to accept them, unless another
+# process of its limiter does.
 ACCEPT_SECONDS_AFTER_SIGTERM = 0.4
-END_OF_CONNECTION_SECONDS = 0.1  # from the end of a process to the moment at which its clients notice it
+END_OF_CONNECTION_SECONDS = 0.1  # from the exit of a process until its clients see their connections end
 
 
 @dataclass(slots=True, eq=False)
 class ProcessLifetime:
-    """The lifetime of one process; a time is 0 where the event has not happened."""
+    """The times at which the events of one process happened; 0 for an event that has not happened."""
 
     limiter: int
     started_at: float
     ready_at: float = 0.0
     terminated_at: float = 0.0  # the first SIGTERM
-    killed_at: float = 0.0  # SIGKILL
+    killed_at: float = 0.0  # the last SIGKILL
     exited_at: float = 0.0
 
     def record_ready(self) -> None:
-        """Record that the process answers that it is ready."""
+        """Record that the process has reported that it is ready."""
         self.ready_at = time.monotonic()
 
     def record_sigterm(self) -> None:
-        """Record that SIGTERM is sent; a second one changes nothing."""
+        """Record that SIGTERM is sent; only the first one counts."""
         self.terminated_at = self.terminated_at or time.monotonic()
 
     def record_sigkill(self) -> None:
@@ -39,14 +40,14 @@
         self.exited_at = time.monotonic()
 
     def accepts_until(self) -> float:
-        """Return the time up to which the process has to accept new connections."""
+        """Return the time until which the process has to accept new connections."""
         ends = [self.killed_at, self.exited_at]
         if self.terminated_at:
             ends.append(self.terminated_at + ACCEPT_SECONDS_AFTER_SIGTERM)
         return min((end for end in ends if end), default=float("inf"))
 
     def was_killed_around(self, at: float, tolerance: float) -> bool:
-        """Whether a connection that ended at ``at`` may have ended by the SIGKILL of this process."""
+        """Whether SIGKILL to this process may have ended a connection that ended at ``at``."""
         if not self.killed_at:
             return False
         gone_at = self.exited_at or self.killed_at
@@ -56,7 +57,7 @@
 def seconds_without_accepting_process(
     lifetimes: Iterable[ProcessLifetime], start: float, end: float
 ) -> float:
-    """Return the part of the time between ``start`` and ``end`` in which no process has to accept."""
+    """Return the seconds between ``start`` and ``end`` in which no process had to accept connections."""
     uncovered = 0.0
     covered_until = start
     spans = sorted((life.ready_at, life.accepts_until()) for life in lifetimes if life.ready_at)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -31,9 +31,9 @@
 
 
 class Proxy:
-    """Listens on a port of its own and forwards to one address.
+    """Accepts connections on its own loopback port and forwards them to one target address.
 
-    The network faults hold for all connections, open and new, until they are changed.
+    A network fault applies to all open and new connections until it is changed or cleared.
     """
 
     def __init__(self, target: Address) -> None:
@@ -43,24 +43,24 @@
         self._delay = 0.0  # seconds, each way
         self._fragment_bytes = 0  # 0: no fragmentation
         self._is_blackhole = False
-        self._max_response_bytes = 0  # of a connection; 0: no limit
+        self._max_response_bytes = 0  # per connection; 0: no limit
         self._server: asyncio.Server | None = None
         self._tasks = set[asyncio.Task[None]]()
         self._writers = set[asyncio.StreamWriter]()
 
     @property
     def address(self) -> str:
-        """The address to connect to, ``host:port``."""
+        """The address on which the proxy listens, ``host:port``."""
         return f"{LOOPBACK}:{self._port}"
 
     async def open(self) -> str:
-        """Listen, at the same address when opened again; return the address."""
+        """Start listening, on the same port as before if reopened; return the address."""
         self._server = await asyncio.start_server(self._accept, LOOPBACK, self._port, backlog=1024)
         self._port = self._server.sockets[0].getsockname()[1]
         return self.address
 
     def refuse(self) -> None:
-        """Refuse new connections."""
+        """Refuse new connections; open connections stay open."""
         if self._server is not None:
             self._server.close()
         self._server = None
@@ -82,15 +82,15 @@
         self._delay = seconds
 
     def fragment_data(self, fragment_bytes: int) -> None:
-        """Forward data in fragments; 0 ends the fault."""
+        """Forward data in fragments of ``fragment_bytes``; 0 ends the fault."""
         self._fragment_bytes = fragment_bytes
 
     def block_data(self) -> None:
-        """Forward nothing and keep the connections open."""
+        """Stop forwarding data, but keep the connections open."""
         self._is_blackhole = True
 
     def unblock_data(self) -> None:
-        """End the fault of ``block_data``."""
+        """Forward data again after ``block_data``."""
         self._is_blackhole = False
 
     def truncate_responses(self, max_bytes: int) -> None:
@@ -98,7 +98,7 @@
         self._max_response_bytes = max_bytes
 
     def clear_faults(self) -> None:
-        """End all faults of the forwarded data."""
+        """End all faults that delay, fragment, block or truncate data."""
         self.delay_data(0.0)
         self.fragment_data(0)
         self.unblock_data()
@@ -125,7 +125,7 @@
         responses = asyncio.create_task(self._forward_responses(target_reader, writer))
         try:
             await asyncio.wait((requests, responses), return_when=asyncio.FIRST_COMPLETED)
-            if responses.done():  # the target closed: close after the bytes that are still buffered
+            if responses.done():  # the target closed: send the buffered bytes, then close
                 writer.close()
                 with contextlib.suppress(OSError):
                     await writer.wait_closed()
@@ -137,23 +137,23 @@
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(READ_BYTES):
-            await self._wait_for_network()
+            await self._apply_delay_and_blackhole()
             await self._write(writer, data)
 
     async def _forward_responses(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         forwarded = 0
         while data := await reader.read(READ_BYTES):
-            await self._wait_for_network()
+            await self._apply_delay_and_blackhole()
             limit = self._max_response_bytes
             if limit and forwarded + len(data) > limit:
                 write_open(writer, data[: max(0, limit - forwarded)])
                 await writer.drain()
-                writer.transport.abort()  # an orderly close would complete a response without a length
+                writer.transport.abort()  # a FIN would look like the end of a response without a length
                 return
             forwarded += len(data)
             await self._write(writer, data)
 
-    async def _wait_for_network(self) -> None:
+    async def _apply_delay_and_blackhole(self) -> None:
         if self._delay:
             await asyncio.sleep(self._delay)
         while self._is_blackhole:
--- a/soak/scenario_runner.py
+++ b/soak/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: starts the environment, injects the faults under traffic, and ends everything."""
+"""Runs a scenario: starts the environment, injects the faults during the traffic, and shuts down."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 DELAY_CHECK_SECONDS = 0.02
 MIN_RECORDED_DELAY_SECONDS = 0.03
-SETTLE_SECONDS = 2.5  # after the traffic
+SETTLE_SECONDS = 2.5  # from the end of the traffic until the metrics are read
 
 
 class ScenarioRunner:
-    """Runs one scenario once."""
+    """Runs one scenario; an instance is used once."""
 
     def __init__(self, scenario: Scenario, directory: Path, library: Path) -> None:
         """Keep logs and files in ``directory``, and load the fault library into the limiters."""
@@ -32,15 +32,15 @@
     async def run(self) -> History:
         """Run the scenario and return its history. Raise ``SoakError`` if it cannot be run."""
         asyncio.get_running_loop().set_exception_handler(self._record_error)
-        delay_watch = asyncio.create_task(self._watch_delays())
+        delay_monitor = asyncio.create_task(self._monitor_delays())
         try:
             await self._environment.start()
             await self._run_traffic()
             await self._finish()
         except OSError as error:
-            raise SoakError(f"the run ended early: {error}") from error
+            raise SoakError(f"the run was aborted by an OS error: {error}") from error
         finally:
-            delay_watch.cancel()
+            delay_monitor.cancel()
             await self._environment.close()
         self._record_open_requests()
         return self._history
@@ -49,16 +49,16 @@
         self._history.record_runner_error(context["message"], context.get("exception"))
 
     def _record_open_requests(self) -> None:
-        gc.collect()  # reports the tasks whose exception was never retrieved
+        gc.collect()  # makes asyncio report the exceptions of tasks that nobody awaited
         for request in self._history.open_requests():
             self._history.record_runner_error(
-                f"request {request.id}, {request.behaviour}, has not ended", None
+                f"request {request.id} ({request.behaviour}) is still open after the run", None
             )
 
     async def _run_traffic(self) -> None:
         started_at = self._history.start_traffic()
         clients = self._environment.clients
-        traffic = [asyncio.create_task(each.run()) for each in clients]
+        traffic = [asyncio.create_task(limiter_clients.run()) for limiter_clients in clients]
         faults = [asyncio.create_task(self._inject(started_at, fault)) for fault in self._scenario.faults]
         try:
             await asyncio.sleep(self._scenario.seconds)
@@ -66,14 +66,14 @@
         finally:
             for task in (*traffic, *faults):
                 task.cancel()
-        await asyncio.gather(*(each.finish() for each in clients))
+        await asyncio.gather(*(limiter_clients.finish() for limiter_clients in clients))
 
     async def _inject(self, started_at: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, started_at + fault.start - time.monotonic()))
         await self._injector.inject(fault)
 
     async def _finish(self) -> None:
-        """Record the metrics of the limiters that never restarted, and terminate all limiters."""
+        """Record the metrics of the limiters that ran as a single process, and terminate all limiters."""
         await asyncio.sleep(SETTLE_SECONDS)
         limiters = self._environment.limiters
         for limiter in limiters:
@@ -82,8 +82,8 @@
                 self._history.metrics[limiter.index] = metrics
         await asyncio.gather(*(limiter.terminate_all() for limiter in limiters))
 
-    async def _watch_delays(self) -> None:
-        """Record when this process itself is late, because its recorded times are inexact then."""
+    async def _monitor_delays(self) -> None:
+        """Record delays of the runner's own event loop: times recorded during a delay are inexact."""
         while True:
             due = time.monotonic() + DELAY_CHECK_SECONDS
             await asyncio.sleep(DELAY_CHECK_SECONDS)
--- a/soak/service_faults.py
+++ b/soak/service_faults.py
@@ -14,7 +14,7 @@
 
 
 class ServiceFaults:
-    """Faults between one limiter and discovery or the counter."""
+    """Faults of the connections between one limiter and discovery or the counter."""
 
     KINDS = frozenset(
         {
@@ -45,7 +45,7 @@
             case FaultKind.COUNTER_DELAY:
                 await self._delay_counter(limiter, fault.duration)
             case _:
-                raise ValueError(f"not a fault of a service: {fault.kind}")
+                raise ValueError(f"{fault.kind} is not a fault kind of discovery or the counter")
 
     async def _block(self, proxy: Proxy, duration: float) -> None:
         proxy.block_data()
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -1,4 +1,4 @@
-"""The settings that the limiters of a run are started with, by their names on the wire."""
+"""The settings section of the limiters' configuration file, with the keys that limiters parse."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RequestClass(StrEnum):
-    """The request classes, by how a request may be repeated."""
+    """The names of the request classes, which differ in how a request may be repeated."""
 
     LOOKUP = "lookup"  # idempotent
     KEYED = "keyed"  # with an idempotency key
@@ -26,7 +26,7 @@
 
 
 class PlanName(StrEnum):
-    """The customers' plans."""
+    """The names of the customers' plans."""
 
     OPEN = "open"
     CAPPED = "capped"  # with a ceiling
--- a/soak/system_faults.py
+++ b/soak/system_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the system that a limiter runs on: system calls, wall clock, shared directory."""
+"""Faults of a limiter's operating system: system calls, wall clock, shared directory."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from soak.scenario import Fault
 
 CLOCK_STEP_SECONDS = 3600.0
-FAILED_CALLS = 5  # in one fault
-INTERRUPTED_WAITS = 100
+FAILED_CALLS = 5  # per fault
+INTERRUPTED_WAITS = 100  # per fault
 MAX_TRANSFER_BYTES = 7
 
 
 @dataclass(frozen=True, slots=True)
 class _CallFault:
-    """A system call with the errors that it can return."""
+    """A system call, and the error numbers of which a fault uses one."""
 
     call: SystemCall
     errors: tuple[int, ...]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _DirectoryFault:
-    """Calls on the shared directory with the error that they return."""
+    """Calls on the shared directory, and the error number with which they fail."""
 
     error: int
     calls: DirectoryCalls
@@ -59,7 +59,7 @@
 
 
 class SystemFaults:
-    """Faults of the system under one limiter."""
+    """Faults of the operating system of one limiter."""
 
     KINDS = frozenset(
         {
@@ -72,9 +72,9 @@
     )
 
     async def inject(self, limiter: Limiter, fault: Fault) -> None:
-        """Inject a fault, and undo it after its duration; a stepped clock stays as it is.
+        """Inject a fault into a limiter, and undo it after its duration. A stepped clock is not set back.
 
-        Faults of system calls that overlap end together with the first one that ends.
+        When a fault ends, ``clear_call_faults`` also ends the other faults of system calls at that limiter.
         """
         control = limiter.control
         if fault.kind in CALL_FAULTS:
