--- a/scale/fleet/accounting.py
+++ b/scale/fleet/accounting.py
@@ -1,4 +1,4 @@
-"""The exact account of a tenant over all limiters: offered, served and excess usage, and violations."""
+"""The exact usage of a tenant, added up over all limiters: offered, served, over quota, and violations."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 from scale.fleet.tenants import PlanTerms
 from scale.fleet.token_bucket import TokenBucket
 
-# A ceiling counts as exceeded beyond this fraction of its burst (or the largest request) and the units that
-# arrive at its rate until the limiters know of each other's usage.
+# Limiters learn of each other's usage with a lag. So a ceiling counts as exceeded only beyond a tolerance:
+# this fraction of its burst, or the units of the largest request if those are more, plus the units that its
+# rate allows during the lag.
 _CEILING_TOLERANCE_FRACTION = 0.1
 _CEILING_LAG_SECONDS = 0.15
 _ROUNDING_UNITS = 1e-9
@@ -18,7 +19,7 @@
 class PendingRequest:
     """A client's request with its retry.
 
-    ``limiter`` and ``due_at`` belong to the attempt that was sent last.
+    ``limiter`` and ``due_at`` belong to the client's last attempt: the request itself or its retry.
     """
 
     __slots__ = (
@@ -41,10 +42,10 @@
         self.units = units  # as estimated by the client
         self.true_units = true_units
         self.value = value
-        self.due_at = 0.0  # when its client stops waiting
-        self.limiter = 0  # -1: none was available
+        self.due_at = 0.0  # the time at which the client stops waiting
+        self.limiter = 0  # -1: no limiter was available
         self.is_retry = False
-        self.within_quota = False  # at the first attempt
+        self.within_quota = False  # when the client offered it; the retry does not change it
         self.forwarded_within_quota = False
 
     def start_attempt(self, limiter: int, due_at: float) -> None:
@@ -66,7 +67,7 @@
 
 
 class TenantAccount:
-    """Counts the requests of one tenant by its quota over all limiters."""
+    """Counts the requests of one tenant, within and over its quota, for all limiters together."""
 
     def __init__(self, terms: PlanTerms, tally: Tally) -> None:
         """Start with full buckets; ``tally`` is the worker's."""
@@ -101,12 +102,12 @@
             lowest_allowed = -self._ceiling_tolerance() - _ROUNDING_UNITS
             counts["ceilings exceeded"] += self.ceiling.tokens < lowest_allowed
 
-    def record_final_answer(self, at: float, request: PendingRequest) -> None:
-        """Count a final response of any kind; it is lost if it arrives too late."""
+    def record_final_response(self, at: float, request: PendingRequest) -> None:
+        """Count the request as lost if its final response, of any kind, arrives too late."""
         self._tally.at(at)["lost"] += at > request.due_at + RESPONSE_GRACE_SECONDS
 
     def record_served(self, at: float, request: PendingRequest) -> None:
-        """Count a served request; its value counts if it is in time and within the quota."""
+        """Count a served request, and its value if it met its latency objective and was within the quota."""
         if request.forwarded_within_quota:
             self.forwarded.charge(at, request.true_units - request.units)
         counts = self._tally.at(request.started_at)
@@ -120,7 +121,10 @@
             self._tally.seconds[int(request.started_at)]["served value"] += request.value
 
     def record_ended(self, at: float, request: PendingRequest, end: RequestEnded) -> None:
-        """Count a request that is rejected or fails."""
+        """Count a request that is rejected or fails.
+
+        A rejection is within the quota if the bucket has the units of the request and is at least half full.
+        """
         counts = self._tally.at(at)
         counts[f"{end.result.value}: {end.reason}"] += 1
         if end.result is not RequestResult.REJECTED:
--- a/scale/fleet/clients.py
+++ b/scale/fleet/clients.py
@@ -34,13 +34,15 @@
 from scale.fleet.tally import Tally
 from scale.fleet.tenants import Tenant
 
-_REQUEST_ID_BITS = 24  # of a request's id, for its number within the tenant
-_MIN_TIMEOUT_FRACTION = 0.5  # of a kind's deadline
+# The low bits of a request id are the number of the request within its tenant; the higher bits are the index
+# of the tenant.
+_REQUEST_NUMBER_BITS = 24
+_MIN_TIMEOUT_FRACTION = 0.5  # the shortest timeout of a client, as a fraction of the request kind's deadline
 _NO_LIMITER = -1
 
 
 class StartedRequest(NamedTuple):
-    """A new request and its message, or None if no limiter is available."""
+    """A new request and its message; the message is None if the request fails before it reaches a limiter."""
 
     request: PendingRequest
     envelope: Envelope | None
@@ -58,7 +60,7 @@
         self.account = TenantAccount(self._plan, tally)
         self.pending = dict[int, PendingRequest]()  # by request id
         self._source = SourceNumbers(world.size).first_tenant + tenant.index
-        self._last_request_id = tenant.index << _REQUEST_ID_BITS
+        self._last_request_id = tenant.index << _REQUEST_NUMBER_BITS
         self._sequence = 0
         self._rng = Random(f"{world.seed} tenant {tenant.index}")
         self._rotation_interval = self._rng.uniform(*LIMITER_ROTATION_SECONDS)
@@ -84,18 +86,18 @@
         return StartedRequest(request, self._send(now, request))
 
     def retry(self, now: float, request: PendingRequest) -> Envelope | None:
-        """Return the message of a retry to another limiter; None if none is available."""
+        """Return the message of a retry to another limiter; None if it fails before it reaches one."""
         request.start_retry()
         return self._send(now, request, avoided_limiter=request.limiter)
 
     def retry_at(self, now: float, request: PendingRequest) -> float | None:
-        """Return the time of the retry; None if the client does not retry."""
+        """Draw whether and when the client retries; return the time of the retry, or None."""
         if request.is_retry or self._rng.random() >= CLIENT_RETRY_PROBABILITY:
             return None
         return now + self._rng.uniform(*CLIENT_RETRY_DELAY_SECONDS)
 
     def receive(self, at: float, event: ClientEvent) -> PendingRequest | None:
-        """Count a limiter's event on a request; return the request if its client may retry it."""
+        """Count a limiter's event about a request; return the request if its client may retry it."""
         request = self.pending.get(event.request_id)
         if request is None:
             raise AssertionError(f"a second final answer: {event}")
@@ -103,7 +105,7 @@
             self.account.record_forwarded(at, request)
             return None
         del self.pending[event.request_id]
-        self.account.record_final_answer(at, request)
+        self.account.record_final_response(at, request)
         if isinstance(event, RequestEnded):
             self.account.record_ended(at, request, event)
             return request
@@ -111,7 +113,7 @@
         return None
 
     def _change_rate(self) -> None:
-        """Start or end a burst."""
+        """Start or end a burst, and draw the time of the next change."""
         now = self._rate_changes_at
         self._bursting = not self._bursting
         burst_rate = self._rng.uniform(*BURST_RATE_FACTOR) * self._plan.rate / MEAN_UNITS
@@ -173,7 +175,7 @@
         return Envelope(now, self._source, self._sequence, request.limiter, message)
 
     def _choose_limiter(self, now: float, avoided_limiter: int) -> int:
-        """Draw a limiter of the tenant's set, without the avoided limiter and those known to be down."""
+        """Draw a limiter of the tenant's set, except the avoided limiter and those known to be down."""
         world = self._world
         size = world.size
         position = int(now / self._rotation_interval)
--- a/scale/fleet/command.py
+++ b/scale/fleet/command.py
@@ -29,7 +29,7 @@
     "--seconds",
     default=SHORT_RUN_SECONDS,
     show_default=True,
-    help="Virtual seconds after the warm-up; with 108 the partition lasts a minute.",
+    help="Virtual seconds after the warm-up; with 108 the network partition lasts 60 s.",
 )
 @click.option("--warm-up", default=WARM_UP_SECONDS, show_default=True, help="Virtual seconds of warm-up.")
 @click.option("--spread", default=3, show_default=True, help="Limiters that serve one tenant.")
@@ -39,24 +39,32 @@
     "--calls",
     default=COUNTER_CALLS_PER_SECOND,
     show_default=True,
-    help="Counter calls a second of all partitions.",
+    help="Capacity of the counter: calls a second, all partitions together.",
 )
 @click.option("--parts", default=COUNTER_PARTITIONS, show_default=True, help="Partitions of the counter.")
 @click.option("--crowd", default=0, help="Fleets of this size that share the counter; 0: 420 / limiters.")
-@click.option("--lists", default=0.0, help="Calls a second that discovery serves; 0: it notifies agents.")
+@click.option(
+    "--lists",
+    default=0.0,
+    help="Calls a second that discovery serves; 0: no calls, discovery notifies an agent of each limiter.",
+)
 @click.option(
     "--silence",
     nargs=2,
     type=float,
     multiple=True,
-    help="Begin and end of a counter outage, which empties it.",
+    help="Begin and end of a counter outage in virtual seconds; the outage deletes the totals.",
 )
 @click.option(
-    "--slow", nargs=3, type=float, multiple=True, help="Begin, end and factor of a counter slowdown."
+    "--slow",
+    nargs=3,
+    type=float,
+    multiple=True,
+    help="Begin and end in virtual seconds of a counter slowdown, and the factor on the service time.",
 )
-@click.option("--package", default="", help="Another checkout, whose decisions are simulated.")
+@click.option("--package", default="", help="Directory of another checkout, whose decisions are simulated.")
 @click.option("--progress", is_flag=True, help="Print a line to standard error every 10 virtual seconds.")
-@click.option("--json", "path", type=click.Path(path_type=Path), help="Write the summary to a file.")
+@click.option("--json", "path", type=click.Path(path_type=Path), help="Write the summary to this file, too.")
 def main(
     limiters: int,
     servers: int,
@@ -92,7 +100,7 @@
     progress: bool,
     **faults: Any,
 ) -> Scenario:
-    """Return the scenario of the options."""
+    """Return the scenario that the options describe."""
     return Scenario(
         size,
         _schedule(**faults),
@@ -113,7 +121,7 @@
     silence: tuple[tuple[float, float], ...],
     slow: tuple[tuple[float, float, float], ...],
 ) -> FaultSchedule:
-    """Return the fault schedule of the options."""
+    """Return the fault schedule that the options describe."""
     return replace(
         FaultSchedule.of(seconds, warm_up),
         counter_outages=tuple(Interval(*outage) for outage in silence),
@@ -122,7 +130,7 @@
 
 
 def _without_infinity(value: Any) -> Any:
-    """Replace infinity, which JSON does not have, by null."""
+    """Replace infinity, which JSON cannot represent, by None."""
     if isinstance(value, dict):
         return {key: _without_infinity(inner) for key, inner in value.items()}
     return None if value == math.inf else value
--- a/scale/fleet/counter.py
+++ b/scale/fleet/counter.py
@@ -1,6 +1,6 @@
-"""The simulated counter, by its protocol and the operators' figures.
+"""The simulated counter: behaves as its protocol says, with the capacity that the operators state.
 
-A call is complete when it arrives, so that the time of its reply is known at once.
+The simulation computes the time of the reply as soon as a call arrives.
 """
 
 from __future__ import annotations
@@ -11,13 +11,14 @@
 
 from scale.fleet.faults import Interval, Slowdown
 
-MAX_LIFETIME_SECONDS = 60.0  # of a total
-LIKE_FLEET_SPREAD_SECONDS = 0.25  # over which the calls of like fleets are distributed (assumed)
-SERVICE_TIME_FACTORS = (0.4, 1.6)  # range of a call's service time over the mean, uniform
+MAX_LIFETIME_SECONDS = 60.0  # longest lifetime of a total
+# Assumed: the calls of like fleets arrive within this time after a call of the simulated fleet, uniformly.
+LIKE_FLEET_SPREAD_SECONDS = 0.25
+SERVICE_TIME_FACTORS = (0.4, 1.6)  # range of a call's service time divided by the mean, uniform
 
 
 class CounterReply(NamedTuple):
-    """The time of a reply, and the total including the call's amount."""
+    """The time of a reply, and the total, which includes the call's amount."""
 
     answered_at: float
     total: float
@@ -33,12 +34,13 @@
 class SimulatedCounter:
     """Serves calls in the order of arrival, one at a time in each partition.
 
-    Every call that arrives is added, but for those during an outage, which get no reply. After an outage the
-    counter is empty. ``capacity`` is in calls a second of all partitions.
+    Every call that arrives is added to its total, even if the limiter no longer waits for the reply. Only
+    calls that arrive or are served during an outage are not added and get no reply. An outage deletes all
+    totals. ``capacity`` is in calls a second, all partitions together.
 
-    ``like_fleets`` fleets of the same size share the counter, so that the calls of a small fleet wait as long
-    as those of a full one. Each call represents one call of each other fleet in the next
-    ``LIKE_FLEET_SPREAD_SECONDS`` seconds.
+    ``like_fleets`` fleets of the same size, this one included, share the counter. Without the others, the
+    calls of a reduced fleet would wait less than those of the full one. After each call of this fleet, every
+    other fleet makes one call within ``LIKE_FLEET_SPREAD_SECONDS``, which only uses service time.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
         slowdowns: tuple[Slowdown, ...] = (),
         like_fleets: int = 1,
     ) -> None:
-        """Create an empty counter; the seed draws the service times."""
+        """Create an empty counter; the service times are drawn with the seed."""
         self._like_fleets = like_fleets
         self._other_calls = list[float]()  # heap of the times at which calls of other fleets arrive
         self._other_rng = Random(f"{seed} crowd")
@@ -65,13 +67,13 @@
         self.served = 0
 
     def call(self, at: float, counter_id: int, amount: float, lifetime: float) -> CounterReply | None:
-        """Return the reply, or None if the call gets none. ``at`` never decreases from call to call."""
+        """Serve a call that arrives at ``at``, which never decreases. Return None if it gets no reply."""
         if self._is_out(at):
             return None
         self._serve_other_fleets(at)
         begin, answered_at = self._serve(at, counter_id % len(self._free_at))
         if any(outage.begin <= answered_at and begin < outage.end for outage in self._outages):
-            return None  # an outage starts before the call has been served
+            return None  # the outage starts before the call has been served
         units, expires_at = self._totals.get(counter_id, (0.0, 0.0))
         if answered_at >= expires_at:
             units = 0.0
@@ -82,7 +84,7 @@
         return CounterReply(answered_at, units)
 
     def _is_out(self, at: float) -> bool:
-        """Return whether there is an outage; delete the totals after an outage has ended."""
+        """Return whether there is an outage; delete the totals if one has ended since the last call."""
         for begin, end in self._outages:
             if begin <= at < end:
                 return True
@@ -92,7 +94,7 @@
         return False
 
     def _serve_other_fleets(self, at: float) -> None:
-        """Serve the calls of the other fleets up to now, and draw those that this call represents."""
+        """Serve the other fleets' calls that have arrived, and schedule those that follow this call."""
         while self._other_calls and self._other_calls[0] <= at:
             other = heappop(self._other_calls)
             self._serve(other, self._other_rng.randrange(len(self._free_at)))
@@ -100,7 +102,7 @@
             heappush(self._other_calls, at + LIKE_FLEET_SPREAD_SECONDS * self._other_rng.random())
 
     def _serve(self, at: float, partition: int) -> Interval:
-        """Return when a call is served, after the calls that arrived before it."""
+        """Add a call to the queue of its partition; return the begin and end of its service."""
         service_time = self._mean_service_time * self._rngs[partition].uniform(*SERVICE_TIME_FACTORS)
         for slowdown_begin, slowdown_end, factor in self._slowdowns:
             service_time *= factor if slowdown_begin <= at < slowdown_end else 1.0
--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -15,9 +15,10 @@
 
 
 class SimulatedDiscovery:
-    """Discovery without agents: serves the calls for the list in turn, those that timed out included.
+    """Discovery without agents, which each limiter calls for the endpoint list.
 
-    A call starts a watch; the changes that are sent on it need no capacity.
+    Serves the calls one at a time in the order of arrival, including those that have timed out at the
+    limiter. A call also opens a watch. Sending changes on a watch uses no capacity.
     """
 
     def __init__(self, capacity: float) -> None:
@@ -26,13 +27,13 @@
         self._free_at = 0.0
 
     def call(self, at: float) -> float:
-        """Return the time of the response; ``at`` never decreases from call to call."""
+        """Return the time of the response to a call that arrives at ``at``, which never decreases."""
         self._free_at = max(at, self._free_at) + self._service_time
         return self._free_at
 
 
 class ListChange(NamedTuple):
-    """Endpoints that are removed or added, and when discovery learns of it."""
+    """Endpoints that are removed or added, and the time at which discovery learns of the change."""
 
     at: float
     endpoints: tuple[model.Endpoint, ...]
@@ -49,13 +50,13 @@
     """The endpoint list and its changes, shared by the limiters of a worker."""
 
     def __init__(self, world: World) -> None:
-        """Create the list, and its changes by the fault schedule."""
+        """Create the initial list, and its changes as the fault schedule determines them."""
         self._world = world
         self.initial = tuple(self._endpoint(index) for index in range(world.size.servers))
-        self.changes = [self._removal(), *self._returns()]
+        self.changes = [self._removal(), *self._restarts()]
 
-    def complete(self, known_changes: int, failed: set[str]) -> model.EndpointUpdate:
-        """Return the list after a number of changes, without the endpoints that failed under load."""
+    def complete_list(self, known_changes: int, failed: set[str]) -> model.EndpointUpdate:
+        """Return the list after the first ``known_changes`` changes, without the endpoints in ``failed``."""
         endpoints = {endpoint.name: endpoint for endpoint in self.initial}
         for _, changed in self.changes[:known_changes]:
             endpoints |= {endpoint.name: endpoint for endpoint in changed}
@@ -67,17 +68,17 @@
         return model.EndpointUpdate(tuple(present), complete=True)
 
     def notifications(self, limiter: int) -> list[Notification]:
-        """Return the notifications of a limiter's agent; a partition delays those of the far region."""
+        """Return the notifications of a limiter's agent; a partition delays them in the far region."""
         world = self._world
         zone = world.topology.zone(limiter)
         rng = Random(f"{world.seed} notices {limiter}")
         latest = 0.0
         notifications = list[Notification]()
-        for number, change in enumerate(self.changes, 1):
+        for known_changes, change in enumerate(self.changes, 1):
             latest = max(latest, change.at + rng.uniform(*NOTIFICATION_DELAY_SECONDS))
             if world.faults.partitioned(zone, COORDINATION_ZONE, latest):
                 latest = world.schedule.partition.end + rng.uniform(*NOTIFICATION_DELAY_SECONDS)
-            notifications.append(Notification(latest, number))
+            notifications.append(Notification(latest, known_changes))
         return notifications
 
     def _removal(self) -> ListChange:
@@ -90,8 +91,8 @@
         )
         return ListChange(schedule.zone_outage.begin, removed)
 
-    def _returns(self) -> Iterable[ListChange]:
-        """Return the restarts of these endpoints, in groups."""
+    def _restarts(self) -> Iterable[ListChange]:
+        """Return the restarts of the endpoints of the failed zone: one change for each group."""
         groups = dict[float, list[model.Endpoint]]()
         for index in range(self._world.size.servers):
             boots_at = self._world.faults.boots_at(index)
@@ -127,5 +128,5 @@
 
 
 def endpoint_index(name: str) -> int:
-    """Return the number of the endpoint with a name."""
+    """Return the index of the endpoint with this name."""
     return int(name[len(_ENDPOINT_PREFIX) :])
--- a/scale/fleet/endpoint.py
+++ b/scale/fleet/endpoint.py
@@ -1,6 +1,6 @@
-"""A simulated endpoint: cores that serve one queue.
+"""A simulated endpoint: several cores that serve one queue.
 
-An attempt is complete when it arrives, so that the time of its response is known at once.
+The simulation computes the outcome and the end of an attempt as soon as it arrives.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """The outcome and the end of an attempt; one that times out gets no response."""
+    """The outcome of an attempt and the time of its end; an attempt that times out gets no response."""
 
     outcome: AttemptOutcome
     ended_at: float
@@ -34,10 +34,10 @@
 
 
 class SimulatedEndpoint:
-    """Warms up linearly after a start, and fails permanently under an overload while it warms up.
+    """Gains capacity linearly while it warms up after a start, and fails permanently if overloaded meanwhile.
 
-    An overload is work within the overload window that exceeds a multiple of the present capacity. Attempts
-    that were accepted before the failure still get their responses.
+    An overload is work that arrives within ``OVERLOAD_WINDOW_SECONDS`` and exceeds ``OVERLOAD_FACTOR`` times
+    the present capacity. Attempts that were accepted before the failure still get their responses.
 
     ``boots_at`` is the time of the restart; 0 means that the endpoint is warm from the beginning.
     """
@@ -52,11 +52,11 @@
         self._reset()
 
     def attempt(self, at: float, work: float, timeout: float) -> AttemptResult:
-        """Serve an attempt with its seconds of work; ``at`` never decreases from attempt to attempt."""
+        """Serve an attempt that arrives at ``at``, which never decreases; ``work`` is seconds of one core."""
         if at >= self._boots_at > 0 and self._started_at != self._boots_at:
             self._started_at = self._boots_at
             self._reset()
-        if self.failed or self._overloaded_by(at, work):
+        if self.failed or self._fails_under(at, work):
             return AttemptResult(AttemptOutcome.UNREACHABLE, at)
         queue = self._queue
         while queue and queue[0] <= at:
@@ -66,17 +66,17 @@
         begin = max(at, self._free_at[0])
         if begin > at:
             queue.append(begin)
-        if begin > at + timeout:  # it times out in the queue
+        if begin > at + timeout:  # the attempt times out in the queue and stays there until ``begin``
             return AttemptResult(AttemptOutcome.TIMED_OUT, begin)
         end = begin + work / self._capacity(begin)
         heapreplace(self._free_at, end)
         return AttemptResult(AttemptOutcome.OK, end)
 
     def _reset(self) -> None:
-        self._free_at = [0.0] * ENDPOINT_CORES  # heap: when each core becomes free
+        self._free_at = [0.0] * ENDPOINT_CORES  # heap of the times at which the cores become free
         self._queue = deque[float]()  # start times of the waiting attempts
-        self._arrivals = deque[_Arrival]()  # within the overload window, while warming up
-        self._recent_work = 0.0  # seconds of these arrivals
+        self._arrivals = deque[_Arrival]()  # attempts within the overload window; unused after the warm-up
+        self._recent_work = 0.0  # work of ``_arrivals``, in seconds of one core
 
     def _capacity(self, at: float) -> float:
         """Return the present capacity as a fraction of the full one."""
@@ -84,8 +84,8 @@
         gained = (1 - INITIAL_CAPACITY_FRACTION) * age / ENDPOINT_WARM_UP_SECONDS
         return min(1.0, INITIAL_CAPACITY_FRACTION + gained)
 
-    def _overloaded_by(self, at: float, work: float) -> bool:
-        """Return whether the endpoint is warming up and fails under this work."""
+    def _fails_under(self, at: float, work: float) -> bool:
+        """Record an arriving attempt; return whether the endpoint is warming up and fails under its work."""
         capacity = self._capacity(at)
         if capacity >= 1:
             return False
--- a/scale/fleet/endpoint_watch.py
+++ b/scale/fleet/endpoint_watch.py
@@ -28,7 +28,7 @@
 class EndpointWatch:
     """Calls discovery with the jitter and backoff of the real client until a watch is open.
 
-    With an agent (no ``discovery_capacity``) the watch is always open.
+    If ``discovery_capacity`` is 0, an agent notifies the limiter, and the watch is always open.
     """
 
     def __init__(
@@ -51,41 +51,41 @@
         self._zone = world.topology.zone(index)
         self._calls_discovery = world.scenario.discovery_capacity > 0
         self._is_open = not self._calls_discovery
-        self._known_changes = 0  # of the endpoint list
+        self._known_changes = 0  # changes of the endpoint list that the limiter has received
         self._failed_endpoints = set[str]()
-        self._call_id = _NO_CALL  # the call in flight
+        self._call_id = _NO_CALL  # id of the call in flight
         self._reconnecting_since = 0.0
-        self._failures = 0  # consecutive
+        self._failures = 0  # consecutive calls that timed out
 
     def complete_list(self) -> model.EndpointUpdate:
         """Return the endpoint list that the limiter knows."""
-        return self._history.complete(self._known_changes, self._failed_endpoints)
+        return self._history.complete_list(self._known_changes, self._failed_endpoints)
 
-    def changed(self, event: EndpointsChanged) -> model.EndpointUpdate | None:
-        """Return the change that the watch delivers; None if the watch is lost."""
+    def on_endpoints_changed(self, event: EndpointsChanged) -> model.EndpointUpdate | None:
+        """Return the change that the watch delivers; None if the watch is not open."""
         if not self._is_open:
             return None
         self._known_changes = max(self._known_changes, event.known_changes)
         change = self._history.changes[event.known_changes - 1]
         return model.EndpointUpdate(change.endpoints, complete=False)
 
-    def endpoint_failed(self, event: EndpointFailed) -> model.EndpointUpdate | None:
-        """Return the removal that the watch delivers; None if the watch is lost.
+    def on_endpoint_failed(self, event: EndpointFailed) -> model.EndpointUpdate | None:
+        """Return the removal that the watch delivers; None if the watch is not open.
 
-        Complete lists do not contain the endpoint any more.
+        From now on complete lists do not contain the endpoint.
         """
         self._failed_endpoints.add(event.endpoint.name)
         return model.EndpointUpdate((event.endpoint,), complete=False) if self._is_open else None
 
-    def schedule_loss(self) -> None:
-        """Schedule the time at which a far limiter detects that the partition has ended its watch."""
+    def schedule_partition_timeout(self) -> None:
+        """Schedule the timeout of the watch in the partition; only a far limiter without an agent has one."""
         if self._calls_discovery and self._world.topology.region(self._zone):
             self._mailbox.schedule(
                 self._world.schedule.partition.begin + SILENCE_TIMEOUT_SECONDS, WatchTimedOut()
             )
 
     def reconnect(self, now: float, incarnation: int) -> None:
-        """Close the watch and call discovery again."""
+        """Close the watch and schedule a call to discovery; does nothing with an agent."""
         if not self._calls_discovery:
             return
         self._is_open = False
@@ -95,7 +95,7 @@
         self._schedule_call(now, incarnation)
 
     def disconnect(self) -> None:
-        """End the call of a killed limiter."""
+        """Discard the call in flight, because the limiter was killed."""
         self._call_id = _NO_CALL
 
     def call(self, now: float, incarnation: int) -> None:
@@ -113,7 +113,7 @@
             call = DiscoveryCall(incarnation, self._call_id)
             self._mailbox.send(self._index, arrives_at, call)
 
-    def call_timed_out(self, now: float, event: DiscoveryCallTimedOut) -> None:
+    def on_call_timed_out(self, now: float, event: DiscoveryCallTimedOut) -> None:
         """Call again after a longer backoff, unless the call got a response."""
         if event.call_id != self._call_id:
             return
@@ -122,8 +122,8 @@
         self._tally.at(now)["discovery calls timed out"] += 1
         self._schedule_call(now, event.incarnation)
 
-    def opened(self, now: float, event: WatchOpened) -> model.EndpointUpdate | None:
-        """Open the watch and return the complete list, if this responds to the call in flight."""
+    def on_opened(self, now: float, event: WatchOpened) -> model.EndpointUpdate | None:
+        """Open the watch and return the complete list; None if the event belongs to an earlier call."""
         if event.call_id != self._call_id:
             return None
         self._call_id = _NO_CALL
--- a/scale/fleet/faults.py
+++ b/scale/fleet/faults.py
@@ -11,7 +11,7 @@
 from scale.fleet.topology import Topology
 from scale.model import Size
 
-FULL_LENGTH_SECONDS = 108.0  # virtual; a shorter run has shorter faults
+FULL_LENGTH_SECONDS = 108.0  # virtual; in a shorter run the faults are shorter in proportion
 
 
 class Interval(NamedTuple):
@@ -40,22 +40,22 @@
 class FaultSchedule:
     """The times of the faults, in virtual seconds from the start."""
 
-    end: float  # of the run
-    fault_free_from: float  # begin of the phase without faults, after the start
+    end: float  # end of the run
+    fault_free_from: float  # begin of the phase without faults, which follows the start phase
     zone_outage: Interval
     restart_at: float
     partition: Interval
-    restarted_fraction: float = 0.7  # of the limiters, which are killed together
+    restarted_fraction: float = 0.7  # fraction of the limiters that are killed at ``restart_at``
     failed_zone: int = 1
-    counter_outages: tuple[Interval, ...] = ()  # after which the counter is empty
+    counter_outages: tuple[Interval, ...] = ()  # the counter is empty after each outage
     counter_slowdowns: tuple[Slowdown, ...] = ()
 
     @staticmethod
     def of(seconds: float, warm_up: float = 0.0) -> FaultSchedule:
-        """Return the schedule of a run; shorter runs than ``FULL_LENGTH_SECONDS`` have shorter faults.
+        """Return the schedule of a run of ``seconds``, and of ``warm_up`` seconds that precede it.
 
-        ``warm_up`` seconds precede the schedule: a fleet that has just started knows no tenant, and its calls
-        queue at the counter.
+        The warm-up is needed because a fleet that has just started knows no tenant, and its calls queue at
+        the counter. In runs shorter than ``FULL_LENGTH_SECONDS`` the faults are shorter in proportion.
         """
         scale = min(1.0, seconds / FULL_LENGTH_SECONDS)
         return FaultSchedule(
@@ -83,7 +83,7 @@
     """The limiters, endpoints and links that are down at a time."""
 
     def __init__(self, size: Size, topology: Topology, schedule: FaultSchedule, rng: Random) -> None:
-        """Draw the limiters that restart, and their times."""
+        """Draw the limiters that are killed, and the times of their failover and restart."""
         self.schedule = schedule
         self._topology = topology
         self.killed_at = [math.inf] * size.limiters
@@ -96,7 +96,7 @@
             self._failed_over_at[limiter] = schedule.restart_at + rng.uniform(*FAILOVER_SECONDS)
 
     def partitioned(self, one: int, other: int, at: float) -> bool:
-        """Whether a partition separates the two zones."""
+        """Return whether a partition separates the two zones."""
         begin, end = self.schedule.partition
         return begin <= at < end and self._topology.region(one) != self._topology.region(other)
 
@@ -109,13 +109,13 @@
         return self.schedule.zone_outage.end + BOOT_GROUP_INTERVAL_SECONDS * group
 
     def endpoint_down(self, endpoint: int, at: float) -> bool:
-        """Whether the endpoint is down because its zone has failed."""
+        """Return whether the endpoint is down because its zone has failed."""
         return self.schedule.zone_outage.begin <= at < self.boots_at(endpoint)
 
     def limiter_down(self, limiter: int, at: float) -> bool:
-        """Whether the limiter has been killed and has not restarted."""
+        """Return whether the limiter has been killed and has not restarted."""
         return self.killed_at[limiter] <= at < self.restarted_at[limiter]
 
     def limiter_avoided(self, limiter: int, at: float) -> bool:
-        """Whether the load balancer in front of the limiters knows that the limiter is down."""
+        """Return whether the load balancer in front of the limiters knows that the limiter is down."""
         return self._failed_over_at[limiter] <= at < self.restarted_at[limiter]
--- a/scale/fleet/limiter.py
+++ b/scale/fleet/limiter.py
@@ -1,4 +1,4 @@
-"""A limiter in virtual time: starts, kills, and its knowledge of the endpoint list."""
+"""A simulated limiter: the starts and kills of its processes, and the endpoint list that it knows."""
 
 from __future__ import annotations
 
@@ -35,12 +35,15 @@
 
 
 class Limiter:
-    """Delivers messages to the limiter's process, if that runs and is the incarnation that they belong to."""
+    """Delivers messages to the limiter's process.
+
+    Drops a message while no process runs, and a message to an earlier incarnation.
+    """
 
     def __init__(
         self, index: int, world: World, *, history: EndpointHistory, tally: Tally, mailbox: Mailbox
     ) -> None:
-        """Schedule the starts, the kill and the notifications of a limiter."""
+        """Schedule the starts of a limiter, its kill, and the notifications of endpoint changes."""
         self._index = index
         self._world = world
         self._tally = tally
@@ -52,10 +55,10 @@
         self._watch = EndpointWatch(
             index, world, history=history, mailbox=mailbox, rng=self._rng, tally=tally
         )
-        self._watch.schedule_loss()
+        self._watch.schedule_partition_timeout()
 
     def receive(self, envelope: Envelope) -> None:
-        """Handle a message or timer."""
+        """Handle a message or an expired timer."""
         self._HANDLERS[type(envelope.event)](self, envelope.time, envelope.event)
 
     def warming_up_endpoints(self) -> int:
@@ -63,7 +66,7 @@
         return 0 if self._process is None else self._process.warming_up_endpoints()
 
     def _schedule_lifetime(self, history: EndpointHistory) -> None:
-        """Schedule the start, a kill with its restart, and the notifications of the agent."""
+        """Schedule the start, the kill and restart if the limiter has them, and the agent's notifications."""
         faults = self._world.faults
         self._mailbox.schedule(self._rng.random() * CLIENT_START_SECONDS, LimiterStarted())
         if faults.killed_at[self._index] < math.inf:
@@ -101,12 +104,12 @@
         self._watch.disconnect()
 
     def _on_endpoints_changed(self, now: float, message: EndpointsChanged) -> None:
-        update = self._watch.changed(message)
+        update = self._watch.on_endpoints_changed(message)
         if update is not None and self._process is not None:
             self._process.update_endpoints(now, update)
 
     def _on_endpoint_failed(self, now: float, message: EndpointFailed) -> None:
-        update = self._watch.endpoint_failed(message)
+        update = self._watch.on_endpoint_failed(message)
         if update is not None and self._process is not None:
             self._process.update_endpoints(now, update)
 
@@ -120,11 +123,11 @@
 
     def _on_discovery_call_timed_out(self, now: float, message: DiscoveryCallTimedOut) -> None:
         if self._process is not None and message.incarnation == self._incarnation:
-            self._watch.call_timed_out(now, message)
+            self._watch.on_call_timed_out(now, message)
 
     def _on_watch_opened(self, now: float, message: WatchOpened) -> None:
         if self._process is not None and message.incarnation == self._incarnation:
-            update = self._watch.opened(now, message)
+            update = self._watch.on_opened(now, message)
             if update is not None:
                 self._process.update_endpoints(now, update)
 
--- a/scale/fleet/limiter_network.py
+++ b/scale/fleet/limiter_network.py
@@ -1,4 +1,4 @@
-"""The network between one limiter and its peers: delays and timeouts, with and without faults."""
+"""The network between a limiter, its clients, the endpoints and the counter: delays, timeouts and faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from scale.fleet.scenario import World
 from scale.fleet.topology import COORDINATION_ZONE, pair_draw
 
-# Counter timeouts after which the connections are closed and calls fail as unreachable.
+# After a partition of this many counter timeouts the connections are closed, and calls fail as unreachable.
 _COUNTER_TIMEOUTS_UNTIL_UNREACHABLE = 10
 
 
@@ -39,10 +39,10 @@
         "attempt",
         "attempt_in_flight",
         "client_request",
+        "counter_wait_since",
         "endpoint",
         "forwarded",
         "sent_at",
-        "waits_since",
     )
 
     def __init__(self, client_request: ClientRequest) -> None:
@@ -50,10 +50,11 @@
         self.client_request = client_request
         self.attempt = -1
         self.attempt_in_flight = False
-        self.forwarded = False  # whether an attempt has reached the network of an endpoint
+        self.forwarded = False  # whether an attempt has been sent to an endpoint that was reachable
         self.endpoint = 0
         self.sent_at = 0.0
-        self.waits_since: float | None = None  # for the counter, before the first attempt
+        # Begin of the wait for the counter, before the first attempt; None: the request does not wait.
+        self.counter_wait_since: float | None = None
 
     def start_attempt(self, now: float, endpoint: int) -> None:
         """Start the next attempt."""
@@ -67,17 +68,17 @@
         self.attempt_in_flight = False
 
     def mark_forwarded(self) -> None:
-        """Record that an attempt has reached the network of an endpoint."""
+        """Record that an attempt has been sent to an endpoint that was reachable."""
         self.forwarded = True
 
-    def start_wait(self, now: float) -> None:
+    def start_counter_wait(self, now: float) -> None:
         """Start to wait for the counter."""
-        self.waits_since = now
+        self.counter_wait_since = now
 
-    def end_wait(self) -> float | None:
-        """End the wait for the counter; return when it started, None if there was none."""
-        started_at = self.waits_since
-        self.waits_since = None
+    def end_counter_wait(self) -> float | None:
+        """End the wait for the counter; return its begin, or None if the request did not wait."""
+        started_at = self.counter_wait_since
+        self.counter_wait_since = None
         return started_at
 
 
@@ -94,14 +95,14 @@
         self._zone = world.topology.zone(index)
 
     def send_attempt(self, now: float, incarnation: int, request: OpenRequest, timeout: float) -> None:
-        """Send the current attempt of a request; ``AttemptEnded`` follows in any case."""
+        """Send the current attempt of a request. ``AttemptEnded`` always follows: a response or a failure."""
         client_request = request.client_request
         endpoint = request.endpoint
         attempt = request.attempt
         request_id = client_request.request_id
         timed_out = AttemptEnded(incarnation, request_id, attempt, AttemptOutcome.TIMED_OUT)
         self._mailbox.schedule(now + timeout, timed_out)
-        if self._reaches(endpoint, now):
+        if self._is_reachable(endpoint, now):
             if not request.forwarded:
                 request.mark_forwarded()
                 forwarded = RequestForwarded(request_id)
@@ -113,9 +114,9 @@
             self._mailbox.schedule(now + CONNECT_TIMEOUT_SECONDS, unreachable)
 
     def check_health(self, now: float, incarnation: int, check: model.CheckHealth) -> None:
-        """Send a health check."""
+        """Send a health check; it fails after the connect timeout if the endpoint is not reachable."""
         endpoint = endpoint_index(check.endpoint)
-        if self._reaches(endpoint, now):
+        if self._is_reachable(endpoint, now):
             message = HealthCheck(incarnation, now)
             self._mailbox.send(endpoint, now + self._delay(endpoint), message)
         else:
@@ -123,7 +124,7 @@
             self._mailbox.schedule(now + CONNECT_TIMEOUT_SECONDS, failed)
 
     def call_counter(self, now: float, incarnation: int, increment: model.IncrementCounter) -> int:
-        """Send a call to the counter and return its id; ``CounterAnswered`` follows in any case."""
+        """Send a counter call and return its id. ``CounterAnswered`` always follows: a reply or a failure."""
         call_id = self._mailbox.next_number()
         partitioned = self._faults.partitioned(self._zone, COORDINATION_ZONE, now)
         times_out_at = now + COUNTER_TIMEOUT_SECONDS
@@ -144,19 +145,19 @@
         return call_id
 
     def _counter_failure(self, now: float, *, partitioned: bool) -> CounterOutcome:
-        """Return the outcome of a call without a reply in time."""
+        """Return the outcome of a call that gets no reply in time."""
         unreachable_after = _COUNTER_TIMEOUTS_UNTIL_UNREACHABLE * COUNTER_TIMEOUT_SECONDS
         if partitioned and now - self._schedule.partition.begin > unreachable_after:
             return CounterOutcome.UNREACHABLE
         return CounterOutcome.TIMED_OUT
 
-    def _reaches(self, endpoint: int, now: float) -> bool:
+    def _is_reachable(self, endpoint: int, now: float) -> bool:
         if self._faults.endpoint_down(endpoint, now):
             return False
         return not self._faults.partitioned(self._zone, self._topology.zone(endpoint), now)
 
     def _connections_are_closed(self, endpoint: int, now: float) -> bool:
-        """Whether an endpoint has been unreachable for so long that its connections are closed."""
+        """Return whether an endpoint has been unreachable for so long that its connections are closed."""
         if self._faults.endpoint_down(endpoint, now):
             unreachable_since = self._schedule.zone_outage.begin
         else:
--- a/scale/fleet/limiter_process.py
+++ b/scale/fleet/limiter_process.py
@@ -1,4 +1,4 @@
-"""One incarnation of a limiter: the real decisions, with messages in place of sockets."""
+"""One incarnation of a limiter: the real decisions with a simulated network."""
 
 from __future__ import annotations
 
@@ -41,21 +41,21 @@
 MICROSECONDS_PER_SECOND = 1e6
 MILLIUNITS_PER_UNIT = 1000
 ProcessMessage = AttemptEnded | TimerDue | CounterAnswered | HealthChecked
-_KILLED = "killed"  # reason of the failed requests
+_KILLED = "killed"  # reason of the requests that fail because the process is killed
 
 
 _Handler = Callable[["LimiterProcess", float, Any], None]
 
 
 class LimiterProcess:
-    """Translates messages into events of the decisions, and their actions into messages."""
+    """Translates messages into events for the decisions, and the actions of the decisions into messages."""
 
     __slots__ = (
-        "_answer_delay",
         "_counter_ids",
         "_gateway",
         "_mailbox",
         "_network",
+        "_reply_delay",
         "_requests",
         "_tally",
         "_world",
@@ -73,7 +73,7 @@
         mailbox: Mailbox,
         tally: Tally,
     ) -> None:
-        """Start the decisions at ``now``; ``seed`` is theirs."""
+        """Start the decisions at ``now`` with their random seed."""
         self.incarnation = incarnation
         self._world = world
         self._tally = tally
@@ -82,8 +82,10 @@
         settings = limiter_settings(world, index)
         self._gateway = MeasuredGateway(settings, seed=seed, now=now, cost=tally.cost)
         self._requests = dict[int, OpenRequest]()
-        self._counter_ids = dict[int, int]()  # by the id of a call in flight
-        self._answer_delay = 0.0  # delay by the windows of the counter reply that is being handled
+        self._counter_ids = dict[int, int]()  # counter ids of the calls in flight, by call id
+        # Time from the arrival of the counter reply that is being handled until now: the simulation delivers
+        # replies no earlier than the start of a window. 0 while other messages are handled.
+        self._reply_delay = 0.0
 
     def accept(self, now: float, message: ClientRequest) -> None:
         """Handle a client's request."""
@@ -99,17 +101,17 @@
             serving_gateways=self._world.size.spread,
             is_retry=message.is_retry,
         )
-        self._decide(now, event)
+        self._handle_event(now, event)
         if message.request_id in self._requests and not request.attempt_in_flight:
-            request.start_wait(now)
+            request.start_counter_wait(now)
 
     def receive(self, now: float, message: ProcessMessage) -> None:
-        """Handle a message to this incarnation."""
+        """Handle a message that belongs to this incarnation."""
         self._MESSAGE_HANDLERS[type(message)](self, now, message)
 
     def update_endpoints(self, now: float, update: model.EndpointUpdate) -> None:
-        """Apply the endpoint list or a change of it."""
-        self._decide(now, update)
+        """Apply a complete endpoint list or a change of it."""
+        self._handle_event(now, update)
 
     def kill(self, now: float) -> None:
         """End the process; the clients' requests fail with their connections."""
@@ -121,8 +123,8 @@
         """Return the number of endpoints of the subset that the decisions consider to be warming up."""
         return self._gateway.warming_up_endpoints()
 
-    def _decide(self, now: float, event: model.Event) -> None:
-        """Let the decisions handle an event, and execute their actions."""
+    def _handle_event(self, now: float, event: model.Event) -> None:
+        """Pass an event to the decisions and execute the actions that they return."""
         for action in self._gateway.handle(now, event):
             handler = self._ACTION_HANDLERS.get(type(action))
             if handler is not None:
@@ -148,29 +150,29 @@
             load_report={},
             charged_units=float(request.client_request.true_units) if served else None,
         )
-        self._decide(now, event)
+        self._handle_event(now, event)
 
     def _on_timer_due(self, now: float, message: TimerDue) -> None:
-        self._decide(now, model.TimerFired(message.token))
+        self._handle_event(now, model.TimerFired(message.token))
 
     def _on_counter_answered(self, now: float, message: CounterAnswered) -> None:
         counter_id = self._counter_ids.pop(message.call_id, None)
         if counter_id is None:
             return
         self._tally.at(now)[f"counter calls {message.outcome.value}"] += 1
-        self._answer_delay = now - message.arrived_at
+        self._reply_delay = now - message.arrived_at
         status = _COUNTER_STATUS[message.outcome]
-        self._decide(now, model.CounterReplied(counter_id, status, message.total))
-        self._answer_delay = 0.0
+        self._handle_event(now, model.CounterReplied(counter_id, status, message.total))
+        self._reply_delay = 0.0
 
     def _on_health_checked(self, now: float, message: HealthChecked) -> None:
         elapsed = now - message.sent_at
         status = _ATTEMPT_STATUS[message.outcome]
-        self._decide(now, model.HealthChecked(endpoint_name(message.endpoint), status, elapsed, {}))
+        self._handle_event(now, model.HealthChecked(endpoint_name(message.endpoint), status, elapsed, {}))
 
     def _forward(self, now: float, action: model.Forward) -> None:
         request = self._requests[action.request_id]
-        self._end_wait(now, request)
+        self._end_counter_wait(now, request)
         request.start_attempt(now, endpoint_index(action.endpoint))
         self._tally.at(now)["attempts"] += 1
         self._network.send_attempt(now, self.incarnation, request, action.timeout)
@@ -198,16 +200,16 @@
 
     def _end_request(self, now: float, request_id: int, result: RequestResult) -> None:
         request = self._requests.pop(request_id)
-        self._end_wait(now, request)
+        self._end_counter_wait(now, request)
         reason = self._gateway.next_reason()
         self._notify_client(now, request, RequestEnded(request_id, result, reason))
 
-    def _end_wait(self, now: float, request: OpenRequest) -> None:
-        """Count the time for which a request waited for the counter, without the delay by the windows."""
-        started_at = request.end_wait()
+    def _end_counter_wait(self, now: float, request: OpenRequest) -> None:
+        """Count the time that a request waited for the counter, less the delay of the reply's delivery."""
+        started_at = request.end_counter_wait()
         if started_at is None:
             return
-        waited = now - self._answer_delay - started_at
+        waited = now - self._reply_delay - started_at
         self._tally.waits[max(0, round(waited * MICROSECONDS_PER_SECOND))] += 1
         self._tally.at(now)["waited for counter"] += 1
 
--- a/scale/fleet/limiter_settings.py
+++ b/scale/fleet/limiter_settings.py
@@ -19,7 +19,7 @@
 from scale.fleet.scenario import World
 from scale.fleet.tenants import PlanTerms
 
-_PRICE_SCALE = 10  # prices of the simulation are in tenths
+_PRICE_SCALE = 10  # ``PlanTerms.price`` is in tenths, ``model.Plan.price`` is not
 
 
 def limiter_settings(world: World, index: int) -> model.Settings:
--- a/scale/fleet/lockstep.py
+++ b/scale/fleet/lockstep.py
@@ -1,4 +1,4 @@
-"""Worker processes in lock-step, which exchange messages after every window of virtual time."""
+"""Worker processes in lockstep: they exchange messages at the end of each window of virtual time."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 # Takes the index of the worker, the number of workers, the exchange and the task; returns a picklable result.
 Work = Callable[[int, int, Exchange, Any], Any]
 
-_EXIT_TIMEOUT_SECONDS = 5.0  # for a worker whose pipe is closed
+_EXIT_TIMEOUT_SECONDS = 5.0  # longest wait for the exit of a worker that has closed its pipe
 
 
 class PeerExitedError(Exception):
-    """Another worker has exited, which is the cause of the failure."""
+    """This worker cannot go on, because another worker has exited."""
 
 
 class _Status(Enum):
@@ -32,7 +32,7 @@
 
 
 class _Outcome(NamedTuple):
-    """The end of a worker, with its result or the cause."""
+    """How a worker ended; ``content`` is its result or the cause of the failure."""
 
     status: _Status
     content: Any
@@ -45,15 +45,15 @@
 
 
 def run_workers(
-    work: Work, count: int, task: Any, started: Callable[[list[int]], None] = lambda _pids: None
+    work: Work, count: int, task: Any, on_started: Callable[[list[int]], None] = lambda _pids: None
 ) -> list[Any]:
     """Return the workers' results in order. Raise ``BrokenRunError`` if a worker fails or exits.
 
-    Each worker is a process of its own, which receives ``work`` and ``task`` pickled. ``started`` is called
-    with the process ids.
+    Each worker is a process of its own, which receives ``work`` and ``task`` pickled. ``on_started`` is
+    called with the process ids after all workers have started.
     """
-    workers = _start(work, count, task)
-    started([worker.process.pid or 0 for worker in workers])
+    workers = _start_workers(work, count, task)
+    on_started([worker.process.pid or 0 for worker in workers])
     results = dict[int, Any]()
     causes = list[str]()
     try:
@@ -63,7 +63,9 @@
             elif outcome.status is _Status.FAILED:
                 causes.append(f"worker {index}: {outcome.content}")
         if len(results) < count:
-            raise BrokenRunError("; ".join(causes) or "the workers lost their connections")
+            raise BrokenRunError(
+                "; ".join(causes) or "the workers lost their connections, and none reported the cause"
+            )
     finally:
         for worker in workers:
             if worker.process.is_alive() and len(results) < count:
@@ -72,7 +74,7 @@
     return [results[index] for index in range(count)]
 
 
-def _start(work: Work, count: int, task: Any) -> list[_Worker]:
+def _start_workers(work: Work, count: int, task: Any) -> list[_Worker]:
     context = get_context("spawn")
     links: list[dict[int, Connection]] = [{} for _ in range(count)]
     for one in range(count):
@@ -87,7 +89,8 @@
         senders.append(sender)
     for worker in workers:
         worker.process.start()
-    # An end that stayed open in this process would hide the exit of a worker.
+    # Close this process's copies of the pipe ends: a reader notices that a worker has exited only when no
+    # process has that worker's end open.
     for own_links in links:
         for link in own_links.values():
             link.close()
@@ -107,7 +110,9 @@
             except (EOFError, OSError):
                 process = workers[index].process
                 process.join(_EXIT_TIMEOUT_SECONDS)
-                outcome = _Outcome(_Status.FAILED, f"it died with exit code {process.exitcode}")
+                outcome = _Outcome(
+                    _Status.FAILED, f"its process ended with exit code {process.exitcode} before its result"
+                )
             yield index, outcome
 
 
@@ -115,7 +120,7 @@
     work: Work, index: int, count: int, links: dict[int, Connection], outcomes: Connection, task: Any
 ) -> None:
     try:
-        outcome = _Outcome(_Status.DONE, work(index, count, _exchange(index, links), task))
+        outcome = _Outcome(_Status.DONE, work(index, count, _make_exchange(index, links), task))
     except PeerExitedError as error:
         outcome = _Outcome(_Status.PEER_EXITED, str(error))
     except BaseException:  # noqa: BLE001 - reported to the parent process, whatever it is
@@ -123,14 +128,14 @@
     outcomes.send(outcome)
 
 
-def _exchange(index: int, links: dict[int, Connection]) -> Exchange:
+def _make_exchange(index: int, links: dict[int, Connection]) -> Exchange:
     peers = sorted(links)
 
     def exchange(outboxes: list[list[Any]]) -> list[Any]:
         """Send to each peer and receive from it.
 
-        All workers take the pairs in the same order, and the lower index sends first, so that there is no
-        cycle of waits.
+        The workers cannot deadlock: each takes its peers in the order of their index, and of two workers the
+        one with the lower index sends first.
         """
         received = list[Any]()
         try:
