--- a/scale/fleet/accounting.py
+++ b/scale/fleet/accounting.py
@@ -66,20 +66,20 @@
         self.forwarded_within_quota = within_quota
 
 
-class TenantAccount:
+class TenantUsage:
     """Counts the requests of one tenant, within and over its quota, for all limiters together."""
 
     def __init__(self, terms: PlanTerms, tally: Tally) -> None:
         """Start with full buckets; ``tally`` is the worker's."""
         self._terms = terms
         self._tally = tally
-        self._offered = TokenBucket(terms.rate, terms.burst)
-        self.forwarded = TokenBucket(terms.rate, terms.burst)
-        self.ceiling = TokenBucket(terms.ceiling_rate, terms.ceiling_burst)
+        self._offered_bucket = TokenBucket(terms.rate, terms.burst)
+        self.forwarded_bucket = TokenBucket(terms.rate, terms.burst)
+        self.ceiling_bucket = TokenBucket(terms.ceiling_rate, terms.ceiling_burst)
 
     def record_offered(self, at: float, request: PendingRequest) -> None:
         """Count a new request of a client."""
-        request.record_offered(within_quota=self._offered.take(at, request.units))
+        request.record_offered(within_quota=self._offered_bucket.take(at, request.units))
         counts = self._tally.at(at)
         counts["first requests"] += 1
         if request.within_quota:
@@ -91,16 +91,16 @@
         """Count a request that a limiter forwards for the first time."""
         counts = self._tally.at(at)
         plan = self._terms.name
-        request.record_forwarded(within_quota=self.forwarded.take(at, request.units))
+        request.record_forwarded(within_quota=self.forwarded_bucket.take(at, request.units))
         counts["units sent"] += request.units
         counts[f"units sent {plan}"] += request.units
         if not request.forwarded_within_quota:
             counts["units over quota"] += request.units
             counts[f"units over quota {plan}"] += request.units
         if self._terms.ceiling_rate:
-            self.ceiling.charge(at, request.units)
+            self.ceiling_bucket.charge(at, request.units)
             lowest_allowed = -self._ceiling_tolerance() - _ROUNDING_UNITS
-            counts["ceilings exceeded"] += self.ceiling.tokens < lowest_allowed
+            counts["ceilings exceeded"] += self.ceiling_bucket.tokens < lowest_allowed
 
     def record_final_response(self, at: float, request: PendingRequest) -> None:
         """Count the request as lost if its final response, of any kind, arrives too late."""
@@ -109,7 +109,7 @@
     def record_served(self, at: float, request: PendingRequest) -> None:
         """Count a served request, and its value if it met its latency objective and was within the quota."""
         if request.forwarded_within_quota:
-            self.forwarded.charge(at, request.true_units - request.units)
+            self.forwarded_bucket.charge(at, request.true_units - request.units)
         counts = self._tally.at(request.started_at)
         counts["answers"] += 1
         if at - request.started_at > REQUEST_KINDS[request.kind].latency_objective:
@@ -129,7 +129,7 @@
         counts[f"{end.result.value}: {end.reason}"] += 1
         if end.result is not RequestResult.REJECTED:
             return
-        if self.forwarded.fill(at) >= max(request.units, self._terms.burst / 2):
+        if self.forwarded_bucket.fill(at) >= max(request.units, self._terms.burst / 2):
             counts["rejected within quota"] += 1
             counts[f"rejected within quota: {end.reason}"] += 1
 
--- a/scale/fleet/clients.py
+++ b/scale/fleet/clients.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import NamedTuple
 
-from scale.fleet.accounting import PendingRequest, TenantAccount
+from scale.fleet.accounting import PendingRequest, TenantUsage
 from scale.fleet.messages import (
     ClientEvent,
     ClientRequest,
@@ -57,7 +57,7 @@
         self._plan = world.plans[tenant.plan]
         self._world = world
         self._tally = tally
-        self.account = TenantAccount(self._plan, tally)
+        self.usage = TenantUsage(self._plan, tally)
         self.pending = dict[int, PendingRequest]()  # by request id
         self._source = SourceNumbers(world.size).first_tenant + tenant.index
         self._last_request_id = tenant.index << _REQUEST_NUMBER_BITS
@@ -82,7 +82,7 @@
     def start_request(self, now: float) -> StartedRequest:
         """Draw a new request and send it to a limiter."""
         request = self._draw_request(now)
-        self.account.record_offered(now, request)
+        self.usage.record_offered(now, request)
         return StartedRequest(request, self._send(now, request))
 
     def retry(self, now: float, request: PendingRequest) -> Envelope | None:
@@ -102,14 +102,14 @@
         if request is None:
             raise AssertionError(f"a second final answer: {event}")
         if isinstance(event, RequestForwarded):
-            self.account.record_forwarded(at, request)
+            self.usage.record_forwarded(at, request)
             return None
         del self.pending[event.request_id]
-        self.account.record_final_response(at, request)
+        self.usage.record_final_response(at, request)
         if isinstance(event, RequestEnded):
-            self.account.record_ended(at, request, event)
+            self.usage.record_ended(at, request, event)
             return request
-        self.account.record_served(at, request)
+        self.usage.record_served(at, request)
         return None
 
     def _change_rate(self) -> None:
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -138,14 +138,14 @@
     tenant = next(tenant for tenant in world.tenants if tenant.plan == 1)
     tally = Tally((0.0,))
     clients = TenantClients(tenant, world, tally)
-    account = clients.account
+    usage = clients.usage
     counts = tally.phases[0]
     requests = list[int]()
-    while account.ceiling.tokens > -account.ceiling.burst:
+    while usage.ceiling_bucket.tokens > -usage.ceiling_bucket.burst:
         requests.append(start_request(clients, 2.0))
         clients.receive(2.0, RequestForwarded(requests[-1]))
-    assert counts["units over quota"] + account.forwarded.burst >= counts["units sent"]
-    assert counts["units sent"] > account.ceiling.burst
+    assert counts["units over quota"] + usage.forwarded_bucket.burst >= counts["units sent"]
+    assert counts["units sent"] > usage.ceiling_bucket.burst
     assert counts["ceilings exceeded"] > 0
     clients.receive(2.1, RequestServed(requests[0]))
     assert counts["lost"] == 0
