--- a/scale/fleet/clients.py
+++ b/scale/fleet/clients.py
@@ -100,7 +100,7 @@
         """Count a limiter's event about a request; return the request if its client may retry it."""
         request = self.pending.get(event.request_id)
         if request is None:
-            raise AssertionError(f"a second final answer: {event}")
+            raise AssertionError(f"an event for a request that already has its final response: {event}")
         if isinstance(event, RequestForwarded):
             self.usage.record_forwarded(at, request)
             return None
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -154,7 +154,7 @@
     assert counts["lost"] == 1
     clients.receive(9.0, RequestEnded(requests[2], RequestResult.REJECTED, "gate"))
     assert counts["rejected within quota: gate"] == 1  # the bucket is full again
-    with pytest.raises(AssertionError, match="second final answer"):
+    with pytest.raises(AssertionError, match="request that already has its final response"):
         clients.receive(9.0, RequestServed(requests[0]))
 
 
