--- a/scale/fleet/measured_gateway.py
+++ b/scale/fleet/measured_gateway.py
@@ -1,4 +1,4 @@
-"""The decisions under test with the cost of each event; only this module reads their internal state."""
+"""Measures the processor time of a gateway; only this module reads the gateway's internal state."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class _ReasonRecorder(dict[str, int]):
-    """Replaces the decisions' counts of rejections by reason, and records the latest reasons."""
+    """Replaces the gateway's counts of rejections by reason; also lists the reasons of the last event."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,14 +34,14 @@
 
 
 class MeasuredGateway:
-    """The decisions of one incarnation of a limiter.
+    """The gateway of one incarnation of a limiter.
 
-    Actions have no reason for a rejection: it is read from the forwarder's counts by reason. The number of
-    endpoints that are warming up is read from the gateway's subset.
+    An action that rejects a request does not state the reason, so this class reads it from the forwarder's
+    counts by reason. It reads the number of endpoints that are warming up from the gateway's subset.
     """
 
     def __init__(self, settings: model.Settings, *, seed: int, now: float, cost: Counter[str]) -> None:
-        """Start the decisions; ``cost`` counts events and nanoseconds by name."""
+        """Create the gateway; ``cost`` adds up the number of events and their nanoseconds by name."""
         self._gateway = Gateway(settings, seed, now)
         self._cost = cost
         self._recorder = _ReasonRecorder()
@@ -49,7 +49,7 @@
         self._reasons: Iterator[str] = iter(())
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Return the actions of the decisions for an event, and count its processor time."""
+        """Return the gateway's actions for an event, and add the processor time to the cost."""
         self._recorder.latest.clear()
         started = time.thread_time_ns()
         actions = self._gateway.handle(now, event)
@@ -61,13 +61,13 @@
         return actions
 
     def next_reason(self) -> str:
-        """Return the reason of the next rejection among the last event's actions."""
+        """Return the reason of the next rejection, in the order of the last event's actions."""
         return next(self._reasons, _UNKNOWN_REASON)
 
     def warming_up_endpoints(self) -> int:
-        """Return the number of endpoints of the subset that are considered to be warming up."""
+        """Return the number of endpoints of the subset that the gateway considers to be warming up."""
         return sum(endpoint.warming_since is not None for endpoint in self._gateway.endpoints.subset)
 
     def discard(self) -> None:
-        """Release the decisions, whose reference cycles the worker's disabled collector would keep."""
+        """Break the gateway's reference cycles, since garbage collection is disabled in a worker."""
         self._gateway.__dict__.clear()
--- a/scale/fleet/messages.py
+++ b/scale/fleet/messages.py
@@ -13,7 +13,7 @@
 
 from scale.model import Size
 
-if TYPE_CHECKING:  # no import at run time: a worker may import the decisions from another checkout
+if TYPE_CHECKING:  # not imported at run time: a worker may import the decisions from another checkout
     from quota_gateway import model
 
 
@@ -51,7 +51,7 @@
     FAILED = "failed"
 
 
-# Events of a limiter. Those with an incarnation are ignored by any later one.
+# Events that a limiter receives. It ignores one with an incarnation other than its current one.
 
 
 class ClientRequest(NamedTuple):
@@ -59,8 +59,8 @@
 
     request_id: int
     tenant: int
-    kind: int  # index of ``REQUEST_KINDS``
-    plan: int  # index of the world's plans
+    kind: int  # index into ``REQUEST_KINDS``
+    plan: int  # index into ``World.plans``
     timeout: float  # seconds
     account: str
     units: int  # as estimated by the client
@@ -70,7 +70,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The response of an endpoint, or the timer that ends the attempt without one."""
+    """An endpoint has responded to an attempt, or the attempt has timed out."""
 
     incarnation: int
     request_id: int
@@ -79,20 +79,20 @@
 
 
 class TimerDue(NamedTuple):
-    """A timer of the decisions has expired."""
+    """A timer that the gateway has set has expired."""
 
     incarnation: int
     token: int
 
 
 class CounterAnswered(NamedTuple):
-    """The reply of the counter, or the timer that ends the call without one."""
+    """The counter has replied to a call, or the call has timed out."""
 
     incarnation: int
     call_id: int
     outcome: CounterOutcome
     total: float  # units
-    arrived_at: float  # earlier than the window in which it is handled
+    arrived_at: float  # may be earlier than the window in which the limiter handles the event
 
 
 class HealthChecked(NamedTuple):
@@ -105,13 +105,13 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The agent has delivered the first ``known_changes`` changes of the endpoint list."""
+    """Discovery notifies the limiter of a change; ``known_changes`` includes it and all earlier changes."""
 
     known_changes: int
 
 
 class EndpointFailed(NamedTuple):
-    """The agent has delivered the failure of an overloaded endpoint."""
+    """Discovery notifies the limiter that an endpoint has failed because of overload."""
 
     endpoint: model.Endpoint
 
@@ -125,7 +125,7 @@
 
 
 class WatchTimedOut(NamedTuple):
-    """The watch of the endpoint list is unresponsive."""
+    """The limiter has received nothing from its watch of the endpoint list for the timeout."""
 
 
 class DiscoveryCallDue(NamedTuple):
@@ -149,7 +149,7 @@
     known_changes: int
 
 
-# Events of an endpoint, the counter and discovery; the envelope's source is the limiter.
+# Events that a limiter sends to an endpoint, the counter or discovery. The envelope's source is the limiter.
 
 
 class Attempt(NamedTuple):
@@ -170,7 +170,7 @@
 
 
 class CounterCall(NamedTuple):
-    """An increment of a counter, whose reply is the total."""
+    """A call that adds units to a counter and returns the total."""
 
     incarnation: int
     call_id: int
@@ -186,7 +186,7 @@
     call_id: int
 
 
-# Events of the clients of a tenant.
+# Events that a limiter sends to the clients of a tenant.
 
 
 class RequestForwarded(NamedTuple):
@@ -240,26 +240,27 @@
 class Envelope(NamedTuple):
     """An event in transit."""
 
-    time: float  # of the arrival, in virtual seconds
-    source: int  # of ``SourceNumbers``
+    time: float  # of arrival, in virtual seconds
+    source: int  # number of the sender, from ``SourceNumbers``
     sequence: int  # increases with each envelope of the source
-    recipient: int  # number of the limiter, endpoint or tenant; the limiter's for counter and discovery
+    # Index of the limiter, endpoint or tenant. In a call to the counter or discovery, index of the caller.
+    recipient: int
     event: Event
 
 
 def pop_before(heap: list[Envelope], time: float) -> Iterator[Envelope]:
-    """Remove the envelopes that arrive before a time from a heap, in order; more may be added meanwhile."""
+    """Pop and yield in order the envelopes that arrive before ``time``; more may be pushed meanwhile."""
     while heap and heap[0].time < time:
         yield heappop(heap)
 
 
 class SourceNumbers:
-    """The numbers of the senders of a fleet; a limiter has its index."""
+    """The numbers that identify the senders of envelopes in a fleet. The number of a limiter is its index."""
 
     __slots__ = ("counter", "discovery", "first_endpoint", "first_tenant")
 
     def __init__(self, size: Size) -> None:
-        """Assign the numbers for a size."""
+        """Assign the numbers for a fleet of this size."""
         self.first_endpoint = size.limiters
         self.first_tenant = self.first_endpoint + size.servers
         self.counter = self.first_tenant + size.tenants
--- a/scale/fleet/parameters.py
+++ b/scale/fleet/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of the simulated fleet: the operators' figures, unless marked as assumed.
+"""Parameters of the simulated fleet: figures stated by the operators, unless marked as assumed.
 
 This module does not import the decisions, so that a worker can import them from another checkout.
 """
@@ -7,61 +7,62 @@
 
 from dataclasses import dataclass
 
-# Limiters, with the timeouts of the real one.
+# Limiters. The timeouts are those of the real limiter.
 COUNTER_TIMEOUT_SECONDS = 0.03
 CONNECT_TIMEOUT_SECONDS = 0.25
-MAX_ATTEMPTS = 4  # of a request
+MAX_ATTEMPTS = 4  # per request
 MAX_RETRY_AFTER_SECONDS = 1.0
-# Assumed: the time after the failure of a machine in which attempts use open connections and get no response;
-# later attempts fail to connect. Single connections are not modelled.
+# Assumed. For this time after a machine fails, attempts use open connections and get no response; later
+# attempts fail to connect. Individual connections are not modelled.
 CONNECTION_LIFETIME_AFTER_FAILURE_SECONDS = 1.0
 
-# Endpoints. Two cores in place of the operators' three, which would be used to a third by the stated work. So
-# the work of a class stays within the stated range, and a small factor gives the utilization.
+# Endpoints. The operators state three cores, of which the stated work would use a third. With two cores, a
+# small factor on the work gives the target utilization, and the work of a class stays in the stated range.
 ENDPOINT_CORES = 2
 ENDPOINT_QUEUE_LIMIT = 40  # requests that may wait at an endpoint (assumed)
-TARGET_UTILIZATION = 0.5  # fraction of the endpoints' capacity for the usage within the quotas
-INITIAL_CAPACITY_FRACTION = 0.3  # of the full capacity, after a start
-ENDPOINT_WARM_UP_SECONDS = 12.0  # from a start to the full capacity
-OVERLOAD_FACTOR = 2.5  # of the present capacity; an endpoint that is warming up fails beyond it
-OVERLOAD_WINDOW_SECONDS = 1.0  # over which the arriving work is added up
-BOOT_GROUPS = 3  # of the endpoints of a returning zone (assumed)
-BOOT_GROUP_INTERVAL_SECONDS = 1.0  # between two groups (assumed)
-CELL_SIZE = 4  # endpoints of one zone in a cell
+TARGET_UTILIZATION = 0.5  # fraction of the endpoints' capacity that usage within the quotas takes
+INITIAL_CAPACITY_FRACTION = 0.3  # fraction of the full capacity just after an endpoint's start
+ENDPOINT_WARM_UP_SECONDS = 12.0  # from an endpoint's start to its full capacity
+OVERLOAD_FACTOR = 2.5  # an endpoint that is warming up fails under more than this multiple of its capacity
+OVERLOAD_WINDOW_SECONDS = 1.0  # window over which arriving work is summed to detect overload
+BOOT_GROUPS = 3  # number of groups in which the endpoints of a returning zone start (assumed)
+BOOT_GROUP_INTERVAL_SECONDS = 1.0  # between the starts of two groups (assumed)
+CELL_SIZE = 4  # endpoints per cell, all in one zone
 
-# One-way delays: the range of all pairs.
+# One-way network delays, as the range over all pairs.
 SAME_ZONE_DELAY_SECONDS = (0.0001, 0.00033)
 OTHER_ZONE_DELAY_SECONDS = (0.0014, 0.0026)
-# Assumed: with 15 ms one way or more every call of the far region to the counter would time out.
+# Assumed: at 15 ms or more one way, every counter call from the far region would time out.
 OTHER_REGION_DELAY_SECONDS = (0.008, 0.010)
 
-# Faults, as ranges.
+# Times of faults, as ranges.
 NOTIFICATION_DELAY_SECONDS = (0.65, 4.8)  # from a change to the notification of a limiter
 RESTART_SECONDS = (1.4, 8.0)  # from the kill of a limiter to its restart
-FAILOVER_SECONDS = (1.2, 3.7)  # from the kill of a limiter until no requests are sent to it
+FAILOVER_SECONDS = (1.2, 3.7)  # from the kill of a limiter until clients send it no more requests
 
 # Clients.
-CLIENT_START_SECONDS = 1.0  # the limiters start before, at different times, so that their timers differ
-CLIENT_RETRY_DELAY_SECONDS = (0.03, 0.24)  # before the only retry of a client
+CLIENT_START_SECONDS = 1.0  # limiters start at random times before this, so that their timers do not coincide
+CLIENT_RETRY_DELAY_SECONDS = (0.03, 0.24)  # before a client's only retry of a request
 CLIENT_RETRY_PROBABILITY = 0.5
-RESPONSE_GRACE_SECONDS = 0.05  # after the deadline within which a final response is in time
+RESPONSE_GRACE_SECONDS = 0.05  # a final response counts as in time until this long after the deadline
 MEAN_UNITS = 2.5
-MAX_UNITS = 4  # a request has 1 to 4 units, uniform
-WRONG_ESTIMATE_PROBABILITY = 0.3  # of a request whose charged units differ from its estimate
-WORK_LOGNORMAL_MU_SIGMA = (-0.08, 0.4)  # of the logarithm of a request's work over its expected work
-BURST_RATE_FACTOR = (2.0, 7.9)  # on the quota
+MAX_UNITS = 4  # a request has 1 to 4 units, uniformly distributed
+# Of a request that is charged one unit more or less than its estimate, limited to 1 to ``MAX_UNITS``.
+WRONG_ESTIMATE_PROBABILITY = 0.3
+WORK_LOGNORMAL_MU_SIGMA = (-0.08, 0.4)  # of the logarithm of a request's work divided by its expected work
+BURST_RATE_FACTOR = (2.0, 7.9)  # rate in a burst divided by the rate of the quota
 BURST_SECONDS = (0.61, 3.7)
 BURST_INTERVAL_SECONDS = 40.0  # mean time between two bursts of a tenant
-LIMITER_ROTATION_SECONDS = (8.1, 23.0)  # until a tenant prefers another limiter of its set
+LIMITER_ROTATION_SECONDS = (8.1, 23.0)  # until a tenant prefers the next limiter of its set
 
-# Tenants.
+# Tenants, as fractions of all tenants.
 VOLUME_PLAN_FRACTION = 0.11
 OVER_QUOTA_FRACTION = 0.10
 NEAR_QUOTA_FRACTION = 0.17
 BURSTY_FRACTION = 0.15
-QUOTA_UTILIZATION = 0.5  # offered units divided by the sum of the quotas, which it scales to the rate
+QUOTA_UTILIZATION = 0.5  # offered units divided by the sum of the quotas, which are scaled to give it
 
-# The shared counter: the guaranteed rate.
+# The shared counter, with the rate that it guarantees.
 COUNTER_CALLS_PER_SECOND = 930.0
 COUNTER_PARTITIONS = 1
 
@@ -71,7 +72,7 @@
     """A request class."""
 
     name: str
-    fraction: float  # of the requests
+    fraction: float  # of all requests
     work: float  # seconds of one core
     latency_objective: float  # seconds
     deadline: float  # seconds; the longest timeout of a client
--- a/scale/fleet/router.py
+++ b/scale/fleet/router.py
@@ -1,4 +1,4 @@
-"""The worker that owns each limiter, endpoint and tenant, and the envelopes for each worker."""
+"""Assigns limiters, endpoints and tenants to workers, and routes envelopes between the workers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Router:
-    """Collects the envelopes that one worker sends within a window, by the receiving worker."""
+    """Collects the envelopes that one worker sends within a window, grouped by the receiving worker."""
 
     def __init__(self, worker: int, worker_count: int, world: World) -> None:
         """Create the router of one of ``worker_count`` workers."""
@@ -17,13 +17,15 @@
         self._worker_count = worker_count
         self._world = world
         self._outboxes: list[list[Envelope]] = [[] for _ in range(worker_count)]
-        owners = {
+        owner_functions = {
             Role.LIMITER: self._limiter_owner,
             Role.ENDPOINT: self._endpoint_owner,
             Role.TENANT: self._tenant_owner,
         }
-        # By the type of the event.
-        self._owners = {event: owners[role] for event, role in ROLES.items() if role in owners}
+        # Returns the worker that owns a recipient, by the type of the event.
+        self._owner_functions = {
+            event_type: owner_functions[role] for event_type, role in ROLES.items() if role in owner_functions
+        }
 
     def owns_limiter(self, limiter: int) -> bool:
         """Whether this worker owns a limiter."""
@@ -38,16 +40,16 @@
         return self._tenant_owner(tenant) == self._worker
 
     def send(self, envelope: Envelope) -> None:
-        """Add an envelope for the worker of its recipient, which receives it after the window."""
-        owner = self._owners.get(type(envelope.event))
-        if owner is not None:
-            self._outboxes[owner(envelope.recipient)].append(envelope)
+        """Queue an envelope for the worker that owns its recipient, which receives it after the window."""
+        owner_function = self._owner_functions.get(type(envelope.event))
+        if owner_function is not None:
+            self._outboxes[owner_function(envelope.recipient)].append(envelope)
         else:  # each worker has a copy of the counter and of discovery
             for outbox in self._outboxes:
                 outbox.append(envelope)
 
     def exchange(self, exchange: Exchange) -> list[Envelope]:
-        """Send the envelopes since the last call, and return those for this worker, its own included."""
+        """Send the envelopes queued since the last call; return those for this worker, including its own."""
         outboxes = self._outboxes
         self._outboxes = [[] for _ in outboxes]
         own = outboxes[self._worker]
@@ -62,5 +64,5 @@
         return endpoint % self._worker_count
 
     def _tenant_owner(self, tenant: int) -> int:
-        """Return the worker of the first limiter of the tenant's set."""
+        """Return the worker that owns the first limiter of the tenant's set."""
         return self._limiter_owner(self._world.tenants[tenant].first_limiter)
--- a/scale/fleet/scale_test.py
+++ b/scale/fleet/scale_test.py
@@ -12,27 +12,27 @@
 from scale.fleet.summary import summarize
 from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
 
-SHORT_RUN_SECONDS = 30.0  # virtual, of a reduced fleet
-WARM_UP_SECONDS = 20.0  # virtual, until service and counter calls do not depend on the start
+SHORT_RUN_SECONDS = 30.0  # virtual, for a run of a reduced fleet
+WARM_UP_SECONDS = 20.0  # virtual; afterwards, service and counter calls no longer depend on the start
 SIZE_FRACTIONS = (0.025, 0.05, 0.1, 1.0)
 QUICK_SIZE_FRACTIONS = (0.0125, 0.025, 0.05, 0.1)
 MAX_RUNS = 3  # of each reduced size; the full size is simulated once
 MIN_ENDPOINTS_PER_ZONE = 4
-# By the slopes of the scale test of memory.
-_ENDPOINT_BYTES = 900.0  # at each limiter
-_TENANT_BYTES = 1500.0  # at each limiter of its set
+# Estimates from the slopes of the memory scale test.
+_ENDPOINT_BYTES = 900.0  # per endpoint at each limiter
+_TENANT_BYTES = 1500.0  # per tenant at each limiter of its set
 _PROCESS_BYTES = 60e6
 _ASSUMPTIONS = (
-    "8 to 10 ms one way between regions is assumed: at 15 the far one could not use the counter in 30 ms",
-    "servers have two cores, so that the work stays in the brief's range at half of the capacity",
-    "connections are not modelled: for 1 s after a machine falls silent attempts hang, then dials fail",
-    "a full server's answer is late by up to 10 ms, one of the counter from the same zone by up to 5 ms",
-    "a reduced fleet shares its counter with as many like fleets as make up the whole",
+    "assumed: 8 to 10 ms one way between regions; at 15 ms, far counter calls would miss their 30 ms timeout",
+    "endpoints have two cores, so that the work stays within the stated range at half of the capacity",
+    "connections are not modelled: for 1 s after a machine fails, attempts hang; later ones fail to connect",
+    "a rejection by an overloaded endpoint is up to 10 ms late, a counter reply in the same zone up to 5 ms",
+    "a reduced fleet shares the counter with as many fleets of its size as make up the full size",
 )
 
 
-def reduced(size: Size, fraction: float) -> Size:
-    """Return a smaller fleet with as many requests, endpoints and tenants for each limiter."""
+def reduced_size(size: Size, fraction: float) -> Size:
+    """Return the size of a smaller fleet with the same requests, endpoints and tenants per limiter."""
     limiters = max(size.spread, round(size.limiters * fraction))
     fraction = limiters / size.limiters
     return replace(
@@ -45,17 +45,17 @@
 
 
 def like_fleets(size: Size, full_size: Size) -> int:
-    """Return the number of fleets of a size that would share the counter of the full fleet."""
+    """Return the number of fleets of ``size`` that make up the full size and share its counter."""
     return max(1, round(full_size.limiters / size.limiters))
 
 
 @dataclass(slots=True)
 class _SlopePoints:
-    """The costs in the runs of each size, for the slopes."""
+    """The costs in the runs of each size, from which the slopes are derived."""
 
-    counter_calls: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by limiters
-    memory: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by limiters
-    control: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by endpoints
+    counter_calls: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by number of limiters
+    memory: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by number of limiters
+    control_cpu: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by number of endpoints
 
     def add(self, size: Size, fleets: int, summaries: list[dict[str, Any]]) -> None:
         """Add the runs of one size, in which ``fleets`` fleets shared the counter."""
@@ -64,24 +64,26 @@
             summary["phases"]["calm"]["calls/s"] / fleets for summary in summaries
         )
         self.memory[size.limiters] = tuple(total["rss"] for total in totals)
-        self.control[size.servers] = tuple(total["real control share of a core"] for total in totals)
+        self.control_cpu[size.servers] = tuple(total["real control share of a core"] for total in totals)
 
     def slopes(self) -> list[Slope]:
         """Return the slopes of the costs."""
         return [
             regression.line("counter calls, calm", "calls/s", "limiters", self.counter_calls),
             regression.line("memory of all processes", "bytes", "limiters", self.memory),
-            regression.line("decisions: control", "of a core", "servers", self.control),
+            regression.line("decisions: control", "of a core", "servers", self.control_cpu),
         ]
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
     """Simulate reduced sizes for the slopes, then the full size.
 
-    Raise ``BrokenRunError`` if a worker fails or exits.
+    Raise ``BrokenRunError`` if the size is out of range, or if a worker fails or exits.
     """
     if min(size.limiters, size.servers, size.tenants) < 1 or size.rate <= 0:
-        raise BrokenRunError(f"a fleet needs limiters, endpoints, tenants and a rate: {size}")
+        raise BrokenRunError(
+            f"a fleet needs at least 1 limiter, 1 endpoint, 1 tenant and a rate above 0: {size}"
+        )
     points = _SlopePoints()
     for fraction in QUICK_SIZE_FRACTIONS if effort.quick else SIZE_FRACTIONS:
         scenarios = _scenarios(size, fraction, effort)
@@ -100,11 +102,11 @@
 
 
 def _scenarios(size: Size, fraction: float, effort: Effort) -> list[Scenario]:
-    """Return the runs of one size, each with a seed of its own."""
+    """Return the scenarios of the runs of one size; each run has a different seed."""
     is_full_size = fraction == 1.0
     runs = 1 if is_full_size or effort.quick else min(MAX_RUNS, effort.runs)
     schedule = FaultSchedule.of(FULL_LENGTH_SECONDS if is_full_size else SHORT_RUN_SECONDS, WARM_UP_SECONDS)
-    fleet = reduced(size, fraction)
+    fleet = reduced_size(size, fraction)
     fleets = like_fleets(fleet, size)
     return [
         Scenario(fleet, schedule, seed, like_fleets=fleets) for seed in range(effort.seed, effort.seed + runs)
@@ -120,8 +122,8 @@
         return Figure(name, unit, value, Origin.MEASURED, source, limit)
 
     highest_call_rate = max(phase["calls/s"] for phase in phases.values())
-    control = total["real control share of a core"]
-    added = total["added p99"]
+    control_cpu = total["real control share of a core"]
+    added_p99 = total["added p99"]
     return [
         *(figure(f"service, {name}", "share", phase["service"]) for name, phase in phases.items()),
         figure("service, whole run", "share", total["service"]),
@@ -130,8 +132,8 @@
         figure("counter calls, highest phase", "calls/s", highest_call_rate, budget.counter_calls),
         figure("counter calls, highest second", "calls/s", total["most calls in a second"]),
         figure("held for the counter, p99 of held", "s", total["held p99"]),
-        figure("held for the counter, p99 of all tries", "s", added, budget.added_p99),
-        figure("decisions: control", "of a core", control, budget.control_cpu),
+        figure("held for the counter, p99 of all tries", "s", added_p99, budget.added_p99),
+        figure("decisions: control", "of a core", control_cpu, budget.control_cpu),
         figure("decisions: with requests", "of a core", total["real decision share of a core"]),
         figure("requests lost", "requests", total["lost"], 0.0),
         figure("ceilings passed", "tries", total["ceilings passed"], 0.0),
@@ -143,7 +145,7 @@
 
 
 def memory(size: Size, effort: Effort) -> dict[str, float]:
-    """Return the bytes used at once, by the option that causes them."""
+    """Return the estimated peak memory in bytes, by the option that causes it."""
     return {
         "servers": size.limiters * size.servers * _ENDPOINT_BYTES,
         "tenants": size.tenants * size.spread * _TENANT_BYTES,
--- a/scale/fleet/scenario.py
+++ b/scale/fleet/scenario.py
@@ -1,4 +1,4 @@
-"""The inputs of one run of the fleet, and the world that they determine."""
+"""The inputs of one simulation run, and the constant data derived from them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from scale.fleet.topology import Topology
 from scale.model import Size
 
-REGIONS = 2  # one has the counter and discovery
+REGIONS = 2  # the counter and discovery are in one of them
 MIN_ZONES = 2
 
 
@@ -23,16 +23,16 @@
     size: Size
     schedule: FaultSchedule
     seed: int = 1
-    counter_capacity: float = COUNTER_CALLS_PER_SECOND  # calls a second of all partitions
+    counter_capacity: float = COUNTER_CALLS_PER_SECOND  # calls a second, of all partitions together
     counter_partitions: int = COUNTER_PARTITIONS
     like_fleets: int = 1  # number of fleets of this size that share the counter
-    package: str = ""  # the checkout whose decisions are simulated; empty: this one
-    # Calls a second that discovery serves; 0: it notifies an agent of each limiter.
+    package: str = ""  # path of the checkout whose decisions are simulated; empty: this checkout
+    # Calls a second that discovery serves. 0: no limiter calls it; it notifies an agent of each limiter.
     discovery_capacity: float = 0.0
-    progress: bool = False  # a line on standard error every 10 virtual seconds
+    progress: bool = False  # print a line to standard error every 10 virtual seconds
 
     def as_json(self) -> dict[str, Any]:
-        """Return the inputs by their names in a run's JSON file."""
+        """Return the inputs under their names in a run's JSON file."""
         schedule = self.schedule
         return {
             "size": asdict(self.size),
@@ -58,13 +58,13 @@
 
 
 class World:
-    """Everything constant that a scenario determines; it is equal in every worker."""
+    """All constant data of a run, derived from the scenario; each worker derives an equal copy."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Draw the world from the seed. Raise ``ValueError`` for an impossible size."""
+        """Draw faults and tenants from the seed. Raise ``ValueError`` if the size is out of range."""
         size = scenario.size
         if not 1 <= size.spread <= size.limiters or size.zones < MIN_ZONES or size.regions != REGIONS:
-            raise ValueError(f"spread, zones or regions are out of range: {size}")
+            raise ValueError(f"a fleet needs regions = 2, zones >= 2 and 1 <= spread <= limiters: {size}")
         self.scenario = scenario
         self.size = size
         self.seed = scenario.seed
@@ -80,7 +80,7 @@
 
 
 def _cumulative_set_weights(spread: int) -> list[float]:
-    """Return the cumulative weights of a tenant's limiters: 1, 1/2, 1/3 and so on."""
+    """Return the cumulative sums of the weights of a tenant's limiters, which are 1, 1/2, 1/3 and so on."""
     total = 0.0
     weights = list[float]()
     for position in range(1, spread + 1):
--- a/scale/fleet/services.py
+++ b/scale/fleet/services.py
@@ -1,7 +1,7 @@
-"""Counter, discovery and endpoints of a worker: they handle arrived messages and reply to the limiters.
+"""Counter, discovery and endpoints of a worker: they handle the limiters' messages and reply to them.
 
-Each worker has a copy of the counter and of discovery, which handle the calls of all limiters and reply to
-the worker's own. Each endpoint belongs to one worker.
+Each worker has a copy of the counter and a copy of discovery. A copy handles the calls of all limiters, but
+replies only to the limiters of its worker. Each endpoint belongs to one worker.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from scale.fleet.tally import Tally
 from scale.fleet.topology import COORDINATION_ZONE, pair_draw
 
-_UNUSED_DISCOVERY_CAPACITY = 1.0  # calls a second; with agents there are no calls
+_UNUSED_DISCOVERY_CAPACITY = 1.0  # calls a second; without effect, as limiters with agents make no calls
 MICROSECONDS_PER_SECOND = 1e6
 
 
@@ -44,7 +44,7 @@
     """A worker's copy of the counter. The worker adds arriving calls to ``inbox``, a heap."""
 
     def __init__(self, world: World, router: Router, events: list[Envelope], tally: Tally | None) -> None:
-        """``events`` is the heap of the worker's limiters; ``tally`` is None for all copies but one."""
+        """``events`` is the heap of the worker's limiters; ``tally`` is None except in one worker."""
         scenario = world.scenario
         self.inbox = list[Envelope]()
         self._world = world
@@ -68,7 +68,7 @@
             assert isinstance(call, CounterCall)
             self._serve(envelope.time, start, envelope.source, call)
 
-    def _serve(self, arrived_at: float, start: float, limiter: int, call: CounterCall) -> None:
+    def _serve(self, arrived_at: float, window_start: float, limiter: int, call: CounterCall) -> None:
         reply = self._counter.call(arrived_at, call.counter_id, call.amount, call.lifetime)
         if reply is None:
             return
@@ -84,10 +84,12 @@
         if self._world.faults.partitioned(zone, COORDINATION_ZONE, answered_at):
             return
         delay = topology.delay(zone, COORDINATION_ZONE, pair_draw(limiter, COORDINATION_ZONE))
-        back_at = answered_at + delay
-        event = CounterAnswered(call.incarnation, call.call_id, CounterOutcome.OK, reply.total, back_at)
+        arrives_at = answered_at + delay
+        event = CounterAnswered(call.incarnation, call.call_id, CounterOutcome.OK, reply.total, arrives_at)
         sequence = self._counter.served
-        heappush(self._events, Envelope(max(start, back_at), self._source, sequence, limiter, event))
+        heappush(
+            self._events, Envelope(max(window_start, arrives_at), self._source, sequence, limiter, event)
+        )
 
 
 class DiscoveryService:
@@ -112,7 +114,7 @@
             assert isinstance(call, DiscoveryCall)
             self._serve(envelope.time, start, envelope.source, call)
 
-    def _serve(self, arrived_at: float, start: float, limiter: int, call: DiscoveryCall) -> None:
+    def _serve(self, arrived_at: float, window_start: float, limiter: int, call: DiscoveryCall) -> None:
         answered_at = self._discovery.call(arrived_at)
         if not self._router.owns_limiter(limiter):
             return
@@ -124,8 +126,8 @@
         known_changes = sum(change.at + min_delay <= answered_at for change in self._history.changes)
         delay = topology.delay(zone, COORDINATION_ZONE, pair_draw(limiter, COORDINATION_ZONE))
         event = WatchOpened(call.incarnation, call.call_id, known_changes)
-        back_at = max(start, answered_at + delay)
-        heappush(self._events, Envelope(back_at, self._source, call.call_id, limiter, event))
+        arrives_at = max(window_start, answered_at + delay)
+        heappush(self._events, Envelope(arrives_at, self._source, call.call_id, limiter, event))
 
 
 class EndpointService:
@@ -149,7 +151,7 @@
         }
 
     def serve_until(self, start: float, end: float) -> None:
-        """Handle the messages that arrived before the window; responses arrive after its end."""
+        """Handle the messages that arrived before ``start``; responses arrive at ``end`` or later."""
         for envelope in pop_before(self.inbox, start):
             index = envelope.recipient
             if self._faults.endpoint_down(index, envelope.time):
@@ -162,8 +164,8 @@
     def _check_health(self, index: int, envelope: Envelope, check: HealthCheck, end: float) -> None:
         failed = self._endpoints[index].failed
         outcome = AttemptOutcome.UNREACHABLE if failed else AttemptOutcome.OK
-        answer = HealthChecked(check.incarnation, index, outcome, check.sent_at)
-        self._answer(index, envelope.source, envelope.time, end, answer)
+        response = HealthChecked(check.incarnation, index, outcome, check.sent_at)
+        self._respond(index, envelope.source, envelope.time, end, response)
 
     def _attempt(self, index: int, envelope: Envelope, attempt: Attempt, end: float) -> None:
         endpoint = self._endpoints[index]
@@ -172,16 +174,16 @@
         served = outcome is AttemptOutcome.OK
         self._tally.at(envelope.time)["work us"] += round(attempt.work * MICROSECONDS_PER_SECOND) * served
         if endpoint.failed and not had_failed:
-            self._announce_failure(index, envelope.time)
+            self._notify_of_failure(index, envelope.time)
         if outcome is AttemptOutcome.TIMED_OUT:
             return
-        answer = AttemptEnded(attempt.incarnation, attempt.request_id, attempt.attempt, outcome)
-        self._answer(index, envelope.source, ended_at, end, answer)
+        response = AttemptEnded(attempt.incarnation, attempt.request_id, attempt.attempt, outcome)
+        self._respond(index, envelope.source, ended_at, end, response)
 
-    def _answer(
-        self, index: int, limiter: int, answered_at: float, window_end: float, answer: LimiterEvent
+    def _respond(
+        self, index: int, limiter: int, answered_at: float, window_end: float, response: LimiterEvent
     ) -> None:
-        """Send a response, unless a fault prevents it."""
+        """Send a response, unless the endpoint is down or a partition separates the zones."""
         zone = self._topology.zone(index)
         limiter_zone = self._topology.zone(limiter)
         if self._faults.endpoint_down(index, answered_at):
@@ -189,10 +191,10 @@
         if self._faults.partitioned(zone, limiter_zone, answered_at):
             return
         delay = self._topology.delay(zone, limiter_zone, pair_draw(limiter, index))
-        self._send(index, limiter, max(window_end, answered_at + delay), answer)
+        self._send(index, limiter, max(window_end, answered_at + delay), response)
 
-    def _announce_failure(self, index: int, at: float) -> None:
-        """Notify the agents of all limiters of the failure of an endpoint."""
+    def _notify_of_failure(self, index: int, at: float) -> None:
+        """Notify all limiters of the failure of an endpoint; a partition delays those of the far region."""
         self._tally.at(at)["endpoints failed"] += 1
         initial = self._history.initial[index]
         removed = model.Endpoint(initial.name, model.EndpointHealth.REMOVED, initial.zone, initial.cell)
--- a/scale/fleet/simulation.py
+++ b/scale/fleet/simulation.py
@@ -14,10 +14,10 @@
 
 @dataclass(slots=True)
 class SimulationResult:
-    """The tally of all workers."""
+    """The combined tally of all workers, with the real duration and the number of processes."""
 
     tally: Tally
-    elapsed: float  # real seconds that the run took
+    elapsed: float  # real seconds
     processes: int
 
 
@@ -32,7 +32,7 @@
 
 
 def run_worker(index: int, count: int, exchange: Exchange, scenario: Scenario) -> Tally:
-    """Run one worker, in a process of its own that has not imported the decisions yet."""
+    """Run one worker in its own process, which must not have imported the decisions yet."""
     if scenario.package:
         _import_decisions_from(scenario.package)
     from scale.fleet.worker import Worker
@@ -41,15 +41,17 @@
 
 
 def _import_decisions_from(checkout: str) -> None:
-    """Import the decisions from another checkout; the simulation stays the one of this checkout."""
+    """Import the decisions from another checkout; the simulation itself is still imported from this one."""
     if any(name.partition(".")[0] == "quota_gateway" for name in sys.modules):
-        raise RuntimeError(f"quota_gateway is imported already: it cannot be imported from {checkout}")
+        raise RuntimeError(
+            f"cannot import quota_gateway from {checkout}: this process has already imported a copy"
+        )
     sys.path.insert(0, checkout)
     import quota_gateway
 
-    found = Path(quota_gateway.__file__).resolve()
-    if not found.is_relative_to(Path(checkout).resolve()):
-        raise RuntimeError(f"quota_gateway is not in {checkout}, but in {found}")
+    module_path = Path(quota_gateway.__file__).resolve()
+    if not module_path.is_relative_to(Path(checkout).resolve()):
+        raise RuntimeError(f"quota_gateway should be imported from {checkout}, but came from {module_path}")
     import quota_gateway.decisions.gateway
 
     sys.path.remove(checkout)
--- a/scale/fleet/summary.py
+++ b/scale/fleet/summary.py
@@ -1,4 +1,4 @@
-"""The summary of one run by phase, by second and in total, with the names of a run's JSON file."""
+"""Summarizes one run by phase, by second and in total, under the names of a run's JSON file."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from scale.fleet.simulation import SimulationResult
 from scale.fleet.tally import ALL_EVENTS, CONTROL_EVENTS, Tally
 
-RECOVERY_TOLERANCE = 0.02  # by which the recovered service may be below that without faults
-RECOVERY_SECONDS = 3  # for which the service has to stay recovered
+RECOVERY_TOLERANCE = 0.02  # by which the service may be below its fault-free value and count as recovered
+RECOVERY_SECONDS = 3  # time for which the service has to stay recovered
 _MICROSECONDS_PER_SECOND = 1e6
 _NANOSECONDS_PER_SECOND = 1e9
 _MIN_PHASE_SECONDS = 1e-9  # avoids a division by zero
@@ -31,7 +31,7 @@
         "play": scenario.as_json(),
         "over all": _run_totals(scenario, result),
         "phases": {
-            name: _phase(counts, max(_MIN_PHASE_SECONDS, end - begin), scenario)
+            name: _phase_figures(counts, max(_MIN_PHASE_SECONDS, end - begin), scenario)
             for name, (begin, end), counts in zip(names, ends, tally.phases, strict=True)
         },
         "seconds": {
@@ -45,19 +45,19 @@
     }
 
 
-def percentile(waits: Iterable[tuple[int, int]], zeros: int, fraction: float) -> float:
-    """Return the seconds that a fraction of the waits does not exceed.
+def percentile(waits: Iterable[tuple[int, int]], without_wait: int, fraction: float) -> float:
+    """Return a percentile of the waiting times in seconds; ``fraction`` is 0.99 for the 99th.
 
-    ``waits`` are pairs of microseconds and a number of requests; ``zeros`` requests did not wait.
+    ``waits`` are pairs (microseconds, number of requests); ``without_wait`` more requests did not wait.
     """
-    counted = sorted(waits)
-    wanted = fraction * (zeros + sum(number for _, number in counted))
-    seen = zeros
-    for wait, number in counted:
-        if seen >= wanted:
+    sorted_waits = sorted(waits)
+    rank = fraction * (without_wait + sum(number for _, number in sorted_waits))
+    cumulative = without_wait
+    for wait, number in sorted_waits:
+        if cumulative >= rank:
             break
-        seen += number
-        if seen >= wanted:
+        cumulative += number
+        if cumulative >= rank:
             return wait / _MICROSECONDS_PER_SECOND
     return 0.0
 
@@ -66,13 +66,13 @@
     return part / total if total else 0.0
 
 
-def _phase(counts: Counter[str], seconds: float, scenario: Scenario) -> dict[str, Any]:
+def _phase_figures(counts: Counter[str], seconds: float, scenario: Scenario) -> dict[str, Any]:
     """Return the figures of one phase."""
     return {
         "seconds": seconds,
         **_phase_service(counts, seconds),
-        **_phase_ends(counts),
-        **_phase_counter(counts, seconds, scenario.like_fleets),
+        **_phase_outcomes(counts),
+        **_phase_counter_calls(counts, seconds, scenario.like_fleets),
         "probes/s": counts["health checks"] / seconds,
         "busy": counts["work us"]
         / _MICROSECONDS_PER_SECOND
@@ -101,8 +101,8 @@
     }
 
 
-def _phase_ends(counts: Counter[str]) -> dict[str, Any]:
-    """Return how requests and attempts ended."""
+def _phase_outcomes(counts: Counter[str]) -> dict[str, Any]:
+    """Return the outcomes of requests and attempts."""
     requests = counts["requests"]
     by_reason = _with_prefix(counts, "rejected within quota: ")
     ended = {key: counts[key] for key in sorted(counts) if key.startswith(("refused", "failed"))}
@@ -115,7 +115,7 @@
     }
 
 
-def _phase_counter(counts: Counter[str], seconds: float, like_fleets: int) -> dict[str, Any]:
+def _phase_counter_calls(counts: Counter[str], seconds: float, like_fleets: int) -> dict[str, Any]:
     """Return the figures of the calls to the counter."""
     calls = counts["counter calls"]
     served = counts["counter calls served"]
@@ -161,7 +161,7 @@
 
 
 def _counter_waits(tally: Tally, requests: int) -> dict[str, float]:
-    """Return the waits for the counter, of the requests that waited and of all requests."""
+    """Return percentiles of the wait for the counter, over the requests that waited and over all requests."""
     waited = sum(tally.waits.values())
     return {
         "held p50": percentile(tally.waits.items(), 0, 0.5),
@@ -172,7 +172,7 @@
 
 
 def _costs(tally: Tally, limiters: int, seconds: float) -> dict[str, Any]:
-    """Real processor time: of the decisions, and of the simulation."""
+    """Return the real processor time of the decisions and of the whole simulation."""
     cost = tally.cost
     limiter_seconds = limiters * seconds
     control = sum(cost[event] for event in CONTROL_EVENTS)
@@ -197,7 +197,7 @@
 
 
 def _recovery(tally: Tally, schedule: FaultSchedule, fault_end: float, until: float) -> float:
-    """Return the seconds from a fault's end until the service has recovered; infinite after ``until``."""
+    """Return the seconds from a fault's end to the recovery of service; infinity if not before ``until``."""
     fault_free = range(math.ceil(schedule.fault_free_from), int(schedule.zone_outage.begin))
     fault_free_service = _service(tally, fault_free)
     for second in range(math.ceil(fault_end), int(until) - RECOVERY_SECONDS + 1):
@@ -210,8 +210,8 @@
 def _warm_up(tally: Tally, schedule: FaultSchedule) -> float:
     """Return the seconds from the zone's return until no limiter has endpoints that are warming up.
 
-    It is infinite if that does not happen before the partition. Seconds before the notification of all
-    limiters do not count.
+    Return infinity if that does not happen before the partition. The search starts when all limiters have
+    been notified of the return.
     """
     returned_at = schedule.zone_outage.end
     for second in range(
@@ -223,7 +223,7 @@
 
 
 def _service(tally: Tally, seconds: Iterable[int]) -> float:
-    """Return the served fraction of the value that was offered in these seconds."""
+    """Return the served fraction of the value offered in these seconds of the run."""
     counts = [tally.seconds[second] for second in seconds if second in tally.seconds]
     served = sum(count["served value"] for count in counts)
     return _ratio(served, sum(count["offered value"] for count in counts))
--- a/scale/fleet/tally.py
+++ b/scale/fleet/tally.py
@@ -15,13 +15,15 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Counts by phase and by second; ``cost`` and ``peak_memory`` differ from run to run."""
+    """Counts by phase and by second. ``cost`` and ``peak_memory`` are real and differ from run to run."""
 
     phase_begins: tuple[float, ...]  # virtual seconds
     phases: list[Counter[str]] = field(default_factory=list)
     seconds: defaultdict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    waits: Counter[int] = field(default_factory=Counter)  # for the counter, by virtual microseconds
-    cost: Counter[str] = field(default_factory=Counter)  # nanoseconds by event, and events by name with "s"
+    # Number of requests by their wait for the counter, in virtual microseconds.
+    waits: Counter[int] = field(default_factory=Counter)
+    # Nanoseconds by event name, and number of events by event name + "s".
+    cost: Counter[str] = field(default_factory=Counter)
     peak_memory: list[int] = field(default_factory=list)  # bytes, of each worker
 
     _phase_begin: float = 0.0
@@ -33,10 +35,9 @@
         self.phases = self.phases or [Counter() for _ in self.phase_begins]
 
     def at(self, time: float) -> Counter[str]:
-        """Return the counts of the phase of a time."""
-        if (
-            not self._phase_begin <= time < self._phase_end
-        ):  # times are mostly of the same phase as the last one
+        """Return the counts of the phase that contains a time."""
+        # Most calls need the same phase as the call before, so the last one is cached.
+        if not self._phase_begin <= time < self._phase_end:
             number = max(0, bisect_right(self.phase_begins, time) - 1)
             self._phase_begin = self.phase_begins[number]
             self._phase_end = (*self.phase_begins, math.inf)[number + 1]
--- a/scale/fleet/tenants.py
+++ b/scale/fleet/tenants.py
@@ -18,22 +18,22 @@
 )
 from scale.model import Size
 
-# Units a second before they are scaled to the fleet's rate. These quotas and the fraction of tenants on the
-# volume plan give 54% and 46% of the usage to the plans.
+# Quotas in units a second, before they are scaled to the fleet's rate. With ``VOLUME_PLAN_FRACTION``, 54% of
+# the usage is on the basic plan and 46% on the volume plan.
 _BASIC_RATE = 7.35
 _VOLUME_RATE = 49.0
-_BASIC_BURST_SECONDS = 4.45  # of the quota, which the bucket holds
+_BASIC_BURST_SECONDS = 4.45  # burst divided by the quota
 _VOLUME_BURST_SECONDS = 1.95
-_CEILING_MULTIPLE = 2.1  # of the volume plan's rate and burst
-_OVER_QUOTA_LOAD = (1.1, 4.9)  # demand divided by the quota, before the exponent
+_CEILING_MULTIPLE = 2.1  # ceiling of the volume plan divided by its rate and burst
+_OVER_QUOTA_LOAD = (1.1, 4.9)  # range of the load (demand divided by the quota), before the exponent
 _OVER_QUOTA_EXPONENT = 0.8
 _NEAR_QUOTA_LOAD = (0.85, 1.0)
 _MAX_BELOW_QUOTA_LOAD = 0.75
 _MIN_LOAD = 1e-4
-_PARETO_SHAPE = 0.9  # of the demand below the quota
+_PARETO_SHAPE = 0.9  # of the loads below the quota
 _PARETO_SCALE = 0.05
 _BISECTION_STEPS = 50
-_MAX_SCALE = 1000.0  # of the demand below the quota
+_MAX_LOAD_SCALE = 1000.0  # upper bound of the factor on the loads below the quota
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     name: str
     rate: float
     burst: float
-    price: int  # in tenths, because sums of integers do not depend on their order
+    price: int  # in tenths: an integer, so that sums of prices do not depend on their order
     over_quota_cost: float
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
@@ -54,15 +54,15 @@
     """One customer with its plan and demand."""
 
     index: int
-    plan: int  # index of the population's plans
-    first_limiter: int  # of its set, which continues with the next ones
-    rate: float  # first requests a second
+    plan: int  # index into ``Population.plans``
+    first_limiter: int  # of its set of limiters, which have consecutive indices
+    rate: float  # requests a second, without retries
     bursty: bool
     account: str
 
 
 class Population:
-    """All tenants and their plans, and the work of their usage within the quotas."""
+    """All tenants of a fleet with their plans, and the scale of their work."""
 
     def __init__(self, size: Size, rng: Random) -> None:
         """Draw the tenants of a fleet."""
@@ -72,13 +72,13 @@
         quotas = [self.plans[volume].rate for volume in on_volume]
         loads = _Loads(rng, quotas)
         loads.scale_to(offered_units)
-        self._within_quota = loads.within_quota() / MEAN_UNITS  # requests a second
+        self._requests_within_quota = loads.within_quota() / MEAN_UNITS  # requests a second
         self.tenants = [
             Tenant(
                 index=index,
                 plan=int(on_volume[index]),
                 first_limiter=rng.randrange(size.limiters),
-                rate=quotas[index] * loads.relative[index] / MEAN_UNITS,
+                rate=quotas[index] * loads.by_tenant[index] / MEAN_UNITS,
                 bursty=loads.draw_bursty(index, rng),
                 account=f"{rng.getrandbits(33):016x}",
             )
@@ -88,11 +88,11 @@
     def work_scale(self, endpoints: int) -> float:
         """Return the factor on the work of a request that gives the target utilization."""
         mean_work = sum(kind.fraction * kind.work for kind in REQUEST_KINDS)
-        return TARGET_UTILIZATION * endpoints * ENDPOINT_CORES / (self._within_quota * mean_work)
+        return TARGET_UTILIZATION * endpoints * ENDPOINT_CORES / (self._requests_within_quota * mean_work)
 
 
 def _scaled_plans(offered_units: float, on_volume: list[bool]) -> tuple[PlanTerms, PlanTerms]:
-    """Return both plans; ``offered_units`` a second are ``QUOTA_UTILIZATION`` of the sum of all quotas."""
+    """Return both plans, scaled to quotas whose sum is ``offered_units`` divided by ``QUOTA_UTILIZATION``."""
     unscaled = sum(_VOLUME_RATE if volume else _BASIC_RATE for volume in on_volume)
     scale = offered_units / (QUOTA_UTILIZATION * unscaled)
     basic = PlanTerms(
@@ -115,48 +115,49 @@
 
 
 class _Loads:
-    """Each tenant's demand divided by its quota: some above 1, some near 1, the others below."""
+    """The load of each tenant, which is its demand divided by its quota: above 1, near 1 or below."""
 
     def __init__(self, rng: Random, quotas: list[float]) -> None:
         self._quotas = quotas
-        self.relative = [0.0] * len(quotas)
-        self._below = list[int]()
+        self.by_tenant = [0.0] * len(quotas)
+        self._below_quota = list[int]()
         for index in range(len(quotas)):
             draw = rng.random()
             if draw < OVER_QUOTA_FRACTION:
-                self.relative[index] = rng.uniform(*_OVER_QUOTA_LOAD) ** _OVER_QUOTA_EXPONENT
+                self.by_tenant[index] = rng.uniform(*_OVER_QUOTA_LOAD) ** _OVER_QUOTA_EXPONENT
             elif draw < OVER_QUOTA_FRACTION + NEAR_QUOTA_FRACTION:
-                self.relative[index] = rng.uniform(*_NEAR_QUOTA_LOAD)
+                self.by_tenant[index] = rng.uniform(*_NEAR_QUOTA_LOAD)
             else:
-                self._below.append(index)
-                self.relative[index] = rng.paretovariate(_PARETO_SHAPE) * _PARETO_SCALE
-        self._below_set = set(self._below)
+                self._below_quota.append(index)
+                self.by_tenant[index] = rng.paretovariate(_PARETO_SHAPE) * _PARETO_SCALE
+        self._below_quota_set = set(self._below_quota)
 
     def scale_to(self, offered_units: float) -> None:
-        """Scale the demand below the quotas so that the total demand is ``offered_units`` a second."""
+        """Scale the loads below the quota so that the total demand is ``offered_units`` a second."""
         quotas = self._quotas
-        relative = self.relative
-        total_demand = sum(quota * load for quota, load in zip(quotas, relative, strict=True))
-        fixed = total_demand - sum(quotas[index] * relative[index] for index in self._below)
+        by_tenant = self.by_tenant
+        total_demand = sum(quota * load for quota, load in zip(quotas, by_tenant, strict=True))
+        fixed_demand = total_demand - sum(quotas[index] * by_tenant[index] for index in self._below_quota)
         low = 0.0
-        high = _MAX_SCALE
+        high = _MAX_LOAD_SCALE
         for _ in range(_BISECTION_STEPS):
             middle = (low + high) / 2
-            total = fixed + sum(
-                quotas[index] * min(_MAX_BELOW_QUOTA_LOAD, middle * relative[index]) for index in self._below
+            total = fixed_demand + sum(
+                quotas[index] * min(_MAX_BELOW_QUOTA_LOAD, middle * by_tenant[index])
+                for index in self._below_quota
             )
             if total < offered_units:
                 low = middle
             else:
                 high = middle
-        for index in self._below:
-            relative[index] = max(_MIN_LOAD, min(_MAX_BELOW_QUOTA_LOAD, low * relative[index]))
+        for index in self._below_quota:
+            by_tenant[index] = max(_MIN_LOAD, min(_MAX_BELOW_QUOTA_LOAD, low * by_tenant[index]))
 
     def within_quota(self) -> float:
         """Return the demand within the quotas in units a second."""
-        return sum(quota * min(1.0, load) for quota, load in zip(self._quotas, self.relative, strict=True))
+        return sum(quota * min(1.0, load) for quota, load in zip(self._quotas, self.by_tenant, strict=True))
 
     def draw_bursty(self, index: int, rng: Random) -> bool:
         """Draw whether a tenant has bursts; only tenants below their quota do."""
         probability = BURSTY_FRACTION / (1 - OVER_QUOTA_FRACTION - NEAR_QUOTA_FRACTION)
-        return index in self._below_set and rng.random() < probability
+        return index in self._below_quota_set and rng.random() < probability
--- a/scale/fleet/text_report.py
+++ b/scale/fleet/text_report.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 _LABEL_WIDTH = 28
-_REASONS = "with room by reason"  # the only table whose rows repeat its name
+_REASONS = "with room by reason"  # the only table whose row labels begin with its name
 
 
 def format_summary(summary: dict[str, Any]) -> str:
@@ -19,8 +19,8 @@
         else:
             rows.append(f"{figure:{_LABEL_WIDTH}}" + _cells(phase[figure] for phase in phases.values()))
     for figure, value in summary["over all"].items():
-        inner = value.items() if isinstance(value, dict) else [("", value)]
-        for name, number in inner:
+        named_numbers = value.items() if isinstance(value, dict) else [("", value)]
+        for name, number in named_numbers:
             label = f"{figure}: {name}" if name else figure
             rows.append(f"{label:34}{number:12.5g}")
     return "\n".join(rows)
--- a/scale/fleet/token_bucket.py
+++ b/scale/fleet/token_bucket.py
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """The exact bucket of a tenant over all limiters; ``rate`` is in units a second."""
+    """The exact token bucket of one tenant over all limiters; ``rate`` is in units a second."""
 
     __slots__ = ("_filled_at", "_rate", "burst", "tokens")
 
@@ -24,13 +24,13 @@
         return self.tokens
 
     def take(self, at: float, units: float) -> bool:
-        """Take units if they are within the quota; return whether they are."""
+        """Take units if the bucket holds enough tokens; return whether it did."""
         if self.fill(at) < units - _ROUNDING_UNITS:
             return False
         self.tokens -= units
         return True
 
     def charge(self, at: float, units: float) -> None:
-        """Take units in any case; a negative number returns units."""
+        """Take units even if the bucket holds fewer tokens; a negative number returns units."""
         self.fill(at)
         self.tokens -= units
--- a/scale/fleet/topology.py
+++ b/scale/fleet/topology.py
@@ -10,18 +10,18 @@
 )
 
 COORDINATION_ZONE = 0  # where the counter and discovery run
-_PAIR_DRAWS = 997  # number of different delays in a range
+_PAIR_DRAWS = 997  # number of different values of ``pair_draw``
 
 
 class Topology:
-    """Limiters and endpoints are in the zones in turn, so that a tenant's set of limiters spans several."""
+    """Assigns limiters and endpoints to zones round-robin, so that a tenant's limiters span several zones."""
 
     __slots__ = ("_near_zones", "_zones")
 
     def __init__(self, zones: int) -> None:
         """Distribute the zones over two regions."""
         self._zones = zones
-        # Three in five belong to the region that has the counter and discovery.
+        # Three fifths of the zones, rounded up, are in the region that has the counter and discovery.
         self._near_zones = -(-3 * zones // 5)
 
     def zone(self, index: int) -> int:
@@ -41,7 +41,7 @@
         return endpoint // self._zones
 
     def delay(self, one: int, other: int, draw: float) -> float:
-        """Return the one-way delay between two zones in seconds; ``draw``, 0 to 1, selects from the range."""
+        """Return the one-way delay between two zones in seconds; ``draw`` (0 to 1) interpolates its range."""
         if one == other:
             low, high = SAME_ZONE_DELAY_SECONDS
         elif self.region(one) == self.region(other):
@@ -52,5 +52,5 @@
 
 
 def pair_draw(limiter: int, peer: int) -> float:
-    """Return a draw from 0 to 1 that is constant for the pair, so that messages keep their order."""
+    """Return a number from 0 to 1 that depends only on the pair, so that its messages keep their order."""
     return (limiter * 7919 + peer * 104_729) % _PAIR_DRAWS / _PAIR_DRAWS
--- a/scale/fleet/wire_format.py
+++ b/scale/fleet/wire_format.py
@@ -14,7 +14,7 @@
 
 
 def encode(envelopes: Iterable[Envelope]) -> list[EncodedEnvelope]:
-    """Encode envelopes; the event becomes the code of its type and its fields."""
+    """Encode envelopes; an event becomes the code of its type and the tuple of its fields."""
     return [
         (time, source, sequence, recipient, _EVENT_CODES[type(event)], tuple(event))
         for time, source, sequence, recipient, event in envelopes
--- a/scale/fleet/worker.py
+++ b/scale/fleet/worker.py
@@ -1,9 +1,9 @@
 """One of the processes that simulate a fleet: its limiters, endpoints and tenants, window by window.
 
-Within a window only limiters act. Endpoints and clients handle its messages one window later, with the exact
-times of arrival, and their responses arrive in the next window at the earliest. So a response in less than
-two windows (an overload, a refused connection) is late by up to two windows, and a reply of the counter in
-less than one window by up to one.
+Endpoints, clients, the counter and discovery handle the messages of one window at the start of the next, with
+the exact times of arrival. A limiter handles an endpoint's response in the window after that at the earliest,
+and a counter reply in that window itself. So a response that takes less than two windows (an overload, a
+refused connection) is up to two windows late, and a counter reply that takes less than one is up to one late.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 from scale.fleet.workload import Workload
 
 WINDOW_SECONDS = 0.005  # virtual, between two exchanges
-# Virtual time after the last request, for open requests.
+# Virtual time after the last request in which open requests can complete.
 DRAIN_SECONDS = 1.1 * max(kind.deadline for kind in REQUEST_KINDS)
-_PROGRESS_SECONDS = 10  # virtual
+_PROGRESS_INTERVAL_SECONDS = 10  # virtual, between two progress messages
 _BYTES_PER_KIB = 1024  # ``ru_maxrss`` is in KiB
 
 
 class Worker:
-    """Runs its part of the world in step with the other workers."""
+    """Simulates its part of the world in lockstep with the other workers."""
 
     def __init__(self, index: int, count: int, exchange: Exchange, world: World) -> None:
         """``exchange`` transfers messages between the ``count`` workers."""
@@ -46,10 +46,10 @@
         self._limiter_events = list[Envelope]()  # heap
         self._client_events = list[Envelope]()  # heap
         history = EndpointHistory(world)
-        self._limiters = self._own_limiters(history)
-        self._workload = self._own_workload()
+        self._limiters = self._create_limiters(history)
+        self._workload = self._create_workload()
         self._endpoints = EndpointService(world, self._router, history, self._tally)
-        # Each worker's counter serves all calls; only one worker counts them.
+        # The counter of every worker serves all calls, so only worker 0 counts them.
         counter_tally = self._tally if index == 0 else None
         self._counter = CounterService(world, self._router, self._limiter_events, counter_tally)
         self._discovery = DiscoveryService(world, self._router, self._limiter_events, history)
@@ -67,7 +67,7 @@
 
     def run(self) -> Tally:
         """Run all windows and return the tally of this worker."""
-        # The simulation creates no reference cycles; a search for them takes as long as the decisions.
+        # The simulation creates no reference cycles; garbage collection would take as long as the decisions.
         gc.disable()
         windows = round((self._world.schedule.end + DRAIN_SECONDS) / WINDOW_SECONDS)
         for window in range(windows):
@@ -81,7 +81,7 @@
         self._tally.cost["process"] += time.process_time_ns()
         return self._tally
 
-    def _own_limiters(self, history: EndpointHistory) -> dict[int, Limiter]:
+    def _create_limiters(self, history: EndpointHistory) -> dict[int, Limiter]:
         limiters = dict[int, Limiter]()
         for index in range(self._world.size.limiters):
             if self._router.owns_limiter(index):
@@ -91,7 +91,7 @@
                 )
         return limiters
 
-    def _own_workload(self) -> Workload | None:
+    def _create_workload(self) -> Workload | None:
         tenants = [tenant.index for tenant in self._world.tenants if self._router.owns_tenant(tenant.index)]
         return Workload(self._world, tenants, self._tally) if tenants else None
 
@@ -110,7 +110,7 @@
         if self._workload is None:
             return
         self._workload.receive(pop_before(self._client_events, start))
-        # After the end of the run no requests are sent, and the open ones complete.
+        # No requests are sent after the scheduled end, while open ones complete.
         self._workload.send_until(min(self._world.schedule.end, end + WINDOW_SECONDS), self._router.send)
 
     def _run_limiters(self, end: float) -> None:
@@ -123,9 +123,9 @@
         self._tally.seconds[self._seconds_counted]["endpoints warming up"] += warming_up
         self._seconds_counted += 1
         reports_progress = self._world.scenario.progress and self._index == 0
-        if reports_progress and self._seconds_counted % _PROGRESS_SECONDS == 0:
+        if reports_progress and self._seconds_counted % _PROGRESS_INTERVAL_SECONDS == 0:
             print(
-                f"virtual second {self._seconds_counted}, {time.process_time():.0f} CPU s of one worker",
+                f"simulated {self._seconds_counted} s; worker 0 has used {time.process_time():.0f} CPU s",
                 file=sys.stderr,
                 flush=True,
             )
--- a/scale/fleet/workload.py
+++ b/scale/fleet/workload.py
@@ -18,12 +18,12 @@
 
 
 class _DueRequest(NamedTuple):
-    """A request that is due; ordered by time, tenant and retry number."""
+    """A request to send; ordered by time, tenant and retry number."""
 
     at: float
     tenant: int
-    retry_number: int  # 0: a new request
-    request: PendingRequest | None  # None: a new one
+    retry_number: int  # 0 for a new request
+    request: PendingRequest | None  # None for a new request, which is drawn when it is due
 
 
 class Workload:
@@ -38,10 +38,10 @@
             for tenant, clients in self._clients.items()
         ]
         heapify(self._due)
-        self._retries = 0
+        self._retry_count = 0
 
     def send_until(self, until: float, send: Send) -> None:
-        """Send all requests that are due before a time."""
+        """Send all requests that are due before ``until``."""
         due = self._due
         while due[0].at < until:
             at, tenant, _, request = heappop(due)
@@ -67,7 +67,7 @@
                 self._schedule_retry(envelope.time, clients, request)
 
     def count_unanswered(self, end: float) -> None:
-        """Count the requests as lost that have no response although their timeout has ended."""
+        """Count a request as lost if it has no response and its timeout passed before ``end``."""
         for clients in self._clients.values():
             unanswered = sum(
                 request.due_at + RESPONSE_GRACE_SECONDS < end for request in clients.pending.values()
@@ -78,5 +78,5 @@
     def _schedule_retry(self, now: float, clients: TenantClients, request: PendingRequest) -> None:
         at = clients.retry_at(now, request)
         if at is not None:
-            self._retries += 1
-            heappush(self._due, _DueRequest(at, clients.tenant.index, self._retries, request))
+            self._retry_count += 1
+            heappush(self._due, _DueRequest(at, clients.tenant.index, self._retry_count, request))
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet simulation: its services, its accounts, and equal results with any number of workers."""
+"""Tests of the fleet simulation: its services, its accounts, and equal results with one and two workers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     RequestResult,
     RequestServed,
 )
-from scale.fleet.scale_test import like_fleets, reduced
+from scale.fleet.scale_test import like_fleets, reduced_size
 from scale.fleet.scenario import Scenario, World
 from scale.fleet.simulation import simulate
 from scale.fleet.summary import percentile, summarize
@@ -40,7 +40,7 @@
 SMALL_FLEET = Size(limiters=5, servers=20, tenants=75, rate=180.0)
 
 
-def answered(reply: CounterReply | None) -> CounterReply:
+def require_reply(reply: CounterReply | None) -> CounterReply:
     assert reply is not None
     return reply
 
@@ -53,44 +53,44 @@
     assert len(times) == 2000
     assert times == sorted(times)
     assert times[-1] == pytest.approx(2.0, rel=0.05)  # the queue is served at the capacity
-    assert answered(replies[-1]).total == 2000.0  # the total includes calls that timed out
+    assert require_reply(replies[-1]).total == 2000.0  # the total includes calls that timed out
 
 
 def test_each_partition_of_the_counter_has_its_own_queue() -> None:
     counter = SimulatedCounter(2, 1000.0, seed=1)
     for _ in range(100):
         counter.call(0.0, 2, 1.0, 60.0)
-    busy = answered(counter.call(0.0, 4, 1.0, 60.0))
-    idle = answered(counter.call(0.0, 3, 1.0, 60.0))
+    busy = require_reply(counter.call(0.0, 4, 1.0, 60.0))
+    idle = require_reply(counter.call(0.0, 3, 1.0, 60.0))
     assert busy.answered_at > 0.15
     assert idle.answered_at < 0.004
 
 
-def test_a_total_expires_its_lifetime_after_its_first_call() -> None:
+def test_a_counter_total_expires_one_lifetime_after_its_first_call() -> None:
     counter = SimulatedCounter(1, 1000.0, seed=1)
-    totals = [answered(counter.call(at, 1, 2.0, 5.0)).total for at in (0.0, 4.0, 4.9, 5.1)]
+    totals = [require_reply(counter.call(at, 1, 2.0, 5.0)).total for at in (0.0, 4.0, 4.9, 5.1)]
     assert totals == [2.0, 4.0, 6.0, 2.0]
     assert counter.call(6.0, 2, 1.0, 500.0) is not None
-    assert answered(counter.call(67.0, 2, 1.0, 500.0)).total == 1.0  # the maximum lifetime is 60 s
+    assert require_reply(counter.call(67.0, 2, 1.0, 500.0)).total == 1.0  # the maximum lifetime is 60 s
 
 
 def test_the_counter_does_not_reply_in_an_outage_and_is_empty_after_it() -> None:
     counter = SimulatedCounter(1, 1000.0, seed=1, outages=(Interval(1.0, 2.0),))
     counter.call(0.5, 1, 5.0, 60.0)
     assert counter.call(1.5, 1, 5.0, 60.0) is None
-    assert answered(counter.call(2.5, 1, 1.0, 60.0)).total == 1.0
+    assert require_reply(counter.call(2.5, 1, 1.0, 60.0)).total == 1.0
 
 
-def test_like_fleets_use_their_part_of_the_counters_capacity() -> None:
-    alone = SimulatedCounter(1, 1000.0, seed=1)
+def test_other_fleets_on_the_counter_take_part_of_its_capacity() -> None:
+    unshared = SimulatedCounter(1, 1000.0, seed=1)
     shared = SimulatedCounter(1, 1000.0, seed=1, like_fleets=20)
-    alone_replies = [alone.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
+    unshared_replies = [unshared.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
     shared_replies = [shared.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
-    assert answered(alone_replies[-1]).answered_at - 1.99 < 0.002
-    assert answered(shared_replies[-1]).answered_at - 1.99 > 0.5  # 2,000 calls a second in total
+    assert require_reply(unshared_replies[-1]).answered_at - 1.99 < 0.002
+    assert require_reply(shared_replies[-1]).answered_at - 1.99 > 0.5  # 2,000 calls a second in total
 
 
-def test_an_endpoint_queues_rejects_beyond_its_queue_limit_and_skips_attempts_that_timed_out() -> None:
+def test_an_endpoint_queues_attempts_up_to_its_limit_and_skips_those_that_timed_out() -> None:
     endpoint = SimulatedEndpoint(boots_at=0.0)
     accepted = parameters.ENDPOINT_CORES + parameters.ENDPOINT_QUEUE_LIMIT
     results = [endpoint.attempt(0.0, 0.1, 10.0) for _ in range(accepted + 1)]
@@ -104,17 +104,17 @@
     assert busy.attempt(0.0, 1.0, 1.5) == (AttemptOutcome.OK, 2.0)
 
 
-def test_an_endpoint_that_warms_up_is_slow_and_fails_under_more_than_the_overload_multiple() -> None:
-    gentle, pushed = SimulatedEndpoint(boots_at=5.0), SimulatedEndpoint(boots_at=5.0)
-    outcome, ended_at = gentle.attempt(5.0, 0.1, 2.0)
+def test_a_warming_up_endpoint_is_slow_and_fails_beyond_the_overload_factor() -> None:
+    lightly_loaded, overloaded = SimulatedEndpoint(boots_at=5.0), SimulatedEndpoint(boots_at=5.0)
+    outcome, ended_at = lightly_loaded.attempt(5.0, 0.1, 2.0)
     assert outcome is AttemptOutcome.OK
     assert ended_at == pytest.approx(5.0 + 0.1 / parameters.INITIAL_CAPACITY_FRACTION)
-    bearable = parameters.OVERLOAD_FACTOR * parameters.ENDPOINT_CORES * parameters.INITIAL_CAPACITY_FRACTION
-    outcomes = [pushed.attempt(5.0 + number * 0.001, 0.1, 2.0).outcome for number in range(20)]
-    assert outcomes.index(AttemptOutcome.UNREACHABLE) == int(bearable / 0.1)
-    assert pushed.failed
-    assert not gentle.failed
-    assert pushed.attempt(60.0, 0.1, 2.0).outcome is AttemptOutcome.UNREACHABLE
+    max_work = parameters.OVERLOAD_FACTOR * parameters.ENDPOINT_CORES * parameters.INITIAL_CAPACITY_FRACTION
+    outcomes = [overloaded.attempt(5.0 + number * 0.001, 0.1, 2.0).outcome for number in range(20)]
+    assert outcomes.index(AttemptOutcome.UNREACHABLE) == int(max_work / 0.1)
+    assert overloaded.failed
+    assert not lightly_loaded.failed
+    assert overloaded.attempt(60.0, 0.1, 2.0).outcome is AttemptOutcome.UNREACHABLE
 
 
 def test_a_token_bucket_keeps_its_tokens_when_units_exceed_the_quota() -> None:
@@ -131,9 +131,7 @@
     return envelope.event.request_id
 
 
-def test_accounts_count_units_over_quota_exceeded_ceilings_rejections_within_quota_and_lost_requests() -> (
-    None
-):
+def test_a_tenant_account_counts_excess_units_exceeded_ceilings_rejections_and_lost_requests() -> None:
     world = World(Scenario(SMALL_FLEET, FaultSchedule.of(10.0)))
     tenant = next(tenant for tenant in world.tenants if tenant.plan == 1)
     tally = Tally((0.0,))
@@ -158,7 +156,7 @@
         clients.receive(9.0, RequestServed(requests[0]))
 
 
-def test_a_run_is_equal_with_one_worker_and_with_two_and_violates_no_invariant() -> None:
+def test_one_and_two_workers_give_equal_results_and_violate_no_invariant() -> None:
     scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), like_fleets=84)
     one, two = simulate(scenario, 1), simulate(scenario, 2)
     assert one.tally.phases == two.tally.phases
@@ -173,11 +171,13 @@
     assert "calls/s" in format_summary(summary)
 
 
-def test_decisions_are_imported_from_another_checkout_if_one_is_given(tmp_path: Path) -> None:
+def test_decisions_are_imported_from_the_given_checkout(tmp_path: Path) -> None:
     (tmp_path / "quota_gateway").mkdir()
-    (tmp_path / "quota_gateway" / "__init__.py").write_text("raise RuntimeError('the other one')")
+    (tmp_path / "quota_gateway" / "__init__.py").write_text(
+        "raise RuntimeError('imported from the other checkout')"
+    )
     scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), package=str(tmp_path))
-    with pytest.raises(BrokenRunError, match="the other one"):
+    with pytest.raises(BrokenRunError, match="imported from the other checkout"):
         simulate(scenario, 1)
 
 
@@ -187,13 +187,13 @@
         exchange([[] for _ in range(count)])
 
 
-def kill_last(process_ids: list[int]) -> None:
+def kill_last_worker(process_ids: list[int]) -> None:
     os.kill(process_ids[-1], signal.SIGKILL)
 
 
-def test_a_killed_worker_ends_the_run_with_its_cause() -> None:
+def test_a_killed_worker_fails_the_run_with_its_exit_code() -> None:
     with pytest.raises(BrokenRunError, match=r"worker 1.* exit code -9"):
-        lockstep.run_workers(work_until_killed, 2, 10.0, kill_last)
+        lockstep.run_workers(work_until_killed, 2, 10.0, kill_last_worker)
 
 
 def test_a_percentile_includes_requests_that_did_not_wait() -> None:
@@ -204,7 +204,7 @@
 
 
 def test_a_reduced_fleet_keeps_its_proportions() -> None:
-    fleet = reduced(Size(), 0.1)
+    fleet = reduced_size(Size(), 0.1)
     assert (fleet.limiters, fleet.servers, fleet.tenants, fleet.rate) == (42, 340, 1500, 3600.0)
     assert like_fleets(fleet, Size()) == 10
 
