--- a/scale/fleet/parameters.py
+++ b/scale/fleet/parameters.py
@@ -55,7 +55,7 @@
 BURST_INTERVAL_SECONDS = 40.0  # mean time between two bursts of a tenant
 LIMITER_ROTATION_SECONDS = (8.1, 23.0)  # until a tenant prefers the next limiter of its set
 
-# Tenants, as fractions of all tenants.
+# Tenants: fractions of all tenants, and the utilization of their quotas.
 VOLUME_PLAN_FRACTION = 0.11
 OVER_QUOTA_FRACTION = 0.10
 NEAR_QUOTA_FRACTION = 0.17
