--- a/scale/latency/cells.py
+++ b/scale/latency/cells.py
@@ -1,4 +1,4 @@
-"""The measured configurations."""
+"""The measured cases: configurations of the limiters, the endpoints and the load."""
 
 from __future__ import annotations
 
@@ -7,63 +7,66 @@
 from scale.model import Effort, Size
 from scale.stand_ins.endpoints import EndpointsSpec
 
-AS_IS = "as is"  # the configuration that the budget applies to
+# Plans with quotas and the default endpoints; the budget applies to this case.
+AS_IS = "as is"
 NO_QUOTAS = "no quotas"
-REUSED = "kept"  # connections to the endpoints are reused
-CONNECTING = "dialled"  # each request opens a connection to the endpoint
-DIRECT = "direct"  # without a limiter
+REUSED_CONNECTIONS = "kept"  # requests reuse connections to the endpoints
+NEW_CONNECTIONS = "dialled"  # each request opens a new connection to the endpoint
+WITHOUT_LIMITER = "direct"  # clients send to the endpoints
 
 QUICK_RUN_SECONDS = 0.5
 RUN_SECONDS = 1.2
-AS_IS_RUN_FACTOR = 3  # on the duration of the runs of ``AS_IS``
+AS_IS_DURATION_FACTOR = 3  # duration of a run of ``AS_IS`` divided by that of another case
 QUICK_SERVERS = 60
 FAR_COUNTER_ROUND_TRIP_SECONDS = 0.004
-# For the slopes, in addition to the full count and rate.
+# Additional cases for the slopes, which also include the full number of endpoints and the full rate.
 SERVER_COUNTS = (60, 500, 1500)
 RATE_FACTORS = (0.25, 0.5, 2.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
-    """One configuration with its load; it is measured in several runs."""
+class Case:
+    """One configuration and its load, measured in several runs."""
 
     name: str
     servers: int
-    rate: float  # requests a second of each limiter
-    seconds: float  # of a run
-    quotas: bool = True  # False: plans without a quota, and so no counter calls
+    rate: float  # requests a second at each limiter
+    run_seconds: float
+    quotas: bool = True  # False: the plans have no quota, so the limiters do not call the counter
     endpoints: EndpointsSpec = field(default_factory=EndpointsSpec)
-    counter_round_trip: float = 0.0002  # seconds on the network
-    direct: bool = False  # without a limiter: clients send to the endpoints
+    counter_round_trip: float = 0.0002  # seconds, on the network
+    direct: bool = False  # True: clients send to the endpoints, without a limiter
 
 
-def make_cells(size: Size, effort: Effort) -> dict[str, Cell]:
-    """Return the configurations by name."""
+def make_cases(size: Size, effort: Effort) -> dict[str, Case]:
+    """Return the cases by name."""
     rate = size.rate / size.limiters
-    seconds = QUICK_RUN_SECONDS if effort.quick else RUN_SECONDS
+    run_seconds = QUICK_RUN_SECONDS if effort.quick else RUN_SECONDS
     servers = min(size.servers, QUICK_SERVERS) if effort.quick else size.servers
-    cells = _breakdown_cells(servers, rate, seconds, 1 if effort.quick else AS_IS_RUN_FACTOR)
+    cases = _breakdown_cases(servers, rate, run_seconds, 1 if effort.quick else AS_IS_DURATION_FACTOR)
     if not effort.quick:
-        cells += _slope_cells(servers, rate, seconds)
-    return {cell.name: cell for cell in cells}
+        cases += _slope_cases(servers, rate, run_seconds)
+    return {case.name: case for case in cases}
 
 
-def _breakdown_cells(servers: int, rate: float, seconds: float, as_is_factor: int) -> list[Cell]:
-    """Return the configurations whose differences are the parts of the added latency."""
+def _breakdown_cases(servers: int, rate: float, run_seconds: float, as_is_factor: int) -> list[Case]:
+    """Return the cases whose differences in latency are the parts of the added latency."""
     reusing = EndpointsSpec(idle_closing_ports=0, slow_setup_ports=0)
     closing = EndpointsSpec(idle_closing_ports=0, slow_setup_ports=0, keep_alive=False)
     return [
-        Cell(AS_IS, servers, rate, seconds * as_is_factor),
-        Cell(NO_QUOTAS, servers, rate, seconds, quotas=False),
-        Cell(REUSED, servers, rate, seconds, quotas=False, endpoints=reusing),
-        Cell(CONNECTING, servers, rate, seconds, quotas=False, endpoints=closing),
-        Cell(DIRECT, servers, rate, seconds, quotas=False, endpoints=reusing, direct=True),
+        Case(AS_IS, servers, rate, run_seconds * as_is_factor),
+        Case(NO_QUOTAS, servers, rate, run_seconds, quotas=False),
+        Case(REUSED_CONNECTIONS, servers, rate, run_seconds, quotas=False, endpoints=reusing),
+        Case(NEW_CONNECTIONS, servers, rate, run_seconds, quotas=False, endpoints=closing),
+        Case(WITHOUT_LIMITER, servers, rate, run_seconds, quotas=False, endpoints=reusing, direct=True),
     ]
 
 
-def _slope_cells(servers: int, rate: float, seconds: float) -> list[Cell]:
-    """Return configurations with other distances, numbers of endpoints and rates."""
-    far = Cell("counter 4 ms away", servers, rate, seconds, counter_round_trip=FAR_COUNTER_ROUND_TRIP_SECONDS)
-    fewer = [Cell(f"{count} servers", count, rate, seconds) for count in SERVER_COUNTS if count < servers]
-    rates = [Cell(f"{factor:g} of the rate", servers, factor * rate, seconds) for factor in RATE_FACTORS]
+def _slope_cases(servers: int, rate: float, run_seconds: float) -> list[Case]:
+    """Return cases that vary the distance of the counter, the number of endpoints or the rate."""
+    far = Case(
+        "counter 4 ms away", servers, rate, run_seconds, counter_round_trip=FAR_COUNTER_ROUND_TRIP_SECONDS
+    )
+    fewer = [Case(f"{count} servers", count, rate, run_seconds) for count in SERVER_COUNTS if count < servers]
+    rates = [Case(f"{factor:g} of the rate", servers, factor * rate, run_seconds) for factor in RATE_FACTORS]
     return [far, *fewer, *rates]
--- a/scale/latency/decisions.py
+++ b/scale/latency/decisions.py
@@ -27,20 +27,20 @@
 MIN_SERVICE_SECONDS = 0.004
 MAX_SERVICE_SECONDS = 0.016
 COUNTER_REPLY_SECONDS = 0.001
-NO_REQUEST = -1  # in place of the request of a tick
+NO_REQUEST = -1  # request number of a timer event
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
     """The duration of ``Gateway.handle``."""
 
-    request: Percentiles  # seconds of all events of one request
-    tick: Percentiles  # seconds of a tick, once a second
-    cpu: float  # processor seconds a request, ticks included
+    request: Percentiles  # seconds, summed over the events of a request
+    tick: Percentiles  # seconds of the tick that runs once a second
+    cpu: float  # CPU seconds per request, ticks included
 
 
 class _ScheduledEvent(NamedTuple):
-    """An event with its time; ``order`` keeps events of the same time in the order of scheduling."""
+    """An event with its virtual time; ``order`` breaks ties: events scheduled first are handled first."""
 
     at: float
     order: int
@@ -49,7 +49,7 @@
 
 
 class _TimedGateway:
-    """Measures the decisions on scheduled events, with simulated replies of endpoints and the counter."""
+    """Measures a gateway on queued events; replies of simulated endpoints and a counter join the queue."""
 
     def __init__(self, gateway: Gateway, rng: Random) -> None:
         self._gateway = gateway
@@ -64,7 +64,7 @@
         heappush(self._queue, _ScheduledEvent(when, next(self._order), event, request))
 
     def run(self, until: float) -> None:
-        """Handle the events before ``until``, and the events that they cause."""
+        """Handle all events before ``until``, including those that are scheduled meanwhile."""
         while self._queue and self._queue[0].at < until:
             now, _, event, request = heappop(self._queue)
             started = time.perf_counter()
@@ -80,17 +80,17 @@
     def _execute(self, now: float, action: model.Action, request: int) -> None:
         ok = model.CallStatus.OK
         if isinstance(action, model.Forward):
-            wait = self._rng.uniform(MIN_SERVICE_SECONDS, MAX_SERVICE_SECONDS)
+            service_seconds = self._rng.uniform(MIN_SERVICE_SECONDS, MAX_SERVICE_SECONDS)
             completed = model.AttemptCompleted(
                 request_id=action.request_id,
                 attempt=0,
                 endpoint=action.endpoint,
                 status=ok,
-                elapsed=wait,
+                elapsed=service_seconds,
                 request_finished=True,
                 load_report={},
             )
-            self.schedule(now + wait, completed, action.request_id)
+            self.schedule(now + service_seconds, completed, action.request_id)
         elif isinstance(action, model.IncrementCounter):
             replied = model.CounterReplied(action.counter_id, ok, action.amount)
             self.schedule(now + COUNTER_REPLY_SECONDS, replied, request)
--- a/scale/latency/load.py
+++ b/scale/latency/load.py
@@ -1,4 +1,4 @@
-"""The clients: they send by the schedule, independent of the responses."""
+"""The clients: they send each request at its scheduled time, without waiting for earlier responses."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from random import Random
 
 from scale.http_client import HttpClient, Response, encode_request
-from scale.latency.cells import Cell
+from scale.latency.cells import Case
 from scale.latency.workload import CLIENT_TIMEOUT_SECONDS, plan_of, poisson_schedule, tenants_per_limiter
 from scale.model import BrokenRunError, Size
 from scale.stand_ins.timers import PreciseTimers
 
-LEAD_SECONDS = 0.02  # between the drawing of a schedule and its begin
-SETTLE_SECONDS = 0.4  # after a run, for the last responses
+LEAD_SECONDS = 0.02  # from the drawing of the schedules to the start of the run
+SETTLE_SECONDS = 0.4  # wait for the last responses of a run
 POLL_SECONDS = 0.02  # between two checks for missing responses
-SEED_SHIFT = 24  # keeps the request ids of different seeds apart
+SEED_SHIFT = 24  # runs with different seeds have different request ids
 
 
 @dataclass(slots=True)
-class Window:
-    """The observations in one run of a cell; times in seconds."""
-
-    added: list[float] = field(default_factory=list)
-    added_on_new: list[float] = field(default_factory=list)  # over a new connection to the endpoint
-    added_on_reused: list[float] = field(default_factory=list)  # over a reused connection
-    rejections: list[float] = field(default_factory=list)  # time to a rejection
-    send_delays: list[float] = field(default_factory=list)  # of the client behind the schedule
+class RunMeasurements:
+    """The measurements in one run of a case; times in seconds."""
+
+    added: list[float] = field(default_factory=list)  # added latency of each served request
+    added_on_new: list[float] = field(default_factory=list)  # part of it on new connections to endpoints
+    added_on_reused: list[float] = field(default_factory=list)  # part of it on reused connections
+    rejections: list[float] = field(default_factory=list)  # from the scheduled time to the rejection
+    send_delays: list[float] = field(default_factory=list)  # from the scheduled time to the sending
     rejected_by_plan: dict[str, int] = field(default_factory=lambda: defaultdict(int))
-    broken: int = 0
+    failed: int = 0  # requests that were neither served nor rejected
     pending: int = 0  # requests without a response
-    # Fraction of the run in which a process waited for a core, added up over the processes.
+    # Fraction of the run in which a process waited for a core, summed over the processes.
     core_wait: float = 0.0
 
-    def start_request(self) -> None:
-        """Count a request that is going to be sent."""
+    def expect_response(self) -> None:
+        """Count a scheduled request, whose response is pending from now on."""
         self.pending += 1
 
     def record_core_wait(self, fraction: float) -> None:
-        """Record the fraction of the run in which processes waited for a core."""
+        """Record the fraction of the run in which processes waited for a core, summed over them."""
         self.core_wait = fraction
 
     def record(self, plan: str, due: float, response: Response) -> None:
-        """Record the response to a request that was due at ``due``."""
+        """Record the response to a request that was scheduled for ``due``."""
         self.pending -= 1
         elapsed = response.received_at - due
         if response.is_served:
@@ -57,46 +57,47 @@
             self.rejections.append(elapsed)
             self.rejected_by_plan[plan] += 1
         else:
-            self.broken += 1
+            self.failed += 1
 
 
-class Load:
-    """The clients of all limiters of a cell."""
+class LoadGenerator:
+    """Sends the scheduled requests of a case to its limiters."""
 
-    def __init__(self, clients: list[HttpClient], cell: Cell, size: Size, seed: int) -> None:
+    def __init__(self, clients: list[HttpClient], case: Case, size: Size, seed: int) -> None:
         """``clients`` has one client for each limiter; ``seed`` draws the schedules."""
         self._clients = clients
-        self._cell = cell
+        self._case = case
         self._size = size
         self._rng = Random(seed)
         self._timers = PreciseTimers()
         self._ids = count(seed << SEED_SHIFT)
 
     def close(self) -> None:
-        """Discard the requests that are due."""
+        """Cancel the requests that have not been sent."""
         self._timers.close()
 
-    async def run(self, seconds: float) -> Window:
-        """Run the load for a time. Raise ``BrokenRunError`` if a response is missing."""
-        window = Window()
-        begin = time.monotonic() + LEAD_SECONDS
+    async def run(self, seconds: float) -> RunMeasurements:
+        """Send requests for a time and wait for the responses. Raise ``BrokenRunError`` if one is missing."""
+        measurements = RunMeasurements()
+        start = time.monotonic() + LEAD_SECONDS
         for number, client in enumerate(self._clients):
-            self._schedule(window, number, client, begin, seconds)
-        await asyncio.sleep(begin - time.monotonic() + seconds + SETTLE_SECONDS)
+            self._schedule(measurements, number, client, start, seconds)
+        await asyncio.sleep(start - time.monotonic() + seconds + SETTLE_SECONDS)
         deadline = time.monotonic() + CLIENT_TIMEOUT_SECONDS
-        while window.pending and time.monotonic() < deadline:
+        while measurements.pending and time.monotonic() < deadline:
             await asyncio.sleep(POLL_SECONDS)
-        if window.pending:
+        if measurements.pending:
             raise BrokenRunError(
-                f"{self._cell.name}: {window.pending} requests had no answer in {CLIENT_TIMEOUT_SECONDS} s"
+                f"{self._case.name}: {measurements.pending} requests got no response "
+                f"within {CLIENT_TIMEOUT_SECONDS} s"
             )
-        return window
+        return measurements
 
     def _schedule(
-        self, window: Window, number: int, client: HttpClient, begin: float, seconds: float
+        self, measurements: RunMeasurements, number: int, client: HttpClient, start: float, seconds: float
     ) -> None:
         tenants = tenants_per_limiter(self._size)
-        for arrival in poisson_schedule(self._rng, self._cell.rate, seconds, tenants):
+        for arrival in poisson_schedule(self._rng, self._case.rate, seconds, tenants):
             plan = plan_of(arrival.tenant, tenants)
             request = encode_request(
                 request_id=f"{number:04x}{next(self._ids):012x}",
@@ -105,11 +106,11 @@
                 timeout=CLIENT_TIMEOUT_SECONDS,
                 serving_gateways=self._size.spread,
             )
-            due = begin + arrival.at
-            window.start_request()
-            self._timers.call_at(due, partial(_send, window, client, due, request, plan))
+            due = start + arrival.at
+            measurements.expect_response()
+            self._timers.call_at(due, partial(_send, measurements, client, due, request, plan))
 
 
-def _send(window: Window, client: HttpClient, due: float, request: bytes, plan: str) -> None:
-    window.send_delays.append(time.monotonic() - due)
-    client.send(request, partial(window.record, plan, due))
+def _send(measurements: RunMeasurements, client: HttpClient, due: float, request: bytes, plan: str) -> None:
+    measurements.send_delays.append(time.monotonic() - due)
+    client.send(request, partial(measurements.record, plan, due))
--- a/scale/latency/percentiles.py
+++ b/scale/latency/percentiles.py
@@ -29,7 +29,7 @@
 
 
 def percentiles(seconds: Iterable[float]) -> Percentiles:
-    """Return the percentiles in seconds, to three digits; empty without values."""
+    """Return the percentiles in seconds, to three significant digits; empty if there are no values."""
     histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
     for value in seconds:
         histogram.record_value(max(1, round(value * MICROSECONDS_PER_SECOND)))
--- a/scale/latency/workload.py
+++ b/scale/latency/workload.py
@@ -9,43 +9,44 @@
 from scale.limiter_settings import make_settings
 from scale.model import Size
 
-NEAR_FRACTION = 0.2  # of the tenants: demand near their quota
-OVER_FRACTION = 0.1  # of the tenants: demand over their quota
+NEAR_FRACTION = 0.2  # of the tenants, with a demand near their quota
+OVER_FRACTION = 0.1  # of the tenants, with a demand over their quota
 # Demand of a tenant divided by its quota, by the name of its plan.
 DEMAND = {"far": 0.1, "near": 0.92, "over": 1.5}
-BURST_SECONDS = 2.0  # of the quota, which the bucket holds
+BURST_SECONDS = 2.0  # time in which the quota fills the token bucket
 CLIENT_TIMEOUT_SECONDS = 2.0
 MIN_TENANTS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request of the schedule."""
+    """A scheduled request."""
 
-    at: float  # seconds after the begin
+    at: float  # seconds after the start of the run
     tenant: int
 
 
 def tenants_per_limiter(size: Size) -> int:
-    """Return the number of tenants of one limiter."""
+    """Return the number of tenants that a limiter serves."""
     return max(MIN_TENANTS, round(size.tenants * size.spread / size.limiters))
 
 
 def plan_of(tenant: int, tenants: int) -> str:
     """Return the name of a tenant's plan, which depends on its number among the limiter's tenants."""
-    place = tenant / tenants
-    if place < OVER_FRACTION:
+    position = tenant / tenants
+    if position < OVER_FRACTION:
         return "over"
-    return "near" if place < OVER_FRACTION + NEAR_FRACTION else "far"
+    return "near" if position < OVER_FRACTION + NEAR_FRACTION else "far"
 
 
 def limiter_settings(size: Size, rate: float, *, quotas: bool) -> dict[str, Any]:
     """Return the settings of a limiter in a fleet of the size, by their names on the wire.
 
-    The limiter's tenants send ``rate`` requests a second together. Without ``quotas`` the plans have no
-    quota, and so the counter is not called.
+    The limiter's tenants together send ``rate`` requests a second. Without ``quotas`` the plans have no
+    quota, so the limiter does not call the counter.
     """
-    demand = rate / tenants_per_limiter(size) * size.spread  # requests a second of a tenant, at all limiters
+    # Requests a second that a tenant sends to all of its limiters together.
+    demand = rate / tenants_per_limiter(size) * size.spread
     tariffs = [
         {
             "name": name,
