--- a/scale/memory/__init__.py
+++ b/scale/memory/__init__.py
@@ -1,4 +1,4 @@
 """The test ``state``: memory of an endpoint, customer, connection, counter call and class; the whole process.
 
-Each measurement is a job in a process of its own.
+Each measurement is a job that runs in its own process.
 """
--- a/scale/memory/allocation.py
+++ b/scale/memory/allocation.py
@@ -15,12 +15,13 @@
 class MemoryUse:
     """The memory of the measured objects in bytes."""
 
-    allocated: int  # by Python
-    resident: int | None = None  # of the process, with tracemalloc's own memory; None: not measured
+    allocated: int  # by Python objects
+    # Growth of the process's resident memory, which includes that of tracemalloc; None: not measured.
+    resident: int | None = None
 
 
 def allocated_bytes() -> int:
-    """Return the bytes that Python has allocated since ``tracemalloc`` started and not released."""
+    """Return the bytes that Python has allocated since ``tracemalloc`` started and has not freed."""
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
@@ -32,7 +33,7 @@
 
 
 def start_tracing() -> int:
-    """Start ``tracemalloc``; return the resident bytes before."""
+    """Start ``tracemalloc``; return the resident memory in bytes before the start."""
     gc.collect()
     before = resident_bytes()
     tracemalloc.start()
--- a/scale/memory/connections.py
+++ b/scale/memory/connections.py
@@ -1,4 +1,4 @@
-"""Jobs: memory of open connections of clients and to endpoints."""
+"""Jobs that measure the memory of open connections, of clients and to endpoints."""
 
 from __future__ import annotations
 
@@ -27,9 +27,11 @@
 IDLE_TIMEOUT_SECONDS = 30.0
 MAX_CONNECTIONS = 64
 EXCHANGE_TIMEOUT_SECONDS = 30.0
-ENDPOINT_IDLE_TIMEOUT_FACTOR = 10  # of the exchange timeout
+ENDPOINT_IDLE_TIMEOUT_FACTOR = 10  # idle timeout of the pool divided by the exchange timeout
 SPARE_CONNECTIONS = 8
-CAPACITY_FACTOR = 10  # of the connections, because a full listener closes connections with their responses
+# Capacity of the listener divided by the measured connections: a full listener closes its connections after
+# their responses.
+CAPACITY_FACTOR = 10
 READ_BYTES = 4096
 PORT_BYTES = 64
 BACKLOG = 1024
@@ -46,7 +48,7 @@
 
 
 def _send_requests(count: int, channel: socket.socket) -> None:
-    """Act as the clients: send one request on each connection, which is rejected, and keep it open."""
+    """Act as the clients: send one request, which is rejected, on each connection and keep it open."""
     port = int(channel.recv(PORT_BYTES))
     clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(count)]
     for number, client in enumerate(clients):
@@ -56,13 +58,13 @@
             b"X-Quota: units=1,spread=3,first=1\r\n\r\n" % (number, number)
         )
         if not client.recv(READ_BYTES).startswith(b"HTTP/1.1 429"):
-            raise ConnectionError("a request was not rejected")
+            raise ConnectionError("the limiter responded to a request with another status than 429")
     channel.sendall(FINISHED)
     channel.recv(1)  # keeps the connections open until the other side closes the channel
 
 
 def memory_of_client_connections(count: int) -> MemoryUse:
-    """Return the memory of a number of idle client connections that have had one response each."""
+    """Return the memory of idle client connections, each of which has received one response."""
     channel = fork_peer(partial(_send_requests, count))
     return uvloop.run(_measure_client_connections(count, channel))
 
@@ -74,7 +76,7 @@
     listener = ClientListener(dispatcher, parsed, CAPACITY_FACTOR * count)
     _, port = await listener.listen("127.0.0.1", 0)
     resident_before = start_tracing()
-    with suppress(BrokenPipeError):  # the peer has exited: wait_finished raises the cause
+    with suppress(BrokenPipeError):  # the peer has exited: ``wait_finished`` raises its error
         channel.sendall(b"%d" % port)
     await wait_finished(channel)
     memory = MemoryUse(allocated_bytes(), resident_bytes() - resident_before)
@@ -84,7 +86,7 @@
 
 
 def _serve_requests(listener: socket.socket, channel: socket.socket) -> None:
-    """Act as the endpoints: respond on each connection until a connection or the channel closes."""
+    """Act as the endpoints: respond to each request until a connection or the channel closes."""
     selector = selectors.DefaultSelector()
     selector.register(listener, selectors.EVENT_READ)
     selector.register(channel, selectors.EVENT_READ)
@@ -100,26 +102,26 @@
                 ready.sendall(RESPONSE)
 
 
-class _Exchanges:
-    """Counts exchanges; ``all_completed`` fails with the first exchange that fails."""
+class _ExchangeCounter:
+    """Counts completed exchanges; ``all_completed`` fails as soon as an exchange fails."""
 
     def __init__(self, expected: int) -> None:
-        self._missing = expected
+        self._pending = expected
         self.all_completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def on_completed(self, exchange: Exchange) -> None:
         """Count a completed exchange."""
-        self._missing -= 1
+        self._pending -= 1
         if self.all_completed.done():
             return
         if exchange.status is not model.CallStatus.OK:
-            error = ConnectionError(f"a request ended as {exchange.status.value}")
+            error = ConnectionError(f"a request to an endpoint ended with status {exchange.status.value}")
             self.all_completed.set_exception(error)
-        elif not self._missing:
+        elif not self._pending:
             self.all_completed.set_result(None)
 
 
-def _start_exchanges(pool: ConnectionPool, count: int, exchanges: _Exchanges) -> None:
+def _start_exchanges(pool: ConnectionPool, count: int, exchanges: _ExchangeCounter) -> None:
     for number in range(count):
         endpoint = f"s-{number // CONNECTIONS_PER_ENDPOINT * CONNECTIONS_PER_ENDPOINT}"
         deadline = unix_clock()() + EXCHANGE_TIMEOUT_SECONDS
@@ -128,7 +130,7 @@
 
 
 def memory_of_endpoint_connections(count: int) -> MemoryUse:
-    """Return the memory of a number of idle connections to endpoints that have had one request each."""
+    """Return the memory of idle connections to endpoints, each of which has carried one request."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
     address = f"127.0.0.1:{listener.getsockname()[1]}"
     channel = fork_peer(partial(_serve_requests, listener))
@@ -141,13 +143,13 @@
     pool = ConnectionPool(unix_clock(), EXCHANGE_TIMEOUT_SECONDS, idle_timeout, count + SPARE_CONNECTIONS)
     for number in range(0, count, CONNECTIONS_PER_ENDPOINT):
         pool.update_endpoint(f"s-{number}", address, available=True)
-    exchanges = _Exchanges(count)
+    exchanges = _ExchangeCounter(count)
     resident_before = start_tracing()
     _start_exchanges(pool, count, exchanges)
     try:
         await asyncio.wait_for(exchanges.all_completed, EXCHANGE_TIMEOUT_SECONDS)
     except (ConnectionError, TimeoutError):
-        await wait_finished(channel)  # raises the cause if the endpoints have exited
+        await wait_finished(channel)  # raises the peer's error if the peer has exited
         raise
     memory = MemoryUse(allocated_bytes(), resident_bytes() - resident_before)
     pool.close()
--- a/scale/memory/decisions.py
+++ b/scale/memory/decisions.py
@@ -1,4 +1,4 @@
-"""Jobs: memory of endpoints, tenants, counter calls and classes."""
+"""Jobs that measure the memory of endpoints, tenants, counter calls and request classes."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 CONNECT_TIMEOUT_SECONDS = 0.25
 IDLE_TIMEOUT_SECONDS = 30.0
 MAX_CONNECTIONS = 64
-ENDPOINTS_FOR_TENANTS = 20  # on the list, where tenants are counted
-REQUEST_INTERVAL_SECONDS = 1e-3  # between two tenants
+ENDPOINTS_FOR_TENANTS = 20  # length of the endpoint list when tenants are measured
+REQUEST_INTERVAL_SECONDS = 1e-3  # between the requests of two tenants
 SERVICE_SECONDS = 0.04
 MAX_SERVING_GATEWAYS = 3
 COUNTER_TIMEOUT_SECONDS = 3600.0
@@ -34,7 +34,7 @@
 
 
 def memory_of_endpoints(count: int, size: dict[str, Any]) -> MemoryUse:
-    """Return the memory of the decisions and the connection pool for a list of endpoints."""
+    """Return the memory of an endpoint list in the gateway and in the connection pool."""
     return uvloop.run(_measure_endpoints(replace(Size(**size), servers=count)))
 
 
@@ -54,7 +54,7 @@
 
 
 def memory_of_tenants(count: int, size: dict[str, Any]) -> MemoryUse:
-    """Return the memory of the decisions for customers without open requests."""
+    """Return the memory of tenants in the gateway, each after one request that has been served."""
     fleet = Size(**size)
     gateway = Gateway(parse_settings(synthetic_settings(fleet.limiters, 4.0)), 1, 0.0)
     endpoint_list = complete_list_text(replace(fleet, servers=ENDPOINTS_FOR_TENANTS))
@@ -67,7 +67,7 @@
 
 
 def _serve_request(gateway: Gateway, now: float, number: int, serving_gateways: int) -> None:
-    """Let the decisions serve one request of a new tenant; endpoints and counter reply at once."""
+    """Let the gateway serve one request of a new tenant; the endpoint and the counter reply immediately."""
     ok = model.CallStatus.OK
     tenant = f"{number:016x}"
     request = model.Request(
@@ -93,12 +93,12 @@
 
 
 def memory_of_counter_calls(count: int) -> MemoryUse:
-    """Return the memory of the counter's client for calls without a reply."""
+    """Return the memory of calls without a reply in the counter's client."""
     return uvloop.run(_measure_counter_calls(count))
 
 
 async def _measure_counter_calls(count: int) -> MemoryUse:
-    # The client is not started, so that the calls stay queued.
+    # The client is not started, so the calls stay queued.
     client = CounterClient("127.0.0.1", 1, COUNTER_TIMEOUT_SECONDS)
     tracemalloc.start()
     for number in range(count):
@@ -107,12 +107,12 @@
 
 
 def memory_of_classes(count: int) -> MemoryUse:
-    """Return the memory of a configuration with classes: the JSON, the settings and their users."""
+    """Return the memory of request classes: the decoded JSON, the settings, the gateway and the parser."""
     text = json.dumps(synthetic_settings(3, 1.0, count))
     tracemalloc.start()
     raw = json.loads(text)
     parsed = parse_settings(raw)
-    holders = (raw, Gateway(parsed, 1, 0.0), RequestParser(parsed))
+    retained = (raw, Gateway(parsed, 1, 0.0), RequestParser(parsed))
     memory = MemoryUse(allocated_bytes())
-    del holders
+    del retained
     return memory
--- a/scale/memory/forked_peer.py
+++ b/scale/memory/forked_peer.py
@@ -1,4 +1,4 @@
-"""The other end of a limiter's connections, in a forked process, whose memory is not measured."""
+"""A forked process at the other end of the measured connections; its memory is not measured."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 def fork_peer(run: Callable[[socket.socket], None]) -> socket.socket:
-    """Run a peer in a forked process and return the channel to it; the peer sends its error there."""
-    ours, theirs = socket.socketpair()
+    """Run a peer in a forked process and return the channel to it. If ``run`` raises, its error is sent."""
+    parent_end, child_end = socket.socketpair()
     if os.fork() == 0:
-        ours.close()
+        parent_end.close()
         try:
-            run(theirs)
+            run(child_end)
         except Exception as error:  # noqa: BLE001 - reported to the parent process
-            theirs.sendall(f"{error!r:.200}".encode())
+            child_end.sendall(f"{error!r:.200}".encode())
         finally:
             os._exit(0)  # closes the channel, which ends the wait for a message
-    theirs.close()
-    ours.settimeout(MESSAGE_TIMEOUT_SECONDS)
-    return ours
+    child_end.close()
+    parent_end.settimeout(MESSAGE_TIMEOUT_SECONDS)
+    return parent_end
 
 
 async def wait_finished(channel: socket.socket) -> None:
-    """Wait until the peer has finished. Raise ``ConnectionError`` with its error if it failed."""
+    """Wait until the peer has finished. Raise ``ConnectionError`` with the peer's error if it failed."""
     message = await asyncio.to_thread(channel.recv, MAX_MESSAGE_BYTES)
     if message != FINISHED:
-        raise ConnectionError(f"a stand-in died: {message.decode() or 'no error sent'}")
+        raise ConnectionError(f"the forked peer failed: {message.decode() or 'it exited without a message'}")
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -1,4 +1,4 @@
-"""A job: the memory of a whole limiter process under load and churn."""
+"""A job that measures the memory of a whole limiter process under load and churn."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 from scale.model import Size
 from scale.simulated_limiter import SimulatedLimiter
 
-MAX_CONNECTIONS = 480  # of clients, and as many to endpoints, with 1,024 descriptors
+# Connections of clients, and as many to endpoints: both fit into 1,024 descriptors.
+MAX_CONNECTIONS = 480
 CONNECT_TIMEOUT_SECONDS = 0.25
 IDLE_TIMEOUT_SECONDS = 30.0
-FILL_SECONDS = 20.0  # virtual, of the load; each tenant sends one request in this time
-TURNOVER_FRACTION = 0.05  # of the customers, which new ones replace each minute of churn (assumed)
+FILL_SECONDS = 20.0  # virtual, at the start of the load; each tenant sends one request in this time
+TURNOVER_FRACTION = 0.05  # of the tenants, replaced by new ones in each minute of churn (assumed)
 SECONDS_PER_MINUTE = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessMemory:
-    """Resident bytes of a process, and the number of tenants that it knew."""
+    """Resident bytes of a process, and the number of tenants in its memory."""
 
     at_start: int
     with_list: int
@@ -36,11 +37,11 @@
     after_churn: int
     tenants_after_load: int
     tenants_after_churn: int
-    harness: int  # bytes of the simulation's own tables, included in the others
+    harness: int  # bytes of the simulation's own tables, included in the resident bytes
 
 
 class _LimiterProcess:
-    """The decisions and the connection pool of a simulated limiter."""
+    """A simulated limiter with a real connection pool."""
 
     def __init__(self, size: Size, *, full_spread: bool, seed: int) -> None:
         self.limiter = SimulatedLimiter(size, full_spread=full_spread, seed=seed)
@@ -49,7 +50,7 @@
         )
 
     def apply_list(self, text: str) -> None:
-        """Apply a message of discovery, as the program does."""
+        """Apply an endpoint update from the text of a watch event, as the program does."""
         event = parse_watch_event(json.loads(text))
         if event.update.complete:
             self._pool.retain_only(set(event.addresses))
@@ -66,12 +67,12 @@
         gc.freeze()  # as the program does when it is ready
 
     def run_load(self, seconds: float) -> None:
-        """Run virtual seconds of load, in the first of which each tenant sends one request."""
+        """Run virtual seconds of load; in the first ``FILL_SECONDS`` each tenant sends one request."""
         self.limiter.visit_all_tenants(min(FILL_SECONDS, seconds))
         self.limiter.run(max(0.0, seconds - FILL_SECONDS))
 
     def run_churn(self, seconds: float) -> None:
-        """Apply the list changes of a day and replace tenants, within a number of virtual seconds."""
+        """Apply the list changes of a whole day and replace tenants, within a number of virtual seconds."""
         minutes = max(1, round(seconds / SECONDS_PER_MINUTE))
         changes = load_profile.daily_list_changes()
         for minute in range(minutes):
@@ -79,7 +80,7 @@
             for _ in range(changes // minutes):
                 self.apply_list(self.limiter.next_list_change())
             if minute == minutes // 2:
-                self.apply_list(self.limiter.complete_list())  # a new watch
+                self.apply_list(self.limiter.complete_list())  # as after a new watch
             self.limiter.run(SECONDS_PER_MINUTE)
 
     def close(self) -> None:
--- a/scale/memory/summary.py
+++ b/scale/memory/summary.py
@@ -16,11 +16,11 @@
 from scale.simulated_limiter import SimulatedLimiter
 from scale.worker import Job, run_jobs
 
-IN_FLIGHT_CALLS = 2000  # of the counter; far more than in operation, for a significant slope
+IN_FLIGHT_CALLS = 2000  # to the counter; far more than in operation, for a significant slope
 CLASSES = 400
 LOAD_SECONDS = 180.0  # virtual
 CHURN_SECONDS = 3600.0  # virtual, after the load
-MAX_PROCESS_RUNS = 3  # of the whole process, each of which takes long
+MAX_PROCESS_RUNS = 3  # of the whole-process job, which takes long
 BYTES_PER_MEGABYTE = 1e6
 
 
@@ -30,10 +30,10 @@
 
     name: str
     by: str  # name of the count
-    each: str  # one object, in words
+    each: str  # one object, as the figures name it
     job: str
-    full: int  # largest count
-    size_count: int | None  # number of objects at the size; None: no figure of all of them
+    full: int  # largest measured count
+    size_count: int | None  # number of objects at the size; None: no figure of their total memory
     arguments: dict[str, Any] = field(default_factory=dict)
 
 
@@ -43,7 +43,7 @@
 
 
 def _list_series(size: Size) -> list[Series]:
-    given = {"size": asdict(size)}
+    arguments = {"size": asdict(size)}
     return [
         Series(
             name="state of the servers",
@@ -52,7 +52,7 @@
             job="scale.memory.decisions:memory_of_endpoints",
             full=size.servers,
             size_count=size.servers,
-            arguments=given,
+            arguments=arguments,
         ),
         Series(
             name="state of the customers",
@@ -61,7 +61,7 @@
             job="scale.memory.decisions:memory_of_tenants",
             full=size.tenants,
             size_count=size.tenants,
-            arguments=given,
+            arguments=arguments,
         ),
     ]
 
@@ -113,8 +113,8 @@
     result = Result()
     all_series = make_series(size)
     slopes = [measure_slopes(series, effort) for series in all_series]
-    for found in slopes:
-        result.add_slopes(found)
+    for series_slopes in slopes:
+        result.add_slopes(series_slopes)
     result.add_notes(_notes(size))
     if effort.quick:
         return result
@@ -126,10 +126,10 @@
 
 def _notes(size: Size) -> list[str]:
     return [
-        "missing: routes and services have no place in the settings; a class is the nearest thing, and what "
-        f"{size.routes} routes would come to is reckoned as if each were one",
-        "bytes are what tracemalloc counts in a fresh process; 'of the process' is its resident memory, "
-        "tracemalloc's own included",
+        "not measured: routes and services, which the settings do not have. The memory of "
+        f"{size.routes} routes is estimated as that of as many request classes",
+        "bytes are counted by tracemalloc in a new process; slopes 'of the process' are of its resident "
+        "memory, which includes that of tracemalloc",
     ]
 
 
@@ -139,8 +139,8 @@
     jobs = [Job(series.job, {"count": count, **series.arguments}) for count in counts]
     allocated: dict[float, list[float]] = defaultdict(list)
     resident: dict[float, list[float]] = defaultdict(list)
-    for count, found in zip(counts, run_jobs(jobs, effort.processes), strict=True):
-        memory = MemoryUse(**found)
+    for count, result in zip(counts, run_jobs(jobs, effort.processes), strict=True):
+        memory = MemoryUse(**result)
         allocated[count].append(memory.allocated)
         if memory.resident is not None:
             resident[count].append(memory.resident)
@@ -163,24 +163,24 @@
 
 
 def _add_processes(size: Size, budget: Budget, effort: Effort, result: Result) -> None:
-    """Add the whole process with the size's spread, and with all tenants at each limiter."""
+    """Add the whole process with the size's spread, and with each limiter serving all tenants."""
     runs = min(effort.runs, MAX_PROCESS_RUNS)
-    # The longer ones first, because the run ends with them.
+    # The longer jobs start first, so that they do not run alone at the end.
     jobs = [
         _process_job(size, full_spread=full_spread, seed=effort.seed + run)
         for full_spread in (True, False)
         for run in range(runs)
     ]
-    found = [ProcessMemory(**memory) for memory in run_jobs(jobs, effort.processes)]
-    for full_spread, memories in ((False, found[runs:]), (True, found[:runs])):
+    results = [ProcessMemory(**memory) for memory in run_jobs(jobs, effort.processes)]
+    for full_spread, memories in ((False, results[runs:]), (True, results[:runs])):
         tenants = SimulatedLimiter(size, full_spread=full_spread, seed=effort.seed).tenants
         _add_process(result, f"{tenants} customers at a limiter", memories, budget.control_memory)
     result.add_note(
-        f"the hour of churn: all of the day's {load_profile.RESTARTS_PER_DAY} restarts and "
-        f"{load_profile.FAILURES_PER_DAY} failures, one whole list, and each minute new customers in place "
-        f"of {TURNOVER_FRACTION:.0%} of the customers; the "
-        f"load is {size.rate / size.limiters:.0f} requests a second, {LOAD_SECONDS:.0f} s of it "
-        "before the hour"
+        f"the hour of churn has the {load_profile.RESTARTS_PER_DAY} endpoint restarts and "
+        f"{load_profile.FAILURES_PER_DAY} endpoint failures of a whole day, one complete endpoint list, and "
+        f"each minute new customers in place of {TURNOVER_FRACTION:.0%} of the customers. The "
+        f"load is {size.rate / size.limiters:.0f} requests a second, also in the {LOAD_SECONDS:.0f} s "
+        "before that hour"
     )
 
 
@@ -197,7 +197,7 @@
     )
 
 
-def _add_process(result: Result, end: str, memories: Sequence[ProcessMemory], budget: float) -> None:
+def _add_process(result: Result, condition: str, memories: Sequence[ProcessMemory], budget: float) -> None:
     """Add the figures of the runs with one spread; ``budget`` is in bytes."""
     stages = (
         ("before the list", [memory.at_start for memory in memories], None),
@@ -208,17 +208,17 @@
     for when, resident, limit in stages:
         megabytes = [value / BYTES_PER_MEGABYTE for value in resident]
         how = f"RSS, median of {len(memories)} runs [{min(megabytes):.1f}..{max(megabytes):.1f}]"
-        name = f"whole process, {end}, {when}"
+        name = f"whole process, {condition}, {when}"
         limit_megabytes = limit / BYTES_PER_MEGABYTE if limit is not None else None
         result.add_figure(Figure(name, "MB", median(megabytes), Origin.MEASURED, how, limit_megabytes))
     harness = median(memory.harness for memory in memories) / BYTES_PER_MEGABYTE
     after_load = round(median(memory.tenants_after_load for memory in memories))
     after_churn = round(median(memory.tenants_after_churn for memory in memories))
     result.add_note(
-        f"whole process, {end}: {harness:.1f} MB of it are tables of the simulated customers and counter, "
-        "not the limiter's (by sys.getsizeof); open connections are not in it; after the "
-        f"load it knew {after_load} customers, after the hour {after_churn}: a customer without requests for "
-        "60 s is forgotten"
+        f"whole process, {condition}: {harness:.1f} MB of it belong to the simulated customers and counter, "
+        "not to the limiter (by sys.getsizeof). Open connections are not included. After the "
+        f"load the limiter had {after_load} customers in memory, after the churn {after_churn}: it removes "
+        "a customer after 60 s without requests"
     )
 
 
