--- a/scale/messages/counter_bytes.py
+++ b/scale/messages/counter_bytes.py
@@ -1,4 +1,4 @@
-"""A job: bytes of the counter's protocol, with the real client."""
+"""A job that measures the bytes of the counter protocol with the limiter's real client."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterBytes:
-    """Mean bytes of a call, and the traffic of an idle client."""
+    """Mean bytes of a counter call, and the traffic of an idle client."""
 
     request: float
     reply: float
@@ -28,11 +28,11 @@
 
     @property
     def call(self) -> float:
-        """The bytes of a call with its reply."""
+        """The bytes of a request with its reply."""
         return self.request + self.reply
 
 
-async def _converse(
+async def _reply_to_calls(
     stand_in: CountingStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     total = 0.0
@@ -45,31 +45,33 @@
             stand_in.write(writer, b"pong\r\n")
 
 
-class _Replies:
-    """Counts replies; ``all_received`` fails with the first call that fails."""
+class _ReplyCounter:
+    """Counts replies; ``all_received`` fails as soon as a call fails."""
 
     def __init__(self, expected: int) -> None:
-        self._missing = expected
+        self._pending = expected
         self.all_received: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def on_reply(self, result: CallResult) -> None:
         """Count a reply."""
-        self._missing -= 1
+        self._pending -= 1
         if self.all_received.done():
             return
         if result.status is not model.CallStatus.OK:
-            self.all_received.set_exception(ConnectionError(f"a call ended as {result.status.value}"))
-        elif not self._missing:
+            self.all_received.set_exception(
+                ConnectionError(f"a counter call ended with status {result.status.value}")
+            )
+        elif not self._pending:
             self.all_received.set_result(None)
 
 
 async def _measure(idle_seconds: float) -> CounterBytes:
     stand_in = CountingStandIn()
     rng = Random(1)
-    async with stand_in.serve(_converse) as (host, port):
+    async with stand_in.serve(_reply_to_calls) as (host, port):
         client = CounterClient(host, port, REPLY_TIMEOUT_SECONDS)
         client.start()
-        replies = _Replies(CALLS)
+        replies = _ReplyCounter(CALLS)
         for _ in range(CALLS):
             client.increment(
                 rng.getrandbits(63),
@@ -87,5 +89,5 @@
 
 
 def measure_counter_bytes(idle_seconds: float) -> CounterBytes:
-    """Measure the bytes of a call with its reply, and of a client that is idle for a time."""
+    """Measure the bytes of a call with its reply, and of a client that is idle for ``idle_seconds``."""
     return uvloop.run(_measure(idle_seconds))
--- a/scale/messages/counter_demand.py
+++ b/scale/messages/counter_demand.py
@@ -1,4 +1,4 @@
-"""A job: counter calls of a limiter whose counter is never full, in virtual time."""
+"""A job that counts the counter calls of a limiter, in virtual time; the counter is never overloaded."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterDemand:
-    """Calls and requests of one limiter a second."""
+    """Counter calls and client requests a second, of one limiter."""
 
-    first_calls: float  # soon after the start
-    calls: float  # after the warm-up
-    requests: float
+    first_calls: float  # counter calls soon after the start
+    calls: float  # counter calls after the warm-up
+    requests: float  # client requests after the warm-up
 
 
 def measure_counter_demand(
@@ -29,7 +29,7 @@
     warm_up: float,
     load: float,
 ) -> CounterDemand:
-    """Measure one limiter soon after its start and after the warm-up.
+    """Measure one limiter in the second half of ``load`` after its start, and for ``load`` after the warm-up.
 
     ``near`` and ``over`` are the fractions of the tenants near and over their quota; ``warm_up`` and ``load``
     are virtual seconds. With ``full_spread`` all limiters serve each tenant.
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -1,4 +1,4 @@
-"""A job: bytes of a health check, with the real connection pool."""
+"""A job that measures the bytes of a health check with the real connection pool."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 
     @property
     def total(self) -> float:
-        """The bytes of both."""
+        """The bytes of the request and the response."""
         return self.request + self.response
 
 
-class _OneHealthCheck:
-    """Decisions that only start a health check at the first tick."""
+class _HealthCheckDecisions:
+    """Decisions that start a health check at each tick, and keep its status."""
 
     def __init__(self) -> None:
         self.status: asyncio.Future[model.CallStatus] = asyncio.get_running_loop().create_future()
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
-        """Start the health check at a tick, and keep its status."""
+        """Start the health check at a tick, or store the status of a completed one."""
         if isinstance(event, model.HealthChecked):
             self.status.set_result(event.status)
         return [model.CheckHealth(ENDPOINT)] if isinstance(event, model.TimerFired) else []
 
 
-async def _converse(
+async def _respond(
     stand_in: CountingStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     while True:
@@ -56,8 +56,8 @@
 
 async def _measure() -> HealthCheckBytes:
     stand_in = CountingStandIn()
-    decisions = _OneHealthCheck()
-    async with stand_in.serve(_converse) as (host, port):
+    decisions = _HealthCheckDecisions()
+    async with stand_in.serve(_respond) as (host, port):
         pool = ConnectionPool(unix_clock(), REPLY_TIMEOUT_SECONDS, IDLE_TIMEOUT_SECONDS, MAX_CONNECTIONS)
         pool.update_endpoint(ENDPOINT, f"{host}:{port}", available=True)
         dispatcher = Dispatcher(
@@ -66,7 +66,7 @@
         dispatcher.dispatch(model.TimerFired(0))
         status = await stand_in.wait(decisions.status)
         if status is not model.CallStatus.OK:
-            raise ConnectionError(f"the health check ended as {status.value}")
+            raise ConnectionError(f"the health check ended with status {status.value}")
         pool.close()
     return HealthCheckBytes(request=stand_in.received, response=stand_in.sent)
 
--- a/scale/messages/list_bytes.py
+++ b/scale/messages/list_bytes.py
@@ -1,4 +1,4 @@
-"""A job: bytes of a complete endpoint list, with the real watch."""
+"""A job that measures the bytes of a complete endpoint list with the real watch."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ListBytes:
-    """Bytes of a watch up to the end of its first list."""
+    """Bytes of a watch's request, and of its response up to the end of the complete list."""
 
     request: int
     response: int
 
 
 async def _measure(size: Size) -> ListBytes:
-    async def converse(
+    async def send_list(
         stand_in: CountingStandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Respond with the list, and wait for the end of the watch."""
+        """Respond with the complete list, and keep the watch open until the client closes it."""
         await stand_in.read_until(reader, b"\r\n\r\n")
         stand_in.write(writer, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n")
         stand_in.write(writer, b"Transfer-Encoding: chunked\r\n\r\n")
@@ -40,15 +40,17 @@
 
     stand_in = CountingStandIn()
     list_length: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-    async with stand_in.serve(converse) as (host, port):
+    async with stand_in.serve(send_list) as (host, port):
         watch = asyncio.create_task(EndpointWatcher(host, port, None, on_event).follow())
         endpoints = await stand_in.wait(list_length)
         watch.cancel()
     if endpoints != size.servers:
-        raise ValueError(f"a list of {size.servers} endpoints was read as one of {endpoints}")
+        raise ValueError(
+            f"discovery sent a list of {size.servers} endpoints; the watch delivered {endpoints}"
+        )
     return ListBytes(request=stand_in.received, response=stand_in.sent)
 
 
 def measure_list_bytes(size: dict[str, Any]) -> ListBytes:
-    """Measure the bytes of a watch's request, and of the response up to the end of the complete list."""
+    """Measure the bytes of a watch of a complete list with ``size.servers`` endpoints."""
     return uvloop.run(_measure(Size(**size)))
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -1,4 +1,4 @@
-"""The figures of the messages: bytes, calls, and traffic at the size."""
+"""The figures of the messages: bytes of each, rates of the calls, and traffic at the size."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 IDLE_SECONDS = 21.0  # for ten pings of each connection of an idle client
 QUICK_IDLE_SECONDS = 2.5
-KEEP_ALIVE = b"1\r\n\n\r\n"  # an empty line as a chunk
-KEEP_ALIVE_SECONDS = 2.0  # between two keep-alives
+KEEP_ALIVE_CHUNK = b"1\r\n\n\r\n"  # an empty line as a chunk
+KEEP_ALIVE_INTERVAL_SECONDS = 2.0  # between two keep-alives
 WARM_UP_SECONDS = 240.0  # virtual, until the limiter's counter budget has grown
 QUICK_WARM_UP_SECONDS = 20.0
 LOAD_SECONDS = 60.0  # virtual
 QUICK_LOAD_SECONDS = 10.0
-CHECKED_SECONDS = 60.0  # from a failure of an endpoint until the list has it (assumed)
+CHECKING_SECONDS = 60.0  # a failed endpoint is checked until the endpoint list shows the failure (assumed)
 CHECK_INTERVAL_SECONDS = 2.0  # between two health checks, which start at ticks
-DISCOVERY_CALLS_PER_SECOND = (8.0, 100.0)  # served by discovery (assumed)
-LIST_CHANGES = 300
+DISCOVERY_CALLS_PER_SECOND = (8.0, 100.0)  # capacity of discovery (assumed)
+LIST_CHANGES = 300  # whose mean size is measured
 BYTES_PER_MEGABYTE = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A mix of tenants, and their spread."""
+    """A mix of tenants, and the number of limiters that serve a tenant."""
 
-    full_spread: bool  # all limiters serve each tenant
+    full_spread: bool  # True: all limiters serve each tenant; False: ``Size.spread`` of them
     name: str
     mix: LoadMix
 
@@ -58,18 +58,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlTraffic:
-    """The messages of a limiter with discovery and the counter."""
+    """The sizes and rates of a limiter's messages with discovery, the counter and endpoints."""
 
-    change: float  # bytes of a change of the list
-    complete_list: float  # bytes
+    change: float  # bytes of one endpoint update
+    complete_list: float  # bytes of a complete endpoint list
     counter: CounterBytes
-    health_check: float  # bytes
+    health_check: float  # bytes of one health check with its response
     keep_alives: float  # bytes a second of a watch
-    health_checks: float  # a second
+    health_checks: float  # number a second
 
 
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
-    """Measure the bytes of each message and the calls by load and mix, and derive the traffic."""
+    """Measure the bytes of each message and the counter calls by load and mix, and derive the traffic."""
     result = Result()
     lists = _measure_lists(size, effort)
     result.add_slope(regression.line("a whole list, by servers", "bytes", "servers", lists))
@@ -81,7 +81,7 @@
     health_check = HealthCheckBytes(**run_job(health_check_job))
     result.add_notes(_notes())
     if not effort.quick:
-        traffic = _add_sizes(size, result, lists[size.servers], counter, health_check)
+        traffic = _add_message_sizes(size, result, lists[size.servers], counter, health_check)
         _add_demands(size, budget, result, demands)
         _add_traffic(size, budget, result, traffic, demands)
         _add_resync(size, budget, result, traffic.complete_list)
@@ -90,28 +90,28 @@
 
 def _notes() -> list[str]:
     return [
-        "bytes are those of the messages, without the headers of TCP and IP; the watch's lines are compact "
-        "JSON, and responses of discovery and the servers have a minimum of headers",
+        "bytes are those of the messages, without TCP and IP headers; the lines of a watch are compact "
+        "JSON, and responses of discovery and the servers have only the necessary headers",
         f"counter: {CALM_MIX.near:.0%} of the customers are near their quota, {CALM_MIX.over:.0%} at three "
         f"times it (calm), or {TENSE_MIX.near:.0%} and {TENSE_MIX.over:.0%} (tense), the rest at 0.3 of it; "
         f"a customer's bucket holds {BUCKET_SECONDS:.0f} s of its quota; rejected clients do not retry; "
         "the simulated counter "
-        f"replies to each call in 5 ms, so that after {WARM_UP_SECONDS:.0f} virtual seconds the limiter's "
-        "counter budget does not limit the calls. A full counter replies later, and the limiters reduce "
-        "their calls to its rate",
+        f"replies to each call in 5 ms; after {WARM_UP_SECONDS:.0f} virtual seconds the limiter's "
+        "counter budget no longer limits the calls. An overloaded counter replies later, and the limiters "
+        "reduce their calls to its capacity",
     ]
 
 
 def _measure_lists(size: Size, effort: Effort) -> dict[float, list[float]]:
     """Measure the bytes of the complete list in each run, by the number of endpoints."""
-    points = [servers for servers in sample_sizes(size.servers, effort) for _ in range(effort.runs)]
+    list_lengths = [servers for servers in sample_sizes(size.servers, effort) for _ in range(effort.runs)]
     jobs = [
         Job("scale.messages.list_bytes:measure_list_bytes", {"size": asdict(replace(size, servers=servers))})
-        for servers in points
+        for servers in list_lengths
     ]
     lists: dict[float, list[float]] = defaultdict(list)
-    for servers, found in zip(points, run_jobs(jobs, effort.processes), strict=True):
-        lists[servers].append(ListBytes(**found).response)
+    for servers, list_bytes in zip(list_lengths, run_jobs(jobs, effort.processes), strict=True):
+        lists[servers].append(ListBytes(**list_bytes).response)
     return lists
 
 
@@ -127,8 +127,8 @@
     jobs = [_demand_job(size, effort, scenario, fraction, run) for scenario, fraction, run in points]
     at_full_load: Demands = defaultdict(list)
     by_load: dict[Scenario, dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
-    for (scenario, fraction, _), found in zip(points, run_jobs(jobs, effort.processes), strict=True):
-        demand = CounterDemand(**found)
+    for (scenario, fraction, _), result_fields in zip(points, run_jobs(jobs, effort.processes), strict=True):
+        demand = CounterDemand(**result_fields)
         by_load[scenario][size.rate * fraction / size.limiters].append(demand.calls)
         if fraction == 1.0:
             at_full_load[scenario].append(demand)
@@ -156,37 +156,37 @@
 
 
 def _change_bytes(size: Size) -> float:
-    """Return the mean bytes of a change of the list."""
+    """Return the mean bytes of an endpoint update, as a chunk of a watch."""
     limiter = SimulatedLimiter(size, full_spread=False, seed=1)
     lines = [limiter.next_list_change() for _ in range(LIST_CHANGES)]
     for line in lines:
-        parse_watch_event(json.loads(line))  # raises if the limiter could not read the line
+        parse_watch_event(json.loads(line))  # raises if a limiter could not parse the line
     return mean(len(encode_chunk(line)) for line in lines)
 
 
-def _add_sizes(
+def _add_message_sizes(
     size: Size, result: Result, lists: list[float], counter: CounterBytes, health_check: HealthCheckBytes
 ) -> ControlTraffic:
-    """Add the bytes of the messages; ``lists`` are the bytes of the complete list by run."""
+    """Add the bytes of the messages; ``lists`` has the bytes of the complete list in each run."""
     failures = load_profile.FAILURES_PER_DAY
     traffic = ControlTraffic(
         change=_change_bytes(size),
         complete_list=median(lists),
         counter=counter,
         health_check=health_check.total,
-        keep_alives=len(KEEP_ALIVE) / KEEP_ALIVE_SECONDS,
-        health_checks=failures * CHECKED_SECONDS / CHECK_INTERVAL_SECONDS / load_profile.SECONDS_PER_DAY,
+        keep_alives=len(KEEP_ALIVE_CHUNK) / KEEP_ALIVE_INTERVAL_SECONDS,
+        health_checks=failures * CHECKING_SECONDS / CHECK_INTERVAL_SECONDS / load_profile.SECONDS_PER_DAY,
     )
-    _add_size_figures(size, result, traffic)
+    _add_message_size_figures(size, result, traffic)
     return traffic
 
 
-def _add_size_figures(size: Size, result: Result, traffic: ControlTraffic) -> None:
+def _add_message_size_figures(size: Size, result: Result, traffic: ControlTraffic) -> None:
     empty_change = len(encode_chunk(watch_event_text([], 2, complete=False)))
     failures = load_profile.FAILURES_PER_DAY
     checks = (
-        f"{failures} failures a day, each probed every {CHECK_INTERVAL_SECONDS:.0f} s "
-        f"for {CHECKED_SECONDS:.0f} s"
+        f"{failures} failures a day, each endpoint checked every {CHECK_INTERVAL_SECONDS:.0f} s "
+        f"for {CHECKING_SECONDS:.0f} s"
     )
     counter = traffic.counter
 
@@ -199,11 +199,15 @@
     result.add_figures(
         [
             measured("a change of the list", "B", traffic.change, f"mean of {LIST_CHANGES} lines as chunks"),
-            measured("the same without the server's row", "B", empty_change, "a line without rows"),
-            measured("a whole list", "B", traffic.complete_list, f"{size.servers} servers, with its head"),
-            measured("a counter call with its answer", "B", counter.call, f"mean of {CALLS} on a socket"),
+            measured("the same without the server's row", "B", empty_change, "a line without endpoints"),
+            measured(
+                "a whole list", "B", traffic.complete_list, f"{size.servers} servers, with the response head"
+            ),
+            measured(
+                "a counter call with its answer", "B", counter.call, f"mean of {CALLS} calls on a socket"
+            ),
             measured("pings of a quiet counter client", "B/s", counter.idle, f"{IDLE_SECONDS:.0f} s idle"),
-            measured("a probe with its answer", "B", traffic.health_check, "one on a socket"),
+            measured("a probe with its answer", "B", traffic.health_check, "one health check on a socket"),
             derived(
                 "keep-alives of a watch", "B/s", traffic.keep_alives, "an empty line as a chunk each 2 s"
             ),
@@ -215,37 +219,37 @@
 def _add_demands(size: Size, budget: Budget, result: Result, demands: Demands) -> None:
     """Add the counter calls of the fleet in each scenario."""
     for scenario, runs in demands.items():
-        end = f"{scenario.limiters_per_tenant(size)}, {scenario.name}"
+        condition = f"{scenario.limiters_per_tenant(size)}, {scenario.name}"
         calls = median(run.calls for run in runs)
         requests = median(run.requests for run in runs)
         first_calls = median(run.first_calls for run in runs) * size.limiters
         per_request = calls / max(1e-9, requests)
-        how = "simulated limiter, full load"
-        name = f"counter calls a request, {end}"
+        how = "simulated limiter at full load, after the warm-up"
+        name = f"counter calls a request, {condition}"
         result.add_figure(Figure(name, "", per_request, Origin.MEASURED, how))
         how = (
             f"x {size.limiters} limiters, 30 to 60 s after their start, before their counter budget has grown"
         )
-        name = f"counter calls at first, {end}"
+        name = f"counter calls at first, {condition}"
         result.add_figure(_call_rate(name, first_calls, how, budget))
-        how = f"x {size.limiters} limiters; the demand if the counter serves all calls"
-        name = f"counter calls wanted, {end}"
+        how = f"x {size.limiters} limiters, after the warm-up; the counter serves all calls"
+        name = f"counter calls wanted, {condition}"
         result.add_figure(_call_rate(name, calls * size.limiters, how, budget))
 
 
 def _call_rate(name: str, rate: float, how: str, budget: Budget) -> Figure:
-    """Return the figure of the fleet's calls a second."""
+    """Return the figure of the fleet's counter calls a second."""
     return Figure(name, "/s", rate, Origin.DERIVED, how, budget.counter_calls)
 
 
 def _add_traffic(
     size: Size, budget: Budget, result: Result, traffic: ControlTraffic, demands: Demands
 ) -> None:
-    """Add the bytes a second of a limiter, by its counter calls."""
+    """Add the bytes a second of a limiter, for several rates of its counter calls."""
     wanted = {scenario: median(run.calls for run in runs) for scenario, runs in demands.items()}
-    # An even share of the counter's guaranteed rate; a small fleet makes fewer calls.
-    bound = min(budget.counter_calls / size.limiters, *wanted.values())
-    call_rates = {f"{bound:.2f} counter calls a second": bound}
+    # An even share of the calls that the counter guarantees, or the demand of the limiter if that is lower.
+    fair_share = min(budget.counter_calls / size.limiters, *wanted.values())
+    call_rates = {f"{fair_share:.2f} counter calls a second": fair_share}
     for scenario, rate in wanted.items():
         limiters = "all" if scenario.full_spread else "few"
         call_rates[f"counter calls as wanted, {limiters} limiters a customer, {scenario.name}"] = rate
@@ -275,15 +279,15 @@
 
 
 def _add_resync(size: Size, budget: Budget, result: Result, complete_list: float) -> None:
-    """Add bytes and duration of a complete list for each limiter."""
+    """Add the bytes and the duration of sending a complete list to each limiter."""
     total = complete_list * size.limiters / BYTES_PER_MEGABYTE
     result.add_figure(
-        Figure("a resync of all limiters", "MB", total, Origin.DERIVED, f"{size.limiters} whole lists")
+        Figure("a resync of all limiters", "MB", total, Origin.DERIVED, f"{size.limiters} complete lists")
     )
     for rate in DISCOVERY_CALLS_PER_SECOND:
         how = (
-            f"{size.limiters} lists at {rate:.0f} calls a second (assumed); a watch begun anew with its "
-            "version may be told the changes alone"
+            f"{size.limiters} lists at {rate:.0f} calls a second (assumed); a new watch that states the "
+            "limiter's version may receive only the changes since then"
         )
         result.add_figure(
             Figure(
@@ -297,4 +301,6 @@
         )
 
 
-TEST = ScaleTest("messages", "bytes and calls a second of lists, watches, counter and probes; a resync", run)
+TEST = ScaleTest(
+    "messages", "bytes and rates of the messages with discovery, the counter and endpoints; a resync", run
+)
--- a/tests/test_scale_messages.py
+++ b/tests/test_scale_messages.py
@@ -1,4 +1,7 @@
-"""Jobs of the scale test ``messages``: an error of the stand-in is the cause of a failure."""
+"""The jobs of the scale test ``messages``.
+
+The test guards against a job that waits for its timeout, or hides the cause, if its stand-in fails.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from scale.messages.health_check_bytes import measure_health_check_bytes
 
 
-def test_a_stand_in_that_fails_on_a_call_ends_the_job(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_job_fails_with_the_error_of_its_stand_in(monkeypatch: pytest.MonkeyPatch) -> None:
     async def fail(*_: object) -> bytes:
         raise ValueError("cannot be read")
 
@@ -22,5 +25,5 @@
         measure_health_check_bytes,
     )
     for job in jobs:
-        with pytest.raises(ConnectionError, match=r"stand-in died.*cannot be read"):
+        with pytest.raises(ConnectionError, match=r"stand-in failed.*cannot be read"):
             job()
