--- a/scale/propagation/cases.py
+++ b/scale/propagation/cases.py
@@ -10,18 +10,18 @@
 OUTAGE_SECONDS = 12.0
 QUICK_OUTAGE_SECONDS = 1.0
 OUTAGE_BEFORE_MOVE_SECONDS = 6.0
-SLOW_WRITE_SECONDS = 2.0  # for a line
+SLOW_WRITE_SECONDS = 2.0  # in which discovery writes one line of a watch
 
 
 class Fault(Enum):
-    """The fault before the moment at which the measured time starts."""
+    """The state of discovery before the measured time starts."""
 
-    NONE = auto()  # the watches are open
+    NONE = auto()  # discovery works, and the watches are open
     START = auto()  # the limiters have just started
     REFUSED = auto()  # connections are reset and refused
-    UNRESPONSIVE = auto()  # connections are open and get no data
-    HALF_OPEN = auto()  # from the start: calls are accepted and get no response
-    MOVED = auto()  # refused for a time, then the file has the address of another discovery
+    UNRESPONSIVE = auto()  # connections stay open but receive no data
+    HALF_OPEN = auto()  # from the start, connections are accepted but calls get no response
+    MOVED = auto()  # as REFUSED, then the clients' configuration has the address of another discovery
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +31,10 @@
     name: str
     limiters: int
     fault: Fault
-    shared: bool = True  # one discovery serves all; otherwise an agent on the limiter's machine notifies it
-    capacity: float = 0.0  # calls a second after the outage; 0: any number
-    write_seconds: float = 0.0  # for a line
+    # True: all limiters call one discovery; False: an agent on the machine of each limiter notifies it.
+    shared: bool = True
+    capacity: float = 0.0  # calls a second that discovery serves after the outage; 0: unlimited
+    write_seconds: float = 0.0  # in which discovery writes one line of a watch
     outage: float = OUTAGE_SECONDS  # seconds
 
     @property
@@ -43,42 +44,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Scope:
-    """The extent of the test."""
+class _Extent:
+    """The sizes of the groups, and the outages, of a full or a quick run."""
 
-    sizes: list[int]  # limiters of a group, ascending
-    few_sizes: list[int]  # for cases with fewer groups
-    capacities: list[float]  # calls a second of an overloaded discovery
+    sizes: list[int]  # numbers of limiters in a group, ascending
+    few_sizes: list[int]  # the same, for the cases with fewer groups
+    capacities: list[float]  # calls a second that an overloaded discovery serves
     outage: float  # seconds
-    failures_before_move: float  # seconds
+    outage_before_move: float  # seconds
 
 
-def _scope(size: Size, effort: Effort) -> _Scope:
+def _extent(size: Size, effort: Effort) -> _Extent:
     if effort.quick:
-        return _Scope([3, 12], [12], [30.0], QUICK_OUTAGE_SECONDS, QUICK_OUTAGE_SECONDS)
+        return _Extent([3, 12], [12], [30.0], QUICK_OUTAGE_SECONDS, QUICK_OUTAGE_SECONDS)
     sizes = sorted({3, 30, 100, 200, size.limiters})
     few_sizes = sorted({30, size.limiters})
-    return _Scope(sizes, few_sizes, [8.0, 30.0, 100.0], OUTAGE_SECONDS, OUTAGE_BEFORE_MOVE_SECONDS)
+    return _Extent(sizes, few_sizes, [8.0, 30.0, 100.0], OUTAGE_SECONDS, OUTAGE_BEFORE_MOVE_SECONDS)
 
 
 def make_cases(size: Size, effort: Effort) -> list[Case]:
     """Return the groups of discovery clients."""
-    scope = _scope(size, effort)
-    few = scope.few_sizes
-    cases = [Case("pushed", number, Fault.NONE, shared=False) for number in scope.sizes]
+    extent = _extent(size, effort)
+    few = extent.few_sizes
+    cases = [Case("pushed", number, Fault.NONE, shared=False) for number in extent.sizes]
     cases += [Case("asked, watches stand", number, Fault.NONE) for number in few]
     cases += [Case("asked at a start", number, Fault.START) for number in few]
     if not effort.quick:
         cases += [
             Case("slow at a start", number, Fault.START, write_seconds=SLOW_WRITE_SECONDS) for number in few
         ]
-    return cases + _outages(scope, with_half_open=not effort.quick)
+    return cases + _outages(extent, with_half_open=not effort.quick)
 
 
-def _outages(scope: _Scope, *, with_half_open: bool) -> list[Case]:
-    few = scope.few_sizes
-    outage = scope.outage
-    cases = [Case("refused, then back", number, Fault.REFUSED, outage=outage) for number in scope.sizes]
+def _outages(extent: _Extent, *, with_half_open: bool) -> list[Case]:
+    few = extent.few_sizes
+    outage = extent.outage
+    cases = [Case("refused, then back", number, Fault.REFUSED, outage=outage) for number in extent.sizes]
     cases += [
         Case("refused, then back, pushed", number, Fault.REFUSED, shared=False, outage=outage)
         for number in few
@@ -88,10 +89,10 @@
         cases += [Case("half-open, then back", number, Fault.HALF_OPEN, outage=outage) for number in few]
     cases += [
         Case(f"overbooked at {capacity:g} calls/s", number, Fault.REFUSED, capacity=capacity, outage=outage)
-        for capacity in scope.capacities
-        for number in sorted({*few, scope.sizes[-2]})
+        for capacity in extent.capacities
+        for number in sorted({*few, extent.sizes[-2]})
     ]
-    before_move = scope.failures_before_move
+    outage_before_move = extent.outage_before_move
     return cases + [
-        Case("moved in a row of failures", number, Fault.MOVED, outage=before_move) for number in few
+        Case("moved in a row of failures", number, Fault.MOVED, outage=outage_before_move) for number in few
     ]
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -1,4 +1,4 @@
-"""Groups of discovery clients: times at which they are notified of a change of the list."""
+"""Groups of real discovery clients: the time until each is notified of a change of the endpoint list."""
 
 from __future__ import annotations
 
@@ -29,33 +29,34 @@
 
 LIST_LENGTH = 8  # endpoints on the list
 START_INTERVAL_SECONDS = 0.003  # between the starts of two clients
-SETTLE_TIMEOUT_SECONDS = 30.0  # for the first list of all clients, without a fault
-NOTIFY_TIMEOUT_SECONDS = 25.0  # after the serving time; later a client counts as never notified
+SETTLE_TIMEOUT_SECONDS = 30.0  # until all clients have their first list, before a fault
+# Clients that are not notified in this time, in addition to the serving time, count as never notified.
+NOTIFY_TIMEOUT_SECONDS = 25.0
 MOVED_VERSION = 77  # of the list at the other discovery
 CHANGED_ENDPOINT = "s-00000000"
-SETTLE_DELAY_SECONDS = (0.1, 0.4)  # random, so that the change has no fixed phase to the keep-alives
-LATENESS_INTERVAL_SECONDS = 0.05  # between two checks of the event loop
-SEED_SHIFT = 20  # keeps the clients of different seeds apart
+SETTLE_DELAY_SECONDS = (0.1, 0.4)  # range; random, so that changes have no fixed phase to the keep-alives
+LOOP_DELAY_INTERVAL_SECONDS = 0.05  # between two measurements of the event loop's delay
+SEED_SHIFT = 20  # clients of runs with different seeds have different random numbers
 SEEDS_PER_CASE = 1000
 SPARE_DESCRIPTORS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Convergence:
-    """The times of notification in a group, in seconds after the first possible moment."""
+    """The times at which a group was notified, in seconds after the first moment at which it could be."""
 
     median: float
-    last: float  # of those that were notified
-    never: int  # clients without notification within the serving time and ``NOTIFY_TIMEOUT_SECONDS``
-    calls: int  # that discovery received after that moment
+    last: float  # of the clients that were notified
+    never: int  # clients that were not notified within the serving time and ``NOTIFY_TIMEOUT_SECONDS``
+    calls: int  # received by discovery after that moment
 
 
 @dataclass(frozen=True, slots=True)
 class GroupRun:
-    """One run of all cases."""
+    """The results of one run of all cases."""
 
-    cases: list[Convergence]  # in the order of the cases
-    lateness: float  # longest delay of the event loop in seconds
+    convergences: list[Convergence]  # by case, in the order of the cases
+    max_loop_delay: float  # longest delay of the event loop, in seconds
 
 
 def _any_event(_event: WatchEvent) -> bool:
@@ -63,7 +64,7 @@
 
 
 class _ClientGroup:
-    """The clients of a case, and the time at which each received the expected event."""
+    """The clients of a case, and the time at which each of them received the expected event."""
 
     def __init__(self, case: Case, seed: int) -> None:
         raw = {"n_instances": case.limiters, "contract": {"stop_sending_within_s": 2.0}}
@@ -89,21 +90,21 @@
                 self._all_notified.set()
 
     def expect(self, is_expected: Callable[[WatchEvent], bool]) -> None:
-        """Wait for the first event of this kind at each client."""
+        """Record, from now on, the time of each client's first event of this kind."""
         self._is_expected = is_expected
         self._missing = set(range(len(self._clients)))
         self.notified_at = {}
         self._all_notified.clear()
 
     async def wait_notified(self, timeout: float) -> bool:
-        """Return whether all clients receive the event within a time."""
+        """Wait until all clients have received the event; return whether they did within the timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self._all_notified.wait()
         return not self._missing
 
     async def watch(self, address: str, interval: float = 0.0) -> None:
-        """Let all clients watch an address, one after the other with an interval in seconds."""
+        """Let all clients watch an address; they start one after the other, ``interval`` seconds apart."""
         host, port = split_address(address)
         for client in self._clients:
             client.set_address(host, port)
@@ -126,26 +127,26 @@
         self._clients = _ClientGroup(case, seed)
 
     async def run(self) -> Convergence:
-        """Run the case. Raise ``BrokenRunError`` if clients are not notified without a fault."""
+        """Run the case. Raise ``BrokenRunError`` if clients get no first list before the fault."""
         address = await self._discovery.open()
         try:
             self._clients.expect(_any_event)
             if self._case.fault is Fault.START:
-                return await self._start(address)
+                return await self._measure_start(address)
             await self._settle(address)
             self._clients.expect(lambda event: event.version > FIRST_VERSION)
             if self._case.fault is Fault.NONE:
-                return await self._change()
-            await self._fail()
+                return await self._measure_change()
+            await self._start_outage()
             if self._case.fault is Fault.MOVED:
-                return await self._move()
-            return await self._recover()
+                return await self._measure_move()
+            return await self._measure_recovery()
         finally:
             self._clients.close()
             self._discovery.close()
             self._other_discovery.close()
 
-    async def _start(self, address: str) -> Convergence:
+    async def _measure_start(self, address: str) -> Convergence:
         started_at = time.monotonic()
         await self._clients.watch(address)
         return await self._converge(self._discovery, started_at)
@@ -155,21 +156,21 @@
         half_open = self._case.fault is Fault.HALF_OPEN
         if half_open:
             self._discovery.stop_responding()
-        # Hundreds of simultaneous starts would delay each other in the same event loop.
+        # Hundreds of clients that start at the same time would delay each other in this event loop.
         await self._clients.watch(address, START_INTERVAL_SECONDS)
         if half_open:
             return
         if not await self._clients.wait_notified(SETTLE_TIMEOUT_SECONDS):
-            raise BrokenRunError(f"{self._case.name}: not all limiters received their first list")
+            raise BrokenRunError(f"{self._case.name}: not all discovery clients received their first list")
         await asyncio.sleep(Random(self._seed).uniform(*SETTLE_DELAY_SECONDS))
 
-    async def _change(self) -> Convergence:
+    async def _measure_change(self) -> Convergence:
         started_at = time.monotonic()
         self._discovery.drain(CHANGED_ENDPOINT)
         return await self._converge(self._discovery, started_at)
 
-    async def _fail(self) -> None:
-        """Make discovery unavailable, and change the list."""
+    async def _start_outage(self) -> None:
+        """Make discovery unavailable, change the list, and wait for the duration of the outage."""
         if self._case.fault is Fault.UNRESPONSIVE:
             self._discovery.stop_responding()
         elif self._case.fault is not Fault.HALF_OPEN:
@@ -177,7 +178,7 @@
         self._discovery.drain(CHANGED_ENDPOINT)
         await asyncio.sleep(self._case.outage)
 
-    async def _move(self) -> Convergence:
+    async def _measure_move(self) -> Convergence:
         self._other_discovery.set_version(MOVED_VERSION)
         self._clients.expect(lambda event: event.version == MOVED_VERSION)
         address = await self._other_discovery.open()
@@ -185,7 +186,7 @@
         await self._clients.watch(address)
         return await self._converge(self._other_discovery, started_at)
 
-    async def _recover(self) -> Convergence:
+    async def _measure_recovery(self) -> Convergence:
         self._discovery.limit_capacity(self._case.capacity)
         calls_before = self._discovery.calls
         await self._discovery.open()
@@ -209,44 +210,44 @@
     return DiscoveryStandIn(make_endpoints(LIST_LENGTH, ["127.0.0.1:1"]), write_seconds=write_seconds)
 
 
-class _LatenessMonitor:
+class _LoopDelayMonitor:
     """Measures the longest delay of the event loop, in seconds."""
 
     def __init__(self) -> None:
-        self.longest = 0.0
+        self.max_delay = 0.0
 
     async def run(self) -> None:
-        """Check the event loop until cancelled."""
+        """Measure the delay of the event loop repeatedly until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + LATENESS_INTERVAL_SECONDS
-            await asyncio.sleep(LATENESS_INTERVAL_SECONDS)
-            self.longest = max(self.longest, loop.time() - due)
+            due = loop.time() + LOOP_DELAY_INTERVAL_SECONDS
+            await asyncio.sleep(LOOP_DELAY_INTERVAL_SECONDS)
+            self.max_delay = max(self.max_delay, loop.time() - due)
 
 
 async def _run_all(cases: list[Case], seed: int) -> GroupRun:
-    monitor = _LatenessMonitor()
+    monitor = _LoopDelayMonitor()
     monitoring = asyncio.get_running_loop().create_task(monitor.run())
 
     async def run_one(index: int, case: Case) -> Convergence:
-        await asyncio.sleep(START_INTERVAL_SECONDS * sum(before.limiters for before in cases[:index]))
+        await asyncio.sleep(START_INTERVAL_SECONDS * sum(earlier.limiters for earlier in cases[:index]))
         return await _CaseRun(case, seed + SEEDS_PER_CASE * index).run()
 
     results = await asyncio.gather(*(run_one(index, case) for index, case in enumerate(cases)))
     monitoring.cancel()
-    return GroupRun(results, monitor.longest)
+    return GroupRun(results, monitor.max_delay)
 
 
 def run_cases(cases: list[Case], seed: int) -> GroupRun:
     """Run all cases at the same time in one event loop."""
-    logging.disable()  # the clients log each of hundreds of failures
+    logging.disable()  # hundreds of clients would log each failure
     return uvloop.run(_run_all(cases, seed))
 
 
 def measure_groups(cases: list[Case], effort: Effort) -> list[GroupRun]:
-    """Run all cases several times, each time in a process of its own.
+    """Run all cases several times in parallel, each time in a separate process.
 
-    Raise ``BrokenRunError`` if a process exits, or may not open as many sockets as the cases need.
+    Raise ``BrokenRunError`` if a process exits, or if it may not open the sockets that the cases need.
     """
     _check_descriptors(cases)
     runs = min(effort.runs, effort.processes)
@@ -255,7 +256,7 @@
         futures = [pool.submit(run_cases, cases, effort.seed + run) for run in range(runs)]
         return [future.result() for future in futures]
     except BrokenProcessPool as error:
-        raise BrokenRunError(f"a process of discovery clients died: {error}") from None
+        raise BrokenRunError(f"a process of discovery clients exited: {error}") from None
     finally:
         pool.shutdown(cancel_futures=True)
 
@@ -265,5 +266,5 @@
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed != resource.RLIM_INFINITY and needed > allowed:
         raise BrokenRunError(
-            f"the discovery clients need {needed} descriptors, and a process may open {allowed}"
+            f"the discovery clients need {needed} file descriptors, but the limit of a process is {allowed}"
         )
--- a/scale/propagation/real_limiters.py
+++ b/scale/propagation/real_limiters.py
@@ -1,4 +1,4 @@
-"""A few real limiters under traffic: the time until a change of configuration or list is in force."""
+"""A few real limiters under traffic: the time until a change of configuration or list is in force at each."""
 
 from __future__ import annotations
 
@@ -27,45 +27,44 @@
 QUICK_LIMITERS = 2
 QUICK_SERVERS = 60
 MAX_QUICK_RUNS = 2
-PORTS = 4  # of the endpoints; the endpoints of one port drain together
+PORTS = 4  # of the endpoints; all endpoints of a port drain together
 REQUEST_INTERVAL_SECONDS = 0.01  # between a response and the next request
 CLIENT_TIMEOUT_SECONDS = 2.0
 SERVING_GATEWAYS = 3
-ACCOUNTS = 50  # used at one limiter
+ACCOUNTS = 50  # used by the traffic of one limiter
 ACCOUNT_RANGE = 64  # account numbers reserved for one limiter
-SEED_SHIFT = 24  # keeps the request ids of different seeds apart
+SEED_SHIFT = 24  # runs with different seeds have different request ids
 WARM_UP_SECONDS = 1.5
 QUICK_WARM_UP_SECONDS = 0.5
-RELOAD_TIMEOUT_SECONDS = 10.0  # until a new configuration has to be in force
+RELOAD_TIMEOUT_SECONDS = 10.0  # in which a new configuration has to be in force
 RELOAD_POLL_SECONDS = 0.005
-DRAIN_SECONDS = 1.5  # for which the endpoints of a port drain
-RECOVERY_SECONDS = 0.5  # after a drain, until limiters use the endpoints again
-RECENT_USE_SECONDS = (
-    1.0  # before a drain; a limiter without a request in this time does not use the endpoints
-)
+DRAIN_SECONDS = 1.5  # duration of a drain of a port's endpoints
+RECOVERY_SECONDS = 0.5  # after a drain, in which limiters start to use the endpoints again
+# A limiter that sent the drained endpoints no request in this time before the drain counts as not using them.
+RECENT_USE_SECONDS = 1.0
 STOP_TIMEOUT_SECONDS = 3.0
 OPEN_PLAN = "open"
-BLOCKED_PLAN = "held"  # its requests are rejected while it is blocked
-BLOCKED_REQUESTS_PER_SECOND = 0.001  # admitted while it is blocked
+BLOCKED_PLAN = "held"  # its requests are rejected in every second configuration
+BLOCKED_REQUESTS_PER_SECOND = 0.001  # rate of the blocked plan while it is blocked
 
 
 @dataclass(slots=True)
-class RealTimes:
-    """Seconds until a change was in force at each real limiter, by run."""
+class RealLimiterTimes:
+    """Seconds until a change was in force at each real limiter, for each run."""
 
     config: list[list[float]]
     endpoints: list[list[float]]
     servers: int
-    unused: int = 0  # limiters that did not use the drained endpoints, in all runs
+    unused: int = 0  # limiters that did not use the drained endpoints, summed over the runs
 
     def add_drain(self, times: list[float], unused: int) -> None:
-        """Add the times of one drain, and the number of limiters that did not use the endpoints."""
+        """Add the times of one drain, and the number of limiters that did not use the drained endpoints."""
         self.endpoints.append(times)
         self.unused += unused
 
 
 def limiter_settings(size: Size, *, blocked: bool) -> dict[str, Any]:
-    """Return a limiter's settings by their names on the wire; ``blocked`` applies to ``BLOCKED_PLAN``."""
+    """Return a limiter's settings by their names on the wire; ``blocked``: reject ``BLOCKED_PLAN``."""
     blocked_rate = BLOCKED_REQUESTS_PER_SECOND * blocked
     tariffs = [
         {"name": OPEN_PLAN, "never_over_rate": 0.0, "hard_burst": 0.0},
@@ -74,27 +73,27 @@
     return make_settings(size, tariffs)
 
 
-class _Traffic:
-    """Requests to one limiter, one after the other, in turn of the open plan and of the blocked plan."""
+class _TrafficClient:
+    """Sequential requests to one limiter, alternately of the open plan and of the blocked plan."""
 
     def __init__(self, number: int, limiter: Limiter, ids: count[int]) -> None:
         self._number = number
         self._client = HttpClient(limiter.address)
         self._ids = ids
         self._is_stopping = False
-        self.blocked: bool | None = None  # by the last response
-        self.changed_at = 0.0  # time of the first such response, in seconds of ``time.monotonic``
+        self.blocked: bool | None = None  # whether the last response of the blocked plan was a rejection
+        self.changed_at = 0.0  # time of the response that changed ``blocked``, in ``time.monotonic`` seconds
 
     async def run(self) -> None:
-        """Send until ``stop``."""
+        """Send requests until ``stop`` is called."""
         for turn in count():
             if self._is_stopping:
                 self._client.close()
                 return
             plan = BLOCKED_PLAN if turn % 2 else OPEN_PLAN
             response = await self._client.fetch(self._request(plan, turn // 2))
-            is_shown = plan == BLOCKED_PLAN and (response.is_served or response.is_rejected)
-            if is_shown and self.blocked is not response.is_rejected:
+            shows_state = plan == BLOCKED_PLAN and (response.is_served or response.is_rejected)
+            if shows_state and self.blocked is not response.is_rejected:
                 self.blocked = response.is_rejected
                 self.changed_at = response.received_at
             await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
@@ -110,30 +109,30 @@
         )
 
     def stop(self) -> None:
-        """End after the open request."""
+        """Let ``run`` end after the request in flight."""
         self._is_stopping = True
 
 
 class _Experiment:
-    """Changes at limiters under traffic."""
+    """Changes the configuration and the endpoint list of limiters under traffic."""
 
     def __init__(
-        self, stand_ins: StandIns, limiters: list[Limiter], traffic: list[_Traffic], size: Size
+        self, stand_ins: StandIns, limiters: list[Limiter], traffic: list[_TrafficClient], size: Size
     ) -> None:
         self._stand_ins = stand_ins
         self._limiters = limiters
         self._traffic = traffic
         self._size = size
 
-    async def run(self, servers: int, runs: int, warm_up: float) -> RealTimes:
-        """Return the times. Raise ``BrokenRunError`` if a limiter did not reload its configuration."""
+    async def run(self, servers: int, runs: int, warm_up: float) -> RealLimiterTimes:
+        """Measure all changes. Raise ``BrokenRunError`` if a limiter did not reload each configuration."""
         await asyncio.sleep(warm_up)
-        times = RealTimes([], [], servers)
-        for turn in range(runs):
-            times.config.append(await self._reload(blocked=turn % 2 == 1))
+        times = RealLimiterTimes([], [], servers)
+        for run in range(runs):
+            times.config.append(await self._reload(blocked=run % 2 == 1))
         await self._check_reloads(runs)
-        for turn in range(runs):
-            await self._drain(turn % PORTS, times)
+        for run in range(runs):
+            await self._drain(run % PORTS, times)
         return times
 
     async def _reload(self, *, blocked: bool) -> list[float]:
@@ -144,11 +143,11 @@
             limiter.write_settings(settings)
             limiter.process.send_signal(signal.SIGHUP)
         deadline = started_at + RELOAD_TIMEOUT_SECONDS
-        while any(one.blocked is not blocked for one in self._traffic) and time.monotonic() < deadline:
+        while any(client.blocked is not blocked for client in self._traffic) and time.monotonic() < deadline:
             await asyncio.sleep(RELOAD_POLL_SECONDS)
         return [
-            max(0.0, one.changed_at - started_at) if one.blocked is blocked else RELOAD_TIMEOUT_SECONDS
-            for one in self._traffic
+            max(0.0, client.changed_at - started_at) if client.blocked is blocked else RELOAD_TIMEOUT_SECONDS
+            for client in self._traffic
         ]
 
     async def _check_reloads(self, runs: int) -> None:
@@ -157,8 +156,8 @@
             if metrics["loads"] != runs or metrics["load_errors"]:
                 raise BrokenRunError(f"{limiter.name} reloaded {metrics['loads']} of {runs} configurations")
 
-    async def _drain(self, port: int, times: RealTimes) -> None:
-        """Drain the endpoints of a port, and add the times until the limiters stopped to use them."""
+    async def _drain(self, port: int, times: RealLimiterTimes) -> None:
+        """Drain the endpoints of a port, and add the time until each limiter stopped using them."""
         drained_at = (await self._stand_ins.change_health(port, "draining")).published_at
         assert drained_at is not None
         await asyncio.sleep(DRAIN_SECONDS)
@@ -169,7 +168,7 @@
         await asyncio.sleep(RECOVERY_SECONDS)
 
 
-async def _measure(size: Size, effort: Effort, directory: Path) -> RealTimes:
+async def _measure(size: Size, effort: Effort, directory: Path) -> RealLimiterTimes:
     number = QUICK_LIMITERS if effort.quick else LIMITERS
     servers = QUICK_SERVERS if effort.quick else size.servers
     runs = min(MAX_QUICK_RUNS, effort.runs) if effort.quick else effort.runs
@@ -181,14 +180,14 @@
         configs = _configs(stand_ins, number, servers, size, effort)
         limiters = await stack.enter_async_context(start_limiters(directory, configs))
         ids = count(effort.seed << SEED_SHIFT)
-        traffic = [_Traffic(index, limiter, ids) for index, limiter in enumerate(limiters)]
+        traffic = [_TrafficClient(index, limiter, ids) for index, limiter in enumerate(limiters)]
         experiment = _Experiment(stand_ins, limiters, traffic, size)
-        tasks = [asyncio.create_task(one.run()) for one in traffic]
+        tasks = [asyncio.create_task(client.run()) for client in traffic]
         try:
             return await guard(experiment.run(servers, runs, warm_up), stand_ins, *limiters)
         finally:
-            for one in traffic:
-                one.stop()
+            for client in traffic:
+                client.stop()
             await asyncio.wait(tasks, timeout=STOP_TIMEOUT_SECONDS)
             for task in tasks:
                 task.cancel()
@@ -207,10 +206,10 @@
 def _configs(
     stand_ins: StandIns, number: int, servers: int, size: Size, effort: Effort
 ) -> list[dict[str, Any]]:
-    """Return the configurations of limiters whose indices are distributed evenly over the fleet."""
+    """Return configurations of limiters; their indices are distributed evenly over the fleet."""
     known = make_endpoints(servers, stand_ins.addresses.endpoints)
     settings = limiter_settings(size, blocked=True)
-    indices = [place * size.limiters // number for place in range(number)]
+    indices = [position * size.limiters // number for position in range(number)]
     return [
         limiter_config(
             index, settings, stand_ins.addresses, known, seed=effort.seed + index, with_counter=False
@@ -219,10 +218,10 @@
     ]
 
 
-def measure_real_limiters(size: Size, effort: Effort) -> RealTimes:
-    """Measure changes of the configuration and of the list at real limiters."""
+def measure_real_limiters(size: Size, effort: Effort) -> RealLimiterTimes:
+    """Measure the time until changes of the configuration and of the list are in force at real limiters."""
 
-    async def main() -> RealTimes:
+    async def main() -> RealLimiterTimes:
         with TemporaryDirectory(prefix="propagation-") as directory:
             return await _measure(size, effort, Path(directory))
 
--- a/tests/test_scale_propagation.py
+++ b/tests/test_scale_propagation.py
@@ -15,7 +15,7 @@
     figures = {figure.name: figure.value for figure in result.figures}
     assert 0 < figures["configuration in force, last limiter"] < RELOAD_TIMEOUT_SECONDS
     assert 0 < figures["pushed, 12 limiters: last"] < 1.0
-    # Refused clients call again after different backoffs; the last one is later than the median.
+    # Refused clients call again after different backoffs, so the last one is notified after the median one.
     name = "refused, then back, 12 limiters"
     assert figures[f"{name}: median"] < figures[f"{name}: last"] < NOTIFY_TIMEOUT_SECONDS
     assert all(figure.budget is None for figure in result.figures)
