--- a/scale/latency/decisions.py
+++ b/scale/latency/decisions.py
@@ -60,7 +60,7 @@
         self.tick_seconds = list[float]()
 
     def schedule(self, when: float, event: model.Event, request: int) -> None:
-        """Schedule an event of a request at a virtual time."""
+        """Queue an event of a request for a virtual time."""
         heappush(self._queue, _ScheduledEvent(when, next(self._order), event, request))
 
     def run(self, until: float) -> None:
--- a/scale/latency/measurement.py
+++ b/scale/latency/measurement.py
@@ -91,7 +91,7 @@
         return [self.stand_ins, *self.limiters]
 
     def core_wait(self) -> float:
-        """Return the seconds for which the processes and this one have waited for a core so far, summed."""
+        """Return the total seconds that all processes, including this one, have waited for a core so far."""
         return run_queue_seconds(os.getpid()) + sum(process.run_queue_seconds() for process in self.all)
 
     async def counter_calls(self) -> int:
--- a/scale/messages/health_check_bytes.py
+++ b/scale/messages/health_check_bytes.py
@@ -34,7 +34,7 @@
 
 
 class _HealthCheckDecisions:
-    """Decisions that start a health check at each tick, and keep its status."""
+    """Decisions that only start a health check at a tick and store its status."""
 
     def __init__(self) -> None:
         self.status: asyncio.Future[model.CallStatus] = asyncio.get_running_loop().create_future()
--- a/scale/propagation/real_limiters.py
+++ b/scale/propagation/real_limiters.py
@@ -74,7 +74,7 @@
 
 
 class _TrafficClient:
-    """Sequential requests to one limiter, alternately of the open plan and of the blocked plan."""
+    """Sends requests to one limiter one at a time, alternately for the open plan and for the blocked plan."""
 
     def __init__(self, number: int, limiter: Limiter, ids: count[int]) -> None:
         self._number = number
@@ -86,20 +86,20 @@
 
     async def run(self) -> None:
         """Send requests until ``stop`` is called."""
-        for turn in count():
+        for index in count():
             if self._is_stopping:
                 self._client.close()
                 return
-            plan = BLOCKED_PLAN if turn % 2 else OPEN_PLAN
-            response = await self._client.fetch(self._request(plan, turn // 2))
+            plan = BLOCKED_PLAN if index % 2 else OPEN_PLAN
+            response = await self._client.fetch(self._request(plan, index // 2))
             shows_state = plan == BLOCKED_PLAN and (response.is_served or response.is_rejected)
             if shows_state and self.blocked is not response.is_rejected:
                 self.blocked = response.is_rejected
                 self.changed_at = response.received_at
             await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
 
-    def _request(self, plan: str, turn: int) -> bytes:
-        account = self._number * ACCOUNT_RANGE + turn % ACCOUNTS
+    def _request(self, plan: str, index: int) -> bytes:
+        account = self._number * ACCOUNT_RANGE + index % ACCOUNTS
         return encode_request(
             request_id=f"{self._number:04x}{next(self._ids):012x}",
             path=f"/read?account={account:016x}",
