--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,7 @@
-"""The client of discovery over loopback sockets: changes of its address."""
+"""Tests of the discovery client over loopback sockets, at changes of discovery's address.
+
+They guard against a limiter that drops the old address too early or is notified too late at the new one.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 from quota_gateway.net.common.backoff import poll_delay
 from quota_gateway.net.common.http_common import split_address
-from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery import watcher as endpoint_watcher
 from quota_gateway.net.discovery.client import DiscoveryClient
 from quota_gateway.net.discovery.poll_timing import PollTiming
 from quota_gateway.net.discovery.watch_event import WatchEvent
@@ -45,7 +48,7 @@
 
 @async_test
 async def test_old_address_is_followed_until_the_new_one_has_sent_an_event() -> None:
-    old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], end=False)
+    old_discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(57))], close_connections=False)
     new_discovery = DelayedDiscovery()
     versions = list[int]()
     notified = asyncio.Event()
@@ -84,7 +87,7 @@
         recorded.append(consecutive_failures)
         return poll_delay(client_count, consecutive_failures, **options)
 
-    monkeypatch.setattr(endpoint_watch, "poll_delay", recording_poll_delay)
+    monkeypatch.setattr(endpoint_watcher, "poll_delay", recording_poll_delay)
     return recorded
 
 
@@ -92,12 +95,12 @@
 async def test_new_address_is_polled_without_the_backoff_of_failures_at_the_old_one(
     monkeypatch: pytest.MonkeyPatch, failures: list[int]
 ) -> None:
-    """The list must be known 4 s after the signal, however often polls of the old address have failed."""
+    """The limiter must have the list 4 s after the address changes, however many polls have failed before."""
     time_scale = 0.1
     scale_times(monkeypatch, time_scale)
     loop = asyncio.get_running_loop()
     notified = asyncio.Event()
-    discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], end=False)
+    discovery = ScriptedDiscovery([RESPONSE_HEAD, chunk(message(1))], close_connections=False)
     timing = parse_timing({"discovery": "ask", "n_instances": 200})
     async with running_server(discovery.serve) as address:
         client = DiscoveryClient(
@@ -108,9 +111,9 @@
         client.set_address("127.0.0.1", 1, 41)
         while max(failures, default=0) < 3:
             await asyncio.sleep(0.01)
-        moved_at = loop.time()
+        address_changed_at = loop.time()
         client.set_address(*split_address(address))
         await notified.wait()
         assert failures[-1] == 0
-        assert loop.time() - moved_at < 4 * time_scale
+        assert loop.time() - address_changed_at < 4 * time_scale
         client.close()
