--- a/quota_gateway/__init__.py
+++ b/quota_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a quota-keeping gateway for a shared API."""
+"""Rate limiter for a shared API: admits, forwards or rejects requests by quota and load."""
--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m quota_gateway``: one gateway process, configured by the file that LB_CONFIG names."""
+"""``python -m quota_gateway``: one limiter process, configured by the file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 
 
 def main() -> int:
-    """Run the gateway until a signal ends it; return the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # by default it would end a process that is still starting
+    """Run the limiter until a signal ends it; return the exit code."""
+    # By default SIGHUP would terminate a process that is still starting.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logging()
     environment = Environment.from_variables(os.environ)
     try:
--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one gateway process: the JSON file and the environment variables, as typed records."""
+"""The configuration of one limiter process: the JSON file and the environment variables, as typed records."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be read or used; the text names the fault."""
+    """The configuration cannot be read or used; the message names the problem."""
 
 
 class ConfigUnreadableError(ConfigError):
@@ -33,15 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """The environment variables of a process, as read at its start."""
+    """The environment variables that configure a process, as read at its start."""
 
     config_path: str = ""  # LB_CONFIG: the configuration file
     admin_address: str = ""  # LB_MGMT: takes precedence over the file, which several processes may share
-    name: str = ""  # LB_NAME: the gateway's name if the file has none
+    name: str = ""  # LB_NAME: the limiter's name if the file has none
     listen_fd: str = ""  # LB_LISTEN_FD: descriptor of an inherited listening socket
-    shared_directory: str | None = (
-        None  # TMPDIR: parent of the directory that the processes of one gateway share
-    )
+    # TMPDIR: parent of the directory that the processes of one limiter share
+    shared_directory: str | None = None
 
     @classmethod
     def from_variables(cls, variables: Mapping[str, str]) -> Self:
@@ -59,19 +58,18 @@
 class Config:
     """One configuration file, completed by the environment."""
 
-    listen: Address  # for clients
+    listen: Address  # where clients connect
     discovery: Address
     counter: Address | None  # the shared counter
-    admin: Address | None  # for operators; without it the gateway has no process group
+    admin: Address | None  # where operators connect; without it the limiter has no process group
     name: str
-    seed: int  # of the random number generators
-    max_descriptors: int  # file descriptors that the process may hold
+    seed: int  # seed of the random number generators
+    max_descriptors: int  # file descriptors that the process may have open
     initial_endpoints: WatchEvent | None  # the endpoint list to start with, until discovery responds
     settings: model.Settings
     timing: Timing
-    raw_settings: dict[str, Any] = field(
-        repr=False, compare=False
-    )  # as read from the file, to check a reload against
+    # The settings object as read from the file; a reload is checked against it.
+    raw_settings: dict[str, Any] = field(repr=False, compare=False)
 
 
 def load_config(environment: Environment) -> Config:
@@ -85,14 +83,14 @@
     except OSError as error:
         raise ConfigUnreadableError(f"cannot read {path}: {error}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"cannot read {path}: {error}") from None
+        raise ConfigError(f"cannot parse {path} as JSON: {error}") from None
     return parse_config(raw, environment)
 
 
 def parse_config(raw: Any, environment: Environment) -> Config:
-    """Convert a parsed configuration file; raise ``ConfigError`` that names the fault."""
+    """Convert a parsed configuration file; raise ``ConfigError`` if it is not valid."""
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-        raise ConfigError("the configuration is not an object with settings")
+        raise ConfigError("the configuration must be a JSON object with an object under the key settings")
     try:
         return _config_from(raw, environment)
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
--- a/quota_gateway/lifecycle/__init__.py
+++ b/quota_gateway/lifecycle/__init__.py
@@ -1,5 +1,5 @@
-"""The life of one gateway process: startup, configuration reload and graceful shutdown.
+"""The lifecycle of one limiter process: startup, configuration reload and graceful shutdown.
 
-``process`` is the entry point. ``components`` builds the parts of the process, which ``startup``, ``reload``
-and ``shutdown`` operate on.
+``process`` is the entry point. ``components`` builds the components of the process, which ``startup``,
+``reload`` and ``shutdown`` operate on.
 """
--- a/quota_gateway/lifecycle/components.py
+++ b/quota_gateway/lifecycle/components.py
@@ -1,4 +1,4 @@
-"""The parts of one gateway process, and how they are connected with each other."""
+"""The components of one limiter process, and how they are connected."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Components:
-    """The parts of one gateway process."""
+    """The components of one limiter process."""
 
     metrics: Metrics
     process_group: ProcessGroup
@@ -36,15 +36,15 @@
 
 
 def build_components(config: Config, environment: Environment) -> Components:
-    """Create and connect all parts, without opening sockets; raise ConfigError for unusable settings."""
+    """Create and connect all components, without opening sockets; raise ConfigError for unusable settings."""
     settings = config.settings
     timing = config.timing
     clock_offset = unix_offset()
     clock = unix_clock(clock_offset)
-    # Without an admin address no endpoint can be suspended, and no second process starts.
+    # Without an admin address no endpoint can be suspended and no upgrade takes place: nothing is shared.
     shared_directory = environment.shared_directory if config.admin else None
     process_group = ProcessGroup(shared_directory, config.name, clock_offset)
-    metrics = Metrics(each.name for each in settings.classes)
+    metrics = Metrics(request_class.name for request_class in settings.classes)
     limits = connection_limits(config.max_descriptors, process_count=1)
     pool = ConnectionPool(clock, timing.connect_timeout, timing.idle_timeout, limits.endpoints, metrics)
     rng = Random(config.seed)
--- a/quota_gateway/lifecycle/connection_limits.py
+++ b/quota_gateway/lifecycle/connection_limits.py
@@ -4,13 +4,14 @@
 
 from typing import NamedTuple
 
-RESERVED_DESCRIPTORS = 48  # for everything but clients and endpoints, and for sockets that are being closed
-RESERVED_DESCRIPTORS_IN_GROUP = 24  # the same for each process while several processes share the descriptors
-MIN_CONNECTIONS = 8  # of clients and to endpoints, however few descriptors there are
+# File descriptors for everything but client and endpoint connections, and for sockets that are being closed.
+RESERVED_DESCRIPTORS = 48
+RESERVED_DESCRIPTORS_IN_GROUP = 24  # for the same, per process, while several processes share the descriptors
+MIN_CONNECTIONS = 8  # lower bound of each limit, even if there are too few descriptors
 
 
 class ConnectionLimits(NamedTuple):
-    """The connections that one process may hold."""
+    """The maximum numbers of open connections of one process, by peer."""
 
     clients: int
     endpoints: int
@@ -19,12 +20,12 @@
 def connection_limits(max_descriptors: int, process_count: int) -> ConnectionLimits:
     """Return the limits of one of ``process_count`` processes that share ``max_descriptors``."""
     if process_count > 1:
-        # Clients hold a third of the descriptors at most and migrate to the new process one by one, so that
-        # the old process needs most of that third.
+        # Client connections use at most a third of the descriptors. Clients migrate to the new process one by
+        # one, so the old process needs most of that third.
         clients = max(MIN_CONNECTIONS, max_descriptors // (2 * process_count))
         unreserved = max_descriptors - RESERVED_DESCRIPTORS_IN_GROUP * process_count
         return ConnectionLimits(clients, max(MIN_CONNECTIONS, unreserved // process_count - clients))
-    # Clients usually hold a third of the descriptors at most; beyond half, idle clients are evicted for new
-    # ones.
+    # Client connections usually use at most a third of the descriptors. Beyond half, idle ones are evicted in
+    # favour of new ones.
     half = max(MIN_CONNECTIONS, (max_descriptors - RESERVED_DESCRIPTORS) // 2)
     return ConnectionLimits(half, half)
--- a/quota_gateway/lifecycle/process.py
+++ b/quota_gateway/lifecycle/process.py
@@ -1,4 +1,4 @@
-"""Entry point: run one gateway process from its configuration to its shutdown."""
+"""Entry point: run one limiter process from its configuration to its shutdown."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from quota_gateway.lifecycle.shutdown import shut_down
 from quota_gateway.lifecycle.startup import announce_ready, start
 
-log = logging.getLogger("quota_gateway")  # lines on the process itself carry the package's name
+log = logging.getLogger("quota_gateway")  # log lines about the process as a whole carry the package's name
 
 
 async def serve(config: Config, environment: Environment) -> None:
-    """Run one gateway until SIGTERM or SIGINT; raise ConfigError if it cannot start."""
+    """Run one limiter process until SIGTERM or SIGINT; raise ConfigError if it cannot start."""
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
--- a/quota_gateway/lifecycle/reload.py
+++ b/quota_gateway/lifecycle/reload.py
@@ -10,9 +10,9 @@
 from quota_gateway.lifecycle.components import Components
 from quota_gateway.settings_parser import check_reloaded_settings
 
-log = logging.getLogger("quota_gateway")  # lines on the process itself carry the package's name
+log = logging.getLogger("quota_gateway")  # log lines about the process as a whole carry the package's name
 
-# How long an unreadable file is retried. A configuration must be in force 4 s after SIGHUP.
+# How long an unreadable file is retried. A new configuration must be in force within 4 s of SIGHUP.
 RETRY_TIMEOUT_SECONDS = 3.0
 RETRY_INTERVAL_SECONDS = 0.1
 
@@ -50,8 +50,8 @@
             return
         metrics.record_reload(succeeded=True)
         self._apply(updated)
-        # The listening socket keeps its address, so that a changed one is logged at each reload until the
-        # restart.
+        # The listening socket keeps its address. Keeping the old address here makes each reload until the
+        # restart log that a change needs one.
         self._running = replace(updated, listen=running.listen)
         _log_reloaded(updated, running)
 
@@ -70,7 +70,7 @@
 
 
 def _check_reload(updated: Config, running: Config) -> None:
-    """Raise ConfigError for a configuration that a running process cannot change to."""
+    """Raise ConfigError if a running process cannot switch to the updated configuration."""
     try:
         check_reloaded_settings(updated.raw_settings, running.raw_settings)
         updated.settings.validate()
@@ -81,7 +81,7 @@
 
 
 def _needs_restart(updated: Config, running: Config) -> bool:
-    """Whether a configuration has changes that a reload does not apply."""
+    """Whether the updated configuration has changes that a reload does not apply."""
     applied = replace(
         running,
         discovery=updated.discovery,
@@ -96,7 +96,7 @@
 def _log_reloaded(updated: Config, running: Config) -> None:
     changes = ""
     if updated.settings != running.settings:
-        class_names = ", ".join(each.name for each in updated.settings.classes)
+        class_names = ", ".join(request_class.name for request_class in updated.settings.classes)
         changes = f": classes {class_names}, {updated.settings.max_attempts} attempts"
     restart_note = "; some changes need a restart" if _needs_restart(updated, running) else ""
     log.info("configuration reloaded%s%s", changes, restart_note)
--- a/quota_gateway/lifecycle/shutdown.py
+++ b/quota_gateway/lifecycle/shutdown.py
@@ -7,18 +7,19 @@
 from quota_gateway import model
 from quota_gateway.lifecycle.components import Components
 
-ACCEPT_PERIOD_SECONDS = 0.5  # after SIGTERM, in which clients that cannot know of it are still accepted
-# The platform sends SIGKILL this long after SIGTERM, on top of the longest deadline (MAX_DEADLINE_SECONDS at
-# most).
+# New connections are accepted for this time after SIGTERM, since clients cannot know of the shutdown yet.
+ACCEPT_PERIOD_SECONDS = 0.5
+# The platform sends SIGKILL when the longest deadline (at most MAX_DEADLINE_SECONDS) and then this time have
+# passed since SIGTERM.
 KILL_GRACE_SECONDS = 0.7
-MAX_DEADLINE_SECONDS = 3.0  # also used where the settings have no deadline
-SIGNAL_DELAY_SECONDS = 0.2  # reserve before SIGKILL, since SIGTERM may be handled late
+MAX_DEADLINE_SECONDS = 3.0  # also used if the settings have no deadline
+SIGNAL_DELAY_SECONDS = 0.2  # safety margin before SIGKILL, since SIGTERM may be handled late
 FLUSH_TIMEOUT_SECONDS = 0.15  # to write the last responses after the drain has timed out
 
 
 def drain_timeout(settings: model.Settings) -> float:
-    """Return the seconds in which accepted requests are answered, from the end of the accept period."""
-    longest_deadline = max((each.deadline for each in settings.classes), default=0.0)
+    """Return the time in seconds to answer accepted requests after the end of the accept period."""
+    longest_deadline = max((request_class.deadline for request_class in settings.classes), default=0.0)
     kill_delay = min(longest_deadline or MAX_DEADLINE_SECONDS, MAX_DEADLINE_SECONDS) + KILL_GRACE_SECONDS
     return kill_delay - SIGNAL_DELAY_SECONDS - FLUSH_TIMEOUT_SECONDS - ACCEPT_PERIOD_SECONDS
 
@@ -27,7 +28,7 @@
     """Drain, answer the requests that are still open, and close all connections and files.
 
     ``terminated_at`` is the earliest time at which SIGTERM may have been sent, by the event loop's clock. All
-    steps are timed from there, so that a stall of the process does not move the end beyond SIGKILL.
+    steps are timed from there, so a stall of the process does not delay the end beyond SIGKILL.
     """
     await _drain(components, terminated_at)
     components.dispatcher.abandon_all()
@@ -51,8 +52,8 @@
     drain_until = accept_until + drain_timeout(components.dispatcher.settings)
     components.process_group.withdraw_accepting()
     if components.process_group.has_accepting_peer():
-        # The other process accepts new clients. Connected clients migrate with their next response; closing
-        # their connections sooner could cross a request on its way.
+        # The other process accepts new clients. Connected clients migrate with their next response; an
+        # earlier close could cross a request that is already on its way.
         await listener.stop_accepting()
         await listener.wait_until_empty(drain_until - loop.time())
     else:
--- a/quota_gateway/lifecycle/startup.py
+++ b/quota_gateway/lifecycle/startup.py
@@ -13,9 +13,9 @@
 from quota_gateway.lifecycle.connection_limits import connection_limits
 from quota_gateway.net.process_group.group import GroupChange, ProcessGroup
 
-log = logging.getLogger("quota_gateway")  # lines on the process itself carry the package's name
+log = logging.getLogger("quota_gateway")  # log lines about the process as a whole carry the package's name
 
-# How long a start waits for a suspension file that cannot be read. A process must be ready within 6 s.
+# How long startup waits for a suspension file that cannot be read. A process must be ready within 6 s.
 SUSPENSIONS_TIMEOUT_SECONDS = 4.0
 SUSPENSIONS_POLL_SECONDS = 0.05
 
@@ -26,9 +26,9 @@
     if config.initial_endpoints is not None:
         components.dispatcher.on_watch_event(config.initial_endpoints)
         initial_version = config.initial_endpoints.version
-    # Behind the endpoints: another process may have handed over what it knows of them.
+    # Polling starts after the endpoints are set: another process may have handed over state about them.
     on_group_changed = partial(_on_group_changed, components, config.max_descriptors)
-    components.process_group.watch(on_group_changed, components.dispatcher.on_handover)
+    components.process_group.start_polling(on_group_changed, components.dispatcher.on_handover)
     await _wait_for_suspensions(components.process_group)
     await _listen(components, config, environment)
     components.process_group.announce_accepting()
@@ -38,7 +38,7 @@
 
 
 def announce_ready(config: Config) -> None:
-    """Log that the process is ready, after exempting its long-lived objects from garbage collection."""
+    """Exempt the long-lived objects from garbage collection, then log that the process is ready."""
     _freeze_long_lived_objects()
     _log_ready(config)
 
@@ -46,15 +46,15 @@
 async def _wait_for_suspensions(process_group: ProcessGroup) -> None:
     """Wait until the suspensions can be read: without them, suspended endpoints would receive requests."""
     deadline = asyncio.get_running_loop().time() + SUSPENSIONS_TIMEOUT_SECONDS
-    while not process_group.knows_suspensions:
+    while not process_group.suspensions_loaded:
         if asyncio.get_running_loop().time() > deadline:
-            log.error("starting without the suspensions of earlier processes, which cannot be read")
+            log.error("starting without the suspensions of earlier processes: their file cannot be read")
             return
         await asyncio.sleep(SUSPENSIONS_POLL_SECONDS)
 
 
 def _on_group_changed(components: Components, max_descriptors: int, change: GroupChange) -> None:
-    """Divide the descriptors among the running processes, and notify the decisions."""
+    """Divide the descriptors among the running processes, and pass the change to the dispatcher."""
     limits = connection_limits(max_descriptors, change.process_count)
     components.listener.set_max_connections(limits.clients)
     components.pool.set_max_connections(limits.endpoints)
@@ -64,7 +64,8 @@
 async def _listen(components: Components, config: Config, environment: Environment) -> None:
     try:
         inherited = _inherited_socket(environment.listen_fd)
-        # Without an inherited socket, a new version can still listen at the address of the old one.
+        # With an admin address, a new version can listen at the address of the old one even without an
+        # inherited socket.
         await components.listener.listen(*config.listen, inherited, beside=config.admin is not None)
         if components.admin is not None and config.admin is not None:
             await components.admin.listen(*config.admin)
@@ -79,7 +80,7 @@
     try:
         inherited = socket.socket(fileno=int(descriptor))
         if not _is_listening(inherited):
-            raise ValueError("it does not listen")
+            raise ValueError("not a listening stream socket")
     except (OSError, ValueError) as error:
         raise ConfigError(f"LB_LISTEN_FD={descriptor:.20}: {error}") from None
     return inherited
--- a/quota_gateway/logs.py
+++ b/quota_gateway/logs.py
@@ -11,7 +11,7 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Suppresses log records above a rate; the next record names the number of those suppressed."""
+    """Suppresses log records above a rate; the next record states how many were suppressed."""
 
     def __init__(self, max_per_second: int) -> None:
         """Pass at most ``max_per_second`` records in each second of the monotonic clock."""
--- a/quota_gateway/net/process_group/__init__.py
+++ b/quota_gateway/net/process_group/__init__.py
@@ -1,4 +1,5 @@
 """Files that the processes of one limiter share: process locks, suspensions and handovers.
 
-It owns the limiter's directory in ``$TMPDIR`` and imports only ``common``.
+The package owns the limiter's directory below ``$TMPDIR``. Of the other network packages it may import only
+``common``.
 """
--- a/quota_gateway/net/process_group/accepting_file.py
+++ b/quota_gateway/net/process_group/accepting_file.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPTING_FILE_PREFIX = "accepting-"  # followed by the name of the process file
+ACCEPTING_FILE_PREFIX = "accepting-"  # the name of the process file follows
 
 
 def accepting_path(directory: Path, process_file: str) -> Path:
@@ -31,25 +31,25 @@
 
 
 class AcceptingFile:
-    """The announcement that this process accepts clients."""
+    """A locked file that announces to the other processes that this process accepts clients."""
 
     def __init__(self) -> None:
-        """Begin without an announcement."""
+        """Start without an announcement; ``request`` and then ``write`` make one."""
         self._is_requested = False
         self._lock: FileLock | None = None
 
     def request(self) -> None:
-        """Have the announcement written by the next ``write``."""
+        """Let the next ``write`` create and lock the file."""
         self._is_requested = True
 
     def write(self, directory: Path, process_file: str) -> None:
-        """Lock the file if that is requested and not done yet; after a failure, call it again."""
+        """Create and lock the file if requested and not done yet; after a failure, call this again."""
         if not self._is_requested or self._lock is not None:
             return
         try:
             self._lock = FileLock(accepting_path(directory, process_file))
         except OSError as error:
-            log.warning("cannot announce yet that clients are accepted: %s", error)
+            log.warning("cannot announce yet that this process accepts clients: %s", error)
 
     def withdraw(self, directory: Path | None, process_file: str) -> None:
         """Delete the file and release its lock."""
--- a/quota_gateway/net/process_group/group.py
+++ b/quota_gateway/net/process_group/group.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_SECONDS = 0.1  # a suspension must hold in the other process within a second
-LATE_POLL_SECONDS = 0.3  # without a poll, after which this process has been stalled
-# Part of the format on disk: an old process and a new one meet in this directory during an upgrade.
+POLL_INTERVAL_SECONDS = 0.1  # a suspension must be in force in the other process within 1 s
+LATE_POLL_SECONDS = 0.3  # time without a poll that counts as a stall of this process
+# Part of the format on disk: the old and the new process share this directory during an upgrade.
 DIRECTORY_PREFIX = "cypresspulley-"
-MAX_ENCODED_NAME_LENGTH = 64  # characters of the limiter's name in the directory's, encoded in hexadecimal
+MAX_ENCODED_NAME_LENGTH = 64  # hexadecimal digits of the limiter's name in the directory name
 
 
 class GroupChange(NamedTuple):
@@ -31,7 +31,7 @@
 
     process_count: int
     suspended_endpoints: frozenset[str]
-    seconds_unknown: float  # since the poll before: the change happened within this time
+    seconds_unknown: float  # time since the previous poll, in which the change happened
 
 
 OnChange = Callable[[GroupChange], None]
@@ -41,12 +41,12 @@
 class ProcessGroup:
     """The files that this process shares with the other processes of its limiter.
 
-    A process without a shared directory is alone. The shared directory may be temporarily unavailable: what
-    could not be written is written by a later poll.
+    Without a shared directory, this process counts as the only one of its limiter. If the directory is
+    temporarily unavailable, a later poll writes what could not be written.
     """
 
     def __init__(self, directory: str | None, name: str, clock_offset: float = 0.0) -> None:
-        """Join the group of the limiter ``name`` in ``directory``, or share nothing where that is None.
+        """Join the group of the limiter ``name`` in ``directory``, or share nothing if it is None.
 
         ``clock_offset`` is this process's Unix time minus its monotonic time, in seconds.
         """
@@ -54,11 +54,11 @@
         self._accepting = AcceptingFile()
         self._handover = HandoverFiles(clock_offset)
         self._suspension_file = SuspensionFile(self._membership.directory, self._membership.process_file)
-        self._notified_process_count = 1
-        self._notified_suspensions = frozenset[str]()
+        self._reported_process_count = 1
+        self._reported_suspensions = frozenset[str]()
         self._poll_timer: asyncio.TimerHandle | None = None
         self._polled_at = 0.0  # seconds of the event loop's clock; 0 before the first poll
-        self._seconds_unknown = 0.0  # between the last two polls
+        self._seconds_unknown = 0.0  # time between the last two polls
         self._on_change: OnChange | None = None
         self._on_handover: OnHandover | None = None
 
@@ -74,7 +74,7 @@
     # Accepting clients
 
     def announce_accepting(self) -> None:
-        """Announce to the other processes that this one accepts clients, until ``withdraw_accepting``."""
+        """Announce that this process accepts clients, until ``withdraw_accepting`` is called."""
         self._accepting.request()
         self._announce()
 
@@ -84,7 +84,7 @@
             self._accepting.write(membership.directory, membership.process_file)
 
     def withdraw_accepting(self) -> None:
-        """Withdraw the announcement, before this process stops accepting clients."""
+        """Withdraw the announcement; call this before the process stops accepting clients."""
         self._accepting.withdraw(self._membership.directory, self._membership.process_file)
 
     def has_accepting_peer(self) -> bool:
@@ -99,8 +99,8 @@
     def write_handover(self, state: model.HandoverState) -> None:
         """Write the state for the one process that has joined since the last handover.
 
-        Nothing is written if no process has joined, or several: the handed-over part of a ceiling may be used
-        by one process only, and only once. A failed write is retried.
+        Nothing is written if no process has joined, or more than one: the handed-over part of a ceiling may
+        be used by a single process, and only once. A failed write is retried.
         """
         directory = self._membership.directory
         successor = self._handover.new_successor(self._membership.other_processes())
@@ -108,20 +108,20 @@
             self._handover.hand_over(directory, self._membership.process_file, successor, state)
 
     def read_handover(self) -> model.HandoverState | None:
-        """Return the state that another process has handed over; None if there is none or malformed."""
+        """Return the state that another process has handed over; None if it is missing or malformed."""
         directory = self._membership.directory
         return None if directory is None else self._handover.read(directory, self._membership.process_file)
 
     # Suspensions
 
     def read_suspensions(self) -> frozenset[str]:
-        """Return the endpoints that operators have suspended; a malformed file changes nothing."""
+        """Return the endpoints that operators have suspended; a malformed file leaves them unchanged."""
         return self._suspension_file.read()
 
     @property
-    def knows_suspensions(self) -> bool:
+    def suspensions_loaded(self) -> bool:
         """Whether the suspensions of earlier processes have been read, or there are none."""
-        return self._suspension_file.is_known
+        return self._suspension_file.is_loaded
 
     @property
     def suspensions_saved(self) -> bool:
@@ -134,11 +134,11 @@
 
     # Polling
 
-    def watch(self, on_change: OnChange, on_handover: OnHandover) -> None:
+    def start_polling(self, on_change: OnChange, on_handover: OnHandover) -> None:
         """Poll the shared directory from now on, until ``close``.
 
-        ``on_change`` is called when the number of processes or the suspended endpoints change,
-        ``on_handover`` with the state that another process has written for this one.
+        ``on_change`` is called when the number of processes or the suspended endpoints change, and
+        ``on_handover`` is called with the state that another process has written for this one.
         """
         self._on_change = on_change
         self._on_handover = on_handover
@@ -164,7 +164,7 @@
             self._membership.join,
             self._announce,
             self._suspension_file.save,
-            self._notify_changes,
+            self._report_changes,
             self._take_over,
             self._write_pending_handover,
         )
@@ -172,19 +172,19 @@
             try:
                 step()
             except Exception:
-                log.exception("a poll of the other processes failed")
+                log.exception("one step of a poll of the shared directory failed, the other steps go on")
 
     def _write_pending_handover(self) -> None:
         if self._membership.directory is not None:
             self._handover.write_pending(self._membership.directory, self._membership.process_file)
 
-    def _notify_changes(self) -> None:
+    def _report_changes(self) -> None:
         process_count = self.count_processes()
         suspensions = self.read_suspensions()
-        if process_count == self._notified_process_count and suspensions == self._notified_suspensions:
+        if process_count == self._reported_process_count and suspensions == self._reported_suspensions:
             return
-        self._notified_process_count = process_count
-        self._notified_suspensions = suspensions
+        self._reported_process_count = process_count
+        self._reported_suspensions = suspensions
         if self._on_change is not None:
             self._on_change(GroupChange(process_count, suspensions, self._seconds_unknown))
 
--- a/quota_gateway/net/process_group/handover_codec.py
+++ b/quota_gateway/net/process_group/handover_codec.py
@@ -81,7 +81,7 @@
     except (ValueError, RecursionError) as error:
         raise HandoverFormatError(location="file", found=str(error), expected="JSON") from None
     root = _JsonObject(document, "file")
-    shift = clock_offset - root.number("clock") if root.has("clock") else 0.0  # older processes write none
+    shift = clock_offset - root.number("clock") if root.has("clock") else 0.0  # earlier versions lack it
     endpoints = tuple(_decode_endpoint(endpoint, shift) for endpoint in root.objects("servers"))
     accounts = tuple(_decode_account(account, shift) for account in root.objects("accounts"))
     return model.HandoverState(
@@ -182,7 +182,7 @@
 def _finite_number(value: Any, location: str) -> float:
     number = math.nan
     if isinstance(value, int | float) and not isinstance(value, bool):
-        with contextlib.suppress(OverflowError):  # an integer beyond the range of a float
+        with contextlib.suppress(OverflowError):  # raised for an integer that exceeds the range of a float
             number = float(value)
     if not math.isfinite(number):
         raise HandoverFormatError(location=location, found=_quote(value), expected="a finite number")
--- a/quota_gateway/net/process_group/handover_files.py
+++ b/quota_gateway/net/process_group/handover_files.py
@@ -17,9 +17,10 @@
 
 log = logging.getLogger(__name__)
 
-HANDOVER_FILE_PREFIX = "notes-for-"  # followed by the process file of the reader
+HANDOVER_FILE_PREFIX = "notes-for-"  # the name of the reader's process file follows
 MAX_HANDOVER_BYTES = 4 * 1024 * 1024
-RETRY_TIMEOUT_SECONDS = 5.0  # for a handover that could not be written; a process reads it no later
+# How long a failed write of a handover is retried; a process takes over state for this time after its start.
+RETRY_TIMEOUT_SECONDS = 5.0
 
 
 def handover_path(directory: Path, process_file: str) -> Path:
@@ -36,23 +37,23 @@
 class PendingHandover:
     """A handover that is not written yet."""
 
-    successor: str  # process file
+    successor: str  # process file of the successor
     state: model.HandoverState
     created_at: float  # seconds of the monotonic clock
 
 
 class HandoverFiles:
-    """Writes to each other process once, and reads once: a part of a ceiling must not be used twice."""
+    """Hands over to each process once and reads once: no part of a ceiling may be used twice."""
 
     def __init__(self, clock_offset: float) -> None:
         """``clock_offset`` is this process's Unix time minus its monotonic time, in seconds."""
         self._clock_offset = clock_offset
-        self._successors = set[str]()  # process files of those that have been handed a state
+        self._successors = set[str]()  # process files of the processes that have been handed a state
         self._pending: PendingHandover | None = None
-        self._is_read = False  # and its file could not be deleted
+        self._is_read = False  # the state has been read, but its file could not be deleted
 
     def new_successor(self, running: list[str]) -> str | None:
-        """Return the one running process without a handover; None if there is none, or more than one."""
+        """Return the one running process that was not handed a state; None if there is none or several."""
         joined = [process for process in running if process not in self._successors]
         return joined[0] if len(joined) == 1 else None
 
--- a/quota_gateway/net/process_group/membership.py
+++ b/quota_gateway/net/process_group/membership.py
@@ -1,7 +1,7 @@
 """Membership of this process in its group: its process file, and the process files of the others.
 
-Each process holds a lock on a file of its own. The kernel releases the lock however the process ends, so that
-a stale file never passes for a running process.
+Each process holds a lock on its own process file. The kernel releases the lock however the process ends, so a
+stale file is never taken for a running process.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-DIRECTORY_MODE = 0o700  # for the owner alone
+DIRECTORY_MODE = 0o700  # accessible to the owner only
 PROCESS_FILE_PREFIX = "process-"
-PROCESS_TOKEN_BYTES = 4  # random, since process ids are reused
-UNKNOWN_PROCESS = "unknown"  # represents a process that may be running and cannot be seen
-# With these errors no process can ever have a directory there, so that this process is alone.
+PROCESS_TOKEN_BYTES = 4  # random part of the file name, needed since process ids are reused
+UNKNOWN_PROCESS = "unknown"  # stands for a process that may be running but cannot be detected
+# After these errors no process of the limiter can use the directory, so this process counts as the only one.
 PERMANENT_ERRORS = frozenset(
     (errno.ENOENT, errno.ENOTDIR, errno.EROFS, errno.EACCES, errno.EPERM, errno.ELOOP)
 )
@@ -38,11 +38,11 @@
     """
 
     def __init__(self, directory: Path | None) -> None:
-        """Join the group in ``directory``; None for a process that shares nothing."""
-        self.directory = directory  # None as well after a permanent error
+        """Join the group in ``directory``; if it is None, this process shares nothing."""
+        self.directory = directory  # also None after a permanent error
         self.process_file = _new_process_file()
         self._lock: FileLock | None = None
-        self._running = list[str]()  # process files of the others, as they were last seen
+        self._running = list[str]()  # process files of the other processes, as last seen
         self.join()
 
     @property
@@ -51,7 +51,7 @@
         return self._lock is not None
 
     def join(self) -> None:
-        """Lock the process file unless it is locked; after a temporary error it can be called again."""
+        """Lock the process file unless it is locked already; after a temporary error, call this again."""
         if self.directory is None or self._lock is not None:
             return
         try:
@@ -92,11 +92,12 @@
         others = [path for path in files if path.name != self.process_file]
         self._running = [path.name for path in others if self._is_running(path)]
         if self._lock is None and not self._running:
-            self._running = [UNKNOWN_PROCESS]  # another process that could not join cannot be seen either
+            # Another process may have failed to join like this one, and cannot be detected without its lock.
+            self._running = [UNKNOWN_PROCESS]
         return self._running
 
     def _is_running(self, path: Path) -> bool:
-        """Whether a process holds the lock on its process file; delete all files of an exited one."""
+        """Whether a process holds the lock on its process file; delete all files of an exited process."""
         try:
             with FileLock(path) as lock:
                 if not lock.acquired:
@@ -124,7 +125,7 @@
 
 
 def _files_of(directory: Path, process_file: str) -> tuple[Path, ...]:
-    """Return all files that a process may have left, temporary files included; its process file last."""
+    """Return all files that a process may have left, with temporary files; its process file comes last."""
     return (
         accepting_path(directory, process_file),
         handover_path(directory, process_file),
--- a/quota_gateway/net/process_group/suspension_file.py
+++ b/quota_gateway/net/process_group/suspension_file.py
@@ -1,7 +1,7 @@
 """The endpoints that operators have suspended, recorded in one file for all processes of a limiter.
 
-The file outlives the processes, so that a suspension holds across restarts and upgrades. The shared directory
-may be temporarily unavailable: until a command can be recorded, it holds in this process only.
+The file outlives the processes, so a suspension stays in force across restarts and upgrades. While the shared
+directory is unavailable, a command is in force in this process only; it is recorded later.
 """
 
 from __future__ import annotations
@@ -39,22 +39,22 @@
         raise SuspensionFormatError(f"expected an object with the key {NAMES_KEY!r}")
     names = document[NAMES_KEY]
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise SuspensionFormatError(f"{NAMES_KEY}: not a list of names")
+        raise SuspensionFormatError(f"expected a list of names under the key {NAMES_KEY}")
     return frozenset(names)
 
 
 class SuspensionFile:
-    """The suspended endpoints; without a shared directory they are only in this process's memory."""
+    """The suspended endpoints; without a shared directory they are kept in memory only."""
 
     def __init__(self, directory: Path | None, process_file: str) -> None:
         """``process_file`` is unique to this process; it names the temporary file."""
         self._directory = directory
         self._temporary_name = f"{FILE_NAME}.{process_file}"
-        self._recorded = frozenset[str]()  # the content of the file when it was last read
-        self._unsaved = dict[str, bool]()  # commands not in the file yet: endpoint to whether it is suspended
-        self._content: bytes | None = None  # of the file when it was last read
+        self._recorded = frozenset[str]()  # endpoints in the file when it was last read or written
+        self._unsaved = dict[str, bool]()  # by endpoint: commands that are not in the file yet; true suspends
+        self._content: bytes | None = None  # bytes of the file when it was last read or written
         self._error_logged = False
-        self.is_known = directory is None  # whether the file has been read, or found missing or malformed
+        self.is_loaded = directory is None  # whether the file has been read, or found missing or malformed
 
     @property
     def is_saved(self) -> bool:
@@ -74,7 +74,7 @@
                 self._error_logged = False
             except (OSError, SuspensionFormatError) as error:
                 self._log_once(
-                    "the file of suspended endpoints cannot be read, they stay as they were", error
+                    "cannot read the file of suspended endpoints, the suspensions stay unchanged", error
                 )
         return self._endpoints
 
@@ -84,9 +84,9 @@
             with path.open("rb") as file:
                 content = file.read(MAX_FILE_BYTES)
         except FileNotFoundError:
-            self.is_known = True
+            self.is_loaded = True
             return
-        self.is_known = True
+        self.is_loaded = True
         if content != self._content:
             self._recorded = _decode(content)
             self._content = content
@@ -94,8 +94,8 @@
     def update(self, endpoint: str, *, suspended: bool) -> frozenset[str]:
         """Suspend or restore an endpoint for all processes; return the endpoints that are now suspended.
 
-        The command holds in this process at once; ``is_saved`` says whether it is recorded for the others. No
-        more than ``MAX_SUSPENSIONS`` endpoints are suspended.
+        The command is in force in this process at once; ``is_saved`` says whether it is recorded for the
+        other processes. A suspension beyond ``MAX_SUSPENSIONS`` endpoints is ignored.
         """
         endpoints = self.read()
         if suspended and endpoint not in endpoints and len(endpoints) >= MAX_SUSPENSIONS:
@@ -119,7 +119,7 @@
         try:
             self._load(directory / FILE_NAME)
         except SuspensionFormatError as error:
-            self._log_once("the file of suspended endpoints is malformed and is replaced", error)
+            self._log_once("the file of suspended endpoints is malformed and will be replaced", error)
         endpoints = self._endpoints
         text = _encode(endpoints)
         replace_file(directory / FILE_NAME, text, temporary=directory / self._temporary_name)
@@ -129,7 +129,7 @@
         self._error_logged = False
 
     def _log_once(self, message: str, error: Exception) -> None:
-        """Log the first error since the file was last read or written."""
+        """Log an error, unless one has been logged since the file was last read or written."""
         if not self._error_logged:
             log.error("%s: %s", message, error)
         self._error_logged = True
--- a/quota_gateway/settings_parser.py
+++ b/quota_gateway/settings_parser.py
@@ -1,6 +1,6 @@
 """The parser of the settings object, which the configuration file and the simulator's protocol share.
 
-The keys are those of the protocol pages; here they are mapped to the names of the code.
+The keys are those of the protocol pages. The parser maps them to the names that the code uses.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
     "at_most_once": model.Idempotency.NONE,
 }
 SCOPE_BY_GROUP = {scope.value: scope for scope in model.DeduplicationScope}
-POLLED_DISCOVERY = "ask"  # value of ``discovery`` if gateways poll it; with any other value it pushes
+POLLED_DISCOVERY = "ask"  # value of ``discovery`` if limiters poll it; with any other value it pushes
 DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.25
 DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0
-DEFAULT_DRAIN_NOTICE_SECONDS = 1.0  # until a draining endpoint must get no new requests
-AGENT_TIMEOUT_FRACTION = 0.3  # of the drain notice: two calls to discovery's local agent fit into it
-OPTIONAL_CLASS_KEY = "aim_stretch"  # not read; some platforms omit it from new settings
+DEFAULT_DRAIN_NOTICE_SECONDS = 1.0  # time after which a draining endpoint must get no new requests
+AGENT_TIMEOUT_FRACTION = 0.3  # two calls to discovery's local agent fit into the drain notice
+OPTIONAL_CLASS_KEY = "aim_stretch"  # not read; some platforms omit it from the classes of new settings
 POSITIVE_KEYS = ("aim_s", "hard_limit_s", "max_attempts")  # must be above 0 in reloaded settings
 T = TypeVar("T")
 
 
 class SettingsError(ValueError):
-    """A settings object that is malformed; the text names the key."""
+    """A settings object is malformed; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
     """The settings that only the network modules need; times are in seconds."""
 
-    connect_timeout: float  # to connect to an endpoint
-    idle_timeout: float  # until an endpoint closes an idle connection
+    connect_timeout: float  # timeout of a connection attempt to an endpoint
+    idle_timeout: float  # time after which an endpoint closes an idle connection
     client_count: int = 1  # limiters whose polls discovery serves in turn; 1 if it pushes
     # If discovery pushes, its local agent replies at once, and both limits are fractions of the drain notice.
-    answer_timeout: float = 3.0  # of a call to discovery
-    max_poll_interval: float = 4.5  # from the start of one call to the start of the next
+    answer_timeout: float = 3.0  # timeout of a call to discovery
+    max_poll_interval: float = 4.5  # longest time from the start of one call to the start of the next
 
 
 def parse_settings(raw: dict[str, Any]) -> model.Settings:
@@ -127,8 +127,8 @@
 def check_reloaded_settings(raw: dict[str, Any], running: dict[str, Any]) -> None:
     """Raise ``SettingsError`` unless new settings are complete: they have every key of the running ones.
 
-    Keys are optional when a gateway starts. In new settings a missing key means that the file is truncated or
-    corrupt, so that none of it can be trusted.
+    Keys are optional when a limiter starts. In new settings a missing key means that the file is truncated or
+    corrupt, so none of it can be trusted.
     """
     for key, value in running.items():
         if key not in raw:
@@ -152,7 +152,7 @@
         if name != OPTIONAL_CLASS_KEY and all(name in item for item in running)
     }
     if not isinstance(value, list) or not value:
-        raise SettingsError(f"settings: {key} is not a list, or empty")
+        raise SettingsError(f"settings: {key} is not a list or is empty")
     for item in value:
         if not isinstance(item, dict):
             raise SettingsError(f"settings: {key} is not a list of objects")
@@ -186,15 +186,15 @@
         return default
     try:
         number = float(value) if isinstance(value, int | float) and not isinstance(value, bool) else math.nan
-    except OverflowError:  # an integer beyond the range of a float
+    except OverflowError:  # raised for an integer that exceeds the range of a float
         number = math.nan
     if not math.isfinite(number):
-        raise SettingsError(f"settings: {key} has the wrong type: {value!r:.60}")
+        raise SettingsError(f"settings: {key} is not a finite number: {value!r:.60}")
     return number
 
 
 def _choice(choices: dict[str, T], key: str, value: object) -> T:
     """Return the meaning of a value; the key allows only the values of ``choices``."""
     if not isinstance(value, str) or value not in choices:
-        raise SettingsError(f"settings: {key}: unknown word {value!r:.60}")
+        raise SettingsError(f"settings: {key}: unknown value {value!r:.60}")
     return choices[value]
--- a/tests/test_suspension_file.py
+++ b/tests/test_suspension_file.py
@@ -35,7 +35,7 @@
         for _ in range(2):
             assert file.read() == frozenset()
     (record,) = caplog.records
-    assert "out: not a list of names" in record.getMessage()
+    assert "expected a list of names under the key out" in record.getMessage()
 
 
 def test_endpoints_beyond_the_bound_are_not_suspended(tmp_path: Path) -> None:
