--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests of the whole program: a gateway as a process, and its configuration."""
+"""Helpers for tests of the whole program: they start a limiter process with a configuration."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def free_port() -> int:
-    """A TCP port on which nothing listens."""
+    """Return a TCP port on which nothing listens."""
     with socket.socket() as candidate:
         candidate.bind(("127.0.0.1", 0))
         port: int = candidate.getsockname()[1]
@@ -34,7 +34,7 @@
 
 
 def config(endpoint: str, discovery: str = "127.0.0.1:1") -> dict[str, Any]:
-    """A configuration whose initial endpoint list holds one address."""
+    """Return a configuration whose initial endpoint list has one endpoint, at the given address."""
     host = {"host": "s1", "dial": endpoint, "site": "a", "block": 0, "health": "ready", "born_ms": 0}
     return {
         "name": "n0", "listen": f"127.0.0.1:{free_port()}", "discovery": discovery,
@@ -44,34 +44,34 @@
 
 
 class ProcessFaults:
-    """What goes wrong in a process that is started with ``environment``."""
+    """Injects faults into a process that is started with ``environment``."""
 
-    def __init__(self, library: Path, folder: Path) -> None:
-        self.control = FaultControl(folder / "fault-control")
-        self.shared_folder = folder / "shared"
-        self.shared_folder.mkdir()
+    def __init__(self, library: Path, directory: Path) -> None:
+        self.control = FaultControl(directory / "fault-control")
+        self.shared_directory = directory / "shared"
+        self.shared_directory.mkdir()
         self.environment = {
             "LD_PRELOAD": str(library),
             "SOAK_FAULT_CONTROL": str(self.control.path),
-            "SOAK_FAULT_DIRECTORY": str(self.shared_folder),
-            "TMPDIR": str(self.shared_folder),
+            "SOAK_FAULT_DIRECTORY": str(self.shared_directory),
+            "TMPDIR": str(self.shared_directory),
         }
 
 
 class Program:
-    """A started gateway."""
+    """A running limiter process."""
 
     def __init__(self, process: asyncio.subprocess.Process, listen_address: str) -> None:
         self.process = process
         self.listen_address = listen_address
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client's connection."""
+        """Open a client connection."""
         host, port = self.listen_address.split(":")
         return await asyncio.open_connection(host, int(port))
 
     async def health(self) -> str:
-        """The status line of the response to GET /healthz."""
+        """Return the status line of the response to GET /healthz."""
         reader, writer = await self.connect()
         writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         status_line, _, _ = await read_message(reader)
@@ -79,7 +79,7 @@
         return status_line
 
     async def ready(self) -> None:
-        """Wait until the gateway accepts clients."""
+        """Wait until the limiter accepts clients."""
         while True:
             try:
                 assert " 200 " in await self.health()
@@ -91,13 +91,13 @@
 @asynccontextmanager
 async def started(
     raw: dict[str, Any],
-    folder: Path,
+    directory: Path,
     fds: tuple[int, ...] = (),
     environment: Mapping[str, str] | None = None,
     **env: str,
 ) -> AsyncIterator[Program]:
-    """A gateway that is ready; at the end it is killed unless it has exited, and its log is searched."""
-    path = folder / "config.json"
+    """Run a limiter in a block, from when it is ready; then kill it and search its log for violations."""
+    path = directory / "config.json"
     path.write_text(json.dumps(raw))
     variables = {**os.environ, "LB_CONFIG": str(path), **(environment or {}), **env}
     with tempfile.TemporaryFile() as log:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Wall clocks that are stepped: the slow start of endpoints goes by what is told, not by a clock alone."""
+"""Tests of wrong wall clocks: an endpoint that has just started must get a slow start in spite of them."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 )
 
 HOUR = 3600.0  # seconds
-REQUEST_GAP = 0.01  # seconds between an answer and the next request
-LEARNING_SECONDS = 2.5  # in which the limiter learns what a warm endpoint completes
-COLD_SECONDS = 1.0
-SERVICE_TIME = 0.005  # seconds; a tenth of the latency objective, which is what is guessed at first
+REQUEST_GAP = 0.01  # seconds between a response and the next request
+LEARNING_SECONDS = 2.5  # time to measure the completion rate of the warm endpoints
+COLD_SECONDS = 1.0  # time after the start of the cold endpoint in which requests are counted
+# Seconds. It is a tenth of the latency objective, which is the first guess of the limiter.
+SERVICE_TIME = 0.005
 
 
 def slow_start_config(endpoint: str, discovery: str) -> dict[str, Any]:
@@ -49,7 +50,7 @@
 
 
 async def send_for(program: Program, seconds: float) -> None:
-    """One request after the other."""
+    """Send one request after the other."""
     reader, writer = await program.connect()
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -65,16 +66,16 @@
         pytest.param(0.0, False, 0.0, id="in step"),
         pytest.param(HOUR, False, 0.0, id="ahead"),
         pytest.param(-HOUR, False, 0.0, id="behind"),
-        pytest.param(0.0, True, -12 * HOUR, id="restart back in time"),
+        pytest.param(0.0, True, -12 * HOUR, id="restart with an earlier start time"),
         pytest.param(HOUR, True, 0.0, id="restart, ahead"),
-        pytest.param(0.0, False, -HOUR, id="new, back in time"),
+        pytest.param(0.0, False, -HOUR, id="new, with an earlier start time"),
     ],
 )
 @async_test
-async def test_a_started_endpoint_is_warmed_up_whatever_the_clocks_say(
+async def test_a_started_endpoint_gets_a_slow_start_despite_wrong_clocks(
     clock_error: float, is_known: bool, start_error: float, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    """The limiter's clock is off when it starts, or that of the machine whose endpoint has just started."""
+    """The clock of the limiter is wrong when it starts, or that of the machine of the started endpoint."""
     warm = SlowEndpoint()
     cold = SlowEndpoint()
     faults.control.step_clock(clock_error)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file as typed records."""
+"""Tests of the conversion of the configuration file into typed records."""
 
 from __future__ import annotations
 
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -1,4 +1,4 @@
-"""A shared folder that fails for a while: what operators were promised is still owed."""
+"""Tests of temporary failures of the shared directory, which must not lose a suspension or a process."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.gateway_process import ProcessFaults, Program, config, free_port, started
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
 
-REPLY_LIMIT = 1.0  # seconds
-SAVED_WITHIN = 1.0  # seconds after the folder is sound again
+MAX_REPLY_SECONDS = 1.0
+MAX_SAVE_SECONDS = 1.0  # from the end of the failure until a suspension is saved
 
 
-async def first_line(program: Program) -> str:
-    """The first line of the response to one request."""
+async def send_request(program: Program) -> str:
+    """Send one request and return the status line of its response."""
     reader, writer = await program.connect()
     writer.write(http_request())
     status_line, _, _ = await read_message(reader)
@@ -28,8 +28,8 @@
     return status_line
 
 
-async def restart_beside(program: Program) -> None:
-    """End the process; the next one has its folder."""
+async def kill_process(program: Program) -> None:
+    """Kill the process, so that its process file stays in the shared directory."""
     program.process.send_signal(signal.SIGKILL)
     await program.process.wait()
 
@@ -43,55 +43,54 @@
     ],
 )
 @async_test
-async def test_a_suspension_made_while_the_folder_fails_holds_in_the_next_process(
+async def test_a_suspension_during_a_directory_failure_is_in_force_in_the_next_process(
     error: int, calls: DirectoryCalls, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    origin = ScriptedEndpoint()
-    async with running_server(origin.handle_connection) as endpoint:
-        raw = config(endpoint)
+    endpoint = ScriptedEndpoint()
+    async with running_server(endpoint.handle_connection) as endpoint_address:
+        raw = config(endpoint_address)
         port = free_port()
         mgmt = f"127.0.0.1:{port}"
         async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
-            assert " 200 " in await first_line(program)
+            assert " 200 " in await send_request(program)
             faults.control.fail_directory_calls(error, calls)
             called_at = time.monotonic()
             reply = await send_command(port, b"SUSPEND s1")
-            assert time.monotonic() - called_at < REPLY_LIMIT
-            assert reply == "FAILURE\n"  # it is not recorded, and a yes would be a promise
-            assert " 429 " in await first_line(
-                program
-            )  # in force all the same: it may be recorded any moment
+            assert time.monotonic() - called_at < MAX_REPLY_SECONDS
+            assert reply == "FAILURE\n"  # SUCCESS would promise that the suspension is recorded
+            # The suspension is in force nevertheless, since it may be recorded at any time.
+            assert " 429 " in await send_request(program)
             faults.control.fail_directory_calls(0, DirectoryCalls.NONE)
-            await asyncio.sleep(SAVED_WITHIN)
+            await asyncio.sleep(MAX_SAVE_SECONDS)
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
-            await restart_beside(program)
-        origin.requests.clear()
+            await kill_process(program)
+        endpoint.requests.clear()
         async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
-            assert " 429 " in await first_line(program)
-            assert not origin.requests
+            assert " 429 " in await send_request(program)
+            assert not endpoint.requests
             assert await send_command(port, b"RESTORE s1") == "SUCCESS\n"
 
 
 @pytest.mark.parametrize("calls", list(DirectoryCalls)[1:], ids=str)
 @async_test
-async def test_a_process_that_starts_while_the_folder_fails_joins_later(
+async def test_a_process_that_starts_during_a_directory_failure_joins_later(
     calls: DirectoryCalls, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    """It starts, keeps to what was suspended, and is seen by the next process once the folder is sound."""
-    async with running_server(ScriptedEndpoint().handle_connection) as endpoint:
-        raw = config(endpoint)
+    """It becomes ready, applies earlier suspensions, and has its process file once the failure has ended."""
+    async with running_server(ScriptedEndpoint().handle_connection) as endpoint_address:
+        raw = config(endpoint_address)
         port = free_port()
         mgmt = f"127.0.0.1:{port}"
         async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
-            await restart_beside(program)
+            await kill_process(program)
         faults.control.fail_directory_calls(errno.EIO, calls)
         asyncio.get_running_loop().call_later(
             1.5, faults.control.fail_directory_calls, 0, DirectoryCalls.NONE
         )
         async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
-            assert " 429 " in await first_line(program)
+            assert " 429 " in await send_request(program)
             await asyncio.sleep(2.0)
-            (folder,) = faults.shared_folder.iterdir()
-            assert [path.name for path in folder.iterdir() if path.name.startswith("process-")]
+            (directory,) = faults.shared_directory.iterdir()
+            assert [path.name for path in directory.iterdir() if path.name.startswith("process-")]
             assert (await fetch_metrics(port))["app.skipped_servers"] == 1
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -31,7 +31,7 @@
     return decoded
 
 
-def test_a_state_is_decoded_as_it_was_encoded() -> None:
+def test_decoding_an_encoded_state_returns_the_same_state() -> None:
     assert decode_handover(encode_handover(STATE, 0.0).encode(), 0.0) == STATE
 
 
@@ -59,7 +59,7 @@
         (b'{"servers": [], "accounts": [], "bases": {"read": null}}', "file.bases.read", "a finite number"),
     ],
 )
-def test_the_error_of_a_malformed_file_states_location_and_expected_value(
+def test_the_error_for_a_malformed_file_states_the_location_and_the_expected_value(
     data: bytes, location: str, expected: str
 ) -> None:
     with pytest.raises(HandoverFormatError) as caught:
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("value", [True, "3", None, [], float("nan"), float("inf")])
-def test_the_error_of_a_value_that_is_no_finite_number_states_its_location(value: object) -> None:
+def test_the_error_for_a_value_other_than_a_finite_number_states_its_location(value: object) -> None:
     raw = document()
     raw["servers"][0]["born"] = value
     with pytest.raises(HandoverFormatError) as caught:
@@ -86,7 +86,7 @@
     text = encode_handover(replace(STATE, endpoints=(warming,)), clock_offset=50.0)
     state = decode_handover(text.encode(), clock_offset=3650.0)
     assert state.endpoints[0].warming_since == 3700.0
-    assert state.endpoints[0].started_at == 1.5  # given by discovery, the same for both processes
+    assert state.endpoints[0].started_at == 1.5  # not converted: discovery reports it to both processes
     assert state.accounts[0].last_synchronised == 3607.0
 
 
@@ -98,7 +98,7 @@
 
 
 def changed(**members: Any) -> bytes:
-    """Return a file with some values replaced."""
+    """Return a valid file in which the values of some keys are replaced."""
     return json.dumps(document() | members).encode()
 
 
@@ -113,6 +113,6 @@
     ],
 )
 def test_any_malformed_file_raises_a_format_error(data: bytes) -> None:
-    """Another exception would end the poll task of the process group."""
+    """``HandoverFiles.read`` handles no other exception: the file would not be reported as malformed."""
     with pytest.raises(HandoverFormatError):
         decode_handover(data, 0.0)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a gateway process: readiness, reload, graceful shutdown, SIGKILL and restart."""
+"""Tests of the lifecycle of a limiter process: readiness, reload, graceful shutdown, SIGKILL and restart."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 )
 
 
-def pushing_agent(endpoint: str, version: int, connected: asyncio.Queue[str]) -> ConnectionHandler:
-    """An agent of discovery that pushes one endpoint list and then keeps the watch open."""
+def pushing_agent(endpoint_address: str, version: int, connected: asyncio.Queue[str]) -> ConnectionHandler:
+    """Return the handler of a discovery agent that pushes one endpoint list and keeps the watch open."""
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         connected.put_nowait("agent")
-        line = json.dumps(config(endpoint)["known"] | {"seq": version}).encode() + b"\n"
+        line = json.dumps(config(endpoint_address)["known"] | {"seq": version}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(head + b"%x\r\n%b\r\n" % (len(line), line))
         await asyncio.Event().wait()
 
-    return talk
+    return handle_connection
 
 
 def unresponsive_counter(connected: asyncio.Queue[str]) -> ConnectionHandler:
-    """A counter that accepts connections and never responds."""
+    """Return the handler of a counter that accepts connections and never responds."""
 
-    async def talk(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         connected.put_nowait("counter")
         await reader.read()
 
-    return talk
+    return handle_connection
 
 
-async def send_until_received(program: Program, origin: ScriptedEndpoint) -> None:
-    """Send requests until one is forwarded to an endpoint."""
-    while not origin.requests:
+async def send_until_received(program: Program, endpoint: ScriptedEndpoint) -> None:
+    """Send requests until one is forwarded to the endpoint."""
+    while not endpoint.requests:
         reader, writer = await program.connect()
         writer.write(http_request())
         await read_message(reader)
@@ -57,14 +57,17 @@
     received = asyncio.Event()
     release = asyncio.Event()
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await read_message(reader)
             received.set()
             await release.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 
-    async with running_server(talk) as endpoint, started(config(endpoint), tmp_path) as program:
+    async with (
+        running_server(handle_connection) as endpoint_address,
+        started(config(endpoint_address), tmp_path) as program,
+    ):
         early_reader, early_writer = await program.connect()
         early_writer.write(http_request())
         await received.wait()
@@ -84,14 +87,14 @@
 
 
 @async_test
-async def test_sighup_switches_to_new_addresses_and_a_malformed_file_changes_nothing(tmp_path: Path) -> None:
-    origin = ScriptedEndpoint()
+async def test_sighup_applies_new_addresses_and_ignores_malformed_files(tmp_path: Path) -> None:
+    endpoint = ScriptedEndpoint()
     connected = asyncio.Queue[str]()
     path = tmp_path / "config.json"
 
     async with (
-        running_server(origin.handle_connection) as endpoint,
-        running_server(pushing_agent(endpoint, 1, connected)) as discovery,
+        running_server(endpoint.handle_connection) as endpoint_address,
+        running_server(pushing_agent(endpoint_address, 1, connected)) as discovery,
         running_server(unresponsive_counter(connected)) as counter,
     ):
         raw = config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
@@ -104,18 +107,18 @@
             path.write_text(json.dumps(raw | {"discovery": discovery, "counter": counter}))
             program.process.send_signal(signal.SIGHUP)
             peers = set[str]()
-            while peers != {"agent", "counter"}:  # a second connection to the counter may come first
+            while peers != {"agent", "counter"}:  # two connections to the counter may precede the watch
                 peers.add(await connected.get())
-            await send_until_received(program, origin)  # the pushed list holds the right address
+            await send_until_received(program, endpoint)  # only the pushed list has its address
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGHUP)
             assert await program.process.wait() == 0
 
 
 @async_test
-async def test_sigkill_and_a_restart_at_the_same_address(tmp_path: Path) -> None:
-    async with running_server(ScriptedEndpoint().handle_connection) as endpoint:
-        raw = config(endpoint)
+async def test_a_process_restarts_at_the_same_address_after_sigkill(tmp_path: Path) -> None:
+    async with running_server(ScriptedEndpoint().handle_connection) as endpoint_address:
+        raw = config(endpoint_address)
         for _ in range(2):
             async with started(raw, tmp_path) as program:
                 reader, writer = await program.connect()
@@ -127,56 +130,52 @@
 
 @async_test
 async def test_a_list_from_discovery_replaces_the_initial_one(tmp_path: Path) -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     connected = asyncio.Queue[str]()
     async with (
-        running_server(origin.handle_connection) as endpoint,
-        running_server(pushing_agent(endpoint, 42, connected)) as discovery,
+        running_server(endpoint.handle_connection) as endpoint_address,
+        running_server(pushing_agent(endpoint_address, 42, connected)) as discovery,
         started(config("127.0.0.1:1", discovery), tmp_path) as program,
     ):
         await connected.get()
-        await send_until_received(program, origin)
+        await send_until_received(program, endpoint)
 
 
 @async_test
-async def test_processes_started_together_are_ready_and_serve_while_discovery_does_not_respond(
-    tmp_path: Path,
-) -> None:
-    """A restart of most of the fleet overloads discovery: no process waits for it to start."""
+async def test_processes_started_together_serve_while_discovery_does_not_respond(tmp_path: Path) -> None:
+    """A restart of most of the fleet overloads discovery, so startup must not wait for its reply."""
 
     async def unresponsive(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         await asyncio.Event().wait()
 
-    async def start_and_send(index: int, endpoint: str, discovery: str) -> None:
-        folder = tmp_path / str(index)
-        folder.mkdir()
-        raw = config(endpoint, discovery)
+    async def start_and_send(index: int, endpoint_address: str, discovery: str) -> None:
+        directory = tmp_path / str(index)
+        directory.mkdir()
+        raw = config(endpoint_address, discovery)
         raw["settings"] = WIRE_SETTINGS | {"discovery": "ask", "n_instances": 200}
-        async with started(raw, folder) as program:
+        async with started(raw, directory) as program:
             reader, writer = await program.connect()
             writer.write(http_request(timeout_ms=10_000))
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
 
     async with (
-        running_server(ScriptedEndpoint().handle_connection) as endpoint,
+        running_server(ScriptedEndpoint().handle_connection) as endpoint_address,
         running_server(unresponsive) as discovery,
     ):
-        await asyncio.gather(*(start_and_send(index, endpoint, discovery) for index in range(6)))
+        await asyncio.gather(*(start_and_send(index, endpoint_address, discovery) for index in range(6)))
 
 
 @async_test
-async def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_later(
-    faults: ProcessFaults,
-) -> None:
-    """An error of the system says nothing of the file: what discovery tells binds 4 s after the signal."""
+async def test_a_reload_retries_a_file_that_is_temporarily_unreadable(faults: ProcessFaults) -> None:
+    """A system error says nothing about the content of the file, which must be in force 4 s after SIGHUP."""
     connected = asyncio.Queue[str]()
-    folder = faults.shared_folder
+    directory = faults.shared_directory
     async with running_server(pushing_agent("127.0.0.1:1", 42, connected)) as discovery:
         raw = config("127.0.0.1:1")
-        async with started(raw, folder, environment=faults.environment) as program:
-            (folder / "config.json").write_text(json.dumps(raw | {"discovery": discovery}))
+        async with started(raw, directory, environment=faults.environment) as program:
+            (directory / "config.json").write_text(json.dumps(raw | {"discovery": discovery}))
             faults.control.fail_directory_calls(errno.ENFILE, DirectoryCalls.READING)
             program.process.send_signal(signal.SIGHUP)
             assert " 200 " in await program.health()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The rate limit of the log."""
+"""Tests of the rate limit of the log."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
     rate_limit = RateLimitFilter(3)
     record = logging.LogRecord("x", 20, "", 0, "text", (), None)
     passed = sum(rate_limit.filter(record) for _ in range(1000))
-    assert 3 <= passed <= 9  # three a second, however slow this machine is
+    assert 3 <= passed <= 9  # at most 3 per second, and the loop may take up to 3 seconds on a slow machine
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command: a configuration that it cannot use ends it with one plain line and exit code 2."""
+"""Tests of the command: an unusable configuration gives exit code 2 and one line on standard error."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def check_configuration_error(path: str) -> None:
-    """The command ends with exit code 2 and one line on standard error."""
+    """Check that the command ends with exit code 2 and one line on standard error."""
     completed = subprocess.run(
         [sys.executable, "-m", "quota_gateway"],
         env={**os.environ, "LB_CONFIG": path},
@@ -48,7 +48,7 @@
     check_configuration_error(str(path))
 
 
-def test_an_address_in_use_ends_the_command_too(tmp_path: Path) -> None:
+def test_an_address_in_use_gives_one_line_and_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     raw = config("127.0.0.1:1")
     with socket.create_server(("127.0.0.1", 0)) as occupied:
@@ -58,12 +58,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "{}"])
-def test_an_unreadable_configuration_ends_the_command_too(text: str, tmp_path: Path) -> None:
+def test_a_malformed_configuration_file_gives_one_line_and_exit_code_2(text: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
     check_configuration_error(str(path))
 
 
-def test_a_missing_configuration_ends_the_command_too() -> None:
+def test_a_missing_configuration_gives_one_line_and_exit_code_2() -> None:
     check_configuration_error("")
     check_configuration_error("/nonexistent/config.json")
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -1,4 +1,4 @@
-"""Tests of the process group: liveness, suspended endpoints and the handover file."""
+"""Tests of the process group: detection of running processes, suspended endpoints and the handover file."""
 
 from __future__ import annotations
 
@@ -74,13 +74,13 @@
     successor.close()
 
 
-def group_folder(tmp_path: Path) -> Path:
-    (folder,) = (path for path in tmp_path.iterdir() if path.is_dir())
-    return folder
+def group_directory(tmp_path: Path) -> Path:
+    (directory,) = (path for path in tmp_path.iterdir() if path.is_dir())
+    return directory
 
 
 def suspend_in_another_process(tmp_path: Path, group: ProcessGroup) -> None:
-    """Let another process suspend endpoint ``b``, check what both see, and kill it."""
+    """Let another process suspend endpoint ``b``, check what both processes read, and kill it."""
     other = subprocess.Popen(
         [sys.executable, "-c", OTHER_PROCESS, str(tmp_path)],
         stdin=subprocess.PIPE,
@@ -100,32 +100,32 @@
     assert group.read_suspensions() == frozenset()
     group.set_suspended("a", suspended=True)
     suspend_in_another_process(tmp_path, group)
-    assert group.count_processes() == 1  # the file of a killed process is stale, and is deleted
+    assert group.count_processes() == 1  # the stale file of the killed process is deleted
     assert group.read_suspensions() == {"a", "b"}
 
 
-def test_limiters_of_other_names_have_suspensions_of_their_own(tmp_path: Path, group: ProcessGroup) -> None:
+def test_limiters_with_different_names_do_not_share_suspensions(tmp_path: Path, group: ProcessGroup) -> None:
     group.set_suspended("a", suspended=True)
     assert ProcessGroup(str(tmp_path), "n2").read_suspensions() == frozenset()
 
 
-def test_a_malformed_suspension_file_changes_nothing_in_a_running_process(
+def test_a_malformed_suspension_file_leaves_the_suspensions_of_a_running_process_unchanged(
     tmp_path: Path, group: ProcessGroup
 ) -> None:
     group.set_suspended("a", suspended=True)
     suspend_in_another_process(tmp_path, group)
-    file = group_folder(tmp_path) / FILE_NAME
+    file = group_directory(tmp_path) / FILE_NAME
     for malformed in (b"", b"{", b'{"out": 3}', b"[]", b"\xff", b'{"out": [1]}'):
         file.write_bytes(malformed)
         assert group.read_suspensions() == {"a", "b"}
-        started_now = ProcessGroup(str(tmp_path), "n1")
-        assert started_now.read_suspensions() == frozenset()
-        started_now.close()
+        new_process = ProcessGroup(str(tmp_path), "n1")
+        assert new_process.read_suspensions() == frozenset()
+        new_process.close()
     assert group.set_suspended("a", suspended=False) == {"b"}
     assert group.read_suspensions() == {"b"}
 
 
-def test_suspensions_stay_in_memory_without_a_folder(tmp_path: Path) -> None:
+def test_suspensions_are_kept_in_memory_without_a_shared_directory(tmp_path: Path) -> None:
     assert ProcessGroup(str(tmp_path / "missing"), "n1").set_suspended("x", suspended=True) == {"x"}
 
 
@@ -147,21 +147,21 @@
 
 
 def test_a_malformed_handover_file_is_deleted(tmp_path: Path, successor: ProcessGroup) -> None:
-    folder = group_folder(tmp_path)
+    directory = group_directory(tmp_path)
     for malformed in (b"", b"[]", b"{}", b"\xff", b'{"servers": [], "accounts": [3], "bases": {}}'):
-        (folder / f"notes-for-{successor.process_file}").write_bytes(malformed)
+        (directory / f"notes-for-{successor.process_file}").write_bytes(malformed)
         assert successor.read_handover() is None
-        assert not list(folder.glob("notes-for-*"))
+        assert not list(directory.glob("notes-for-*"))
 
 
-def test_no_handover_state_is_written_for_two_processes(
+def test_no_handover_state_is_written_when_two_processes_have_joined(
     tmp_path: Path, group: ProcessGroup, successor: ProcessGroup
 ) -> None:
     group.write_handover(HANDOVER_STATE)
     assert successor.read_handover() == HANDOVER_STATE
     third = ProcessGroup(str(tmp_path), "n1")
     fourth = ProcessGroup(str(tmp_path), "n1")
-    group.write_handover(HANDOVER_STATE)  # a part of a ceiling is for one process alone
+    group.write_handover(HANDOVER_STATE)  # only one process may use a handed-over part of a ceiling
     assert third.read_handover() is None
     assert fourth.read_handover() is None
     third.close()
@@ -169,7 +169,7 @@
 
 
 def failing_call(error: int) -> Callable[..., Any]:
-    """A call that fails as the system would let it."""
+    """Return a function that raises the ``OSError`` of a failing system call."""
 
     def fail(*_args: object, **_options: object) -> None:
         raise OSError(error, os.strerror(error))
@@ -179,14 +179,14 @@
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.EIO, errno.ENOLCK])
 @pytest.mark.parametrize("owner_and_name", [(os, "open"), (fcntl, "flock"), (Path, "iterdir")], ids=str)
-def test_a_process_that_cannot_be_looked_at_still_counts(
+def test_a_process_whose_lock_cannot_be_checked_counts_as_running(
     error: int,
     owner_and_name: tuple[object, str],
     group: ProcessGroup,
     successor: ProcessGroup,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An error is not the news that nobody is there: both would use the whole of every ceiling."""
+    """If an error counted as the other's exit, both processes would use the whole of every ceiling."""
     assert group.count_processes() == 2
     with monkeypatch.context() as patch:
         patch.setattr(*owner_and_name, failing_call(error))
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -1,4 +1,4 @@
-"""Tests of two processes of one limiter, while a new version takes over from an old one."""
+"""Tests of an upgrade: a new process of a limiter takes over from the old one."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from tests.simulation import GatewaySimulation, endpoint_list, make_request, make_settings
 
 STEP_SECONDS = 0.05
-IDLE_STEP = 170  # no requests from here until the join, so that the ceiling's bucket is half full then
+IDLE_STEP = 170  # no requests from here until the join, so the ceiling's bucket is half full at the join
 JOIN_STEP = 200  # a second process of the first gateway starts
 SHUTDOWN_STEP = 800  # the old process of the first gateway ends
 ENDPOINTS = ("s0", "s1", "s2", "s3")
 CEILING_RATE = 4.0  # units per second
 CEILING_BURST = 12.0  # units
-UNITS = 0.25  # per request
+UNITS = 0.25  # units of one request
 CAPPED_PLAN = model.Plan("capped", 1.0, 300.0, 900.0, ceiling_rate=CEILING_RATE, ceiling_burst=CEILING_BURST)
 
 
@@ -51,13 +51,13 @@
     successor.feed(endpoint_list(*ENDPOINTS))
     successor.feed(model.ProcessCountChanged(2))
     state = handover_state(predecessor)
-    for _ in range(2):  # the second handover must not change anything
+    for _ in range(2):  # a second handover must change nothing
         successor.feed(state)
     return successor
 
 
 def send_burst(simulation: GatewaySimulation, first_id: int) -> int:
-    """Send nine requests at once without a counter, and return the number of forwarded ones."""
+    """Send nine requests while the counter is unreachable; return how many were forwarded."""
     simulation.reply_to_counter_calls(model.CallStatus.UNREACHABLE)
     forwarded_before = len(simulation.forwarded)
     for request_id in range(first_id, first_id + 9):
@@ -65,7 +65,7 @@
     return len(simulation.forwarded) - forwarded_before
 
 
-def test_a_ceiling_holds_while_a_second_process_of_one_limiter_runs() -> None:
+def test_a_ceiling_is_not_exceeded_while_two_processes_of_one_limiter_run() -> None:
     settings = make_settings(plans=(CAPPED_PLAN,))
     simulations = [GatewaySimulation(settings, seed) for seed in range(3)]
     for simulation in simulations:
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
-def test_two_processes_split_the_descriptors_with_enough_for_usual_clients(sockets: int) -> None:
+def test_two_processes_split_the_descriptors_and_leave_enough_for_usual_clients(sockets: int) -> None:
     clients, endpoints = connection_limits(sockets, 2)
     alone = connection_limits(sockets, 1)
     assert 2 * (clients + endpoints) + 2 * 20 <= sockets
@@ -115,10 +115,10 @@
 
 
 @pytest.mark.parametrize("stalled", [0.5, 1.5, 3.0, 10.0])
-def test_a_process_that_stalled_while_another_joined_keeps_its_part_of_the_ceiling_only(
+def test_a_process_that_stalled_while_another_joined_keeps_only_its_part_of_the_ceiling(
     stalled: float,
 ) -> None:
-    """The other process may have refilled its part since the last poll of the stalled one."""
+    """The new process may have refilled its part since the last poll of the stalled process."""
     plan = model.Plan("capped", 1.0, 30.0, 90.0, ceiling_rate=CEILING_RATE, ceiling_burst=CEILING_BURST)
     old = Account(100.0, plan, "acct", 1, started_at=0.0, max_units=4.0)
     old.ceiling_tokens = 0.0  # empty when the process stalls
@@ -139,9 +139,8 @@
         old.complete_attempts()
         old.reply_to_counter_calls()
     old.feed(model.AdminRequest(1, model.AdminCommand.SUSPEND, "s1"))
-    old.feed(
-        model.AdminRequest(2, model.AdminCommand.RESTORE, "s1")
-    )  # begins a slow start that the endpoint list does not show
+    # Begins a slow start that the endpoint list does not show.
+    old.feed(model.AdminRequest(2, model.AdminCommand.RESTORE, "s1"))
     new.now = old.now
     new.gateway = Gateway(make_settings(), 3, old.now)
     new.feed(endpoint_list("s0", "s1"))
@@ -154,17 +153,17 @@
     assert after.counter_total == before.counter_total is not None
     assert after.counter_id == before.counter_id
     assert after.tokens == pytest.approx(before.tokens + before.unreported_usage)
-    assert new.gateway.controller.integral is None  # the controller starts afresh
+    assert new.gateway.controller.integral is None  # the load controller starts from its initial state
 
 
-class BlockingOrigin:
+class BlockingEndpoint:
     """An endpoint that responds to requests once it is released."""
 
     def __init__(self) -> None:
         self.received = asyncio.Event()
         self.released = asyncio.Event()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await read_message(reader)
             self.received.set()
@@ -173,14 +172,14 @@
 
 
 class Deployment:
-    """Starts processes of one limiter, which have the clients' address and $TMPDIR in common."""
+    """Starts processes of one limiter, which share the address for clients and $TMPDIR."""
 
-    def __init__(self, folder: Path, listener: socket.socket, *, inherited: bool) -> None:
+    def __init__(self, directory: Path, listener: socket.socket, *, inherited: bool) -> None:
         """Without ``inherited`` the listening socket is closed, and each process binds its address."""
-        self._folder = folder
+        self._directory = directory
         host, port = listener.getsockname()
         self._address = f"{host}:{port}"
-        self._environment = {"TMPDIR": str(folder)}
+        self._environment = {"TMPDIR": str(directory)}
         self._descriptors: tuple[int, ...] = ()
         if inherited:
             self._environment["LB_LISTEN_FD"] = str(listener.fileno())
@@ -190,13 +189,13 @@
 
     def start(self, endpoint_address: str, admin_port: int) -> AbstractAsyncContextManager[Program]:
         addresses = {"listen": self._address, "mgmt": f"127.0.0.1:{admin_port}"}
-        folder = self._folder / str(admin_port)
-        folder.mkdir()
-        return started(config(endpoint_address) | addresses, folder, self._descriptors, self._environment)
+        directory = self._directory / str(admin_port)
+        directory.mkdir()
+        return started(config(endpoint_address) | addresses, directory, self._descriptors, self._environment)
 
 
 async def check_takeover(old: Program, old_port: int, new_port: int) -> None:
-    """End the old process once the new one is ready, and restore the endpoint at the new one."""
+    """Terminate the old process once the new one is ready; restore the endpoint through the new one."""
     while await send_command(new_port, b"STATUS") != "SUCCESS\n":
         pass
     assert (await fetch_metrics(new_port))["app.skipped_servers"] == 1
@@ -226,59 +225,62 @@
 async def test_a_new_version_takes_over_the_address_and_the_suspensions(
     inherited: bool, tmp_path: Path
 ) -> None:
-    origin = BlockingOrigin()
+    endpoint = BlockingEndpoint()
     old_port = free_port()
     new_port = free_port()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         deployment = Deployment(tmp_path, listener, inherited=inherited)
-        async with running_server(origin.talk) as address, deployment.start(address, old_port) as old:
+        async with (
+            running_server(endpoint.handle_connection) as address,
+            deployment.start(address, old_port) as old,
+        ):
             assert await send_command(old_port, b"STATUS") == "SUCCESS\n"
             reader, writer = await old.connect()
             writer.write(http_request())
-            await origin.received.wait()
+            await endpoint.received.wait()
             assert await send_command(old_port, b"SUSPEND s1") == "SUCCESS\n"
             async with deployment.start(address, new_port) as new:
                 await check_takeover(old, old_port, new_port)
-                origin.released.set()
+                endpoint.released.set()
                 await check_last_response(reader)
                 assert await old.process.wait() == 0
                 await check_service(new, new_port)
 
 
 @contextmanager
-def process_that_does_not_accept(folder: Path) -> Iterator[None]:
-    """Another process of the limiter that has joined, and does not accept clients: not yet, or no more."""
-    (group_folder,) = folder.glob("cypresspulley-*")
-    with FileLock(group_folder / "process-1-00000000") as lock:
+def process_that_does_not_accept(directory: Path) -> Iterator[None]:
+    """Simulate another process that has joined but does not accept clients, since it starts or drains."""
+    (group_directory,) = directory.glob("cypresspulley-*")
+    with FileLock(group_directory / "process-1-00000000") as lock:
         assert lock.acquired
         yield
 
 
 @async_test
-async def test_a_process_that_ends_accepts_clients_while_no_other_one_does(tmp_path: Path) -> None:
-    origin = ScriptedEndpoint()
+async def test_a_draining_process_accepts_clients_while_no_other_process_does(tmp_path: Path) -> None:
+    endpoint = ScriptedEndpoint()
     port = free_port()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         deployment = Deployment(tmp_path, listener, inherited=False)
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         deployment.start(address, port) as program,
     ):
         with process_that_does_not_accept(tmp_path):
             program.process.send_signal(signal.SIGTERM)
             while await send_command(port, b"STATUS") == "SUCCESS\n":
                 pass
-            reader, writer = await program.connect()  # clients cannot know yet
+            reader, writer = await program.connect()  # clients cannot know of the shutdown yet
             writer.write(http_request())
             assert " 200 " in (await read_message(reader))[0]
             assert await program.process.wait() == 0
 
 
 @async_test
-async def test_handover_that_is_there_at_the_start_finds_the_endpoints_of_the_configuration(
+async def test_a_handover_present_at_startup_is_applied_after_the_initial_endpoint_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old process may have written it before the new one first reads the shared directory."""
+    """The old process may write the handover before the new one first reads the shared directory."""
     handled = list[model.Event]()
     handle = Gateway.handle
 
--- a/tests/test_shared_files.py
+++ b/tests/test_shared_files.py
@@ -1,4 +1,4 @@
-"""Tests of the locks and of the replacement of files that several processes use."""
+"""Tests of the locks and the atomic replacement of files that several processes use."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert not lock.acquired
 
 
-def test_a_replaced_file_leaves_no_temporary_one(tmp_path: Path) -> None:
+def test_replacing_a_file_leaves_no_temporary_file(tmp_path: Path) -> None:
     path = tmp_path / "file"
     path.write_text("old")
     replace_file(path, "new", temporary=tmp_path / "file.new")
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -1,4 +1,4 @@
-"""The time that a graceful shutdown takes at most."""
+"""The longest time that a graceful shutdown takes."""
 
 from __future__ import annotations
 
@@ -10,10 +10,15 @@
 from tests.loopback import SETTINGS
 
 
-@pytest.mark.parametrize(("deadline", "kill"), [(0.7, 1.4), (2.0, 2.7), (3.0, 3.7), (9.0, 3.7), (0.0, 3.7)])
-def test_shutdown_ends_before_sigkill_may_come(deadline: float, kill: float) -> None:
-    """The longest deadline counts as at most 3 s, and 0.7 s are added; 0 is a deadline that is not given."""
-    settings = replace(SETTINGS, classes=tuple(replace(c, deadline=deadline) for c in SETTINGS.classes))
+@pytest.mark.parametrize(
+    ("deadline", "kill_delay"), [(0.7, 1.4), (2.0, 2.7), (3.0, 3.7), (9.0, 3.7), (0.0, 3.7)]
+)
+def test_shutdown_ends_before_the_platform_sends_sigkill(deadline: float, kill_delay: float) -> None:
+    """SIGKILL comes 0.7 s after the longest deadline, counted as at most 3 s; a deadline of 0 means none."""
+    settings = replace(
+        SETTINGS,
+        classes=tuple(replace(request_class, deadline=deadline) for request_class in SETTINGS.classes),
+    )
     drained_at = shutdown.ACCEPT_PERIOD_SECONDS + shutdown.drain_timeout(settings)
     end = drained_at + shutdown.FLUSH_TIMEOUT_SECONDS
-    assert kill - 0.3 < end < kill - 0.1
+    assert kill_delay - 0.3 < end < kill_delay - 0.1
--- a/tests/test_suspension_file.py
+++ b/tests/test_suspension_file.py
@@ -1,4 +1,4 @@
-"""Tests of the file of suspended endpoints; its bytes are held by ``test_wire_formats.py``."""
+"""Tests of the file of suspended endpoints; ``test_wire_formats.py`` checks its bytes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert second.read() == {"s2"}
 
 
-def test_suspensions_stay_when_the_file_is_deleted(tmp_path: Path) -> None:
+def test_suspensions_stay_in_force_when_the_file_is_deleted(tmp_path: Path) -> None:
     file = SuspensionFile(tmp_path, "first")
     file.update("s1", suspended=True)
     assert file.read() == {"s1"}
@@ -38,7 +38,7 @@
     assert "expected a list of names under the key out" in record.getMessage()
 
 
-def test_endpoints_beyond_the_bound_are_not_suspended(tmp_path: Path) -> None:
+def test_no_more_than_the_maximum_of_endpoints_are_suspended(tmp_path: Path) -> None:
     file = SuspensionFile(tmp_path, "first")
     names = ", ".join(f'"s{index}"' for index in range(MAX_SUSPENSIONS))
     (tmp_path / FILE_NAME).write_text(f'{{"out": [{names}]}}')
