--- a/quota_gateway/lifecycle/startup.py
+++ b/quota_gateway/lifecycle/startup.py
@@ -66,7 +66,7 @@
         inherited = _inherited_socket(environment.listen_fd)
         # With an admin address, a new version can listen at the address of the old one even without an
         # inherited socket.
-        await components.listener.listen(*config.listen, inherited, beside=config.admin is not None)
+        await components.listener.listen(*config.listen, inherited, reuse_port=config.admin is not None)
         if components.admin is not None and config.admin is not None:
             await components.admin.listen(*config.admin)
     except OSError as error:
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -1,4 +1,4 @@
-"""Long runs of one simulated gateway with random legal events."""
+"""Runs of one simulated gateway with random legal events."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 def run_random_events(
     seed: int, steps: int, settings: model.Settings | None = None
 ) -> list[list[model.Action]]:
-    """Feed a gateway random legal events until all requests are answered, and return the actions of each."""
+    """Feed a gateway random legal events until all requests are answered, and return the actions by event."""
     rng = Random(seed)
     simulation = GatewaySimulation(settings or make_settings(), seed)
-    log = [simulation.feed(endpoint_list(*ENDPOINTS))]
+    actions = [simulation.feed(endpoint_list(*ENDPOINTS))]
     for step in range(steps):
         simulation.advance_to(simulation.now + rng.choice(TIME_STEPS_SECONDS))
         event = _random_event(simulation, rng, step)
         if event is not None:
-            log.append(simulation.feed(event))
+            actions.append(simulation.feed(event))
     simulation.reply_to_counter_calls(model.CallStatus.UNREACHABLE)
     simulation.advance_to(simulation.now + 10)
-    assert set(simulation.requests) == set(simulation.outcomes), "a request was lost"
-    return log
+    assert set(simulation.requests) == set(simulation.outcomes), "a request has no outcome"
+    return actions
 
 
 def _random_event(simulation: GatewaySimulation, rng: Random, step: int) -> model.Event | None:
