--- a/quota_gateway/lifecycle/reload.py
+++ b/quota_gateway/lifecycle/reload.py
@@ -77,7 +77,7 @@
     except ValueError as error:
         raise ConfigError(str(error)) from None
     if running.counter is not None and updated.counter is None:
-        raise ConfigError("counter is missing")
+        raise ConfigError("counter is missing: a reload cannot remove the counter")
 
 
 def _needs_restart(updated: Config, running: Config) -> bool:
--- a/quota_gateway/net/process_group/handover_files.py
+++ b/quota_gateway/net/process_group/handover_files.py
@@ -19,7 +19,7 @@
 
 HANDOVER_FILE_PREFIX = "notes-for-"  # the name of the reader's process file follows
 MAX_HANDOVER_BYTES = 4 * 1024 * 1024
-# How long a failed write of a handover is retried; a process takes over state for this time after its start.
+# How long a failed write of a handover is retried; a new process takes over state only this long.
 RETRY_TIMEOUT_SECONDS = 5.0
 
 
@@ -76,12 +76,12 @@
             replace_file(path, text, temporary=temporary_path(directory, process_file))
             self._pending = None
         except OSError as error:
-            log.warning("the handover state could not be written: %s", error)
+            log.warning("cannot write the handover state for the new process: %s", error)
             if time.monotonic() - pending.created_at > RETRY_TIMEOUT_SECONDS:
                 self._pending = None
 
     def read(self, directory: Path, process_file: str) -> model.HandoverState | None:
-        """Read and delete the state written for this process; None if there is none or it is malformed."""
+        """Read and delete the state written for this process; None if it is missing or malformed."""
         if self._is_read:
             return None
         path = handover_path(directory, process_file)
@@ -100,5 +100,5 @@
         try:
             return decode_handover(data, self._clock_offset)
         except HandoverFormatError as error:
-            log.warning("the handover state of another process is malformed: %s", error)
+            log.warning("the handover state of another process is malformed and is ignored: %s", error)
             return None
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -23,9 +23,9 @@
 
 HOUR = 3600.0  # seconds
 REQUEST_GAP = 0.01  # seconds between a response and the next request
-LEARNING_SECONDS = 2.5  # time to measure the completion rate of the warm endpoints
+LEARNING_SECONDS = 2.5  # time in which the limiter measures the completion rate of a warm endpoint
 COLD_SECONDS = 1.0  # time after the start of the cold endpoint in which requests are counted
-# Seconds. It is a tenth of the latency objective, which is the first guess of the limiter.
+# Seconds. The latency objective is ten times as long, so this is the initial latency estimate.
 SERVICE_TIME = 0.005
 
 
@@ -75,7 +75,7 @@
 async def test_a_started_endpoint_gets_a_slow_start_despite_wrong_clocks(
     clock_error: float, is_known: bool, start_error: float, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    """The clock of the limiter is wrong when it starts, or that of the machine of the started endpoint."""
+    """The limiter's clock is wrong when it starts, or the clock of the started endpoint's machine is."""
     warm = SlowEndpoint()
     cold = SlowEndpoint()
     faults.control.step_clock(clock_error)
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the handover file; ``test_wire_formats.py`` checks the bytes of the format."""
+"""Tests of the codec of the handover file; ``test_wire_formats.py`` checks the bytes of the format."""
 
 from __future__ import annotations
 
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -28,8 +28,8 @@
 
 STEP_SECONDS = 0.05
 IDLE_STEP = 170  # no requests from here until the join, so the ceiling's bucket is half full at the join
-JOIN_STEP = 200  # a second process of the first gateway starts
-SHUTDOWN_STEP = 800  # the old process of the first gateway ends
+JOIN_STEP = 200  # a second process of the first limiter starts
+SHUTDOWN_STEP = 800  # the old process of the first limiter ends
 ENDPOINTS = ("s0", "s1", "s2", "s3")
 CEILING_RATE = 4.0  # units per second
 CEILING_BURST = 12.0  # units
