--- a/quota_gateway/net/process_group/handover_files.py
+++ b/quota_gateway/net/process_group/handover_files.py
@@ -19,7 +19,8 @@
 
 HANDOVER_FILE_PREFIX = "notes-for-"  # the name of the reader's process file follows
 MAX_HANDOVER_BYTES = 4 * 1024 * 1024
-# How long a failed write of a handover is retried; a new process takes over state only this long.
+# How long a failed write of a handover is retried. A new process takes over state only within this time of its
+# start.
 RETRY_TIMEOUT_SECONDS = 5.0
 
 
