--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -1,4 +1,4 @@
-"""Unexpected errors: the service continues, and each attempt is reported as ended."""
+"""Tests of unexpected exceptions: the service continues, and each attempt is reported as ended."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from quota_gateway.net.common.invariants import Invariant, Violation
 from quota_gateway.net.counter import connector as counter_connector
 from quota_gateway.net.counter.client import CounterClient
-from quota_gateway.net.discovery import watcher as endpoint_watch
+from quota_gateway.net.discovery import watcher as watcher_module
 from quota_gateway.net.discovery.watcher import EndpointWatcher
 from quota_gateway.net.upstream import connector, idle_connections
 from quota_gateway.net.upstream.exchange_control import ExchangeControl
@@ -101,14 +101,14 @@
             raise failure
         return 0.0
 
-    monkeypatch.setattr(endpoint_watch, "poll_delay", fail_once)
+    monkeypatch.setattr(watcher_module, "poll_delay", fail_once)
     async with running_server(serve) as address:
         host, port = address.split(":")
         watcher = EndpointWatcher(host, int(port), None, lambda _event: None)
-        following = asyncio.create_task(watcher.follow())
+        follow_task = asyncio.create_task(watcher.follow())
         async with asyncio.timeout(3.0):
             await polled.wait()
-        following.cancel()
+        follow_task.cancel()
 
 
 @pytest.mark.parametrize("on_reused_connection", [True, False])
@@ -116,7 +116,7 @@
 async def test_an_attempt_that_raises_after_its_write_counts_as_possibly_executed(
     on_reused_connection: bool, monkeypatch: pytest.MonkeyPatch, no_violations: list[Violation]
 ) -> None:
-    """Reported as not sent, it would allow an unsafe retry."""
+    """If the attempt were reported as not sent, the decisions could retry the request unsafely."""
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
     script = ScriptedDecisions(forward_to_s1)
     async with (
