--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: the limiter's cost at a size, from slopes of the real program and of simulated limiters."""
+"""Scale tests: the cost of a limiter in a fleet of a given size, from real and simulated limiters."""
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m scale``: what the limiter costs at a size, beside the budget."""
+"""``python -m scale``: measures the limiter's cost at a size and compares it with the budget."""
 
 from scale.cli import main
 
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -30,18 +30,18 @@
 
 
 def measure(tests: Sequence[ScaleTest], size: Size, budget: Budget, effort: Effort) -> Outcome:
-    """Run the tests one after the other. A test without a result does not end the others."""
+    """Run the tests one after the other. A failed test does not stop the others."""
     outcome = Outcome()
     for test in tests:
         click.echo(f"{test.name}: {test.about}", err=True)
         try:
             result = test.run(size, budget, effort)
         except BrokenRunError as error:
-            outcome.broken[test.name] = str(error)
+            outcome.failures[test.name] = str(error)
         except KeyboardInterrupt:
             raise click.exceptions.Exit(ExitCode.INTERRUPTED) from None
-        except Exception as error:  # noqa: BLE001 - uncaught, it gives the exit code of an exceeded budget
-            outcome.broken[test.name] = f"the test itself failed: {error!r}"
+        except Exception as error:  # noqa: BLE001 - an uncaught error would exit with 1, like an exceeded budget
+            outcome.failures[test.name] = f"unexpected error in the test: {error!r}"
         else:
             _add_result(outcome, test.name, result)
     return outcome
@@ -50,26 +50,28 @@
 def _add_result(outcome: Outcome, name: str, result: Result) -> None:
     not_finite = [figure.name for figure in result.figures if not math.isfinite(figure.value)]
     if not_finite:
-        outcome.broken[name] = f"{not_finite[0]} is not a finite number"
+        outcome.failures[name] = f"the figure '{not_finite[0]}' is not a finite number"
     else:
         outcome.results[name] = result
 
 
 def select_tests(names: Sequence[str]) -> list[ScaleTest]:
-    """Return the tests of these names, each once, or all tests without a name.
+    """Return the tests with these names, without duplicates; all tests if there are no names.
 
     Raise ``BadParameter`` for an unknown name.
     """
     known = {test.name: test for test in TESTS}
     for name in names:
         if name not in known:
-            raise click.BadParameter(f"no test {name!r}; there are {', '.join(known)}", param_hint="'TEST'")
+            raise click.BadParameter(
+                f"unknown test {name!r}; the tests are {', '.join(known)}", param_hint="'TEST'"
+            )
     return [known[name] for name in dict.fromkeys(names)] or list(TESTS)
 
 
 def exit_code(outcome: Outcome) -> ExitCode:
-    """Return the exit code of the results."""
-    if outcome.broken:
+    """Return the exit code for the outcome of a run."""
+    if outcome.failures:
         return ExitCode.BROKEN_RUN
     if all(figure.passed for figure in outcome.figures):
         return ExitCode.WITHIN_BUDGET
@@ -85,20 +87,25 @@
 @click.option("--tenants", type=int, default=DEFAULT.tenants, show_default=True)
 @click.option("--rate", type=float, default=DEFAULT.rate, show_default=True, help="Requests/s of the fleet.")
 @click.option(
-    "--spread", type=int, default=DEFAULT.spread, show_default=True, help="Limiters that serve a tenant."
+    "--spread", type=int, default=DEFAULT.spread, show_default=True, help="Limiters that serve one tenant."
 )
 @click.option("--regions", type=int, default=DEFAULT.regions, show_default=True)
 @click.option("--zones", type=int, default=DEFAULT.zones, show_default=True)
-@click.option(
-    "--runs", type=click.IntRange(1, 1000), default=5, show_default=True, help="Runs of each point."
-)
+@click.option("--runs", type=click.IntRange(1, 1000), default=5, show_default=True, help="Runs at each size.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--processes", type=click.IntRange(1, 256), default=4, show_default=True, help="Processes at a time."
+    "--processes",
+    type=click.IntRange(1, 256),
+    default=4,
+    show_default=True,
+    help="Processes that run at the same time.",
 )
-@click.option("--quick", is_flag=True, help="A tenth of each size: slopes without the figures at the size.")
+@click.option("--quick", is_flag=True, help="Measure up to a tenth of the size; no figures.")
 @click.option(
-    "--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the results to a file."
+    "--json",
+    "path",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write the results to a JSON file.",
 )
 @click.option("--list", "list_tests", is_flag=True, help="List the tests and exit.")
 def main(
@@ -112,7 +119,7 @@
     list_tests: bool,
     **sizes: Any,
 ) -> None:
-    """Measure the limiter's cost at a size, and compare it with the budget.
+    """Measure the limiter's cost in a fleet of the given size, and compare it with the budget.
 
     The exit code is 0 within the budget, 1 if a budget is exceeded, 2 for invalid input, 3 for a failed run.
     """
@@ -137,6 +144,6 @@
         try:
             write_json_atomically(path, json_report(size, budget, effort, outcome))
         except (OSError, ValueError) as error:
-            click.echo(f"{path} was not written: {error}", err=True)
+            click.echo(f"the results could not be written to {path}: {error}", err=True)
             return ExitCode.BROKEN_RUN
     return exit_code(outcome)
--- a/scale/input_checks.py
+++ b/scale/input_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the sizes on the command line, before any test is started."""
+"""Checks the sizes from the command line before any test starts."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from scale.model import Effort, ScaleTest, Size
 
-# Memory of a test without an estimate of its own: for each process its tables, by the slopes of the test
-# `state`, and the same again while a complete list is read.
+# Memory estimate for tests that have none of their own. It includes the tables of each process, by the slopes
+# of the test `state`, and as much again, because a process needs it while it reads a complete list.
 PROCESS_BYTES = 60e6
 SERVER_BYTES = 2000.0
 TENANT_BYTES = 1500.0
 ROUTE_BYTES = 1500.0
 MEMORY_FRACTION = 0.5  # of the machine's memory that a run may use
-MAX_REQUESTS_PER_SECOND = 2000.0  # of one limiter, whose decisions take a quarter of a core for them
+MAX_REQUESTS_PER_SECOND = 2000.0  # of one limiter; its decisions use a quarter of a core at this rate
 MAX_VALUES = {
     "limiters": 100_000,
     "servers": 1_000_000,
@@ -30,7 +30,7 @@
     "regions": 1000,
     "zones": 10_000,
 }
-# Pairs of options of which the first may not exceed the second.
+# Pairs (option, bound): the first option must not exceed the second.
 BOUNDED_OPTIONS = (
     ("spread", "limiters"),
     ("services", "servers"),
@@ -47,7 +47,7 @@
 def check_sizes(size: Size, effort: Effort, tests: Sequence[ScaleTest], memory: float) -> None:
     """Raise ``BadParameter`` for an option that is out of range.
 
-    The range depends on the option, on other options, and on ``memory``, the bytes of the machine.
+    Some ranges depend on other options or on ``memory``, the machine's memory in bytes.
     """
     _check_ranges(size)
     _check_relations(size)
@@ -59,16 +59,18 @@
     for name, maximum in MAX_VALUES.items():
         value = getattr(size, name)
         if not math.isfinite(value) or value <= 0:
-            reject_option(name, f"{value} is not above 0")
+            reject_option(name, f"{value} is not a positive finite number")
         if value > maximum:
-            reject_option(name, f"{value} is more than any fleet has ({maximum:.0f} at most)")
+            reject_option(name, f"{value} is more than the maximum, {maximum:.0f}")
 
 
 def _check_relations(size: Size) -> None:
     limiter_rate = size.rate / size.limiters
     if limiter_rate > MAX_REQUESTS_PER_SECOND:
         reject_option(
-            "rate", f"{limiter_rate:.0f} a limiter is more than one bears ({MAX_REQUESTS_PER_SECOND:.0f})"
+            "rate",
+            f"{limiter_rate:.0f} requests/s per limiter is more than the maximum, "
+            f"{MAX_REQUESTS_PER_SECOND:.0f}",
         )
     for option, bound in BOUNDED_OPTIONS:
         if getattr(size, option) > getattr(size, bound):
@@ -76,16 +78,17 @@
 
 
 def _check_memory(test: ScaleTest, size: Size, effort: Effort, memory: float) -> None:
-    parts = test.memory(size, effort) if test.memory is not None else estimate_memory(size, effort)
-    needed = sum(parts.values())
+    bytes_by_option = test.memory(size, effort) if test.memory is not None else estimate_memory(size, effort)
+    needed = sum(bytes_by_option.values())
     allowed = MEMORY_FRACTION * memory
     if needed <= allowed:
         return
-    largest = max(parts, key=lambda name: parts[name])
+    largest = max(bytes_by_option, key=lambda name: bytes_by_option[name])
     reject_option(
         largest,
-        f"{test.name} would hold {needed / 1e9:.1f} GB, {parts[largest] / 1e9:.1f} of them for this; "
-        f"half of this machine's memory is {allowed / 1e9:.1f} GB",
+        f"{test.name} would use {needed / 1e9:.1f} GB of memory, "
+        f"{bytes_by_option[largest] / 1e9:.1f} GB of which are due to this option; "
+        f"the limit is half of this machine's memory, {allowed / 1e9:.1f} GB",
     )
 
 
--- a/scale/load_profile.py
+++ b/scale/load_profile.py
@@ -1,4 +1,7 @@
-"""The changes of an ordinary day, as the operators state them, and a rolling restart as the worst case."""
+"""Rates at which the endpoint list and the configuration change.
+
+An ordinary day has the numbers of changes that the operators state; the worst case is a rolling restart.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 SECONDS_PER_DAY = 86_400.0
 FAILURES_PER_DAY = 5  # of endpoints
 RESTARTS_PER_DAY = 760  # of endpoints, replacements included
-CHANGES_PER_RESTART = 3  # of the list: draining, removed, ready
-CHANGES_PER_FAILURE = 2  # of the list: removed, ready
-ROLLING_RESTART_SECONDS = 600.0  # assumed duration of a rolling restart with all restarts of a day
+CHANGES_PER_RESTART = 3  # changes of the list: draining, removed, ready
+CHANGES_PER_FAILURE = 2  # changes of the list: removed, ready
+ROLLING_RESTART_SECONDS = 600.0  # assumed duration of a rolling restart, with as many changes as a day
 
 
 def daily_list_changes() -> int:
@@ -23,7 +26,7 @@
 
 
 def describe(*, rolling_restart: bool) -> str:
-    """Return the name of the time that ``list_change_rate`` applies to."""
+    """Return how a figure names an ordinary day or a rolling restart."""
     if not rolling_restart:
         return "an ordinary day"
     return f"a roll, all {RESTARTS_PER_DAY} restarts in {ROLLING_RESTART_SECONDS:.0f} s"
--- a/scale/model.py
+++ b/scale/model.py
@@ -8,7 +8,7 @@
 
 
 class Origin(Enum):
-    """The origin of a figure."""
+    """How a figure was obtained."""
 
     MEASURED = "measured"
     DERIVED = "derived"  # from slopes and the size
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """The operators' limits, of one limiter unless stated otherwise."""
+    """The operators' limits; they apply to one limiter unless stated otherwise."""
 
     added_p99: float = 0.0031  # seconds added to a request, 99th percentile
-    control_cpu: float = 0.02  # fraction of a core for control
+    control_cpu: float = 0.02  # fraction of a core for control, which is all work other than requests
     control_memory: float = 128e6  # bytes for control
     control_bytes: float = 3000.0  # bytes a second for control
     config_in_force: float = 4.0  # seconds until a change of the configuration is in force at all limiters
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """The growth of a cost with a count, as a straight line through the medians of several runs."""
+    """A cost as a linear function of a count, fitted to the medians of several runs."""
 
     name: str
     unit: str  # of the cost
     by: str  # the count: "servers", "tenants", ...
-    points: tuple[tuple[float, tuple[float, ...]], ...]  # size, and the cost in each run
+    points: tuple[tuple[float, tuple[float, ...]], ...]  # the count, and the cost in each run
     slope: float
     intercept: float
     residual: float  # largest distance of a median from the line, as a fraction of the largest median
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One number of the summary. With a budget it is a check that fails above the budget."""
+    """One number of the summary. A figure with a budget fails if its value exceeds the budget."""
 
     name: str
     unit: str
@@ -109,12 +109,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Effort:
-    """The extent of a run."""
+    """The number and kind of the runs of a test."""
 
-    runs: int = 5  # of each point
+    runs: int = 5  # at each size
     seed: int = 1
     processes: int = 4
-    quick: bool = False  # smaller sizes and no figures at the size, for the tests and a first look
+    quick: bool = False  # smaller sizes and no figures, for tests and a first look
 
 
 class BrokenRunError(Exception):
@@ -123,10 +123,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleTest:
-    """One test by name; ``run`` raises ``BrokenRunError`` with its cause."""
+    """One scale test; ``run`` raises ``BrokenRunError`` if a run fails."""
 
     name: str
     about: str
     run: Callable[[Size, Budget, Effort], Result]
-    # Bytes used at once, by the option that causes them ("servers", ...); None: an estimate by the size.
+    # Peak memory in bytes, by the option that causes it ("servers", ...); None: estimated by the size.
     memory: Callable[[Size, Effort], Mapping[str, float]] | None = None
--- a/scale/regression.py
+++ b/scale/regression.py
@@ -1,4 +1,4 @@
-"""A straight line through the medians of several runs, and its fit."""
+"""Least-squares lines through the medians of several runs, and a check of their fit."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from scale.model import Slope
 
-MAX_RESIDUAL_FRACTION = 0.10  # of the largest median; above it the points are not linear
-LINE_POINTS = 2  # fewer sizes do not determine a line
-MIN_SIZES = 4  # fewer sizes do not reveal a curve
+MAX_RESIDUAL_FRACTION = 0.10  # of the largest median; a larger residual means that the cost is not linear
+MIN_SIZES_FOR_LINE = 2  # fewer sizes do not determine a line
+MIN_SIZES_FOR_FIT = 4  # with fewer sizes, the residual may be small although the cost is not linear
 
 
 def line(name: str, unit: str, by: str, points: Mapping[float, Iterable[float]]) -> Slope:
@@ -18,17 +18,17 @@
     ``points`` has the costs of the runs, in ``unit``, by size. Raise ``ValueError`` for fewer than two sizes
     or a size without a run.
     """
-    # Workers import the callers of this module, and measure memory: numpy would add 25 MB.
+    # Imported here, because workers that measure their memory import this module, and numpy would add 25 MB.
     import numpy as np
 
     measured = tuple((float(size), tuple(map(float, runs))) for size, runs in sorted(points.items()))
-    if len(measured) < LINE_POINTS or not all(runs for _, runs in measured):
-        raise ValueError(f"{name}: a line needs runs at two sizes at least")
+    if len(measured) < MIN_SIZES_FOR_LINE or not all(runs for _, runs in measured):
+        raise ValueError(f"{name}: a line needs at least two sizes, and a run at each size")
     sizes = np.array([size for size, _ in measured])
     medians = np.array([median(runs) for _, runs in measured])
     slope, intercept = (float(coefficient) for coefficient in np.polyfit(sizes, medians, 1))
-    largest = float(np.max(np.abs(medians)))
-    distance = float(np.max(np.abs(medians - (slope * sizes + intercept))))
+    largest_median = float(np.max(np.abs(medians)))
+    largest_distance = float(np.max(np.abs(medians - (slope * sizes + intercept))))
     return Slope(
         name=name,
         unit=unit,
@@ -36,18 +36,18 @@
         points=measured,
         slope=slope,
         intercept=intercept,
-        residual=distance / largest if largest > 0 else 0.0,
+        residual=largest_distance / largest_median if largest_median > 0 else 0.0,
     )
 
 
 def cost_at(slope: Slope, size: float) -> float:
-    """Return the cost at a size: the median of its runs, or the line's value without runs."""
+    """Return the median of the runs at a size, or the value of the line if the size has no runs."""
     medians = (median(runs) for measured_size, runs in slope.points if measured_size == size)
     return next(medians, slope.slope * size + slope.intercept)
 
 
 def warning(slope: Slope) -> str:
-    """Return the reason not to trust the line; empty if there is none."""
-    if len(slope.points) < MIN_SIZES:
+    """Return why the line is not reliable, or an empty string if it is."""
+    if len(slope.points) < MIN_SIZES_FOR_FIT:
         return "few points"
     return "no line" if slope.residual > MAX_RESIDUAL_FRACTION else ""
--- a/scale/report.py
+++ b/scale/report.py
@@ -1,4 +1,4 @@
-"""The results of a run, as tables on the terminal and as a JSON file."""
+"""Writes the results of a run as tables to the terminal and as a JSON file."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """The results of all tests of a run, by name."""
+    """The results and failures of the tests of a run, by the name of the test."""
 
     results: dict[str, Result] = field(default_factory=dict)
-    broken: dict[str, str] = field(default_factory=dict)  # causes of the tests without a result
+    failures: dict[str, str] = field(default_factory=dict)  # the cause, if a test has no result
 
     @property
     def figures(self) -> list[Figure]:
@@ -45,7 +45,7 @@
 
 
 def format_number(value: float) -> str:
-    """Format a number with four significant digits and separated thousands."""
+    """Format a number with four significant digits and thousands separators."""
     if value == 0 or abs(value) >= 10 ** (SIGNIFICANT_DIGITS - 1):
         return f"{value:,.0f}"
     decimals = max(0, SIGNIFICANT_DIGITS - 1 - math.floor(math.log10(abs(value))))
@@ -77,18 +77,18 @@
     """Return the line of a slope and a line for the runs at each size."""
     warning = regression.warning(slope)
     lines = [
-        f"{slope.name}: {slope.slope:.6g} {slope.unit} each of {slope.by}, {slope.intercept:.6g} at none, "
+        f"{slope.name}: {slope.slope:.6g} {slope.unit} per unit of {slope.by}, {slope.intercept:.6g} at 0, "
         f"residual {slope.residual:.1%}{f'  ** {warning} **' if warning else ''}"
     ]
     for size, runs in slope.points:
-        spread = f"[{format_number(min(runs))}..{format_number(max(runs))}]"
+        value_range = f"[{format_number(min(runs))}..{format_number(max(runs))}]"
         centre = format_number(median(runs))
-        lines.append(f"    {format_number(size):>10} {slope.by}: {centre:>10} {spread}")
+        lines.append(f"    {format_number(size):>10} {slope.by}: {centre:>10} {value_range}")
     return lines
 
 
 def print_outcome(outcome: Outcome) -> None:
-    """Print tables to standard output, failed tests and exceeded budgets to standard error."""
+    """Print the tables to standard output, and failed tests and exceeded budgets to standard error."""
     figures = outcome.figures
     if figures:
         click.echo("\n".join(align_columns(figure_rows(figures))) + "\n")
@@ -97,19 +97,21 @@
             click.echo(f"{name}: " + "\n".join(slope_lines(slope)))
         for note in result.notes:
             click.echo(f"{name}: note: {note}")
-    _print_broken(outcome)
+    _print_failures(outcome)
     for figure in figures:
         if not figure.passed:
             click.echo(f"OVER: {figure.name}", err=True)
 
 
-def _print_broken(outcome: Outcome) -> None:
-    if not outcome.broken:
+def _print_failures(outcome: Outcome) -> None:
+    if not outcome.failures:
         return
-    for name, cause in outcome.broken.items():
+    for name, cause in outcome.failures.items():
         click.echo(f"{name}: BROKEN: {cause}", err=True)
-    remaining = f"those of {', '.join(outcome.results)} stay" if outcome.results else "there are no others"
-    click.echo(f"no figure of {', '.join(outcome.broken)} counts; {remaining}", err=True)
+    others = (
+        f"those of {', '.join(outcome.results)} are valid" if outcome.results else "no other test has any"
+    )
+    click.echo(f"there are no valid figures of {', '.join(outcome.failures)}; {others}", err=True)
 
 
 def json_report(size: Size, budget: Budget, effort: Effort, outcome: Outcome) -> dict[str, Any]:
@@ -123,7 +125,7 @@
         "budget": asdict(budget),
         "effort": asdict(effort),
         "tests": {name: _json_result(result) for name, result in outcome.results.items()},
-        "broken": outcome.broken,
+        "broken": outcome.failures,
     }
 
 
@@ -137,7 +139,7 @@
 
 
 def _to_json(value: Any) -> Any:
-    """Return the value in types of JSON."""
+    """Replace enum members by their values and tuples by lists."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
@@ -146,7 +148,7 @@
 
 
 def measured_commit() -> str | None:
-    """Return the measured commit, with ``+`` if files differ from it; None outside a repository."""
+    """Return the measured commit, with ``+`` if the working tree differs; None outside a repository."""
     command = ["git", "describe", "--always", "--abbrev=40", "--dirty=+", "--exclude=*"]
     try:
         completed = subprocess.run(
@@ -158,9 +160,9 @@
 
 
 def write_json_atomically(path: Path, content: dict[str, Any]) -> None:
-    """Write a temporary file in the same directory and rename it, so that no reader sees a part of it.
+    """Write a temporary file in the same directory and rename it, so that no reader sees a partial file.
 
-    Raise ``OSError``, or ``ValueError`` for a number that JSON does not have.
+    Raise ``OSError``, or ``ValueError`` for a number that JSON cannot represent.
     """
     text = json.dumps(content, indent=1, allow_nan=False) + "\n"
     descriptor, temporary = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
--- a/scale/sample_sizes.py
+++ b/scale/sample_sizes.py
@@ -1,11 +1,11 @@
-"""The sizes at which slopes are measured, as fractions of the full size."""
+"""The sizes at which the costs of a slope are measured."""
 
 from __future__ import annotations
 
 from scale.model import Effort
 
-FRACTIONS = (0.125, 0.25, 0.5, 1.0)  # of the full size
-QUICK_FRACTION = 0.1  # of the full size, the largest size of a quick run
+FRACTIONS = (0.125, 0.25, 0.5, 1.0)  # of the largest size
+QUICK_FRACTION = 0.1  # largest size of a quick run, as a fraction of the full size
 
 
 def sample_sizes(full: int, effort: Effort) -> list[int]:
--- a/tests/test_scale_cli.py
+++ b/tests/test_scale_cli.py
@@ -1,4 +1,4 @@
-"""The scale tests' command, and a run of each test at a tiny size."""
+"""The command line of the scale tests: invalid options, exit codes, failed runs and quick runs."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         (("nosuch",), "'nosuch'"),
     ],
 )
-def test_invalid_input_is_rejected_with_the_name_of_its_option_before_any_test(
+def test_an_invalid_option_is_rejected_by_name_before_any_test_runs(
     words: tuple[str, ...], expected: str, tests: list[ScaleTest]
 ) -> None:
     calls = []
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(("value", "code", "verdict"), [(1.0, 0, "ok"), (1.01, 1, "OVER")])
-def test_an_exceeded_budget_gives_a_non_zero_exit_code(
+def test_the_exit_code_is_non_zero_only_above_the_budget(
     value: float, code: int, verdict: str, tests: list[ScaleTest], tmp_path: Path
 ) -> None:
     tests.append(make_test(value))
@@ -103,7 +103,7 @@
     done = invoke("--json", str(path))
     assert done.exit_code == ExitCode.BROKEN_RUN
     assert cause in done.stderr
-    assert "those of made stay" in done.stderr
+    assert "those of made are valid" in done.stderr
     assert "made cost" in done.stdout
     written = json.loads(path.read_text())
     assert list(written["tests"]) == ["made"]
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     ("error", "code"), [(KeyError("x"), ExitCode.BROKEN_RUN), (KeyboardInterrupt(), 130)]
 )
-def test_no_other_failure_has_the_exit_code_of_an_exceeded_budget(
+def test_an_exception_does_not_give_the_exit_code_of_an_exceeded_budget(
     error: BaseException, code: int, tests: list[ScaleTest]
 ) -> None:
     def fail(*_: object) -> ScaleResult:
@@ -130,18 +130,18 @@
     assert "made cost" not in done.stdout
 
 
-def test_every_test_runs_at_a_tiny_size(tmp_path: Path) -> None:
+def test_quick_runs_measure_slopes_without_figures(tmp_path: Path) -> None:
     path = tmp_path / "results.json"
     done = invoke("state", "messages", "cpu", "--quick", "--json", str(path), *TINY)
     assert done.exit_code == ExitCode.WITHIN_BUDGET, done.output
     written = json.loads(path.read_text())["tests"]
-    assert {name: len(one["figures"]) for name, one in written.items()} == {
+    assert {name: len(result["figures"]) for name, result in written.items()} == {
         "state": 0,
         "messages": 0,
         "cpu": 0,
     }
-    for one in written.values():
-        assert all(len(slope["points"]) >= 4 for slope in one["slopes"])
+    for result in written.values():
+        assert all(len(slope["points"]) >= 4 for slope in result["slopes"])
 
 
 def test_the_command_lists_the_tests() -> None:
--- a/tests/test_scale_regression.py
+++ b/tests/test_scale_regression.py
@@ -1,4 +1,4 @@
-"""The regression of the scale tests."""
+"""Lines of the scale tests: the fit, and warnings about lines that are not reliable."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     assert [regression.cost_at(line, 40), regression.cost_at(line, 100)] == pytest.approx([127, 307])
 
 
-def test_a_curve_and_too_few_points_give_a_warning() -> None:
+def test_a_nonlinear_cost_or_too_few_sizes_are_reported() -> None:
     assert (
         regression.warning(regression.line("cost", "B", "things", {n: [n * n] for n in (10, 20, 40, 80)}))
         == "no line"
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -1,4 +1,4 @@
-"""The file with the results of the scale tests."""
+"""The JSON report of the scale tests: a failed write leaves neither a partial nor a temporary file."""
 
 from __future__ import annotations
 
@@ -21,4 +21,4 @@
     (tmp_path / "folder").mkdir()
     with pytest.raises(OSError, match="folder"):
         write_json_atomically(tmp_path / "folder", {})
-    assert sorted(one.name for one in tmp_path.iterdir()) == ["folder", "results.json"]
+    assert sorted(entry.name for entry in tmp_path.iterdir()) == ["folder", "results.json"]
