--- a/scale/changing_list.py
+++ b/scale/changing_list.py
@@ -1,25 +1,25 @@
-"""An endpoint list whose endpoints are replaced one after the other, as discovery's watch events."""
+"""An endpoint list whose endpoints are replaced one after the other, encoded as watch events."""
 
 from __future__ import annotations
 
 from scale.model import Size
 from scale.synthetic_inputs import endpoint_row, watch_event_text
 
-REPLACEMENT_STRIDE = 7  # between the places of two replaced endpoints
-# Health of the listed endpoint at each change of a replacement, as on the wire.
+REPLACEMENT_STRIDE = 7  # list positions from one replaced endpoint to the next
+# A replacement is three changes of the list; this is the health on the wire in each of them.
 REPLACEMENT_STEPS = ("draining", "gone", "ready")
 
 
 class ChangingEndpointList:
-    """The endpoint list of a fleet; the version grows with each change."""
+    """The endpoint list of a fleet. Each change increments its version."""
 
     def __init__(self, size: Size) -> None:
-        """Start with the complete list of the size."""
+        """Start with ``size.servers`` endpoints."""
         self._size = size
         self._version = 1
-        self._endpoints = [*range(size.servers)]  # the number of the endpoint at each place
+        self._endpoints = [*range(size.servers)]  # endpoint number by list position
         self._changes = 0
-        self._replaced_place = 0
+        self._replaced_position = 0
 
     def complete_text(self) -> str:
         """Return the watch event with the present complete list."""
@@ -29,19 +29,19 @@
     def next_change_text(self, now: float) -> str:
         """Return the watch event with the next change.
 
-        An endpoint drains, is removed, and another endpoint starts in its place, each with one change.
+        One change drains an endpoint, the next removes it, and the third adds a new endpoint at its position.
         """
         step = self._changes % len(REPLACEMENT_STEPS)
         self._version += 1
         self._changes += 1
         if step == 0:
             replacements = self._changes // len(REPLACEMENT_STEPS)
-            self._replaced_place = replacements * REPLACEMENT_STRIDE % len(self._endpoints)
-        place = self._replaced_place
+            self._replaced_position = replacements * REPLACEMENT_STRIDE % len(self._endpoints)
+        position = self._replaced_position
         health = REPLACEMENT_STEPS[step]
         is_new = health == "ready"
         if is_new:
-            self._endpoints[place] += self._size.servers
+            self._endpoints[position] += self._size.servers
         born_ms = round(now * 1000) if is_new else 0
-        row = endpoint_row(self._endpoints[place], self._size, health, born_ms)
+        row = endpoint_row(self._endpoints[position], self._size, health, born_ms)
         return watch_event_text([row], self._version, complete=False)
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -1,6 +1,7 @@
 """The test ``cpu``: processor time of requests, ticks, lists and reloads, and control's share of a core.
 
-The costs are those of the decisions of a simulated limiter, without sockets.
+Measured is the processor time of the decisions in a simulated limiter, without sockets. Control is all work
+other than requests: ticks, changes of the endpoint list, counter replies and reloads.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 from scale.simulated_limiter import SimulatedLimiter
 from scale.worker import Job, run_jobs
 
-FILL_SECONDS = 20.0  # virtual; each tenant sends its first request in this time
-LOAD_SECONDS = 15.0  # virtual
-# Repetitions in a run, whose median is the cost.
+FILL_SECONDS = 20.0  # virtual time in which each tenant sends its first request
+LOAD_SECONDS = 15.0  # virtual time in which requests, ticks and counter replies are measured
+# Repetitions of an operation in one run; its cost is their median.
 LIST_CHANGES = 60
 COMPLETE_LISTS = 5
 RELOADS = 5
-FIRST_PRIORITY_WEIGHT = 7.0  # of the first class; each reload changes it
+FIRST_PRIORITY_WEIGHT = 7.0  # of the first request class in the first reload; each further reload adds 1
 NANOSECONDS_PER_SECOND = 1e9
 MICROSECONDS_PER_SECOND = 1e6
 MICROSECONDS_PER_MILLISECOND = 1e3
-MICROSECONDS_PER_PERCENT = 1e4  # of a second
+MICROSECONDS_PER_PERCENT = 1e4  # 1 % of a second
 
 
 class Operation(StrEnum):
@@ -65,34 +66,40 @@
 
 
 def measure_costs(size: dict[str, Any], *, full_spread: bool, seed: int) -> Costs:
-    """Return the processor seconds of each operation. A job: it runs in a process of its own.
+    """Return the processor seconds of each operation; runs as a job, in a process of its own.
 
-    With ``full_spread`` all limiters serve each tenant. Without a counter call ``COUNTER_REPLY`` is missing.
+    With ``full_spread`` all limiters serve each tenant. Without counter calls the result has no
+    ``COUNTER_REPLY``.
     """
     limiter = SimulatedLimiter(Size(**size), full_spread=full_spread, seed=seed)
     limiter.start()
     gc.collect()
-    gc.freeze()  # as the program does when it is ready
+    gc.freeze()  # as the limiter does at the end of its startup
     limiter.visit_all_tenants(FILL_SECONDS)
     limiter.costs.clear()
     limiter.run(LOAD_SECONDS)
     costs = _event_costs(limiter)
     costs[Operation.CHANGE] = median(
-        _timed(partial(_apply_list, limiter, limiter.next_list_change())) for _ in range(LIST_CHANGES)
+        _processor_seconds(partial(_apply_list, limiter, limiter.next_list_change()))
+        for _ in range(LIST_CHANGES)
     )
     text = limiter.complete_list()
-    costs[Operation.PARSE_LIST] = median(_timed(partial(_parse_list, text)) for _ in range(COMPLETE_LISTS))
+    costs[Operation.PARSE_LIST] = median(
+        _processor_seconds(partial(_parse_list, text)) for _ in range(COMPLETE_LISTS)
+    )
     update = _parse_list(text)
     costs[Operation.APPLY_LIST] = median(
-        _timed(partial(limiter.handle, update)) for _ in range(COMPLETE_LISTS)
+        _processor_seconds(partial(limiter.handle, update)) for _ in range(COMPLETE_LISTS)
     )
     texts = _changed_settings(limiter)
-    costs[Operation.RELOAD] = median(_timed(partial(_reload, limiter, changed)) for changed in texts)
+    costs[Operation.RELOAD] = median(
+        _processor_seconds(partial(_reload, limiter, changed)) for changed in texts
+    )
     return costs
 
 
 def _event_costs(limiter: SimulatedLimiter) -> Costs:
-    """Return the mean costs of the events of the load."""
+    """Return the mean costs of the requests, ticks and counter replies since the counts were cleared."""
     costs = {
         Operation.REQUEST: limiter.costs.mean_seconds(model.Request, model.AttemptCompleted),
         Operation.TICK: limiter.costs.mean_seconds(model.TimerFired),
@@ -124,7 +131,7 @@
     limiter.handle(parse_settings(raw))
 
 
-def _timed(work: Callable[[], object]) -> float:
+def _processor_seconds(work: Callable[[], object]) -> float:
     """Return the processor seconds of a call."""
     started = process_time_ns()
     work()
@@ -146,7 +153,10 @@
 
 
 def make_points(size: Size, effort: Effort) -> list[Point]:
-    """Return the sizes by servers at the size's spread, then by customers with all servers."""
+    """Return the points by servers, then the points by customers.
+
+    Points by servers have the spread of ``size``; points by customers have the largest number of servers.
+    """
     by_servers = [
         Point("servers", count, replace(size, servers=count)) for count in sample_sizes(size.servers, effort)
     ]
@@ -179,13 +189,13 @@
         )
         for point, run in runs
     ]
-    by_name: dict[tuple[str, Operation], dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
+    by_slope: dict[tuple[str, Operation], dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
     for (point, _), costs in zip(runs, run_jobs(jobs, effort.processes), strict=True):
         for operation, seconds in costs.items():
-            by_name[point.by, Operation(operation)][point.count].append(seconds * MICROSECONDS_PER_SECOND)
+            by_slope[point.by, Operation(operation)][point.count].append(seconds * MICROSECONDS_PER_SECOND)
     for by in ("servers", "customers"):
         for operation in DESCRIPTIONS:
-            by_count = by_name[by, operation]
+            by_count = by_slope[by, operation]
             if len(by_count) > 1:
                 result.add_slope(regression.line(_slope_name(operation, by), "us", by, by_count))
 
@@ -196,38 +206,40 @@
 
 def _notes(limiter: SimulatedLimiter) -> list[str]:
     return [
-        f"by servers: {limiter.tenants} customers at the limiter; by customers: {limiter.size.servers} "
-        "servers, and every customer at the limiter; its load "
-        f"is {limiter.rate:.0f} requests a second at every point; process time, the program's own collector",
-        "the sockets' part of a request, a call and a change, and the sweeps of connections, are not in it",
+        f"slopes by servers: the limiter serves {limiter.tenants} customers; slopes by customers: the list "
+        f"has {limiter.size.servers} servers, and the limiter serves every customer; at every point its load "
+        f"is {limiter.rate:.0f} requests a second; process time, with garbage collection as in the program",
+        "not included: socket operations of requests, counter calls and list changes; sweeps of connections",
     ]
 
 
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
     """Add the costs at the size and control's share of a core."""
-    recent = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_ACCOUNT_SECONDS)
+    recent_tenants = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_ACCOUNT_SECONDS)
     result.add_note(
-        f"at {size.rate / size.limiters:.0f} requests a second, with every customer at every limiter, "
-        f"{recent} of {size.tenants} come within the {IDLE_ACCOUNT_SECONDS:.0f} s "
-        "after which one is forgotten: the third share is the lines' at that number, "
-        "the second that of a limiter that knows all"
+        f"at {size.rate / size.limiters:.0f} requests a second, if each limiter serves every customer, "
+        f"{recent_tenants} of {size.tenants} customers send a request within {IDLE_ACCOUNT_SECONDS:.0f} s, "
+        "the time after which an idle account is removed: the second share of a core is that of a limiter "
+        "with an account of every customer, the third is the slopes' value at the smaller number of customers"
     )
-    few = SimulatedLimiter(size, full_spread=False, seed=1).tenants
+    served_tenants = SimulatedLimiter(size, full_spread=False, seed=1).tenants
     for costs, customers in (
-        (_costs_at(result, "servers", size.servers), few),
+        (_costs_at(result, "servers", size.servers), served_tenants),
         (_costs_at(result, "customers", size.tenants), size.tenants),
     ):
-        end = f"{customers} customers at the limiter"
-        _add_costs(result, costs, end, f"median at {size.servers} servers and {customers} customers")
-        _add_shares(result, costs, end, size, budget)
-        _add_list_time(result, costs, end)
-    # No run has this count: it gives a share of a core only.
-    costs = _costs_at(result, "customers", recent)
-    _add_shares(result, costs, f"{recent} customers at the limiter", size, budget)
+        customers_text = f"{customers} customers at the limiter"
+        _add_costs(
+            result, costs, customers_text, f"median at {size.servers} servers and {customers} customers"
+        )
+        _add_shares(result, costs, customers_text, size, budget)
+        _add_list_time(result, costs, customers_text)
+    # No run measured this number of customers: the slopes give a share of a core, but no measured costs.
+    costs = _costs_at(result, "customers", recent_tenants)
+    _add_shares(result, costs, f"{recent_tenants} customers at the limiter", size, budget)
 
 
 def _costs_at(result: Result, by: str, count: int) -> Costs:
-    """Return the microseconds of the operations at a count."""
+    """Return the microseconds of each operation at a number of servers or customers."""
     slopes = {slope.name: slope for slope in result.slopes}
     names = {operation: _slope_name(operation, by) for operation in DESCRIPTIONS}
     return {
@@ -237,15 +249,16 @@
     }
 
 
-def _add_costs(result: Result, costs: Costs, end: str, how: str) -> None:
+def _add_costs(result: Result, costs: Costs, customers_text: str, how: str) -> None:
     for operation, microseconds in costs.items():
-        name = f"{DESCRIPTIONS[operation]}, {end}"
+        name = f"{DESCRIPTIONS[operation]}, {customers_text}"
         result.add_figure(Figure(name, "us", microseconds, Origin.MEASURED, how))
 
 
-def _add_shares(result: Result, costs: Costs, end: str, size: Size, budget: Budget) -> None:
+def _add_shares(result: Result, costs: Costs, customers_text: str, size: Size, budget: Budget) -> None:
     """Add control's share of a core on an ordinary day and in a rolling restart of the fleet."""
-    # An even share of the counter's guaranteed rate; a small fleet makes about one call a request.
+    # Each limiter has an even share of the calls that the counter guarantees. A small fleet makes fewer,
+    # about one call per request.
     reply_rate = min(budget.counter_calls, size.rate) / size.limiters
     reload_rate = load_profile.reload_rate(size)
     for rolling_restart in (False, True):
@@ -258,17 +271,22 @@
         }
         share = sum(parts.values()) / MICROSECONDS_PER_SECOND
         how = ", ".join(f"{name} {part / MICROSECONDS_PER_PERCENT:.2f}%" for name, part in parts.items())
-        how += f"; a second: 1 tick, {change_rate:.3f} changes, {reply_rate:.2f} counter answers, "
+        how += f"; per second: 1 tick, {change_rate:.3f} list changes, {reply_rate:.2f} counter replies, "
         how += f"{reload_rate:.4f} reloads"
-        name = f"control's share of a core, {end}, {load_profile.describe(rolling_restart=rolling_restart)}"
-        limit = 100 * budget.control_cpu
-        result.add_figure(Figure(name, "%", 100 * share, Origin.DERIVED, how, limit))
+        name = (
+            f"control's share of a core, {customers_text}, "
+            f"{load_profile.describe(rolling_restart=rolling_restart)}"
+        )
+        budget_percent = 100 * budget.control_cpu
+        result.add_figure(Figure(name, "%", 100 * share, Origin.DERIVED, how, budget_percent))
 
 
-def _add_list_time(result: Result, costs: Costs, end: str) -> None:
+def _add_list_time(result: Result, costs: Costs, customers_text: str) -> None:
     milliseconds = (costs[Operation.PARSE_LIST] + costs[Operation.APPLY_LIST]) / MICROSECONDS_PER_MILLISECOND
-    how = "reading and taking it; the loop does nothing else meanwhile"
-    result.add_figure(Figure(f"a whole list at once, {end}", "ms", milliseconds, Origin.DERIVED, how))
+    how = "parsing and applying it; the event loop is blocked meanwhile"
+    result.add_figure(
+        Figure(f"a whole list at once, {customers_text}", "ms", milliseconds, Origin.DERIVED, how)
+    )
 
 
 TEST = ScaleTest(
--- a/scale/event_costs.py
+++ b/scale/event_costs.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class _EventCost:
-    """The sums of one type of event."""
+    """The processor time and the number of the events of one type."""
 
     nanoseconds: int = 0
     events: int = 0
@@ -24,7 +24,7 @@
 
 
 class EventCosts:
-    """Measures the decisions and adds up their processor time by the type of the event."""
+    """Measures the processor time of the decisions and adds it up by event type."""
 
     def __init__(self) -> None:
         """Start without events."""
@@ -47,6 +47,6 @@
         return self._costs.get(event_type, _EventCost()).events
 
     def mean_seconds(self, first: type[model.Event], *caused: type[model.Event]) -> float:
-        """Return the mean processor time of an event of the first type, with the events that it caused."""
+        """Return the processor time of all events of these types, divided by the number of type ``first``."""
         nanoseconds = sum(self._costs.get(each, _EventCost()).nanoseconds for each in (first, *caused))
         return nanoseconds / max(1, self._costs[first].events) / NANOSECONDS_PER_SECOND
--- a/scale/simulated_counter.py
+++ b/scale/simulated_counter.py
@@ -1,4 +1,4 @@
-"""The shared counter as one simulated limiter sees it: its totals include the usage of the others."""
+"""The shared counter of one simulated limiter; its totals include an assumed usage of the other limiters."""
 
 from __future__ import annotations
 
@@ -24,10 +24,13 @@
 
 
 class SimulatedCounter:
-    """Adds the increments of one limiter, and the even usage of the other limiters up to the quota."""
+    """Adds up the increments of one limiter and the assumed usage of the other limiters.
+
+    All limiters that serve a tenant use equal parts of its demand or of its quota, whichever is lower.
+    """
 
     def __init__(self, *, quota: float, spread: int, mix: LoadMix) -> None:
-        """``quota`` is in units a second of each tenant, which ``spread`` limiters serve."""
+        """Each tenant has a quota of ``quota`` units a second, and ``spread`` limiters serve it."""
         self._quota = quota
         self._spread = spread
         self._mix = mix
@@ -36,7 +39,7 @@
 
     def register(self, tenant: int, account: str) -> None:
         """Record which tenant the counter of an account belongs to."""
-        # The id of the counter is a hash that the decisions make of the account.
+        # The id of the counter is a hash that the decisions compute from the account.
         counter_id = Account(0.0, model.Plan(PLAN_NAME), account).counter_id
         self._tenant_by_counter.setdefault(counter_id, tenant)
 
@@ -51,7 +54,7 @@
         self._totals[action.counter_id] = _Total(units, now, total.started_at)
         return units
 
-    def forget_tenants_before(self, first_tenant: int) -> None:
+    def delete_tenants_before(self, first_tenant: int) -> None:
         """Delete the counters of the tenants with a lower number."""
         self._tenant_by_counter = {
             counter_id: tenant
@@ -76,9 +79,9 @@
         )
 
     def _demand_of(self, counter_id: int) -> float:
-        """Return a tenant's demand over its quota, at most 1.
+        """Return a tenant's demand divided by its quota, at most 1.
 
-        Usage of forgotten tenants is still reported for a while: it counts with the mean demand.
+        The limiter still reports usage of deleted tenants for a while; their demand is taken as the mean.
         """
         tenant = self._tenant_by_counter.get(counter_id)
         return min(1.0, self._mix.demand if tenant is None else self._mix.demand_of(tenant))
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -32,7 +32,7 @@
 )
 
 MEDIAN_RESPONSE_SECONDS = 0.04
-RESPONSE_TIME_SIGMA = 0.4  # of the logarithm of the response time
+RESPONSE_TIME_SIGMA = 0.4  # standard deviation of the logarithm of the response time
 REPLY_SECONDS = 0.005  # until the counter replies or an endpoint responds to a health check
 VIRTUAL_START_SECONDS = 1000.0
 
@@ -46,14 +46,14 @@
 
 
 class SimulatedLimiter:
-    """One limiter of the fleet under its part of the load.
+    """One limiter of the fleet under its share of the load.
 
     With ``full_spread`` all limiters serve each tenant, otherwise ``size.spread`` of them. Clients do not
     retry, endpoints respond quickly, and the counter replies to each call after ``REPLY_SECONDS``.
     """
 
     def __init__(self, size: Size, *, full_spread: bool, seed: int, mix: LoadMix = USUAL_MIX) -> None:
-        """Create the decisions, without endpoints and requests."""
+        """Create the limiter, without endpoints and requests."""
         self.size = size
         self.spread = size.limiters if full_spread else min(size.spread, size.limiters)
         self.tenants = max(1, round(size.tenants * self.spread / size.limiters))
@@ -83,13 +83,13 @@
         self._schedule(0.0, None)
 
     def visit_all_tenants(self, seconds: float) -> None:
-        """Let each tenant send one request within a time, in addition to the load."""
+        """Run for ``seconds``, in which each tenant sends one request in addition to the load."""
         for number in range(self.tenants):
             self._schedule(seconds * number / self.tenants, self._make_request(self._first_tenant + number))
         self.run(seconds)
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Handle the events of the next ``seconds`` of virtual time."""
         until = self._now + seconds
         while self._events and self._events[0].at <= until:
             self._now, _, event = heappop(self._events)
@@ -119,26 +119,26 @@
         self.rejections = 0
 
     def replace_tenants(self, tenants: int) -> None:
-        """Replace a number of tenants by new ones."""
+        """Replace the ``tenants`` oldest tenants by new ones."""
         self._first_tenant += tenants
-        # The usage of replaced tenants is reported for a minute; then their counters would only add to the
-        # memory of the simulation.
-        self._counter.forget_tenants_before(self._first_tenant - 2 * tenants)
+        # The limiter reports the usage of replaced tenants for another minute. After that, their counters
+        # would only add to the memory of the simulation.
+        self._counter.delete_tenants_before(self._first_tenant - 2 * tenants)
 
     def expected_tenants(self, seconds: float) -> int:
-        """Return the mean number of tenants that send at least one request within a time."""
-        requests_each = self.rate * seconds / self.tenants / self._mix.demand
-        below = 1 - self._mix.near - self._mix.over
+        """Return the expected number of tenants that send at least one request within ``seconds``."""
+        requests_at_quota = self.rate * seconds / self.tenants / self._mix.demand
+        below_quota = 1 - self._mix.near - self._mix.over
         loads = (
-            (below, BELOW_QUOTA_LOAD),
+            (below_quota, BELOW_QUOTA_LOAD),
             (self._mix.near, NEAR_QUOTA_LOAD),
             (self._mix.over, OVER_QUOTA_LOAD),
         )
-        active = sum(fraction * -math.expm1(-requests_each * demand) for fraction, demand in loads)
+        active = sum(fraction * -math.expm1(-requests_at_quota * demand) for fraction, demand in loads)
         return round(self.tenants * active)
 
     def known_tenants(self) -> int:
-        """Return the number of tenants of which the decisions hold state."""
+        """Return the number of tenants that have an account at the gateway."""
         return len(self._gateway.accounts.accounts)
 
     def complete_list(self) -> str:
@@ -150,14 +150,14 @@
         return self._endpoint_list.next_change_text(self._now)
 
     def harness_bytes(self) -> int:
-        """Return the memory of the simulation's own tables, which no limiter has."""
+        """Return the bytes of the simulation's own tables, which a real limiter does not have."""
         return self._counter.table_bytes() + sys.getsizeof(self._events)
 
     def _schedule(self, delay: float, event: model.Event | None) -> None:
         heappush(self._events, _ScheduledEvent(self._now + delay, next(self._order), event))
 
     def _draw_tenant(self) -> int:
-        """Draw a tenant by its demand.
+        """Draw a tenant with a probability proportional to its demand.
 
         Rejection sampling needs no table of weights, whose memory would count as the limiter's.
         """
--- a/scale/synthetic_inputs.py
+++ b/scale/synthetic_inputs.py
@@ -1,4 +1,4 @@
-"""Generated settings, endpoint lists and mixes of tenants for a single limiter under measurement."""
+"""Synthetic settings, endpoint lists and mixes of tenants for the measurement of a single limiter."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 PLAN_NAME = "basic"
 CLASS_COUNT = 4
 CLIENT_TIMEOUT_SECONDS = 2.0
-BUCKET_SECONDS = 4.0  # of the quota, which the bucket holds
+BUCKET_SECONDS = 4.0  # size of the bucket, in seconds of the quota
 # Demand of the three kinds of tenants, divided by the quota.
 BELOW_QUOTA_LOAD = 0.3
 NEAR_QUOTA_LOAD = 0.95
 OVER_QUOTA_LOAD = 3.0
 _EFFECTS = ("idempotent", "deduplicated", "at_most_once")
-_WEIGHTS = 5  # number of different priority weights
-_PLACES = 1000  # resolution of the fractions of tenants
-_PLACE_STRIDE = 7919  # a prime, which spreads the kinds of tenants evenly over their numbers
+_WEIGHT_COUNT = 5  # number of different priority weights
+_FRACTION_STEPS = 1000  # resolution of the fractions in a ``LoadMix``
+_TENANT_STRIDE = 7919  # a prime, so that each kind of tenant is spread evenly over the tenant numbers
 _NAME_FACTOR = 2654435761  # Knuth's multiplicative hash, which spreads the names evenly
 _PORT = 7070
 
 
 @dataclass(frozen=True, slots=True)
 class LoadMix:
-    """Fractions of the tenants near their quota and several times over it; the others are far below it."""
+    """Fractions of tenants with a demand near and several times over the quota; the others are far below."""
 
     near: float
     over: float
@@ -39,11 +39,11 @@
         return self.near * NEAR_QUOTA_LOAD + self.over * OVER_QUOTA_LOAD + below * BELOW_QUOTA_LOAD
 
     def demand_of(self, tenant: int) -> float:
-        """Return a tenant's demand divided by its quota, which depends on its number alone."""
-        place = tenant * _PLACE_STRIDE % _PLACES / _PLACES
-        if place < self.over:
+        """Return a tenant's demand divided by its quota; it depends only on the tenant's number."""
+        quantile = tenant * _TENANT_STRIDE % _FRACTION_STEPS / _FRACTION_STEPS
+        if quantile < self.over:
             return OVER_QUOTA_LOAD
-        return NEAR_QUOTA_LOAD if place < self.over + self.near else BELOW_QUOTA_LOAD
+        return NEAR_QUOTA_LOAD if quantile < self.over + self.near else BELOW_QUOTA_LOAD
 
 
 CALM_MIX = LoadMix(near=0.12, over=0.06)
@@ -79,7 +79,7 @@
     return {
         "name": f"class-{number}",
         "aim_s": 0.5,
-        "worth": 1.0 + number % _WEIGHTS,
+        "worth": 1.0 + number % _WEIGHT_COUNT,
         "effect": _EFFECTS[number % len(_EFFECTS)],
         "group": "all",
         "window_s": 4.0,
@@ -88,15 +88,15 @@
 
 
 def endpoint_row(number: int, size: Size, health: str = "ready", born_ms: int = 0) -> dict[str, Any]:
-    """Return an endpoint as discovery lists it; numbers beyond ``size.servers`` are replacements."""
-    place = number % size.servers
-    address = f"10.{place >> 16 & 255}.{place >> 8 & 255}.{place & 255}"
+    """Return an endpoint as discovery lists it; numbers from ``size.servers`` on are replacements."""
+    position = number % size.servers
+    address = f"10.{position >> 16 & 255}.{position >> 8 & 255}.{position & 255}"
     return {
         "host": f"s-{number * _NAME_FACTOR % 2**32:08x}",
         "dial": f"{address}:{_PORT}",
-        "site": f"zone-{place % size.zones}",
+        "site": f"zone-{position % size.zones}",
         "class": "m2",
-        "block": place * size.services // size.servers,
+        "block": position * size.services // size.servers,
         "health": health,
         "share": 1.0,
         "born_ms": born_ms,
@@ -105,7 +105,7 @@
 
 def watch_event_text(rows: Iterable[dict[str, Any]], version: int, *, complete: bool) -> str:
     """Return a watch event of discovery in compact JSON."""
-    # Row by row, because a complete list of objects would count as the limiter's memory.
+    # Encoded row by row, because a list of all rows would be measured as memory of the limiter.
     hosts = ",".join(json.dumps(row, separators=(",", ":")) for row in rows)
     return f'{{"seq":{version},"whole":{json.dumps(complete)},"hosts":[{hosts}]}}'
 
