--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client of a limiter: each open request has a connection of its own."""
+"""An HTTP client of a limiter, with at most one open request on each connection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from scale.processes import split_address
 
-BROKEN = 0  # status in place of a response that was not received
+NO_RESPONSE = 0  # status if no complete response was received
 STATUS_CODE_SLICE = slice(9, 12)  # in a status line
 MICROSECONDS_PER_SECOND = 1e6
 
@@ -21,10 +21,10 @@
 class Response:
     """A response as its client received it, with the endpoint's report."""
 
-    status: int  # or ``BROKEN``
+    status: int  # or ``NO_RESPONSE``
     received_at: float  # seconds of ``time.monotonic``
     service_time: float = 0.0  # seconds at the endpoint
-    on_new_connection: bool = False  # the first request on the limiter's connection to the endpoint
+    on_new_connection: bool = False  # whether it is the first on the limiter's connection to the endpoint
 
     @property
     def is_served(self) -> bool:
@@ -71,7 +71,7 @@
 
 
 def _parse_response(data: bytes) -> _ParsedResponse | None:
-    """Return None while the response is not complete."""
+    """Parse a response; return None if it is not complete yet."""
     head, end, body = data.partition(b"\r\n\r\n")
     if not end:
         return None
@@ -112,7 +112,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
-        # The transports of uvloop are no subclass.
+        # uvloop's transports are not subclasses of ``asyncio.Transport``.
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, request: bytes, on_response: OnResponse, *, is_retry: bool) -> None:
@@ -125,7 +125,7 @@
         self.transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Deliver a complete response; then the connection is idle, unless the response closes it."""
+        """Deliver a complete response, after making the connection idle unless the response closes it."""
         self._buffer += data
         on_response = self._on_response
         if on_response is None:
@@ -139,7 +139,7 @@
         on_response(parsed.response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Retry a request without any byte of a response; deliver a broken response otherwise."""
+        """Retry an open request once if no byte of its response has arrived; else deliver ``NO_RESPONSE``."""
         self.transport = None
         self._client.remove_idle(self)
         on_response = self._on_response
@@ -147,13 +147,13 @@
             return
         self._on_response = None
         if self._is_retry or self._buffer:
-            on_response(Response(BROKEN, time.monotonic()))
-        else:  # the limiter may have closed the idle connection: the protocol allows a retry
+            on_response(Response(NO_RESPONSE, time.monotonic()))
+        else:  # the limiter may have closed an idle connection, so the protocol allows a retry
             self._client.send_on_new_connection(self._request, on_response, is_retry=True)
 
 
 class HttpClient:
-    """Connections to one address; a request without an idle connection opens one."""
+    """A pool of connections to one address; a request opens a connection if none is idle."""
 
     def __init__(self, address: str) -> None:
         """``address`` is ``host:port``."""
@@ -162,7 +162,7 @@
         self._tasks = set[asyncio.Task[None]]()
 
     async def open_connections(self, number: int) -> None:
-        """Open connections in advance, because the connects of clients are no part of the added latency."""
+        """Open connections in advance, so that connecting does not count as added latency."""
         for _ in range(number):
             self._idle.append(await self._connect())
 
@@ -171,21 +171,21 @@
         self._idle.append(connection)
 
     def remove_idle(self, connection: _ClientConnection) -> None:
-        """Remove a connection that has closed, if it was idle."""
+        """Remove a closed connection from the idle connections, if it is one of them."""
         if connection in self._idle:
             self._idle.remove(connection)
 
     def send(self, request: bytes, on_response: OnResponse) -> None:
-        """Send a request; ``on_response`` receives its response, a ``BROKEN`` one if there is none."""
+        """Send a request; ``on_response`` gets its response, with status ``NO_RESPONSE`` if there is none."""
         while self._idle:
-            connection = self._idle.popleft()  # in turn, so that none is idle until the limiter closes it
+            connection = self._idle.popleft()  # the one idle for longest, before the limiter closes it
             if connection.is_open:
                 connection.send(request, on_response, is_retry=False)
                 return
         self.send_on_new_connection(request, on_response, is_retry=False)
 
     def send_on_new_connection(self, request: bytes, on_response: OnResponse, *, is_retry: bool) -> None:
-        """Send a request on a new connection, like ``send``."""
+        """Open a connection and send a request on it; ``on_response`` is that of ``send``."""
         sending = self._connect_and_send(request, on_response, is_retry=is_retry)
         task = asyncio.get_running_loop().create_task(sending)
         self._tasks.add(task)
@@ -200,10 +200,10 @@
         try:
             connection = await self._connect()
         except OSError:
-            on_response(Response(BROKEN, time.monotonic()))
+            on_response(Response(NO_RESPONSE, time.monotonic()))
             return
         if connection.transport is None:
-            on_response(Response(BROKEN, time.monotonic()))
+            on_response(Response(NO_RESPONSE, time.monotonic()))
         else:
             connection.send(request, on_response, is_retry=is_retry)
 
--- a/scale/limiter_settings.py
+++ b/scale/limiter_settings.py
@@ -1,4 +1,4 @@
-"""The settings that real limiters are started with, by their names on the wire."""
+"""Settings of real limiters, with the names of the configuration file."""
 
 from __future__ import annotations
 
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -1,4 +1,4 @@
-"""Real limiters and the stand-ins as processes; an unexpected exit is the cause of a failed run."""
+"""Runs real limiters and the stand-ins as child processes; an unexpected exit of one fails the run."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 READY_TIMEOUT_SECONDS = 30.0
 READY_POLL_SECONDS = 0.02
-MAX_LOG_CHARACTERS = 600  # of an exited process, in the cause of a failed run
+MAX_LOG_CHARACTERS = 600  # from the end of an exited process's log, in the error of the failed run
 MAX_LINE_BYTES = 1 << 20  # of a reply of the stand-ins
 MAX_SOCKETS = 1024  # of a limiter
 NANOSECONDS_PER_SECOND = 1e9
@@ -35,7 +35,7 @@
 
 
 def run_queue_seconds(pid: int) -> float:
-    """Return the seconds that a process's first thread was ready and waited for a core (schedstat)."""
+    """Return the seconds that a process's main thread was runnable and waited for a core (schedstat)."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / NANOSECONDS_PER_SECOND
     except (OSError, ValueError, IndexError):
@@ -43,7 +43,7 @@
 
 
 class ChildProcess:
-    """A child process; ``guard`` turns its exit into the cause of a failed run."""
+    """A child process; ``guard`` fails the run if it exits."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
         """``log`` is the file of its standard error."""
@@ -61,10 +61,10 @@
         """Return the exit code and the end of standard error."""
         text = self._log.read_text(errors="replace").strip() if self._log.exists() else ""
         log_end = text[-MAX_LOG_CHARACTERS:] or "nothing on standard error"
-        return f"{self.name} ended with {self.process.returncode}: {log_end}"
+        return f"{self.name} exited with code {self.process.returncode}: {log_end}"
 
     def run_queue_seconds(self) -> float:
-        """Return the seconds of waiting for a core so far; 0 if the system does not report them."""
+        """Return the seconds that the main thread has waited for a core; 0 if the system has no schedstat."""
         return run_queue_seconds(self.process.pid)
 
     async def stop(self) -> None:
@@ -76,7 +76,7 @@
 
 
 async def guard(work: Awaitable[T], *processes: ChildProcess) -> T:
-    """Return the result of the work. Raise ``BrokenRunError`` as soon as one of the processes exits."""
+    """Await ``work`` and return its result. Raise ``BrokenRunError`` as soon as a process exits."""
     task = asyncio.ensure_future(work)
     by_exit = {process.exit: process for process in processes}
     done, _ = await asyncio.wait({task, *by_exit}, return_when=asyncio.FIRST_COMPLETED)
@@ -99,11 +99,11 @@
         return Stats.from_json(await self.exchange({}))
 
     async def change_health(self, port: int, health: str) -> Stats:
-        """Publish a new health of the endpoints behind a port. Raises the errors of ``stats``."""
+        """Publish ``health`` for all endpoints at a port. Return and raise as ``stats`` does."""
         return Stats.from_json(await self.exchange(asdict(HealthChange(port, health))))
 
     async def open(self, setup: Setup) -> None:
-        """Let the stand-ins listen; sets ``addresses``."""
+        """Send the setup, after which the stand-ins listen, and set ``addresses``."""
         self.addresses = Addresses(**await self.exchange(setup.to_json()))
 
     async def exchange(self, command: dict[str, Any]) -> dict[str, Any]:
@@ -112,7 +112,7 @@
         stdout = self.process.stdout
         assert stdin is not None
         assert stdout is not None
-        with contextlib.suppress(OSError, RuntimeError):  # uvloop raises it for a closed pipe
+        with contextlib.suppress(OSError, RuntimeError):  # uvloop raises RuntimeError for a closed pipe
             stdin.write(json.dumps(command).encode() + b"\n")
         reply = await stdout.readline()
         if not reply:
@@ -123,7 +123,7 @@
 
 @asynccontextmanager
 async def start_stand_ins(directory: Path, setup: Setup) -> AsyncIterator[StandIns]:
-    """Start the stand-ins in a process of their own, and kill it at the end."""
+    """Start the stand-ins in one process, and kill it at the end."""
     log = directory / "stand_ins.log"
     with log.open("wb") as errors:
         process = await asyncio.create_subprocess_exec(
@@ -160,13 +160,13 @@
         self.write_config()
 
     def write_config(self) -> None:
-        """Replace the configuration file in one step, as a deployment does."""
+        """Replace the configuration file atomically, as a deployment does."""
         temporary = self._path.with_suffix(".new")
         temporary.write_text(json.dumps(self.config))
         temporary.rename(self._path)
 
     async def metrics(self) -> dict[str, int]:
-        """Return the metrics by their names without the prefix."""
+        """Return the metrics by name, without the prefix ``app.``."""
         reader, writer = await asyncio.open_connection(*split_address(self.config["mgmt"]))
         writer.write(b"METRICS\n")
         text = (await reader.read()).decode()
@@ -175,12 +175,12 @@
         return {name.removeprefix("app."): int(value) for name, _, value in pairs}
 
     async def wait_ready(self) -> None:
-        """Return when the limiter serves."""
+        """Wait until the limiter is ready to serve."""
         while not await self._is_ready():
             await asyncio.sleep(READY_POLL_SECONDS)
 
     async def _is_ready(self) -> bool:
-        """Whether the limiter serves; an error of the connection means that it does not listen (any more)."""
+        """Whether ``/healthz`` returns 200. A connection error means that the limiter is not listening."""
         try:
             reader, writer = await asyncio.open_connection(*split_address(self.address))
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -200,7 +200,7 @@
     *,
     with_counter: bool,
 ) -> dict[str, Any]:
-    """Return the configuration of a limiter without the addresses, which ``start_limiters`` adds."""
+    """Return a limiter's configuration without ``listen`` and ``mgmt``, which ``start_limiters`` adds."""
     known = {"seq": 1, "whole": True, "hosts": [endpoint.to_json() for endpoint in endpoints]}
     config = {
         "name": f"n{index}",
@@ -232,7 +232,7 @@
 
 @asynccontextmanager
 async def start_limiters(directory: Path, configs: list[dict[str, Any]]) -> AsyncIterator[list[Limiter]]:
-    """Start real limiters that are ready to serve, and kill them at the end.
+    """Start real limiters, wait until they are ready to serve, and kill them at the end.
 
     Raise ``BrokenRunError`` if one exits or is not ready in time.
     """
@@ -252,9 +252,9 @@
 
 
 async def _wait_until_ready(limiters: list[Limiter]) -> None:
-    """Wait for all limiters. Raise ``BrokenRunError`` if one exits or is not ready in time."""
+    """Wait until all limiters are ready. Raise ``BrokenRunError`` if one exits or is not ready in time."""
     try:
         async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             await guard(asyncio.gather(*(limiter.wait_ready() for limiter in limiters)), *limiters)
     except TimeoutError:
-        raise BrokenRunError(f"no limiter was ready within {READY_TIMEOUT_SECONDS:.0f} s") from None
+        raise BrokenRunError(f"not all limiters were ready within {READY_TIMEOUT_SECONDS:.0f} s") from None
--- a/scale/reserved_port.py
+++ b/scale/reserved_port.py
@@ -1,4 +1,4 @@
-"""Ports of loopback that are reserved for child processes."""
+"""Reserves loopback ports for child processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Reserve an unused port while the context is open.
 
     The port stays bound to a socket that does not listen, so that the system assigns it to no other socket. A
-    child process may listen at it nevertheless, because both sockets have SO_REUSEADDR.
+    child process can still listen on the port, because both sockets have SO_REUSEADDR.
     """
     with socket.socket() as reservation:
         reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/scale/stand_ins/__init__.py
+++ b/scale/stand_ins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the peers of a limiter, by the protocol page: discovery, the counter and endpoints.
+"""Stand-ins for the services that a limiter uses: discovery, the counter and endpoints.
 
-``python -m scale.stand_ins`` runs them as one process of their own.
+They implement the protocols on the protocol page. ``python -m scale.stand_ins`` runs them in one process.
 """
--- a/scale/stand_ins/__main__.py
+++ b/scale/stand_ins/__main__.py
@@ -1,6 +1,6 @@
-"""The stand-ins as one process, so that they do not delay the clients, whose times are measured.
+"""Runs the stand-ins in a separate process, so that they do not delay the clients whose latency is measured.
 
-The process reads JSON objects from standard input, one a line, and replies to each with one
+The process reads one JSON object per line from standard input, and replies to each with one line
 (``scale.stand_ins.control``). It exits at the end of the input.
 """
 
@@ -54,9 +54,9 @@
         fields = json.loads(line)
         if fields:
             change = HealthChange(**fields)
-            behind_port = [endpoint for endpoint in entries if endpoint.address == addresses[change.port]]
+            entries_at_port = [endpoint for endpoint in entries if endpoint.address == addresses[change.port]]
             published_at = time.monotonic()
-            _publish(discovery, behind_port, change)
+            _publish(discovery, entries_at_port, change)
         _print_line(Stats(counter.stats, endpoints.last_request_at, published_at))
 
 
--- a/scale/stand_ins/connection.py
+++ b/scale/stand_ins/connection.py
@@ -11,9 +11,9 @@
 
 
 class StandInConnection(asyncio.Protocol):
-    """One connection to a stand-in; it is in the set of open connections while it is open."""
+    """A connection to a stand-in. It is in a set of connections while it is open."""
 
-    def __init__(self, connections: set[Any]) -> None:  # Any, because sets are invariant in the subclass
+    def __init__(self, connections: set[Any]) -> None:  # Any, because sets of subclasses are no subtype
         """``connections`` is the set of open connections."""
         self._connections = connections
         self.buffer = b""
@@ -21,7 +21,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Add the connection to the open connections."""
-        # The transports of uvloop are no subclass.
+        # uvloop's transports are not subclasses of ``asyncio.Transport``.
         self.transport = cast(asyncio.Transport, transport)
         self._connections.add(self)
 
@@ -42,7 +42,7 @@
 
 
 class LoopbackListener:
-    """A listening socket on loopback, whose port stays the same when it is closed and opened again."""
+    """A listening socket on loopback that keeps its port when it is closed and opened again."""
 
     def __init__(self, make_connection: Callable[[], StandInConnection]) -> None:
         """``make_connection`` creates the protocol of an accepted connection."""
--- a/scale/stand_ins/control.py
+++ b/scale/stand_ins/control.py
@@ -1,4 +1,4 @@
-"""The commands and replies of the stand-ins' process: JSON objects, one a line, on its standard streams."""
+"""Commands to the process of the stand-ins and its replies, as lines of JSON on its standard streams."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChange:
-    """A command that publishes a new health of all endpoints behind one port."""
+    """A command to publish a health for all endpoints at one port."""
 
-    port: int  # index
+    port: int  # index in ``Addresses.endpoints``
     health: str
 
 
--- a/scale/stand_ins/counter.py
+++ b/scale/stand_ins/counter.py
@@ -1,4 +1,4 @@
-"""The counter's stand-in: adds amounts to counters with a limited rate of calls."""
+"""Stand-in of the counter: adds amounts to totals, at a limited rate of calls."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterSpec:
-    """The capacity and the network of a counter."""
+    """The capacity and the network latency of the counter."""
 
-    rate: float = 1100.0  # calls a second of all shards
+    rate: float = 1100.0  # calls a second of all shards together
     shards: int = 1
     round_trip: float = 0.0002  # seconds on the network
     background_rate: float = 0.0  # calls a second of the other limiters of the fleet
     max_connections: int = MAX_CONNECTIONS  # of one address
-    queue_limit: int = 0  # waiting calls, beyond which the reply is ``busy``; 0: any number
+    queue_limit: int = 0  # waiting calls at which further ones are rejected (``busy``); 0: no limit
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
     """Serves increments in one queue for all shards, in the order of arrival."""
 
     def __init__(self, spec: CounterSpec, timers: PreciseTimers, seed: int = 1) -> None:
-        """``seed`` draws the background calls."""
+        """``seed`` determines the times of the background calls."""
         self.spec = spec
         self.timers = timers
         self.stats = CounterStats()
@@ -89,8 +89,8 @@
         return await self._listener.open()
 
     @property
-    def is_overcrowded(self) -> bool:
-        """Whether there are too many connections from one address; on loopback all limiters share it."""
+    def has_too_many_connections(self) -> bool:
+        """Whether one address has too many connections; on loopback all limiters have the same address."""
         return len(self._connections) > self.spec.max_connections
 
     def handle(self, line: bytes) -> ScheduledReply:
@@ -121,7 +121,7 @@
         return (min(self._shards_free_at) - arrival) * self.spec.rate / self.spec.shards
 
     def _serve(self, arrival: float) -> float:
-        """Let the first free shard serve a call; return the time of the end."""
+        """Let the shard that is free first serve a call; return the time at which the call ends."""
         shard = self._shards_free_at.index(min(self._shards_free_at))
         start = max(arrival, self._shards_free_at[shard])
         self._shards_free_at[shard] = start + self.spec.shards / self.spec.rate
@@ -145,7 +145,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Reset the connection if there are too many."""
         super().connection_made(transport)
-        if self._counter.is_overcrowded:
+        if self._counter.has_too_many_connections:
             self.abort()
         else:
             self._close_when_idle()
--- a/scale/stand_ins/discovery.py
+++ b/scale/stand_ins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's stand-in: serves the endpoint list and watches of its changes."""
+"""Stand-in of discovery: serves polls of the endpoint list and watches of its changes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from scale.stand_ins.connection import LoopbackListener, StandInConnection
 
 KEEP_ALIVE_SECONDS = 2.0  # between two empty lines of a watch
-SLOW_WRITE_CHUNKS = 5  # of a line that is written slowly
+SLOW_WRITE_CHUNKS = 5  # number of chunks of a line that takes ``write_seconds``
 FIRST_VERSION = 41  # of the list
 
 
@@ -25,7 +25,7 @@
     address: str  # host:port
     health: str = "ready"  # or "draining", "gone"
     zone: str = "zone-1"
-    started_at_ms: int = 0  # Unix time; 0: unknown, long ago
+    started_at_ms: int = 0  # Unix time; 0: unknown, taken as long ago
 
     def to_json(self) -> dict[str, Any]:
         """Return the entry with its names on the wire."""
@@ -41,19 +41,19 @@
         }
 
 
-def make_endpoints(number: int, addresses: Sequence[str], zones: int = 5) -> list[EndpointEntry]:
-    """Return a list of endpoints behind a few addresses, which differ by name and zone only."""
+def make_endpoints(count: int, addresses: Sequence[str], zones: int = 5) -> list[EndpointEntry]:
+    """Return a list of endpoints that share a few addresses, and differ otherwise in name and zone only."""
     return [
         EndpointEntry(f"s-{index:08x}", addresses[index % len(addresses)], zone=f"zone-{index % zones}")
-        for index in range(number)
+        for index in range(count)
     ]
 
 
 class DiscoveryStandIn:
-    """Serves the list, and its changes to the open watches.
+    """Serves the list to polls, and the list and its changes to watches.
 
-    Calls are served in turn, ``capacity`` a second (0: all at once), even if the caller has disconnected.
-    Writing a line takes ``write_seconds``. The version grows with each change.
+    Calls are served in the order of arrival, ``capacity`` a second (0: without delay), even if the caller has
+    disconnected. Writing a line takes ``write_seconds``. Each change increments the version.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._keep_alive_timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> str:
-        """Serve, also again after ``crash`` or ``stop_responding``; return ``host:port``."""
+        """Start or resume serving, after ``crash`` or ``stop_responding`` too; return ``host:port``."""
         self.is_unresponsive = False
         if self._keep_alive_timer is None:
             self._schedule_keep_alive()
@@ -160,7 +160,7 @@
         self._is_unresponsive = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Respond on the connection, unless discovery is unresponsive at the moment."""
+        """Mark the connection as unresponsive if discovery is unresponsive now."""
         super().connection_made(transport)
         self._is_unresponsive = self._discovery.is_unresponsive
 
@@ -204,7 +204,7 @@
         if not duration:
             self._write_chunk(line)
             return
-        # Lines are written one after the other: a keep-alive within a slow line would split it.
+        # Lines are written one after the other. A keep-alive within a line would split it, and is left out.
         wait = max(0.0, self._write_ends_at - time.monotonic())
         if line != b"\n":
             self._write_slowly(line, wait, duration)
--- a/scale/stand_ins/endpoints.py
+++ b/scale/stand_ins/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints' stand-in: HTTP servers that respond after a random service time and report it."""
+"""Stand-in of the endpoints: HTTP servers that respond after a random service time and report it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from scale.stand_ins.timers import PreciseTimers
 
 MIN_IDLE_CHECK_SECONDS = 0.05  # between two checks of an idle connection
-SENDER_BYTES = 4  # first bytes of the request's id, the number of its client
+SENDER_BYTES = 4  # the first bytes of a request id are the number of its client
 MICROSECONDS_PER_SECOND = 1e6
 
 
@@ -40,7 +40,7 @@
     """Responds to each request after its service time, and reports that in ``X-Served``."""
 
     def __init__(self, spec: EndpointsSpec, timers: PreciseTimers, seed: int = 1) -> None:
-        """``seed`` draws the service times."""
+        """``seed`` determines the service times."""
         self.spec = spec
         self.timers = timers
         self.rng = Random(seed)
@@ -71,7 +71,7 @@
         self._last_used = time.monotonic()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Close the connection when idle, if its port does so."""
+        """Start the idle timeout if the port closes idle connections."""
         super().connection_made(transport)
         if self._port < self._endpoints.spec.idle_closing_ports:
             self._close_when_idle()
--- a/scale/stand_ins/timers.py
+++ b/scale/stand_ins/timers.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 LIBC = ctypes.CDLL(None, use_errno=True)
-TFD_TIMER_ABSTIME = 1  # timerfd_settime: expire at this time, not after it
+TFD_TIMER_ABSTIME = 1  # flag of timerfd_settime: the time is absolute
 TIMERFD_READ_BYTES = 8  # of the count of expirations
 NANOSECONDS_PER_SECOND = 1e9
 
@@ -27,7 +27,7 @@
 
 
 class PreciseTimers:
-    """Timers with a resolution of about 0.1 ms; those of the event loop have whole milliseconds.
+    """Timers with a resolution of about 0.1 ms; those of the event loop have 1 ms.
 
     They need Linux (timerfd).
     """
@@ -61,7 +61,7 @@
             LIBC.timerfd_settime(self._descriptor, TFD_TIMER_ABSTIME, expiration, None)
 
     def _fire(self) -> None:
-        with contextlib.suppress(BlockingIOError):  # armed again after it had expired
+        with contextlib.suppress(BlockingIOError):  # the timer was armed again after its expiration
             os.read(self._descriptor, TIMERFD_READ_BYTES)
         while self._due and self._due[0].at <= time.monotonic():
             heappop(self._due).callback()
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -1,4 +1,4 @@
-"""Jobs in processes of their own, so that memory and caches of one job do not affect another.
+"""Runs each job in its own process, so that memory and caches of one job do not affect another.
 
 ``python -m scale.worker MODULE:FUNCTION`` reads keyword arguments as JSON and writes the result as JSON.
 """
@@ -18,7 +18,7 @@
 
 from scale.model import BrokenRunError
 
-ROOT = Path(__file__).resolve().parent.parent  # of the checkout, the working directory of all processes
+ROOT = Path(__file__).resolve().parent.parent  # root of the checkout, working directory of all processes
 JOB_TIMEOUT_SECONDS = 3600.0  # only a job that hangs takes longer
 
 
@@ -31,7 +31,7 @@
 
 
 def run_job(job: Job) -> Any:
-    """Return the job's result, a dataclass as a dict. Raise ``BrokenRunError`` if it has none."""
+    """Run a job; return its result, a dataclass as a dict. Raise ``BrokenRunError`` if the job fails."""
     command = [sys.executable, "-m", "scale.worker", job.function]
     arguments = json.dumps(job.arguments)
     try:
@@ -45,7 +45,7 @@
             check=False,
         )
     except subprocess.TimeoutExpired:
-        raise BrokenRunError(f"{job.function} had no result in {JOB_TIMEOUT_SECONDS:.0f} s") from None
+        raise BrokenRunError(f"{job.function} did not finish within {JOB_TIMEOUT_SECONDS:.0f} s") from None
     except OSError as error:
         raise BrokenRunError(f"{job.function} could not be started: {error}") from None
     return _parse_result(job, completed)
@@ -53,14 +53,14 @@
 
 def _parse_result(job: Job, completed: subprocess.CompletedProcess[str]) -> Any:
     if completed.returncode < 0:
-        raise BrokenRunError(f"{job.function} was ended by {signal.Signals(-completed.returncode).name}")
+        raise BrokenRunError(f"{job.function} was killed by {signal.Signals(-completed.returncode).name}")
     if completed.returncode:
         last_line = (completed.stderr.strip().splitlines() or ["nothing on standard error"])[-1]
-        raise BrokenRunError(f"{job.function} ended with code {completed.returncode}: {last_line:.200}")
+        raise BrokenRunError(f"{job.function} exited with code {completed.returncode}: {last_line:.200}")
     try:
         return json.loads(completed.stdout)
     except ValueError:
-        raise BrokenRunError(f"{job.function} gave no result: {completed.stdout!r:.80}") from None
+        raise BrokenRunError(f"{job.function} wrote no result in JSON: {completed.stdout!r:.80}") from None
 
 
 def run_jobs(jobs: Sequence[Job], processes: int) -> list[Any]:
@@ -72,7 +72,7 @@
         futures = [pool.submit(run_job, job) for job in jobs]
         try:
             return [future.result() for future in futures]
-        except BaseException:  # an interrupt too: without the cancellation all queued jobs would still run
+        except BaseException:  # also for an interrupt; otherwise all queued jobs would still run
             pool.shutdown(wait=True, cancel_futures=True)
             raise
 
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the scale tests: the exit of one is the cause of a failed run."""
+"""Child processes of the scale tests: an unexpected exit fails the run, and reserved ports are not taken."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 @async_test
-async def test_a_killed_stand_in_fails_the_run_with_its_cause(tmp_path: Path) -> None:
+async def test_a_kill_of_the_stand_ins_fails_the_run_with_their_exit_code(tmp_path: Path) -> None:
     setup = Setup(4, EndpointsSpec(), CounterSpec(), 1)
     async with start_stand_ins(tmp_path, setup) as stand_ins:
         os.kill(stand_ins.process.pid, signal.SIGKILL)
-        with pytest.raises(BrokenRunError, match="the stand-ins ended with -9"):
+        with pytest.raises(BrokenRunError, match="the stand-ins exited with code -9"):
             await guard(asyncio.sleep(10), stand_ins)
-        with pytest.raises(BrokenRunError, match="the stand-ins ended with -9"):
+        with pytest.raises(BrokenRunError, match="the stand-ins exited with code -9"):
             await stand_ins.stats()
 
 
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the scale tests follow the protocol."""
+"""The stand-ins of the scale tests: replies as in the protocol, limited rates, and reported service times."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
     async def main() -> None:
         counter = CounterStandIn(CounterSpec(rate=200.0, shards=2, round_trip=0.0), PreciseTimers())
         reader, writer = await connect(await counter.open())
-        began = time.monotonic()
+        started = time.monotonic()
         calls = b"".join(b"tally %d 2.5 4000\r\n" % (number % 2) for number in range(40))
         writer.write(calls + b"ping\r\nhello\r\ntally 1 -50 4000\r\n")
-        answers = [(await reader.readline()).rstrip() for _ in range(43)]
-        assert answers[:4] == [b"ok 2.5", b"ok 2.5", b"ok 5", b"ok 5"]
-        assert answers[39:] == [b"ok 50", b"pong", b"error", b"ok 0"]
-        assert time.monotonic() - began >= 40 / 200  # the rate is that of all shards
+        replies = [(await reader.readline()).rstrip() for _ in range(43)]
+        assert replies[:4] == [b"ok 2.5", b"ok 2.5", b"ok 5", b"ok 5"]
+        assert replies[39:] == [b"ok 50", b"pong", b"error", b"ok 0"]
+        assert time.monotonic() - started >= 40 / 200  # the rate is that of all shards
 
     run(main())
 
 
-def test_a_counter_with_a_full_queue_rejects_and_adds_nothing() -> None:
+def test_a_call_rejected_by_a_full_counter_adds_nothing() -> None:
     async def main() -> None:
         counter = CounterStandIn(CounterSpec(rate=50.0, round_trip=0.0, queue_limit=3), PreciseTimers())
         reader, writer = await connect(await counter.open())
         writer.write(b"tally 7 1 4000\r\n" * 10)
-        answers = [(await reader.readline()).rstrip() for _ in range(10)]
-        busy = answers.count(b"busy")
+        replies = [(await reader.readline()).rstrip() for _ in range(10)]
+        busy = replies.count(b"busy")
         assert busy >= 6
-        assert answers[0] == b"ok 1"
+        assert replies[0] == b"ok 1"
         await asyncio.sleep(0.1)
         writer.write(b"tally 7 1 4000\r\n")
         assert await reader.readline() == b"ok %d\r\n" % (10 - busy + 1)
@@ -85,7 +85,7 @@
         assert not change["whole"]
         assert change["seq"] == 42
         assert [(row["host"], row["health"]) for row in change["hosts"]] == [("s-00000001", "draining")]
-        assert await read_chunk(reader) == b"\n"  # about 2 s later
+        assert await read_chunk(reader) == b"\n"  # keep-alive, sent every 2 s
         late, late_writer = await connect(address)
         late_writer.write(b"GET /v1/servers?follow=1&since=41 HTTP/1.1\r\nHost: x\r\n\r\n")
         await late.readuntil(b"\r\n\r\n")
@@ -99,17 +99,17 @@
     run(main())
 
 
-def test_overloaded_discovery_serves_in_turn_and_unresponsive_discovery_never() -> None:
+def test_discovery_limits_its_rate_of_calls_and_sends_nothing_while_unresponsive() -> None:
     async def main() -> None:
         discovery = DiscoveryStandIn(make_endpoints(3, ["127.0.0.1:1"]), capacity=20.0)
         address = await discovery.open()
-        began = time.monotonic()
+        started = time.monotonic()
         callers = [await connect(address) for _ in range(4)]
         for _, writer in callers:
             writer.write(b"GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n")
         for reader, _ in callers:
             await reader.readuntil(b"\r\n\r\n")
-        assert time.monotonic() - began >= 4 / 20
+        assert time.monotonic() - started >= 4 / 20
         discovery.stop_responding()
         reader, writer = await connect(address)
         writer.write(b"GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -117,7 +117,7 @@
             await asyncio.wait_for(reader.read(1), 0.3)
         discovery.close()
 
-    # The standard event loop, because the timers of uvloop have whole milliseconds and may fire early.
+    # Runs on the standard event loop, because uvloop's timers have a resolution of 1 ms and may fire early.
     asyncio.run(asyncio.wait_for(main(), TIME_LIMIT))
 
 
--- a/tests/test_scale_worker.py
+++ b/tests/test_scale_worker.py
@@ -1,4 +1,4 @@
-"""Jobs of the scale tests in processes of their own."""
+"""Jobs of the scale tests: a job whose process writes no result fails the run."""
 
 from __future__ import annotations
 
