--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -1,7 +1,7 @@
 """The test ``cpu``: processor time of requests, ticks, lists and reloads, and control's share of a core.
 
-Measured is the processor time of the decisions in a simulated limiter, without sockets. Control is all work
-other than requests: ticks, changes of the endpoint list, counter replies and reloads.
+The test measures the decisions of a simulated limiter, without sockets. Control is all work other than
+requests: ticks, changes of the endpoint list, counter replies and reloads.
 """
 
 from __future__ import annotations
--- a/scale/report.py
+++ b/scale/report.py
@@ -77,7 +77,7 @@
     """Return the line of a slope and a line for the runs at each size."""
     warning = regression.warning(slope)
     lines = [
-        f"{slope.name}: {slope.slope:.6g} {slope.unit} per unit of {slope.by}, {slope.intercept:.6g} at 0, "
+        f"{slope.name}: slope {slope.slope:.6g} {slope.unit} by {slope.by}, intercept {slope.intercept:.6g}, "
         f"residual {slope.residual:.1%}{f'  ** {warning} **' if warning else ''}"
     ]
     for size, runs in slope.points:
--- a/scale/stand_ins/discovery.py
+++ b/scale/stand_ins/discovery.py
@@ -204,7 +204,8 @@
         if not duration:
             self._write_chunk(line)
             return
-        # Lines are written one after the other. A keep-alive within a line would split it, and is left out.
+        # Lines are written one after the other. A keep-alive is dropped while a line is written, because it
+        # would split the line.
         wait = max(0.0, self._write_ends_at - time.monotonic())
         if line != b"\n":
             self._write_slowly(line, wait, duration)
--- a/tests/test_scale_cli.py
+++ b/tests/test_scale_cli.py
@@ -65,7 +65,7 @@
         (("nosuch",), "'nosuch'"),
     ],
 )
-def test_an_invalid_option_is_rejected_by_name_before_any_test_runs(
+def test_invalid_arguments_are_rejected_by_name_before_any_test_runs(
     words: tuple[str, ...], expected: str, tests: list[ScaleTest]
 ) -> None:
     calls = []
