--- a/quota_gateway/decisions/__init__.py
+++ b/quota_gateway/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the gateway: no sockets, no clock; events in, actions out."""
+"""The decisions of the gateway: they turn events into actions, and use no sockets and no clock."""
--- a/quota_gateway/decisions/admission.py
+++ b/quota_gateway/decisions/admission.py
@@ -9,7 +9,7 @@
 from quota_gateway.decisions.controller import LoadController
 from quota_gateway.state import OpenRequest
 
-GATE_DEPTH_SECONDS = 1.0  # depth of the bucket, in seconds of the admit rate
+GATE_DEPTH_SECONDS = 1.0  # a full bucket holds the tokens that it gains in this time
 MIN_GATE_DEPTH_REQUESTS = 3.0  # smallest depth of the bucket, in requests of mean work
 # The gate refills at no less than this fraction of the arrival rate: a closed gate would get no more load
 # readings.
@@ -34,7 +34,7 @@
     mean_units: float = 0.0  # moving average of the units of a request
     mean_work: float = 0.0  # moving average of the work of a request, in seconds
     recent_values: deque[float] = field(default_factory=lambda: deque(maxlen=RANKING_WINDOW_REQUESTS))
-    sorted_values: list[float] = field(default_factory=list)  # as of the end of the previous interval
+    sorted_values: list[float] = field(default_factory=list)  # as of the last call of ``update_ranking``
 
     def estimate(self, request: OpenRequest) -> None:
         """Set the relative size, work and priority of an arriving request."""
@@ -53,7 +53,7 @@
             percentile = bisect_left(self.sorted_values, value) / len(self.sorted_values)
         request.set_estimate(relative_size=relative_size, work=work, priority_percentile=percentile)
 
-    def learn(self, request: OpenRequest, latency: float) -> float:
+    def record_response(self, request: OpenRequest, latency: float) -> float:
         """Update the idle latency with a successful response, and return the slowdown of the response."""
         base = self.base_latencies[request.request_class.name]
         latency = latency / request.relative_size
@@ -61,7 +61,7 @@
         self.base_latencies[request.request_class.name] = base + (latency - base) * weight
         return latency / base
 
-    def close_interval(self) -> None:
+    def update_ranking(self) -> None:
         """Update the values among which the requests of the next interval are ranked."""
         self.sorted_values = sorted(self.recent_values)
 
@@ -77,7 +77,7 @@
     """A token bucket that refills at the admit rate; a request takes its work divided by the mean work."""
 
     controller: LoadController
-    work: WorkEstimator
+    work_estimator: WorkEstimator
     refilled_at: float
     tokens: float = 0.0
 
@@ -88,10 +88,12 @@
         self.tokens = refilled(self.tokens, rate, now - self.refilled_at, depth)
         self.refilled_at = now
         reserve = PRIORITY_RESERVE_FRACTION * (1 - request.priority_percentile)
-        needed = request.work / self.work.mean_work + reserve * max(0, depth - UNRESERVED_TOKENS)
+        needed = request.work / self.work_estimator.mean_work + reserve * max(0, depth - UNRESERVED_TOKENS)
         return self.controller.integral is None or self.tokens >= min(depth, needed)
 
     def take(self, request: OpenRequest) -> None:
         """Take the tokens of a forwarded request; without a measured load the bucket stays full."""
         is_unmeasured = self.controller.integral is None
-        self.tokens = float("inf") if is_unmeasured else self.tokens - request.work / self.work.mean_work
+        self.tokens = (
+            float("inf") if is_unmeasured else self.tokens - request.work / self.work_estimator.mean_work
+        )
--- a/quota_gateway/decisions/context.py
+++ b/quota_gateway/decisions/context.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class Context:
-    """Shared by the parts of one gateway, which append to ``actions``; settings can change in place."""
+    """The state that all parts of one gateway share; they append their actions to ``actions``."""
 
     settings: Settings
     rng: Random
--- a/quota_gateway/decisions/counter_budget.py
+++ b/quota_gateway/decisions/counter_budget.py
@@ -15,13 +15,15 @@
 LOST_CALL_FACTOR = 0.9  # multiplies the rate after a call that was lost or rejected
 # A reply has waited in a queue if it exceeds the typical latency by more than this fraction of the timeout.
 QUEUEING_FRACTION = 0.25
-BUCKET_DEPTH_SECONDS = 0.2  # depth of the bucket, in seconds of the rate
-EXTRA_DEPTH_CALLS = 2  # calls by which the bucket is deeper than that
-SLOWER_REPLY_WEIGHT = 0.02  # weight of a reply above the typical latency in that latency
-FASTER_REPLY_WEIGHT = 0.5  # weight of any other reply in the typical latency
+# A full bucket holds the calls that it gains in BUCKET_DEPTH_SECONDS, and EXTRA_DEPTH_CALLS on top.
+BUCKET_DEPTH_SECONDS = 0.2
+EXTRA_DEPTH_CALLS = 2
+# Weights of one reply in the typical latency, which is a moving average.
+SLOWER_REPLY_WEIGHT = 0.02  # for a reply slower than the typical latency
+FASTER_REPLY_WEIGHT = 0.5  # for any other reply
 OUTAGE_STEP_SECONDS = 0.5  # assumed length of an outage per consecutive failure
 MAX_OUTAGE_SECONDS = 2.0  # longest assumed length of an outage, before the random factor
-MIN_OUTAGE_FACTOR = 0.5  # lower bound of the random factor on the assumed length; the upper bound is 1 higher
+MIN_OUTAGE_FACTOR = 0.5  # least random factor on the assumed length; the largest one is 1 more
 
 
 class CounterBudget:
@@ -57,7 +59,7 @@
         """Take one call from the bucket, which may become negative."""
         self.tokens -= 1
 
-    def call_ended(self, now: float, status: CallStatus, made_at: float, draw: float = 0.5) -> None:
+    def record_result(self, now: float, status: CallStatus, made_at: float, draw: float = 0.5) -> None:
         """Adapt rate and availability to the result of a call that was made at ``made_at``.
 
         ``draw``, a random number from 0 to 1, spreads the next calls of gateways that notice an outage at the
--- a/quota_gateway/decisions/endpoint_set.py
+++ b/quota_gateway/decisions/endpoint_set.py
@@ -10,13 +10,12 @@
 from quota_gateway.model import CallStatus
 from quota_gateway.state import EndpointState
 
-# One of many gateways has too few requests to learn the state of every endpoint, so it uses a subset, which
-# has at least this number of usable endpoints.
-MIN_SUBSET = 8  # endpoints
-SUBSET_MULTIPLE = 5  # The subset is at least this multiple of the gateway's even part of the ring.
+# One of many gateways receives too few requests to learn the state of every endpoint, so it uses a subset.
+MIN_SUBSET = 8  # least number of usable endpoints in the subset
+SUBSET_MULTIPLE = 5  # the subset is at least this multiple of the gateway's even part of the ring
 WORK_RATE_WEIGHT = 0.3  # weight of the newest interval in an endpoint's work rate
 MAX_LIST_DELAY_SECONDS = 6.0  # longest assumed time from an endpoint's change to the list that announces it
-HEALTH_CHECK_EJECTION_SECONDS = 1.5 * INTERVAL_SECONDS  # A health check keeps an endpoint ejected this long.
+HEALTH_CHECK_EJECTION_SECONDS = 1.5 * INTERVAL_SECONDS  # a health check keeps an endpoint ejected this long
 
 
 @dataclass(slots=True, eq=False)
@@ -33,7 +32,7 @@
     subset: list[EndpointState] = field(default_factory=list)
     suspended: frozenset[str] = frozenset()  # names of the endpoints that operators have suspended
     has_list: bool = False  # whether an endpoint list has been received
-    clock_lag: float = 0.0  # seconds by which the local wall clock was behind at the start, at least
+    clock_lag: float = 0.0  # least time in seconds by which the local wall clock was behind at the start
 
     def listed(self) -> list[EndpointState]:
         """Return the endpoints that the list names."""
@@ -127,7 +126,7 @@
         state = self.by_name.get(name)
         return name in self.suspended or (state is not None and not state.removed)
 
-    def count_avoided(self, now: float, states: Iterable[EndpointState]) -> int:
+    def count_suspended_or_ejected(self, now: float, states: Iterable[EndpointState]) -> int:
         """Return how many of these endpoints are suspended or ejected."""
         return sum(state.endpoint.name in self.suspended or state.ejected_until > now for state in states)
 
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -17,7 +17,7 @@
 
 # Below this load, requests over quota are admitted if the plan's value of them exceeds its cost.
 MAX_OVER_QUOTA_LOAD = 0.6 * REFERENCE_LOAD
-SLOWDOWN_WEIGHT = 0.1  # least weight of one response in the slowdown of its endpoint
+SLOWDOWN_WEIGHT = 0.1  # least weight of one response in the averages of its endpoint's slowdown
 
 
 @dataclass(slots=True, eq=False)
@@ -31,7 +31,7 @@
     leases: LeaseManager
     outliers: OutlierDetector
     requests: dict[int, OpenRequest] = field(default_factory=dict)
-    # Requests that were not served since the last log line, by reason.
+    # Number of requests that were not served since the last log line, by reason.
     rejections: dict[str, int] = field(default_factory=dict)
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
@@ -39,10 +39,13 @@
         """Add a request that has arrived."""
         self.requests[request.id] = request
 
-    def forward(self, now: float, request: OpenRequest, *, within_quota: bool, prepaid: bool = False) -> bool:
+    def forward(
+        self, now: float, request: OpenRequest, *, within_quota: bool, skip_bucket_charge: bool = False
+    ) -> bool:
         """Make the first attempt, or give the final answer if the quota or the endpoints do not allow one.
 
-        The units are ``prepaid`` if a lease or a counter call of the caller covers them.
+        With ``skip_bucket_charge`` the units are not charged to the global bucket: they are taken from the
+        lease if it covers them; otherwise the caller reserves them for its counter call.
         """
         plan = request.account.plan
         has_spare_capacity = 0 < self.gate.controller.load < MAX_OVER_QUOTA_LOAD
@@ -59,17 +62,17 @@
         self.gate.take(request)
         self.gate.controller.record_admission()
         self.retry_budget.credit()
-        request.accept(within_quota=within_quota)
-        self._charge(now, request, prepaid=prepaid)
+        request.record_forwarded(within_quota=within_quota)
+        self._charge(now, request, skip_bucket_charge=skip_bucket_charge)
         return True
 
-    def _charge(self, now: float, request: OpenRequest, *, prepaid: bool) -> None:
+    def _charge(self, now: float, request: OpenRequest, *, skip_bucket_charge: bool) -> None:
         """Charge the units of a forwarded request to its account."""
         account = request.account
         account.charge_shares(request.units, within_quota=request.within_quota)
-        if prepaid and account.leased >= request.units:
+        if skip_bucket_charge and account.leased >= request.units:
             account.charge_lease(request.units)
-        elif request.within_quota and not prepaid:
+        elif request.within_quota and not skip_bucket_charge:
             is_reported = not account.is_sparse or now < self.leases.budget.unavailable_until
             account.charge(request.units, is_reported=is_reported)
             if is_reported:
@@ -84,7 +87,7 @@
             return False
         request.start_attempt(now, state)
         if request.uploading:
-            timeout = request.useful_time  # The timeout starts at the last byte of the body.
+            timeout = request.useful_time  # starts at the last byte of the body
         not_after = repeat_deadline(request)
         self.context.actions.append(model.Forward(request.id, state.endpoint.name, timeout, not_after))
         return True
@@ -115,7 +118,7 @@
         if event.status not in PROVES_NOT_EXECUTED:
             request.record_possible_execution(event.attempt)
         if event.status is CallStatus.REJECTED and not event.request_finished:
-            self.context.actions.append(model.Fail(request.id))  # Other endpoints would reject it too.
+            self.context.actions.append(model.Fail(request.id))  # other endpoints would reject it too
             self.forget(request.id)
         elif event.request_finished:
             self.forget(event.request_id)
@@ -129,7 +132,7 @@
         if event.status not in NO_SIGN_OF_LIFE:
             state.record_sign_of_life(now)
         if event.status is CallStatus.OK:
-            slowdown = self.gate.work.learn(request, event.elapsed)
+            slowdown = self.gate.work_estimator.record_response(request, event.elapsed)
             state.record_response(request.work, slowdown, SLOWDOWN_WEIGHT)
             self.gate.controller.record_latency(event.elapsed, request.request_class.latency_objective)
         elif event.status in (CallStatus.OVERLOADED, CallStatus.TIMEOUT):
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway: an event and a time in, actions out. This module connects the parts."""
+"""The decisions of one gateway. This module connects their parts."""
 
 from collections.abc import Callable
 from random import Random
@@ -18,10 +18,10 @@
 from quota_gateway.decisions.outlier_detection import OutlierDetector
 from quota_gateway.decisions.quota_admission import QuotaAdmission
 from quota_gateway.decisions.slow_start import SlowStart
-from quota_gateway.state import OpenRequest, describe_rejections
+from quota_gateway.state import OpenRequest, describe_unserved_requests
 
-LOG_INTERVAL_TICKS = 10  # ticks between two log lines on rejections
-MIN_INTERVAL_SECONDS = 1e-3  # shortest assumed time between two ticks, even if the clock was stepped back
+LOG_INTERVAL_TICKS = 10  # ticks between two log lines on requests that were not served
+MIN_INTERVAL_SECONDS = 1e-3  # shortest assumed time between two ticks: the clock may be stepped back
 
 
 class Gateway:
@@ -32,8 +32,8 @@
         settings.validate()
         self.context = context = Context(settings, Random(seed), now)
         self.controller = LoadController(now)
-        self.work = WorkEstimator()
-        self.gate = AdmissionGate(self.controller, self.work, now)
+        self.work_estimator = WorkEstimator()
+        self.gate = AdmissionGate(self.controller, self.work_estimator, now)
         self.accounts = AccountTable(context)
         draw = context.rng.random()
         budget = CounterBudget(now, settings.gateway_count, draw, settings.counter_timeout)
@@ -90,10 +90,10 @@
         self.forwarder.expire(now)
         self.controller.update(now, elapsed)
         if self.timer_token % LOG_INTERVAL_TICKS == 0 and self.forwarder.rejections:
-            self._log_rejections(now)
+            self._log_unserved_requests(now)
         self._update_endpoints(now, elapsed)
-        self.work.close_interval()
-        self.leases.return_unused(now, self.work.mean_units)
+        self.work_estimator.update_ranking()
+        self.leases.return_unused(now, self.work_estimator.mean_units)
         self.accounts.remove_idle(now)
         for account in self.accounts.accounts.values():
             self.leases.report_overdue_usage(now, account)
@@ -104,9 +104,9 @@
         self.endpoints.forget_removed(self.forwarder.endpoints_in_flight())
         self.endpoints.choose_subset(now)
 
-    def _log_rejections(self, now: float) -> None:
-        """Log the rejections since the previous log line on them, and the state that explains them."""
-        text = describe_rejections(
+    def _log_unserved_requests(self, now: float) -> None:
+        """Log the requests not served since the last such log line, and the state that explains them."""
+        text = describe_unserved_requests(
             now,
             self.forwarder.take_rejections(),
             self.outliers.take_ejections(),
@@ -130,7 +130,7 @@
         max_attempts = self.context.settings.max_attempts
         request = OpenRequest.begin(now, event, request_class, account, max_attempts)
         self.forwarder.add(request)
-        self.work.estimate(request)
+        self.work_estimator.estimate(request)
         if account.plan.ceiling_rate > 0 and account.ceiling_tokens < request.units:
             self.forwarder.finish(request, model.RejectionReason.CEILING)
         elif self.gate.admits(now, request):
@@ -145,7 +145,7 @@
             request_id=event.id,
             ok=ok,
             known_endpoints=len(listed),
-            avoided_endpoints=self.endpoints.count_avoided(now, listed),
+            avoided_endpoints=self.endpoints.count_suspended_or_ejected(now, listed),
         )
         self.context.actions.append(reply)
 
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -16,7 +16,7 @@
 )
 
 TAKE_OVER_SECONDS = 5.0  # a process takes over state only within this time after its start
-MAX_HANDOVER_ACCOUNTS = 4000  # accounts in a handover at most; the oldest ones are left out
+MAX_HANDOVER_ACCOUNTS = 4000  # most accounts in a handover; those created first are left out
 
 
 @dataclass(slots=True, eq=False)
@@ -24,7 +24,7 @@
     """Splits the limits among the processes of this limiter, and exports and imports state."""
 
     context: Context
-    table: AccountTable
+    account_table: AccountTable
     endpoints: EndpointSet
     gate: AdmissionGate
     slow_start: SlowStart
@@ -37,7 +37,8 @@
         count = self.context.process_count
         alone_until = now - event.seconds_since_poll
         accounts = [
-            account.set_process_count(now, count, alone_until) for account in self.table.accounts.values()
+            account.set_process_count(now, count, alone_until)
+            for account in self.account_table.accounts.values()
         ]
         has_state = self.gate.controller.integral is not None
         if has_grown and has_state:
@@ -46,9 +47,9 @@
     def _export(self, accounts: list[AccountHandover]) -> HandoverState:
         return HandoverState(
             completion_rate=self.slow_start.completion_rate,
-            mean_work=self.gate.work.mean_work,
-            mean_units=self.gate.work.mean_units,
-            base_latencies=dict(self.gate.work.base_latencies),
+            mean_work=self.gate.work_estimator.mean_work,
+            mean_units=self.gate.work_estimator.mean_units,
+            base_latencies=dict(self.gate.work_estimator.base_latencies),
             endpoints=tuple(state.export() for state in self.endpoints.listed()),
             accounts=tuple(accounts[-MAX_HANDOVER_ACCOUNTS:]),
         )
@@ -59,7 +60,7 @@
             return
         self.has_taken_over = True
         self.slow_start.take_over(state.completion_rate)
-        self.gate.work.take_over(state.mean_work, state.mean_units, state.base_latencies)
+        self.gate.work_estimator.take_over(state.mean_work, state.mean_units, state.base_latencies)
         for endpoint in state.endpoints:
             self._take_over_endpoint(now, endpoint)
         for account in state.accounts:
@@ -74,7 +75,7 @@
     def _take_over_account(self, now: float, handover: AccountHandover) -> None:
         """Take over an account whose plan is in the settings of this process."""
         if handover.plan in self.context.plans:
-            account = self.table.find_or_create(
+            account = self.account_table.find_or_create(
                 now, handover.plan, handover.account, handover.serving_gateways
             )
             account.take_over(now, handover)
--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -19,11 +19,11 @@
 LEASE_CALLS_FRACTION = 0.5  # largest fraction of the counter budget's rate for extending leases
 MAX_LEASED_FRACTION = 0.5  # largest fraction of this gateway's share of the bucket that is leased
 EXTENSION_FRACTION = 0.5  # a lease is extended when less than this fraction of its full size is left
-RETURN_FACTOR = 2.0  # a lease above this multiple of the largest useful lease is reduced to that
+RETURN_FACTOR = 2.0  # a lease above this multiple of the largest useful lease is cut to its size
 REFRESH_SECONDS = 0.5  # interval between counter calls for a bucket that is estimated to be empty
 EAGER_REPORT_FRACTION = 0.3  # from this fraction of the even share on, unreported usage is reported at once
 BACKLOG_FRACTION = 0.25  # unreported usage above this fraction of the burst is reported after a reply
-OVERDUE_REPORT_SECONDS = 1.0  # unreported usage is overdue this long after the last call
+OVERDUE_REPORT_SECONDS = 1.0  # usage that is still unreported this long after the last call is overdue
 OVERDUE_REPORT_FRACTION = 0.7  # overdue usage is reported if the bucket is below this fraction of the burst
 MIN_UNITS = 1e-9  # smaller amounts are rounding errors of float sums
 
@@ -45,7 +45,7 @@
     """Makes the calls to the counter, handles their replies and tracks the accounts that hold leases."""
 
     context: Context
-    table: AccountTable
+    account_table: AccountTable
     budget: CounterBudget
     lease_holders: dict[int, Account] = field(default_factory=dict)  # by counter id
 
@@ -91,18 +91,18 @@
             self.call_counter(now, account, lease)
 
     def _lease_horizon(self) -> float:
-        """Return the seconds of demand that a lease covers: more lease holders mean rarer calls for each."""
+        """Return the seconds of demand that a lease covers; each of many lease holders calls less often."""
         call_interval = len(self.lease_holders) / (LEASE_CALLS_FRACTION * self.budget.rate)
         return min(MAX_LEASE_SECONDS, max(MIN_LEASE_SECONDS, call_interval))
 
     def on_reply(self, now: float, event: CounterReplied) -> None:
         """Settle the oldest pending call of the account with the counter's reply or failure."""
-        account = self.table.by_counter_id.get(event.counter_id)
+        account = self.account_table.by_counter_id.get(event.counter_id)
         if account is None or not account.pending_calls:
             return
         account.refill(now)
         call = account.settle_counter_call(now, event.status, event.total)
-        self.budget.call_ended(now, event.status, call.made_at, self.context.rng.random())
+        self.budget.record_result(now, event.status, call.made_at, self.context.rng.random())
         backlog = BACKLOG_FRACTION * account.plan.burst
         if event.status is CallStatus.OK and account.unreported_usage > backlog:
             self.report_usage(now, account)
@@ -122,6 +122,6 @@
     def shut_down(self, now: float) -> None:
         """Return all leases and report all usage: both would be lost when this process exits."""
         self.return_unused(now, min_units=inf)
-        for account in self.table.accounts.values():
+        for account in self.account_table.accounts.values():
             if abs(account.unreported_usage) > MIN_UNITS:
                 self.report_usage(now, account)
--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -12,16 +12,19 @@
 
 # Concurrency limit of the subset, in requests of mean work.
 MIN_REQUESTS_PER_ENDPOINT = 4.0  # minimum limit for one endpoint, shared by all gateways
-MIN_REQUESTS_WITHOUT_SLACK = 3  # A gateway whose minimum limit is lower is sparse and has slack.
+MIN_REQUESTS_WITHOUT_SLACK = 3  # a gateway whose minimum limit is lower is sparse and has slack
 MAX_SLACK_REQUESTS = 3.0  # added to the limit of a sparse gateway while the endpoints are idle
-SLACK_SLOPE_REQUESTS = 2.5  # The slack falls by this number as the load rises from 0 to the reference load.
-# For bursts, the limit at load 0 is doubled and raised further by this number times its square root.
+SLACK_SLOPE_REQUESTS = 2.5  # the slack falls by this number as the load rises from 0 to the reference load
+# For bursts, a limit of n requests is raised at load 0 by n + BURST_REQUESTS * sqrt(n) requests. The raise
+# falls to 0 as the load rises to LOW_LOAD.
 BURST_REQUESTS = 4
 # Limits of the subset and of its endpoints.
-PRIORITY_FRACTION = 0.5 * PRIORITY_RESERVE_FRACTION  # reserved from requests of the lowest priority
+# Fraction of a limit that requests of the lowest priority must leave to others.
+PRIORITY_FRACTION = 0.5 * PRIORITY_RESERVE_FRACTION
 OWN_WORK_FRACTION = 0.5  # part of a request's own work that has to fit under a limit
-# Minimum limit of one endpoint: the larger of the two.
-MIN_ENDPOINT_FRACTION = 0.5  # of the mean limit of the warm endpoints
+# The minimum limit of one endpoint is MIN_ENDPOINT_FRACTION of the mean limit of the warm endpoints, or
+# MIN_ENDPOINT_REQUESTS requests of mean work if that is more.
+MIN_ENDPOINT_FRACTION = 0.5
 MIN_ENDPOINT_REQUESTS = 3.5
 # Choice among the admitted endpoints.
 MIN_SUCCESS_RATE = 0.05  # lower bound of the success rate in the cost of an endpoint
@@ -53,7 +56,7 @@
         healthy = self._healthy(now, self._candidates(request), unresponsive)
         mean_limit = warm_limit / max(1, len(warm))
         fitting = self._fitting(healthy, request, mean_limit, unreserved)
-        if is_full:  # Endpoints that are warming up have an allowance outside this limit.
+        if is_full:  # endpoints that are warming up have an allowance outside this limit
             fitting = [state for state in fitting if state.warming_since is not None]
         self.rejection_reason = _rejection_reason(
             is_full=is_full, has_fitting=bool(fitting), has_healthy=bool(healthy)
@@ -67,7 +70,7 @@
         ``warm_limit`` follows Little's law: the rate of the warm endpoints times the target residence time.
         """
         load = self.gate.controller.load
-        mean_work = self.gate.work.mean_work
+        mean_work = self.gate.work_estimator.mean_work
         ring_size = len(self.endpoints.hash_ring)
         min_requests = MIN_REQUESTS_PER_ENDPOINT * ring_size / self.context.settings.gateway_count
         idle_slack = MAX_SLACK_REQUESTS - SLACK_SLOPE_REQUESTS * load / REFERENCE_LOAD
@@ -75,14 +78,14 @@
         if min_requests >= MIN_REQUESTS_WITHOUT_SLACK:
             slack = 0.0
         limit = max(warm_limit, mean_work * min_requests) + mean_work * slack
-        # The rates are means over seconds, and lag behind a burst that idle endpoints can bear.
+        # The work rates are averages over seconds, so they lag behind a burst that idle endpoints can serve.
         if self.gate.controller.integral is not None:
             idleness = max(0.0, 1 - load / LOW_LOAD)
             limit += idleness * (limit + BURST_REQUESTS * (limit * mean_work) ** 0.5)
         return limit
 
     def _unresponsive(self, now: float) -> list[EndpointState]:
-        """Return the unresponsive endpoints, or none if most are: so many are slow, and not hung or lost."""
+        """Return the unresponsive endpoints, or none if most are: so many are slow, not hung or lost."""
         unresponsive = self.endpoints.unresponsive(now)
         return unresponsive if len(unresponsive) <= len(self.endpoints.subset) / 2 else []
 
@@ -135,7 +138,9 @@
     ) -> list[EndpointState]:
         """Return the endpoints whose own limit leaves room for the request."""
         residence_time = self.context.target_residence_time
-        min_limit = max(MIN_ENDPOINT_FRACTION * mean_limit, MIN_ENDPOINT_REQUESTS * self.gate.work.mean_work)
+        min_limit = max(
+            MIN_ENDPOINT_FRACTION * mean_limit, MIN_ENDPOINT_REQUESTS * self.gate.work_estimator.mean_work
+        )
         own_work = OWN_WORK_FRACTION * request.work
         return [
             state
@@ -145,7 +150,7 @@
         ]
 
     def _choose(self, admitted: list[EndpointState], work: float) -> EndpointState | None:
-        """Return the cheaper of two random endpoints: all gateways would send to the cheapest of all."""
+        """Return the cheaper of two random endpoints: all gateways would pick the same cheapest one."""
         if len(admitted) > RANDOM_CHOICES:
             admitted = self.context.rng.sample(admitted, RANDOM_CHOICES)
         return min(admitted, key=lambda state: _cost(state, work), default=None)
--- a/quota_gateway/decisions/outlier_detection.py
+++ b/quota_gateway/decisions/outlier_detection.py
@@ -7,7 +7,7 @@
 from quota_gateway.model import CONNECTION_LOST, NO_EVIDENCE, RESPONSES, CallStatus, EjectionCause
 from quota_gateway.state import EndpointState
 
-SIGNIFICANCE_LEVEL = 0.005  # Consecutive failures with a lower probability are not taken for chance.
+SIGNIFICANCE_LEVEL = 0.005  # consecutive failures with a lower probability are not taken for chance
 MIN_TIMEOUT_RATE = 0.07  # lower bound of the timeout rate that is expected of all endpoints
 MIN_FAILURE_RATE = 0.05  # lower bound of the failure rate that is expected of all endpoints
 TIMEOUT_RATE_WEIGHT = 0.02  # weight of one attempt in the timeout rate
@@ -15,9 +15,10 @@
 DOWN_WEIGHT = 0.4  # weight in the failure rate of an attempt that shows that the endpoint is down
 # An outlier exceeds the median failure rate (twice the median if the endpoint is not down) by this margin.
 EJECTION_MARGIN = 0.25
-MIN_EJECTION_SECONDS = 1.5  # The duration doubles with each further ejection.
+MIN_EJECTION_SECONDS = 1.5  # duration of the first ejection; it doubles with each further one
 MAX_EJECTION_SECONDS = 10.0
-MAX_EJECTED_FRACTION = 0.5  # of the subset; endpoints that are down may be ejected beyond it
+# Largest ejected fraction of the subset; endpoints that are down may be ejected beyond it.
+MAX_EJECTED_FRACTION = 0.5
 HALF_OPEN_FAILURE_RATE = 0.2  # initial failure rate of an endpoint that returns from an ejection
 CLOCK_TOLERANCE_SECONDS = 1e-6
 
@@ -27,8 +28,8 @@
     """Ejects endpoints that are down, or whose failure rate is far above the median of the subset."""
 
     endpoints: EndpointSet
-    ejections: dict[str, int] = field(default_factory=dict)  # number by cause, since the last log line
-    timeout_rate: float = 0.0  # moving average of the attempts at all endpoints
+    ejections: dict[str, int] = field(default_factory=dict)  # ejections since the last log line, by cause
+    timeout_rate: float = 0.0  # moving average of the fraction of attempts that timed out, over all endpoints
 
     def record(self, now: float, state: EndpointState, event: model.AttemptCompleted) -> None:
         """Record how an attempt ended, and eject the endpoint if it is an outlier."""
@@ -111,7 +112,7 @@
 
     def _eject(self, now: float, state: EndpointState, cause: EjectionCause) -> None:
         self.ejections[cause] = self.ejections.get(cause, 0) + 1
-        duration = min(MAX_EJECTION_SECONDS, max(MIN_EJECTION_SECONDS, state.ejection_time * 2))
+        duration = min(MAX_EJECTION_SECONDS, max(MIN_EJECTION_SECONDS, state.ejection_duration * 2))
         state.eject(now, duration, HALF_OPEN_FAILURE_RATE)
         self._log(state, f"in service -> ejected for {duration:.1f} s, {cause}")
         self.endpoints.choose_subset(now)
--- a/quota_gateway/decisions/quota_admission.py
+++ b/quota_gateway/decisions/quota_admission.py
@@ -6,16 +6,16 @@
 from quota_gateway.decisions.forwarding import Forwarder
 from quota_gateway.state import Account, OpenRequest
 
-# Without the counter, a request beyond the guaranteed share is granted below this load if the bucket still
-# holds this fraction of the burst afterwards.
+# Without the counter, a request beyond the guaranteed share is granted while the load is below
+# MAX_HEADROOM_LOAD, if the bucket then still holds HEADROOM_RESERVE_FRACTION of the burst.
 MAX_HEADROOM_LOAD = 0.25
 HEADROOM_RESERVE_FRACTION = 0.25
 # The bucket is ample if it still holds this fraction of the burst after a request that no lease covers.
 AMPLE_RESERVE_FRACTION = 0.1
 MAX_REMOTE_FRACTION = 0.9  # largest assumed usage of the other gateways, as a fraction of their even shares
 FRESH_TOTAL_SECONDS = 0.2  # up to this age of a total, the remote usage since then is negligible
-# A request of a sparse account requires this fraction of the guaranteed share: not the whole share, since a
-# fraction of a unit may have been charged.
+# A sparse account has its guarantee while the guaranteed share holds this fraction of its capacity. The
+# whole capacity is not required, since a fraction of a unit may have been charged.
 MIN_GUARANTEE_FRACTION = 0.95
 FULL_SAMPLING_CALLS = 2  # with this many calls in the budget, each request of a sparse account makes a call
 # Multiplies the probability of a call for a client's retry, which is most likely over the quota.
@@ -43,7 +43,7 @@
         elif account.plan.rate <= 0:
             self.forwarder.forward(now, request, within_quota=True)
         elif account.leased >= request.units:
-            self.forwarder.forward(now, request, within_quota=True, prepaid=True)
+            self.forwarder.forward(now, request, within_quota=True, skip_bucket_charge=True)
             leases.extend_lease(now, account)
         elif not self.context.settings.has_counter or now < leases.budget.unavailable_until:
             self._admit_without_counter(now, request)
@@ -118,7 +118,9 @@
         min_guaranteed = max(request.units, MIN_GUARANTEE_FRACTION * account.guaranteed_capacity)
         is_guaranteed = account.guaranteed_tokens >= min_guaranteed
         is_within_quota = expected >= request.units and not request.is_retry and is_guaranteed
-        is_forwarded = self.forwarder.forward(now, request, within_quota=is_within_quota, prepaid=makes_call)
+        is_forwarded = self.forwarder.forward(
+            now, request, within_quota=is_within_quota, skip_bucket_charge=makes_call
+        )
         if makes_call:
             is_counted = is_forwarded and is_within_quota
             account.reserve(request.units / max(MIN_SAMPLED_FRACTION, probability) * is_counted)
--- a/quota_gateway/decisions/slow_start.py
+++ b/quota_gateway/decisions/slow_start.py
@@ -8,12 +8,12 @@
 from quota_gateway.model.settings import MIN_POSITIVE
 from quota_gateway.state import EndpointState
 
-SAFE_LOAD_FRACTION = 0.45  # of the load that makes an endpoint fail while it is warming up
+SAFE_LOAD_FRACTION = 0.45  # allowed load as a fraction of the load at which a warming endpoint fails
 MIN_RESPONSES = 10  # number of responses that are needed to tell how warm an endpoint is
 MAX_WARM_SLOWDOWN = 0.9  # highest mean slowdown of a warm endpoint
 # Fast responses raise the warm fraction to at most this multiple of the fraction planned by the settings.
 MAX_SPEED_UP = 2
-# An allowance may save up this fraction of the work that it adds in one overload window.
+# An allowance saves up at most this fraction of the work that it gains in one overload window.
 ALLOWANCE_FRACTION = 0.5
 COMPLETION_RATE_WEIGHT = 0.3  # weight of the newest interval in the completion rate
 
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decisions return for the network modules, or the simulator, to carry out."""
+"""Actions: the output of the decisions, executed by the network modules or the simulator."""
 
 from __future__ import annotations
 
--- a/quota_gateway/model/rejection.py
+++ b/quota_gateway/model/rejection.py
@@ -1,4 +1,4 @@
-"""The reasons for rejecting a request and the causes of ejecting an endpoint."""
+"""Why requests are not served, and why endpoints are ejected."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request is rejected; the values are the names in the log."""
+    """Why a request is not served, whether it is rejected or failed; the values are the names in the log."""
 
     ADMISSION_GATE = "gate"  # the admission gate has no tokens left
     QUOTA = "quota"  # the customer's quota is used up
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -8,7 +8,7 @@
 from quota_gateway.state.account import Account
 from quota_gateway.state.endpoint import EndpointState
 from quota_gateway.state.global_bucket import PendingCall
-from quota_gateway.state.rejections import describe_rejections
+from quota_gateway.state.rejections import describe_unserved_requests
 from quota_gateway.state.request import Attempt, OpenRequest
 
 __all__ = [
@@ -17,5 +17,5 @@
     "EndpointState",
     "OpenRequest",
     "PendingCall",
-    "describe_rejections",
+    "describe_unserved_requests",
 ]
--- a/quota_gateway/state/consecutive_failures.py
+++ b/quota_gateway/state/consecutive_failures.py
@@ -13,7 +13,7 @@
     """
 
     connection_failures: int = 0
-    timeouts: int = 0  # of attempts during which the endpoint sent no response at all
+    timeouts: int = 0  # timed-out attempts during which the endpoint sent no response at all
     last_connection_failure: float = 0.0  # Unix time
 
     def record_response(self) -> None:
--- a/quota_gateway/state/endpoint.py
+++ b/quota_gateway/state/endpoint.py
@@ -37,10 +37,10 @@
     hash_position: bytes = field(init=False)
     # Endpoint list.
     available: bool = True  # listed and healthy
-    removed: bool = False  # from the endpoint list
+    removed: bool = False  # no longer in the endpoint list
     # Load.
     work_in_flight: float = 0.0
-    work_completed: float = 0.0  # in the current interval
+    work_completed: float = 0.0  # work of the good responses in the current interval
     work_rate: float = 0.0  # completed work per second
     unresponsive_since: float | None = None
     slowdown: Slowdown = field(default_factory=Slowdown)
@@ -48,7 +48,7 @@
     failure_rate: float = 0.0  # moving average of the fraction of attempts that failed
     consecutive_failures: ConsecutiveFailures = field(default_factory=ConsecutiveFailures)
     ejected_until: float = 0.0
-    ejection_time: float = 0.0  # duration of the last ejection in seconds
+    ejection_duration: float = 0.0  # duration of the last ejection in seconds
     half_open: bool = False  # ejected, and no good response since
     unreachable: bool = False  # connections failed: the endpoint may have been restarted
     # Slow start.
@@ -136,7 +136,7 @@
 
     def eject(self, now: float, duration: float, failure_rate: float) -> None:
         """Eject the endpoint for ``duration`` seconds; it returns half-open, with this failure rate."""
-        self.ejection_time = duration
+        self.ejection_duration = duration
         self.ejected_until = now + duration
         self.half_open = True
         self.failure_rate = failure_rate
@@ -146,12 +146,12 @@
         self.ejected_until = max(self.ejected_until, until)
 
     def end_ejection(self, now: float) -> None:
-        """End an ejection that lasts longer than ``now``."""
+        """End the ejection if it would last beyond ``now``."""
         self.ejected_until = min(self.ejected_until, now)
 
     def forget_ejections(self) -> None:
-        """Reset the ejection time, so that the next ejection has the minimum duration."""
-        self.ejection_time = 0.0
+        """Reset the ejection duration: the next ejection has the minimum duration."""
+        self.ejection_duration = 0.0
 
     def mark_unreachable(self) -> None:
         """Record that connections fail: the next good response may be of a new incarnation."""
@@ -177,7 +177,7 @@
         self.start_warming_up(now)
         self.allowance.reset(now)
         self.ejected_until = now
-        self.ejection_time = 0.0
+        self.ejection_duration = 0.0
         self.failure_rate = 0.0
         self.consecutive_failures.reset()
         self.half_open = False
--- a/quota_gateway/state/global_bucket.py
+++ b/quota_gateway/state/global_bucket.py
@@ -69,7 +69,7 @@
     )
 
     def __init__(self, now: float, plan: Plan, serving_gateways: int, started_at: float) -> None:
-        """Create the bucket at its first request at ``now``, in a gateway that started at ``started_at``."""
+        """Create the bucket at the first request, at ``now``, in a gateway started at ``started_at``."""
         self.serving_gateways = max(1, serving_gateways)
         self.set_plan(plan)
         self.updated_at = now  # time of the last refill
--- a/quota_gateway/state/request.py
+++ b/quota_gateway/state/request.py
@@ -38,7 +38,7 @@
     timeout: float  # seconds that the client waits
     is_retry: bool  # the client retries after a rejection or failure
     uploading: bool  # the body is not yet complete
-    max_attempts: int  # allowed when the request arrived
+    max_attempts: int  # limit on the attempts when the request arrived
     started_at: float = 0.0
     deadline: float = 0.0
     useful_until: float = 0.0  # a response after this time has no value
@@ -96,7 +96,7 @@
         self.work = work
         self.priority_percentile = priority_percentile
 
-    def accept(self, *, within_quota: bool) -> None:
+    def record_forwarded(self, *, within_quota: bool) -> None:
         """Record that the request was forwarded, and whether the customer's quota covers it."""
         self.within_quota = within_quota
 
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -21,14 +21,14 @@
 
 READ = model.RequestClass("read", 1.0, 1.0, model.Idempotency.INHERENT)
 POST = model.RequestClass("post", 1.5, 2.0, model.Idempotency.NONE, deduplication_window=5.0)
-READ_FRACTION = 0.7  # of the requests; the others are posts
+READ_FRACTION = 0.7  # fraction of the requests that are reads; the others are posts
 CORE_SECONDS = {"read": 0.1, "post": 0.05}  # service time on one core of a warm endpoint
 MEAN_CORE_SECONDS = READ_FRACTION * CORE_SECONDS["read"] + 0.3 * CORE_SECONDS["post"]
 CLIENT_TIMEOUT_SECONDS = 2.0
 CUSTOMERS = 500
 ROUND_TRIP_SECONDS = 0.004
-MAX_QUEUED_REQUESTS = 40  # An endpoint with a longer queue rejects requests.
-TRAFFIC_SIGMA = 1.2  # of the lognormal distribution of the load over the gateways
+MAX_QUEUED_REQUESTS = 40  # an endpoint with a longer queue rejects requests
+TRAFFIC_SIGMA = 1.2  # sigma of the lognormal distribution of the load over the gateways
 START_TIME = 100.0  # Unix time at which the simulation starts
 
 
@@ -83,8 +83,9 @@
     """The decisions of one gateway; a restarted gateway has no state of its previous incarnation."""
 
     decisions: Gateway | None = None  # None: stopped
-    incarnation: int = 0  # Events for an earlier incarnation are dropped.
-    notified: dict[str, float] = field(default_factory=dict)  # start times in its endpoint list, by endpoint
+    incarnation: int = 0  # events for an earlier incarnation are dropped
+    # Start times in the endpoint list that the gateway has received, by endpoint.
+    notified: dict[str, float] = field(default_factory=dict)
 
     def start(self, decisions: Gateway) -> None:
         """Begin a new incarnation."""
@@ -143,7 +144,7 @@
         self.cumulative_weights = list(accumulate(weights))
         self.gateways = [SimulatedGateway() for _ in range(gateways)]
         self.requests: dict[int, ClientRequest] = {}
-        self.rate = load * endpoints * cores / MEAN_CORE_SECONDS  # requests a second
+        self.rate = load * endpoints * cores / MEAN_CORE_SECONDS  # requests per second
         self._schedule_start()
 
     def _schedule_start(self) -> None:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -161,7 +161,7 @@
 
 
 class GatewaySimulation:
-    """Feeds legal events to one gateway on a simulated clock; an action that violates an invariant fails.
+    """Feeds legal events to one gateway on a simulated clock, and asserts the invariants for its actions.
 
     The invariants: each request gets one final answer, before its deadline; attempts are made only at healthy
     endpoints and within the limit; a request that may have been executed is repeated or rejected only if its
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""Tests of ``Account``, against methods that create or lose units of a customer's quota."""
+"""Account: its methods neither create nor lose units of a customer's quota."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def start_account(plan: model.Plan = PLAN) -> Account:
-    """An account with a full bucket, at one of three gateways that start at the same time."""
+    """Return an account with a full bucket, at one of three gateways that start at the same time."""
     return Account(NOW, plan, "acct", 3, started_at=NOW)
 
 
 def known_content(account: Account) -> float:
-    """The content of the bucket as the counter knows it."""
+    """Return the content of the bucket as the counter knows it."""
     return account.tokens + account.unreported_usage + sum(call.amount for call in account.pending_calls)
 
 
--- a/tests/test_account_table.py
+++ b/tests/test_account_table.py
@@ -1,4 +1,4 @@
-"""Tests of ``AccountTable``, against idle accounts that stay in memory."""
+"""AccountTable: accounts without recent requests do not stay in memory."""
 
 from __future__ import annotations
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""WorkEstimator: the expected work of a request depends on its units."""
+"""WorkEstimator: the expected work of a request grows with its units."""
 
 from __future__ import annotations
 
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -1,4 +1,4 @@
-"""Tests of the ceiling, against gateways that together forward more units than the plan allows."""
+"""Ceiling of a plan: all gateways together never forward more units than it allows."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.simulation import GatewaySimulation, Outcome, endpoint_list, make_request, make_settings
 
 ENDPOINTS = ("s0", "s1", "s2", "s3")
-CEILING_RATE = 4.0  # units a second
+CEILING_RATE = 4.0  # units per second
 CEILING_BURST = 12.0  # units
 INTERVALS_SECONDS = (0.001, 0.02, 0.1)  # between two requests
 SKEWED_GATEWAYS = (0, 0, 0, 0, 1, 2)  # the first gateway receives most requests
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""LoadController: admission before the first load reading, under overload and after a stall."""
+"""LoadController: the gate admits all requests at first, closes under overload and opens again."""
 
 from __future__ import annotations
 
--- a/tests/test_counter_budget.py
+++ b/tests/test_counter_budget.py
@@ -1,4 +1,4 @@
-"""CounterBudget: the rate after quick, queued and lost replies, and the pauses during a counter outage."""
+"""CounterBudget: the call rate follows the latency of the counter, and calls pause during an outage."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     start_rate = budget.rate
     for _ in range(40):
         now += 1 / budget.rate
-        budget.call_ended(now, model.CallStatus.OK, now - QUICK_REPLY_SECONDS)
+        budget.record_result(now, model.CallStatus.OK, now - QUICK_REPLY_SECONDS)
     quick_rate = budget.rate
     assert quick_rate > 1.3 * start_rate  # a busy gateway can use calls that idle gateways do not make
     for _ in range(20):  # no call is lost yet
         now += 1 / budget.rate
-        budget.call_ended(now, model.CallStatus.OK, now - QUEUED_REPLY_SECONDS)
+        budget.record_result(now, model.CallStatus.OK, now - QUEUED_REPLY_SECONDS)
     assert budget.rate < 0.6 * quick_rate
     assert budget.available(now) > 0
 
@@ -37,7 +37,7 @@
     now = START
     for _ in range(150):  # two seconds at 75 replies per second
         now += 1 / start_rate
-        budget.call_ended(now, model.CallStatus.OK, now - 0.01)
+        budget.record_result(now, model.CallStatus.OK, now - 0.01)
     assert start_rate < budget.rate < start_rate + 15
 
 
@@ -49,7 +49,7 @@
     for call in range(200):
         now += 1 / budget.rate
         status = model.CallStatus.TIMEOUT if call % 5 == 0 else model.CallStatus.OK
-        budget.call_ended(now, status, now - QUICK_REPLY_SECONDS)
+        budget.record_result(now, status, now - QUICK_REPLY_SECONDS)
     assert budget.rate < 0.5 * start_rate
 
 
@@ -96,7 +96,7 @@
     pauses: list[float] = []  # seconds
     now = 101.0
     for _ in range(6):
-        budget.call_ended(now, model.CallStatus.TIMEOUT, now, 0.5)
+        budget.record_result(now, model.CallStatus.TIMEOUT, now, 0.5)
         pauses.append(budget.unavailable_until - now)
         now = max(now, budget.unavailable_until) + 0.1
     assert pauses[1:] == sorted(pauses[1:])
@@ -105,11 +105,11 @@
 
 def test_two_lost_calls_with_a_reply_between_them_are_no_outage() -> None:
     budget = CounterBudget(START, GATEWAYS, 0.5)
-    budget.call_ended(START + 1.0, model.CallStatus.TIMEOUT, START + 1.0)
-    budget.call_ended(START + 2.0, model.CallStatus.OK, START + 2.0)
-    budget.call_ended(START + 3.0, model.CallStatus.TIMEOUT, START + 3.0)
+    budget.record_result(START + 1.0, model.CallStatus.TIMEOUT, START + 1.0)
+    budget.record_result(START + 2.0, model.CallStatus.OK, START + 2.0)
+    budget.record_result(START + 3.0, model.CallStatus.TIMEOUT, START + 3.0)
     assert budget.unavailable_until == 0.0
-    budget.call_ended(START + 4.0, model.CallStatus.TIMEOUT, START + 4.0)
+    budget.record_result(START + 4.0, model.CallStatus.TIMEOUT, START + 4.0)
     assert budget.unavailable_until > START + 4.0
 
 
@@ -120,7 +120,7 @@
     for budget, rng in zip(budgets, rngs, strict=True):
         for now in (101.0, 102.0):
             budget.available(now)
-            budget.call_ended(now, model.CallStatus.TIMEOUT, now - 0.01, rng.random())
+            budget.record_result(now, model.CallStatus.TIMEOUT, now - 0.01, rng.random())
         outage_ends.append(budget.unavailable_until)
         assert budget.available(budget.unavailable_until - 1e-6) == 0
         assert budget.available(budget.unavailable_until) <= 1, "the bucket was refilled during the outage"
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -1,4 +1,4 @@
-"""Endpoint set: removed and draining endpoints get no requests, and the subset avoids unreachable ones."""
+"""EndpointSet: removed and draining endpoints get no requests, and the subset avoids unreachable ones."""
 
 from __future__ import annotations
 
--- a/tests/test_endpoint_state.py
+++ b/tests/test_endpoint_state.py
@@ -1,4 +1,4 @@
-"""Tests of ``EndpointState`` and its parts, against methods that break the invariants of the class."""
+"""EndpointState and its parts: their methods keep the invariants of the class."""
 
 from __future__ import annotations
 
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -1,4 +1,4 @@
-"""Fault detection end to end: the real decisions on real sockets, with faulty endpoints and counters."""
+"""Fault detection, on real sockets: single faults eject no endpoint, and faulty endpoints recover."""
 
 from __future__ import annotations
 
@@ -169,7 +169,9 @@
             for _ in range(400):
                 await send_requests(limiter, decisions, number=1, interval=0.05)
                 ejected += sum(endpoint.ejected_until > decisions.now for endpoint in endpoints)
-    assert ejected < 120  # of 1200; ejecting after any two resets in a row would give about half
+    assert (
+        ejected < 120
+    )  # of 1200 samples; ejections after any two resets in a row would give about half of them
 
 
 @async_test
@@ -191,7 +193,7 @@
             decisions.advance(0.5)
             break_connections.set()
             await asyncio.gather(*tasks)
-            # Counted as four consecutive failures, they would give 0.8.
+            # Four consecutive failures would give a failure rate of 0.8.
             assert decisions.gateway.endpoints.by_name["s1"].failure_rate < 0.65
 
 
@@ -207,7 +209,7 @@
     ):
         task = asyncio.create_task(limiter.fetch(http_request()))
         await endpoint.request_received.wait()
-        decisions.advance(0.5)  # The endpoint is unresponsive while the request waits.
+        decisions.advance(0.5)  # the endpoint is unresponsive while the request waits
         assert " 429 " in (await task)[0]
         (completed,) = await decisions.wait_for(model.AttemptCompleted)
         assert completed.status is model.CallStatus.TIMEOUT
@@ -217,19 +219,19 @@
 
 @async_test
 async def test_malformed_responses_of_all_endpoints_eject_none_of_them() -> None:
-    """Counted as lost connections, they would make every endpoint unreachable and start 15 s of warm-up."""
+    """If they counted as lost connections, every endpoint would be unreachable, and then warm up for 15 s."""
     malformed = b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\nhi"
     endpoint = ScriptedEndpoint(lambda number: malformed if number % 6 == 0 else OK_RESPONSE)
     async with running_server(endpoint.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
         async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
             answers = [(await limiter.fetch(http_request()))[0] for _ in range(30)]  # within the fair share
-            assert all(" 200 " in answer for answer in answers)  # Lookups are retried at other endpoints.
+            assert all(" 200 " in answer for answer in answers)  # lookups are retried at other endpoints
 
 
 @async_test
 async def test_single_broken_connections_make_no_endpoint_unreachable() -> None:
-    """Counted as crashes, they would make every endpoint warm up from its next response on."""
+    """If they counted as crashes, every endpoint would warm up from its next response on."""
     endpoint = ScriptedEndpoint(lambda number: b"" if number % 6 == 0 else OK_RESPONSE)
     async with running_server(endpoint.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
@@ -295,7 +297,7 @@
     plans = (model.Plan("basic", rate=1.0, burst=4.0),)
     settings = replace(SETTINGS, plans=plans, has_counter=True, counter_timeout=0.05)
     decisions = RealDecisions(settings)
-    decisions.advance(10.0)  # At the start, the usage of other gateways may exceed the quota.
+    decisions.advance(10.0)  # at the start, the usage of other gateways may exceed the quota
     counter = AbortingCounter()
     advance = partial(decisions.advance, 0.1)
     async with (
@@ -308,7 +310,7 @@
         async with LoopbackLimiter(decisions, {"s1": address}, counter=client) as limiter:
             await counter.abort_connection_during(fetch_for_accounts(limiter, range(1, 4)), advance)
             budget = decisions.gateway.leases.budget
-            assert budget.unavailable_until < decisions.now  # Calls for other accounts are still made.
+            assert budget.unavailable_until < decisions.now  # calls for other accounts are still made
             await counter.abort_connection_during(fetch_for_accounts(limiter, range(4, 5)), advance)
             # This is the second failure without a reply in between.
             assert budget.unavailable_until > decisions.now
@@ -318,11 +320,11 @@
 def test_counter_calls_that_time_out_together_reduce_the_call_rate_once() -> None:
     budget = CounterBudget(100.0, 4, 0.0)
     rate = budget.rate
-    for number in range(8):  # Calls that are sent together wait in a queue and time out in sequence.
+    for number in range(8):  # calls that are sent together wait in a queue and time out in sequence
         offset = number * 0.002
-        budget.call_ended(100.030 + offset, model.CallStatus.TIMEOUT, 100.0 + offset)
+        budget.record_result(100.030 + offset, model.CallStatus.TIMEOUT, 100.0 + offset)
     assert budget.available(100.05) > 0
     assert budget.rate == pytest.approx(0.9 * rate)
     # A later call times out, without a reply in the meantime: the counter is unresponsive.
-    budget.call_ended(100.090, model.CallStatus.TIMEOUT, 100.06)
+    budget.record_result(100.090, model.CallStatus.TIMEOUT, 100.06)
     assert budget.available(100.1) == 0
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarder: timeouts of attempts, rejection reasons, and when an endpoint is expected to respond."""
+"""Forwarder: an attempt gets all useful time, and an endpoint is expected to respond only to an attempt."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     simulation = start_simulation("a", "b", "c", "d", "e", "f")
     attempts = forwards(simulation.feed(make_request(1)))
     simulation.feed(model.ClientDisconnected(1))
-    simulation.in_flight.clear()  # The attempt is cancelled, and its completion is ignored.
+    simulation.in_flight.clear()  # the attempt is cancelled, and its completion is ignored
     used_again: set[str] = set()
     for request_id in range(2, 200):
         simulation.stall(0.2)
--- a/tests/test_global_bucket.py
+++ b/tests/test_global_bucket.py
@@ -1,4 +1,4 @@
-"""Tests of ``GlobalBucket``, against wrong tokens after remote usage, counter resets or corrected charges."""
+"""GlobalBucket: it tracks remote usage, counter resets and the units that endpoints charge."""
 
 from __future__ import annotations
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests with random events, against violated invariants and runs that cannot be reproduced."""
+"""Gateway with random events: no order of events violates an invariant, and every run can be reproduced."""
 
 from __future__ import annotations
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def fleet() -> QuotaFleet:
-    """Three gateways that have not received a request yet."""
+    """Return three gateways that have not received a request yet."""
     return QuotaFleet()
 
 
@@ -61,7 +61,7 @@
     simulation.counter_totals[counter_id] = 4.0  # the other gateways have used four units of the burst of six
     simulation.reply_to_counter_calls()
     simulation.complete_attempts()
-    simulation.now += 1.0  # three units are left, which the other gateways may have used
+    simulation.now += 1.0  # the refill makes three units, of which the other gateways may have used some
     send_without_counter_replies(simulation, range(1, 6))
     # Only one is forwarded: the other gateways may have used the rest of the bucket.
     assert len(simulation.forwarded) == 2
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""Load balancer: unresponsive endpoints get no requests, and the concurrency limit allows short bursts."""
+"""LoadBalancer: unresponsive endpoints get no requests, and the concurrency limit allows short bursts."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
     forwarded_before = len(simulation.forwarded)
     for request_id in range(next_id, next_id + 60):
         simulation.feed(make_request(request_id))
-    # Half of 90 requests per second times the residence time of 0.8 s. A moving average that starts at zero
-    # would allow 0.3 of it.
+    # The limit exceeds half of 90 requests per second times the target residence time of 0.8 s. With a moving
+    # average that starts at zero, the work rates would be 0.3 of their values.
     assert len(simulation.forwarded) - forwarded_before > 30
 
 
@@ -77,7 +77,7 @@
 
 
 def test_sparse_gateway_at_low_load_forwards_a_small_burst_but_not_a_large_one() -> None:
-    """Each of forty gateways gets its own random bursts, which only a common limit would average out."""
+    """Each of forty gateways gets its own random bursts; only a common limit would average them out."""
     settings = make_settings(gateway_count=FLEET_GATEWAYS, plans=(model.Plan("free"),))
     simulation = start_simulation(*(f"s{number}" for number in range(60)), settings=settings)
     for request_id in range(80):
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which endpoints are ejected, and how they return to service."""
+"""OutlierDetector: endpoints that fail more than the others are ejected, and later return to service."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     assert health_checks
     simulation.feed(model.HealthChecked("s0", model.CallStatus.OK, 0.001, {}))
     forwarded_before = len(simulation.forwarded)
-    for request_id in range(1000, 1060):  # One attempt stays in flight, so the other endpoints are busy.
+    for request_id in range(1000, 1060):  # one attempt stays in flight, so the other endpoints are busy
         simulation.advance_to(simulation.now + 0.05)
         for key in list(simulation.in_flight)[:-1]:
             simulation.complete_attempt(key)
@@ -144,7 +144,7 @@
             if request_id >= 60:
                 late_requests += 1
                 late_attempts_at_failing += sum(attempt.endpoint in failing for attempt in attempts)
-        ejected = {name for name, state in endpoints.by_name.items() if state.ejection_time > 0}
+        ejected = {name for name, state in endpoints.by_name.items() if state.ejection_duration > 0}
         assert ejected <= failing, "a healthy endpoint was ejected"
     # Without ejections, two of ten endpoints would get a fifth of the requests.
     assert late_attempts_at_failing < 0.08 * late_requests
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -1,4 +1,4 @@
-"""QuotaAdmission: requests near and over the quota, without the counter, and of sparse accounts."""
+"""QuotaAdmission: customers get their quota and little more, with and without the counter."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         simulation.complete_attempts(elapsed=elapsed)
     even_share = 8.0 / 3  # units of the burst for each of three gateways
     forwarded = len(simulation.forwarded) - forwarded_before
-    # A fraction of a unit in the share may admit a request of a whole unit.
+    # With a fraction of a unit left, the share may still admit a request of one unit.
     assert (forwarded > even_share + 1) is has_headroom
 
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Tests of the readiness that the admin command STATUS reports."""
+"""Admin command STATUS: a gateway is ready only from its first endpoint list until its shutdown."""
 
 from __future__ import annotations
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: after which statuses and at which endpoints a request is retried, and the cost of a retry."""
+"""Retries: a request is repeated only where that is harmless, and early resets cost little of the budget."""
 
 from __future__ import annotations
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start at single gateways: the allowance of a warming endpoint, handovers, and wrong clocks."""
+"""SlowStart: a warming endpoint gets its allowance, also after a handover and with wrong clocks."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     endpoints = [f"s{number}" for number in range(6)]
     simulation = start_simulation(*endpoints, settings=make_settings(warm_up_time=60.0))
     next_id = send_steadily(simulation, 10, 40, 0)
-    simulation.feed(endpoint_list(*endpoints, started_at=simulation.now))  # All endpoints restart.
+    simulation.feed(endpoint_list(*endpoints, started_at=simulation.now))  # all endpoints restart
     next_id = send_steadily(simulation, 20, 40, next_id)
     forwarded_before = len(simulation.forwarded)
     send_steadily(simulation, 10, 40, next_id)
@@ -120,7 +120,7 @@
     gateway = simulation.gateway
     elapsed = 600 * 0.02
     warm_rate = sum(forward.endpoint == "s0" for forward in simulation.forwarded) / elapsed
-    mean_work = gateway.work.mean_work
+    mean_work = gateway.work_estimator.mean_work
     # A mean over all seven endpoints would be below half of the rate of the warm one.
     assert gateway.slow_start.completion_rate > 0.5 * warm_rate * mean_work
     for name in ("c0", "c1", "c2", "c3", "c4", "c5"):
@@ -133,12 +133,12 @@
 def run_with_warming_endpoint(slowdown: float) -> tuple[int, Gateway]:
     """Return the number of requests that a warming endpoint with this slowdown gets, and the gateway."""
     simulation = start_simulation("s0", settings=make_settings(warm_up_time=1000.0))
-    for request_id in range(100):  # The gateway learns the idle latency and the completion rate.
+    for request_id in range(100):  # the gateway learns the idle latency and the completion rate
         simulation.feed(make_request(request_id))
         simulation.advance_to(simulation.now + 0.1)
         simulation.complete_attempts()
     simulation.feed(started_endpoint("warming", simulation.now, cell=1))
-    base_latency = simulation.gateway.work.base_latencies["read"]
+    base_latency = simulation.gateway.work_estimator.base_latencies["read"]
     for request_id in range(100, 400):
         simulation.feed(make_request(request_id))
         simulation.advance_to(simulation.now + 0.1)
@@ -155,7 +155,7 @@
         requests[slowdown], gateway = run_with_warming_endpoint(slowdown)
         assert gateway.endpoints.by_name["warming"].warming_since is not None
     assert 0 < requests[5.0] < 20, requests
-    assert requests[1.0] > 70, requests  # By its age alone, the fast endpoint would get 49.
+    assert requests[1.0] > 70, requests  # by its age alone, the fast endpoint would get 49
 
 
 def endpoint_handover(warming_since: float | None) -> model.EndpointHandover:
@@ -174,8 +174,8 @@
     assert state.warming_since == 100.1
 
 
-def test_restart_after_a_handover_is_recognized_whatever_its_start_time() -> None:
-    """The first contact with discovery, after an upgrade, announces an incarnation that seems an hour old."""
+def test_restart_after_a_handover_is_recognised_whatever_its_start_time() -> None:
+    """After an upgrade, the first contact with discovery announces an incarnation that seems an hour old."""
     simulation = GatewaySimulation(make_settings(), now=10_000.0)
     simulation.feed(started_endpoint("new", 5000.0))
     state = simulation.gateway.endpoints.by_name["new"]
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start in a fleet: gateways that decide independently must not overload a warming endpoint together.
+"""SlowStart in a fleet: gateways that decide independently do not overload a warming endpoint together.
 
 The settings limit the load on an endpoint that is warming up: within any ``overload_window`` seconds, it may
 receive ``overload_multiple`` times its capacity at that time, from all gateways together. With a limit of N
@@ -24,7 +24,7 @@
     """The endpoints of a fleet."""
 
     endpoints: int
-    cores: int  # of each endpoint
+    cores: int  # cores of each endpoint
 
 
 FLEET_SHAPES = {3: FleetShape(6, 2), 30: FleetShape(8, 2), 200: FleetShape(20, 1)}  # by number of gateways
@@ -34,7 +34,7 @@
     """The highest load on one endpoint during its slow start."""
 
     ratio: float  # load divided by the limit
-    age: float  # of the endpoint, in seconds
+    age: float  # age of the endpoint in seconds
     endpoint: str
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Tests of suspensions, against requests to suspended endpoints and old state of restored ones."""
+"""Suspensions: a suspended endpoint gets no requests, and a restored one begins without its old state."""
 
 from __future__ import annotations
 
