--- a/quota_gateway/decisions/context.py
+++ b/quota_gateway/decisions/context.py
@@ -22,7 +22,9 @@
     plans: dict[str, Plan] = field(init=False)
     # Seconds without a response after which an endpoint is unresponsive.
     unresponsive_timeout: float = field(init=False)
-    target_residence_time: float = field(init=False)  # target time of a request at an endpoint, in seconds
+    target_residence_time: float = field(
+        init=False
+    )  # target time in seconds that a request spends at an endpoint
 
     def __post_init__(self) -> None:
         self.reconfigure(self.settings)
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -169,9 +169,8 @@
             for _ in range(400):
                 await send_requests(limiter, decisions, number=1, interval=0.05)
                 ejected += sum(endpoint.ejected_until > decisions.now for endpoint in endpoints)
-    assert (
-        ejected < 120
-    )  # of 1200 samples; ejections after any two resets in a row would give about half of them
+    # Ejections after any two resets in a row would give about half of the 1200 samples.
+    assert ejected < 120
 
 
 @async_test
@@ -225,7 +224,9 @@
     async with running_server(endpoint.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
         async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
-            answers = [(await limiter.fetch(http_request()))[0] for _ in range(30)]  # within the fair share
+            answers = [
+                (await limiter.fetch(http_request()))[0] for _ in range(30)
+            ]  # within the guaranteed share
             assert all(" 200 " in answer for answer in answers)  # lookups are retried at other endpoints
 
 
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -46,9 +46,8 @@
     forwarded = len(simulation.forwarded)
     endpoints = {request_id: endpoint for (request_id, _), (endpoint, _) in simulation.in_flight.items()}
     simulation.feed(attempt_completed(2, 0, endpoints[2], model.CallStatus.RESET_AFTER_REQUEST))
-    assert (
-        simulation.outcomes[2] is Outcome.FAILED
-    )  # possibly executed, and its class is no longer idempotent
+    # Request 2 may have been executed, and its class is no longer idempotent.
+    assert simulation.outcomes[2] is Outcome.FAILED
     assert len(simulation.forwarded) == forwarded
     simulation.settings = replace(simulation.settings, classes=(IDEMPOTENT_CLASS, fresh))
     simulation.feed(attempt_completed(1, 0, endpoints[1], model.CallStatus.ERROR))
