--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -32,7 +32,7 @@
     outliers: OutlierDetector
     requests: dict[int, OpenRequest] = field(default_factory=dict)
     # Number of requests that were not served since the last log line, by reason.
-    rejections: dict[str, int] = field(default_factory=dict)
+    unserved_counts: dict[str, int] = field(default_factory=dict)
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
     def add(self, request: OpenRequest) -> None:
@@ -162,7 +162,7 @@
 
     def finish(self, request: OpenRequest, reason: model.RejectionReason) -> None:
         """Reject or fail a request that is not served."""
-        self.rejections[reason] = self.rejections.get(reason, 0) + 1
+        self.unserved_counts[reason] = self.unserved_counts.get(reason, 0) + 1
         if may_reject(request):
             wait = retry_after(request, self.context.settings.max_retry_after)
             self.context.actions.append(model.Reject(request.id, wait))
@@ -176,8 +176,8 @@
         if request is not None:
             request.abandon_attempts()
 
-    def take_rejections(self) -> dict[str, int]:
+    def take_unserved_counts(self) -> dict[str, int]:
         """Return the number of requests not served since the last call, by reason."""
-        rejections = dict(self.rejections)
-        self.rejections.clear()
-        return rejections
+        counts = dict(self.unserved_counts)
+        self.unserved_counts.clear()
+        return counts
--- a/quota_gateway/decisions/gateway.py
+++ b/quota_gateway/decisions/gateway.py
@@ -34,17 +34,17 @@
         self.controller = LoadController(now)
         self.work_estimator = WorkEstimator()
         self.gate = AdmissionGate(self.controller, self.work_estimator, now)
-        self.accounts = AccountTable(context)
+        self.account_table = AccountTable(context)
         draw = context.rng.random()
         budget = CounterBudget(now, settings.gateway_count, draw, settings.counter_timeout)
-        self.leases = LeaseManager(context, self.accounts, budget)
+        self.leases = LeaseManager(context, self.account_table, budget)
         self.slow_start = SlowStart(context)
         self.endpoints = endpoints = EndpointSet(context)
         self.balancer = LoadBalancer(context, endpoints, self.gate, self.slow_start)
         self.outliers = OutlierDetector(endpoints)
         self.forwarder = Forwarder(context, endpoints, self.balancer, self.gate, self.leases, self.outliers)
         self.quota = QuotaAdmission(context, self.forwarder)
-        self.handover = Handover(context, self.accounts, endpoints, self.gate, self.slow_start)
+        self.handover = Handover(context, self.account_table, endpoints, self.gate, self.slow_start)
         self.timer_token = 0
         self.is_shutting_down = False
         self._handlers = self._event_handlers()
@@ -89,13 +89,13 @@
         elapsed = max(MIN_INTERVAL_SECONDS, now - self.controller.updated_at)
         self.forwarder.expire(now)
         self.controller.update(now, elapsed)
-        if self.timer_token % LOG_INTERVAL_TICKS == 0 and self.forwarder.rejections:
+        if self.timer_token % LOG_INTERVAL_TICKS == 0 and self.forwarder.unserved_counts:
             self._log_unserved_requests(now)
         self._update_endpoints(now, elapsed)
         self.work_estimator.update_ranking()
         self.leases.return_unused(now, self.work_estimator.mean_units)
-        self.accounts.remove_idle(now)
-        for account in self.accounts.accounts.values():
+        self.account_table.remove_idle(now)
+        for account in self.account_table.accounts.values():
             self.leases.report_overdue_usage(now, account)
 
     def _update_endpoints(self, now: float, elapsed: float) -> None:
@@ -108,7 +108,7 @@
         """Log the requests not served since the last such log line, and the state that explains them."""
         text = describe_unserved_requests(
             now,
-            self.forwarder.take_rejections(),
+            self.forwarder.take_unserved_counts(),
             self.outliers.take_ejections(),
             self.endpoints.hash_ring,
             self.leases.lease_holders.values(),
@@ -120,7 +120,7 @@
         self.context.actions.append(model.Log(text))
 
     def _on_request(self, now: float, event: model.Request) -> None:
-        account = self.accounts.find_or_create(now, event.plan, event.account, event.serving_gateways)
+        account = self.account_table.find_or_create(now, event.plan, event.account, event.serving_gateways)
         account.refill(now)
         if not event.is_retry:
             self.controller.record_arrival()
@@ -177,5 +177,5 @@
         """Apply new settings; open requests keep their class and plan."""
         event.validate()
         self.context.reconfigure(event)
-        self.accounts.reconfigure(now)
+        self.account_table.reconfigure(now)
         self.endpoints.rebuild_hash_ring(now)
--- a/scale/fleet/measured_gateway.py
+++ b/scale/fleet/measured_gateway.py
@@ -45,7 +45,7 @@
         self._gateway = Gateway(settings, seed, now)
         self._cost = cost
         self._recorder = _ReasonRecorder()
-        self._gateway.forwarder.rejections = self._recorder
+        self._gateway.forwarder.unserved_counts = self._recorder
         self._reasons: Iterator[str] = iter(())
 
     def handle(self, now: float, event: model.Event) -> list[model.Action]:
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -139,7 +139,7 @@
 
     def known_tenants(self) -> int:
         """Return the number of tenants of which the decisions hold state."""
-        return len(self._gateway.accounts.accounts)
+        return len(self._gateway.account_table.accounts)
 
     def complete_list(self) -> str:
         """Return the watch event with the present complete list."""
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -139,12 +139,12 @@
 
     def account(self, gateway: int = 0) -> Account:
         """Return the customer's account at a gateway."""
-        (account,) = self.gateways[gateway].accounts.accounts.values()
+        (account,) = self.gateways[gateway].account_table.accounts.values()
         return account
 
     def all_accounts(self) -> list[Account]:
         """Return the customer's accounts at all gateways that have received one of its requests."""
-        return [account for gateway in self.gateways for account in gateway.accounts.accounts.values()]
+        return [account for gateway in self.gateways for account in gateway.account_table.accounts.values()]
 
     @property
     def leased_units(self) -> float:
--- a/tests/test_account_table.py
+++ b/tests/test_account_table.py
@@ -14,7 +14,7 @@
         simulation.feed(make_request(request_id, "read", plan, f"once{request_id}"))
         simulation.reply_to_counter_calls()
         simulation.complete_attempts()
-    table = simulation.gateway.accounts
+    table = simulation.gateway.account_table
     assert len(table.accounts) == CUSTOMERS
     simulation.advance_to(simulation.now + 70)
     assert not table.accounts
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -73,7 +73,7 @@
     assert len(simulation.forwarded) == 2
     simulation.reply_to_counter_calls()
     (counter_id,) = simulation.counter_totals
-    simulation.gateway.accounts.by_counter_id[counter_id].leased = 9.0
+    simulation.gateway.account_table.by_counter_id[counter_id].leased = 9.0
     simulation.feed(make_request(3, "read", "capped", "acct", 3.0, 3.2))
     assert len(simulation.forwarded) == 2
     assert simulation.outcomes[3] is Outcome.REJECTED
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -41,9 +41,9 @@
     forwarder = simulation.gateway.forwarder
     simulation.feed(model.EndpointUpdate((), complete=True))
     simulation.feed(make_request(1))
-    assert forwarder.take_rejections() == {model.RejectionReason.NO_ENDPOINT: 1}
+    assert forwarder.take_unserved_counts() == {model.RejectionReason.NO_ENDPOINT: 1}
     simulation.feed(make_request(2, timeout=0.0))
-    assert forwarder.take_rejections() == {model.RejectionReason.ATTEMPTS: 1}
+    assert forwarder.take_unserved_counts() == {model.RejectionReason.ATTEMPTS: 1}
 
 
 def test_endpoint_is_used_again_after_the_client_of_its_only_request_has_disconnected() -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -77,7 +77,7 @@
     simulation.complete_attempts()
     advance_without_demand(simulation, seconds=8)
     # A part of the returned lease stays unreported while the bucket is full.
-    unreported = simulation.gateway.accounts.by_counter_id[counter_id].unreported_usage
+    unreported = simulation.gateway.account_table.by_counter_id[counter_id].unreported_usage
     total = simulation.counter_totals[counter_id]
     assert total + unreported == pytest.approx(7.0)
     assert abs(unreported) < 0.05
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -149,8 +149,8 @@
     new.feed(handover_state(old))
     assert new.gateway.endpoints.by_name["s1"].warming_since == old.now
     assert new.gateway.slow_start.completion_rate == old.gateway.slow_start.completion_rate > 0
-    (before,) = old.gateway.accounts.accounts.values()
-    (after,) = new.gateway.accounts.accounts.values()
+    (before,) = old.gateway.account_table.accounts.values()
+    (after,) = new.gateway.account_table.accounts.values()
     assert after.counter_total == before.counter_total is not None
     assert after.counter_id == before.counter_id
     assert after.tokens == pytest.approx(before.tokens + before.unreported_usage)
