--- a/quota_gateway/decisions/slow_start.py
+++ b/quota_gateway/decisions/slow_start.py
@@ -27,8 +27,8 @@
 
     def close_interval(self, subset: list[EndpointState], elapsed: float) -> None:
         """Update the completion rate; must run before the endpoints close their intervals."""
-        # Completed work is counted and not forwarded work, since overloaded endpoints do not complete all of
-        # theirs. Endpoints that are warming up are left out: they would lower their own allowance.
+        # The rate counts completed instead of forwarded work, since overloaded endpoints do not complete all
+        # work. Endpoints that are warming up are left out: they would lower their own allowance.
         rates = [state.work_completed / elapsed for state in subset if state.warming_since is None]
         if rates:
             mean_rate = sum(rates) / len(rates)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarder: an attempt gets all useful time, and an endpoint is expected to respond only to an attempt."""
+"""Forwarder: an attempt gets all useful time, and a response is expected only if an attempt waits."""
 
 from __future__ import annotations
 
--- a/tests/test_global_bucket.py
+++ b/tests/test_global_bucket.py
@@ -1,4 +1,4 @@
-"""GlobalBucket: it tracks remote usage, counter resets and the units that endpoints charge."""
+"""GlobalBucket: its tokens follow remote usage, counter resets and the units that endpoints charge."""
 
 from __future__ import annotations
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: a request is repeated only where that is harmless, and early resets cost little of the budget."""
+"""Retries: a request is repeated only where that is harmless, and early resets use little budget."""
 
 from __future__ import annotations
 
