--- a/quota_gateway/decisions/context.py
+++ b/quota_gateway/decisions/context.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class Context:
-    """Shared by the parts of one gateway, which append to ``actions``; settings can change in place."""
+    """The state that all parts of one gateway share; they append their actions to ``actions``."""
 
     settings: Settings
     rng: Random
@@ -22,7 +22,9 @@
     plans: dict[str, Plan] = field(init=False)
     # Seconds without a response after which an endpoint is unresponsive.
     unresponsive_timeout: float = field(init=False)
-    target_residence_time: float = field(init=False)  # target time of a request at an endpoint, in seconds
+    target_residence_time: float = field(
+        init=False
+    )  # target time in seconds that a request spends at an endpoint
 
     def __post_init__(self) -> None:
         self.reconfigure(self.settings)
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -1,4 +1,4 @@
-"""Tests of the ceiling, against gateways that together forward more units than the plan allows."""
+"""Ceiling of a plan: all gateways together never forward more units than it allows."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.simulation import GatewaySimulation, Outcome, endpoint_list, make_request, make_settings
 
 ENDPOINTS = ("s0", "s1", "s2", "s3")
-CEILING_RATE = 4.0  # units a second
+CEILING_RATE = 4.0  # units per second
 CEILING_BURST = 12.0  # units
 INTERVALS_SECONDS = (0.001, 0.02, 0.1)  # between two requests
 SKEWED_GATEWAYS = (0, 0, 0, 0, 1, 2)  # the first gateway receives most requests
@@ -73,7 +73,7 @@
     assert len(simulation.forwarded) == 2
     simulation.reply_to_counter_calls()
     (counter_id,) = simulation.counter_totals
-    simulation.gateway.accounts.by_counter_id[counter_id].leased = 9.0
+    simulation.gateway.account_table.by_counter_id[counter_id].leased = 9.0
     simulation.feed(make_request(3, "read", "capped", "acct", 3.0, 3.2))
     assert len(simulation.forwarded) == 2
     assert simulation.outcomes[3] is Outcome.REJECTED
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarder: timeouts of attempts, rejection reasons, and when an endpoint is expected to respond."""
+"""Forwarder: an attempt gets all useful time, and a response is expected only if an attempt waits."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
     forwarder = simulation.gateway.forwarder
     simulation.feed(model.EndpointUpdate((), complete=True))
     simulation.feed(make_request(1))
-    assert forwarder.take_rejections() == {model.RejectionReason.NO_ENDPOINT: 1}
+    assert forwarder.take_unserved_counts() == {model.RejectionReason.NO_ENDPOINT: 1}
     simulation.feed(make_request(2, timeout=0.0))
-    assert forwarder.take_rejections() == {model.RejectionReason.ATTEMPTS: 1}
+    assert forwarder.take_unserved_counts() == {model.RejectionReason.ATTEMPTS: 1}
 
 
 def test_endpoint_is_used_again_after_the_client_of_its_only_request_has_disconnected() -> None:
     simulation = start_simulation("a", "b", "c", "d", "e", "f")
     attempts = forwards(simulation.feed(make_request(1)))
     simulation.feed(model.ClientDisconnected(1))
-    simulation.in_flight.clear()  # The attempt is cancelled, and its completion is ignored.
+    simulation.in_flight.clear()  # the attempt is cancelled, and its completion is ignored
     used_again: set[str] = set()
     for request_id in range(2, 200):
         simulation.stall(0.2)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def fleet() -> QuotaFleet:
-    """Three gateways that have not received a request yet."""
+    """Return three gateways that have not received a request yet."""
     return QuotaFleet()
 
 
@@ -61,7 +61,7 @@
     simulation.counter_totals[counter_id] = 4.0  # the other gateways have used four units of the burst of six
     simulation.reply_to_counter_calls()
     simulation.complete_attempts()
-    simulation.now += 1.0  # three units are left, which the other gateways may have used
+    simulation.now += 1.0  # the refill makes three units, of which the other gateways may have used some
     send_without_counter_replies(simulation, range(1, 6))
     # Only one is forwarded: the other gateways may have used the rest of the bucket.
     assert len(simulation.forwarded) == 2
@@ -77,7 +77,7 @@
     simulation.complete_attempts()
     advance_without_demand(simulation, seconds=8)
     # A part of the returned lease stays unreported while the bucket is full.
-    unreported = simulation.gateway.accounts.by_counter_id[counter_id].unreported_usage
+    unreported = simulation.gateway.account_table.by_counter_id[counter_id].unreported_usage
     total = simulation.counter_totals[counter_id]
     assert total + unreported == pytest.approx(7.0)
     assert abs(unreported) < 0.05
