--- a/soak/checker.py
+++ b/soak/checker.py
@@ -1,8 +1,8 @@
 """The checker: verifies the protocol's invariants on the history of a run.
 
-Each check is one function from the history to the violations that it finds. A time limit is exceeded only
-beyond the tolerance of the check, plus 50 ms for sockets, plus the runner's own delay around that time. The
-limiters' metrics are compared with what the clients observed.
+Each check is a function that takes the history and yields the violations that it finds. It reports a time
+limit as exceeded only beyond the sum of the check's tolerance, 50 ms for sockets and the runner's own delay
+around that time. The limiters' metrics are compared with what the clients observed.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
     find_exceeded_ceilings,
     find_excessive_deadlines,
     find_mismatched_responses,
+    find_overdue_incomplete_requests,
     find_repeated_executions,
     find_unanswered_requests,
-    find_unended_incomplete_requests,
 )
 from soak.violations import Violation
 
@@ -35,7 +35,7 @@
     find_attempts_after_disconnect,
     find_excessive_deadlines,
     find_exceeded_ceilings,
-    find_unended_incomplete_requests,
+    find_overdue_incomplete_requests,
     find_late_replies,
     find_crashes,
     find_wrong_metrics,
--- a/soak/client_behaviours.py
+++ b/soak/client_behaviours.py
@@ -1,4 +1,4 @@
-"""Client behaviours other than one request and its response: pipelining, idle and incomplete requests."""
+"""Client behaviours that are not one complete exchange: pipelining, idle connections, incomplete requests."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     RequestOutcome,
 )
 from soak.request_factory import RequestFactory
-from soak.streams import write_open
+from soak.streams import write_data
 
 INCOMPLETE_REQUEST_WAIT_SECONDS = 8.0
 INCOMPLETE_HEAD_BYTES = 60
 PIPELINED_REQUESTS = 3
-MIN_REST_SECONDS = 0.2
-MAX_REST_SECONDS = 4.0  # a limiter may end an idle connection after 2 s
-MAX_CROWD_CONNECT_DELAY_SECONDS = 0.3  # longest wait of a client of a crowd before it connects
+MIN_IDLE_SECONDS = 0.2
+MAX_IDLE_SECONDS = 4.0  # a limiter may end an idle connection after 2 s
+MAX_FLOOD_CONNECT_DELAY_SECONDS = 0.3  # longest delay before a client of a connection flood connects
 LONGER_THAN_ANY_RUN_SECONDS = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class _StoppingPoint:
-    """The point of a request at which a client stops sending; 0 sent body bytes: within the head."""
+    """The point of a request at which a client stops sending."""
 
     name: str
     body_size: int
-    sent_body_bytes: int
+    sent_body_bytes: int  # 0: the client stops within the head
 
 
 STOPPING_POINTS = (
@@ -80,7 +80,7 @@
                 request.mark_sent()
             for request in requests:
                 if await self._exchanges.wait_for_response(request, connection) is None:
-                    _disconnect(requests)
+                    _mark_disconnected(requests)
                     break
         except IncompleteResponseError as error:
             if error.has_head:
@@ -93,8 +93,8 @@
     async def _end_pipelined(self, requests: list[ClientRequest]) -> None:
         """End the open requests of a connection that has ended, or send them again.
 
-        The limiter may have closed the connection before any but the first request reached it. The others are
-        therefore sent again on new connections.
+        The limiter must answer the first request of a new connection. The others are sent again on new
+        connections, because the limiter may have closed the connection before they reached it.
         """
         for request in requests:
             if request.outcome is not RequestOutcome.OPEN:
@@ -104,28 +104,28 @@
             else:
                 await self._exchanges.resend(request)
 
-    async def rest_between_requests(self) -> None:
+    async def idle_between_requests(self) -> None:
         """Send a request, leave the connection idle for a random time, and send a second request on it.
 
         No second request is sent if the limiter ends the connection while it is idle. If the limiter ends it
         before the second request arrives, this request is sent again on a new connection.
         """
-        first = self._factory.make(ClientBehaviour.RESTING)
+        first = self._factory.make(ClientBehaviour.IDLE_BETWEEN_REQUESTS)
         try:
             connection = await self._connections.connect()
         except OSError:
             first.end(RequestOutcome.CONNECTION_REFUSED)
             return
         first.begin_exchange(connection.local_port, on_new_connection=True)
-        response = await self._exchanges.run_once(first, connection)
+        response = await self._exchanges.send_and_wait(first, connection)
         if response is None or not response.keeps_connection:
             connection.abort()
             return
         connection.mark_reused()
-        if await _ends_within(connection, self._random.uniform(MIN_REST_SECONDS, MAX_REST_SECONDS)):
+        if await _ends_within(connection, self._random.uniform(MIN_IDLE_SECONDS, MAX_IDLE_SECONDS)):
             connection.abort()
             return
-        second = self._factory.make(ClientBehaviour.RESTING)
+        second = self._factory.make(ClientBehaviour.IDLE_BETWEEN_REQUESTS)
         await self._exchanges.run(second, connection)
         if second.outcome is RequestOutcome.CONNECTION_CLOSED:
             await self._exchanges.resend(second)
@@ -138,7 +138,7 @@
         sent = head + b"x" * point.sent_body_bytes if point.sent_body_bytes else head[:INCOMPLETE_HEAD_BYTES]
         try:
             connection = await self._connections.connect()
-            write_open(connection.writer, sent)
+            write_data(connection.writer, sent)
             await connection.writer.drain()
         except OSError:
             request.end(RequestOutcome.CONNECTION_REFUSED)
@@ -154,7 +154,7 @@
     async def keep_idle_connection(self) -> None:
         """Keep one idle connection open until cancelled; connect again when the limiter closes it."""
         while True:
-            await asyncio.sleep(self._random.uniform(0.0, MAX_CROWD_CONNECT_DELAY_SECONDS))
+            await asyncio.sleep(self._random.uniform(0.0, MAX_FLOOD_CONNECT_DELAY_SECONDS))
             try:
                 connection = await self._connections.connect()
             except OSError:
@@ -169,7 +169,7 @@
     return next(request for request in requests if request.outcome is RequestOutcome.OPEN)
 
 
-def _disconnect(requests: list[ClientRequest]) -> None:
+def _mark_disconnected(requests: list[ClientRequest]) -> None:
     """End the requests of a client that gives up and closes its connection."""
     for request in requests:
         if request.outcome is RequestOutcome.OPEN:
@@ -189,7 +189,7 @@
 
 
 async def _wait_for_end(connection: Connection) -> float:
-    """Return when the first byte of a response or the close arrives; 0 if neither does in time."""
+    """Return the time of the first byte of a response or of the close; 0 if neither arrives in time."""
     try:
         async with asyncio.timeout(INCOMPLETE_REQUEST_WAIT_SECONDS):
             await connection.reader.read(1)
--- a/soak/client_exchanges.py
+++ b/soak/client_exchanges.py
@@ -14,7 +14,7 @@
 )
 from soak.history import TRUNCATED_RESPONSE_STATUS, ClientBehaviour, ClientRequest, RequestOutcome
 from soak.request_factory import RequestFactory
-from soak.streams import write_end, write_open
+from soak.streams import close_sending_side, write_data
 
 # A client waits for a response until this long after the request's timeout.
 RESPONSE_WAIT_AFTER_TIMEOUT_SECONDS = 2.0
@@ -44,9 +44,9 @@
             request.end(RequestOutcome.CONNECTION_REFUSED)
 
     async def run(self, request: ClientRequest, connection: Connection) -> None:
-        """Run an exchange, then reuse the connection or close it."""
+        """Run an exchange, then return the connection to the pool or close it."""
         request.begin_exchange(connection.local_port, on_new_connection=connection.is_new)
-        response = await self.run_once(request, connection)
+        response = await self.send_and_wait(request, connection)
         if response is None:
             if request.outcome is not RequestOutcome.DISCONNECTED:
                 connection.abort()
@@ -55,13 +55,13 @@
         else:
             connection.close()
 
-    async def run_once(self, request: ClientRequest, connection: Connection) -> Response | None:
+    async def send_and_wait(self, request: ClientRequest, connection: Connection) -> Response | None:
         """Send a request and wait for its response; return None and end the request if there is none."""
         try:
             await self.write(request, connection.writer)
             request.mark_sent()
             if request.behaviour is ClientBehaviour.HALF_CLOSE:
-                write_end(connection.writer)
+                close_sending_side(connection.writer)
             return await self.wait_for_response(request, connection)
         except IncompleteResponseError as error:
             if error.has_head:
@@ -77,12 +77,12 @@
         head = self._factory.format_head(request)
         if request.behaviour is ClientBehaviour.FRAGMENTED_REQUEST:
             for start in range(0, len(head), HEAD_FRAGMENT_BYTES):
-                write_open(writer, head[start : start + HEAD_FRAGMENT_BYTES])
+                write_data(writer, head[start : start + HEAD_FRAGMENT_BYTES])
                 await asyncio.sleep(HEAD_FRAGMENT_GAP_SECONDS)
         else:
-            write_open(writer, head)
+            write_data(writer, head)
         for start in range(0, request.body_size, BODY_CHUNK_BYTES):
-            write_open(writer, b"x" * min(BODY_CHUNK_BYTES, request.body_size - start))
+            write_data(writer, b"x" * min(BODY_CHUNK_BYTES, request.body_size - start))
             await writer.drain()
             if request.body_size > BODY_CHUNK_BYTES:
                 await asyncio.sleep(UPLOAD_GAP_SECONDS)
--- a/soak/client_faults.py
+++ b/soak/client_faults.py
@@ -11,7 +11,8 @@
 from soak.scenario import Fault
 
 BURST_FACTOR = 4
-CROWD_CONNECTIONS = 300  # more than half of a limiter's ``MAX_SOCKETS``, its limit on client connections
+# More than a limiter's limit on client connections, which is less than half of its ``MAX_SOCKETS``.
+FLOOD_CONNECTIONS = 300
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,14 +31,14 @@
     FaultKind.LONG_UPLOADS: _FaultyBehaviour(ClientBehaviour.LONG_UPLOAD, 0.2),
     FaultKind.IMMEDIATE_RETRIES: _FaultyBehaviour(ClientBehaviour.IMMEDIATE_RETRIES, 1.0),
     FaultKind.FRAGMENTED_REQUESTS: _FaultyBehaviour(ClientBehaviour.FRAGMENTED_REQUEST, 0.5),
-    FaultKind.RESTING_CLIENTS: _FaultyBehaviour(ClientBehaviour.RESTING, 0.25),
+    FaultKind.IDLE_BETWEEN_REQUESTS: _FaultyBehaviour(ClientBehaviour.IDLE_BETWEEN_REQUESTS, 0.25),
 }
 
 
 class ClientFaults:
-    """Faulty behaviour, traffic bursts and crowds of the clients of one limiter."""
+    """Faulty behaviour, traffic bursts and connection floods of the clients of one limiter."""
 
-    KINDS = frozenset({*FAULTY_BEHAVIOURS, FaultKind.TRAFFIC_BURST, FaultKind.CROWD})
+    KINDS = frozenset({*FAULTY_BEHAVIOURS, FaultKind.TRAFFIC_BURST, FaultKind.CONNECTION_FLOOD})
 
     async def inject(self, clients: LimiterClients, fault: Fault) -> None:
         """Inject a fault into the clients of one limiter, and undo it after its duration."""
@@ -46,8 +47,8 @@
             await asyncio.sleep(fault.duration)
             clients.scale_rate(1 / BURST_FACTOR)
             return
-        if fault.kind is FaultKind.CROWD:
-            await clients.crowd(CROWD_CONNECTIONS, fault.duration)
+        if fault.kind is FaultKind.CONNECTION_FLOOD:
+            await clients.keep_idle_connections(FLOOD_CONNECTIONS, fault.duration)
             return
         faulty = FAULTY_BEHAVIOURS[fault.kind]
         clients.start_behaviour(faulty.behaviour, faulty.fraction)
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: they send the traffic to one limiter, plain or with a faulty behaviour."""
+"""The clients of one limiter: they send its traffic, with normal or faulty behaviour."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
 class LimiterClients:
     """All clients of one limiter.
 
-    A behaviour is drawn for each request, with the fractions given to ``start_behaviour``; the other requests
-    are plain. While new connections are blocked, requests use idle connections only.
+    The behaviour of each request is drawn: ``start_behaviour`` sets the fraction of the requests that have a
+    faulty behaviour; the others are sent normally. While new connections are blocked, requests use idle
+    connections only.
     """
 
     def __init__(
@@ -66,12 +67,12 @@
         """Open new connections again."""
         self._may_connect = True
 
-    async def crowd(self, count: int, seconds: float) -> None:
+    async def keep_idle_connections(self, count: int, seconds: float) -> None:
         """Keep ``count`` idle connections open for ``seconds``."""
-        members = [self._start_task(self._behaviours.keep_idle_connection()) for _ in range(count)]
+        tasks = [self._start_task(self._behaviours.keep_idle_connection()) for _ in range(count)]
         await asyncio.sleep(seconds)
-        for member in members:
-            member.cancel()
+        for task in tasks:
+            task.cancel()
 
     async def run(self) -> None:
         """Send requests until cancelled."""
@@ -94,15 +95,15 @@
             draw -= fraction
             if draw < 0:
                 return behaviour
-        return ClientBehaviour.PLAIN
+        return ClientBehaviour.NORMAL
 
     def _start_request(self, behaviour: ClientBehaviour) -> None:
         if behaviour is ClientBehaviour.INCOMPLETE_REQUEST:
             sending = self._behaviours.send_incomplete_request()
         elif behaviour is ClientBehaviour.PIPELINING:
             sending = self._behaviours.send_pipelined_requests()
-        elif behaviour is ClientBehaviour.RESTING:
-            sending = self._behaviours.rest_between_requests()
+        elif behaviour is ClientBehaviour.IDLE_BETWEEN_REQUESTS:
+            sending = self._behaviours.idle_between_requests()
         else:
             sending = self._send_request(behaviour, MAX_RETRIES)
         self._start_task(sending)
--- a/soak/endpoint_checks.py
+++ b/soak/endpoint_checks.py
@@ -26,13 +26,15 @@
 )
 from soak.violations import Invariant, Violation
 
-# A suspension that the limiter accepts is in force at the latest this long after SUSPEND was sent.
+# If a limiter accepts a suspension, it must be in force within this time after SUSPEND was sent.
 SUSPENSION_TIMEOUT_SECONDS = 1.0
-# An overload is a violation if notified limiters sent more than this fraction of its requests.
+# An overload is a violation only if more than this fraction of its requests came from limiters that must have
+# been notified of the restart.
 NOTIFIED_FRACTION = 2 / 3
-# During a stall of the soak test its endpoints read nothing; afterwards they read many requests at once.
+# During a stall of the soak test its endpoints read nothing, and after it they read many requests at once. An
+# overload is therefore excused if stalls of this total length happened shortly before or during it.
 MIN_STALL_SECONDS = 0.05
-# If fewer requests are expected, the statistical tolerance is wider.
+# If fewer requests are expected, the tolerance is three standard deviations instead of two.
 SMALL_SAMPLE_REQUESTS = 30
 
 
@@ -151,7 +153,7 @@
 
 
 def _estimate_capacity(history: History, attempts_by_endpoint: dict[str, list[Attempt]]) -> float:
-    """Return the mean rate of an endpoint, in requests a second, as a rate that a warm endpoint can serve."""
+    """Return the mean rate of an endpoint's requests, in requests a second; a warm endpoint can serve it."""
     times = [attempt.complete_at for attempts in attempts_by_endpoint.values() for attempt in attempts]
     seconds = max(1.0, max(times, default=1.0) - history.started_at)
     return len(times) / seconds / max(1, len(attempts_by_endpoint))
--- a/soak/endpoint_faults.py
+++ b/soak/endpoint_faults.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from soak.endpoints import Behaviour, SoakEndpoint
+from soak.endpoints import EndpointBehaviour, SoakEndpoint
 from soak.environment import Environment
 from soak.fault_kinds import FaultKind
 from soak.history import NetworkFault
@@ -21,14 +21,14 @@
 RESETS_PER_FAULT = 5
 
 BEHAVIOURS = {
-    FaultKind.HANG: Behaviour(hangs=True),
-    FaultKind.ERROR_RESPONSES: Behaviour(error_fraction=0.5),
-    FaultKind.REJECTIONS: Behaviour(rejection_fraction=0.5),
-    FaultKind.FRAGMENTED_RESPONSES: Behaviour(fragmented_fraction=0.7, long_response_fraction=0.1),
-    FaultKind.CONNECTION_RESETS: Behaviour(reset_fraction=0.5),
-    FaultKind.INCOMPLETE_RESPONSES: Behaviour(incomplete_fraction=0.3),
-    FaultKind.RESPONSES_WITHOUT_LENGTH: Behaviour(without_length_fraction=0.7),
-    FaultKind.SLOW_RESPONSES: Behaviour(service_time_factor=5.0),
+    FaultKind.HANG: EndpointBehaviour(hangs=True),
+    FaultKind.ERROR_RESPONSES: EndpointBehaviour(error_fraction=0.5),
+    FaultKind.REJECTIONS: EndpointBehaviour(rejection_fraction=0.5),
+    FaultKind.FRAGMENTED_RESPONSES: EndpointBehaviour(fragmented_fraction=0.7, long_response_fraction=0.1),
+    FaultKind.CONNECTION_RESETS: EndpointBehaviour(reset_fraction=0.5),
+    FaultKind.INCOMPLETE_RESPONSES: EndpointBehaviour(incomplete_fraction=0.3),
+    FaultKind.RESPONSES_WITHOUT_LENGTH: EndpointBehaviour(without_length_fraction=0.7),
+    FaultKind.SLOW_RESPONSES: EndpointBehaviour(service_time_factor=5.0),
 }
 
 
@@ -74,7 +74,7 @@
 
 
 class EndpointNetworkFaults:
-    """Faults of the network of an endpoint. ``clear_faults`` at the end of one also ends overlapping ones."""
+    """Faults of the network of an endpoint. The end of a fault also ends those that overlap it there."""
 
     KINDS = frozenset(
         {
--- a/soak/endpoints.py
+++ b/soak/endpoints.py
@@ -11,7 +11,7 @@
 
 from soak.history import Attempt, EndpointHealth, History
 from soak.proxy import LOOPBACK, Address, Proxy
-from soak.streams import write_end, write_open
+from soak.streams import close_sending_side, write_data
 
 MIN_SERVICE_SECONDS = 0.004
 MAX_SERVICE_SECONDS = 0.03
@@ -20,7 +20,7 @@
 MIN_FRAGMENT_BYTES = 20
 FRAGMENT_GAP_SECONDS = 0.01
 LONG_RESPONSE_BYTES = 200_000
-MISSING_BYTES = 1000  # Content-Length of an incomplete response less the bytes sent
+MISSING_BYTES = 1000  # Content-Length of an incomplete response minus the size of its body
 LONGER_THAN_ANY_RUN_SECONDS = 3600.0
 HEALTH_CHECK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -28,17 +28,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Behaviour:
+class EndpointBehaviour:
     """The faulty behaviour of an endpoint; the fractions are fractions of its requests."""
 
     hangs: bool = False  # True: the endpoint accepts requests and sends no response
     error_fraction: float = 0.0
     rejection_fraction: float = 0.0
     fragmented_fraction: float = 0.0
-    reset_fraction: float = 0.0  # the connection ends while the request is executed
+    reset_fraction: float = 0.0  # the endpoint closes the connection while it executes the request
     long_response_fraction: float = 0.0
     incomplete_fraction: float = 0.0  # the response is shorter than its Content-Length
-    without_length_fraction: float = 0.0  # the response ends with the connection
+    without_length_fraction: float = 0.0  # the close of the connection marks the end of the response
     service_time_factor: float = 1.0
 
 
@@ -53,7 +53,7 @@
         self.started_at_ms = 0  # Unix time; 0: unknown, a long time before the run
         self.health = EndpointHealth.READY
         self.proxy: Proxy
-        self._behaviour = Behaviour()
+        self._behaviour = EndpointBehaviour()
         self._history = history
         self._random = random
         self._connection_numbers = count(1)
@@ -69,7 +69,7 @@
     def restart(self, start_time_offset: float = 0.0) -> None:
         """Reset all connections and warm up as a new incarnation.
 
-        The offset (seconds) is added to the start time that the endpoint reports.
+        ``start_time_offset`` seconds are added to the start time that the endpoint reports.
         """
         self.proxy.reset_all()
         self.incarnation += 1
@@ -84,13 +84,13 @@
         """Accept all requests again."""
         self.health = EndpointHealth.READY
 
-    def start_fault(self, behaviour: Behaviour) -> None:
-        """Replace the current behaviour by a faulty one."""
+    def start_fault(self, behaviour: EndpointBehaviour) -> None:
+        """Behave as given, instead of the current behaviour."""
         self._behaviour = behaviour
 
     def end_fault(self) -> None:
         """Return to normal behaviour."""
-        self._behaviour = Behaviour()
+        self._behaviour = EndpointBehaviour()
 
     def close(self) -> None:
         """Close the listening socket and all connections."""
@@ -124,7 +124,7 @@
         headers = _parse_headers(head)
         body_size = await _skip_body(reader, headers)
         if "x-request-id" not in headers:
-            write_open(writer, HEALTH_CHECK_RESPONSE)
+            write_data(writer, HEALTH_CHECK_RESPONSE)
             return True
         attempt = Attempt(
             request_id=headers["x-request-id"].lower(),
@@ -148,7 +148,7 @@
         behaviour = self._behaviour
         if self._rejects(behaviour):
             attempt.reject()
-            write_open(writer, REJECTION)
+            write_data(writer, REJECTION)
             return True
         service_time = self._random.uniform(MIN_SERVICE_SECONDS, MAX_SERVICE_SECONDS)
         if behaviour.hangs:
@@ -156,7 +156,7 @@
         if await _closes_within(reader, service_time * behaviour.service_time_factor):
             return False
         if self._draw(behaviour.error_fraction):
-            write_open(writer, ERROR_RESPONSE)
+            write_data(writer, ERROR_RESPONSE)
             return True
         if self._draw(behaviour.reset_fraction):
             return False
@@ -169,7 +169,7 @@
     def _draw(self, fraction: float) -> bool:
         return self._random.random() < fraction
 
-    def _rejects(self, behaviour: Behaviour) -> bool:
+    def _rejects(self, behaviour: EndpointBehaviour) -> bool:
         if self.health is not EndpointHealth.READY and self._draw(DRAINING_REJECTION_FRACTION):
             return True
         return self._draw(behaviour.rejection_fraction)
@@ -179,16 +179,16 @@
     ) -> bool:
         behaviour = self._behaviour
         if self._draw(behaviour.without_length_fraction):
-            write_open(writer, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body)
+            write_data(writer, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body)
             await writer.drain()
-            write_end(writer)
+            close_sending_side(writer)
             return False
         missing = MISSING_BYTES if self._draw(behaviour.incomplete_fraction) else 0
         response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body) + missing, body)
         if self._draw(behaviour.fragmented_fraction):
             await _write_fragments(writer, response)
         else:
-            write_open(writer, response)
+            write_data(writer, response)
         if missing:
             return not await _closes_within(reader, LONGER_THAN_ANY_RUN_SECONDS)
         await writer.drain()
@@ -198,7 +198,7 @@
 async def _write_fragments(writer: asyncio.StreamWriter, response: bytes) -> None:
     size = max(MIN_FRAGMENT_BYTES, len(response) // FRAGMENTS_PER_RESPONSE)
     for start in range(0, len(response), size):
-        write_open(writer, response[start : start + size])
+        write_data(writer, response[start : start + size])
         await asyncio.sleep(FRAGMENT_GAP_SECONDS)
 
 
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -89,7 +89,7 @@
             self.history,
             discovery=Proxy(self.discovery_address),
             counter=Proxy(self._counter_address),
-            accept_queue_held=self._scenario.accept_queue_held[index],
+            listener_kept_open=self._scenario.listener_kept_open[index],
         )
         self.limiters.append(limiter)
         await limiter.discovery.open()
--- a/soak/excuses.py
+++ b/soak/excuses.py
@@ -6,9 +6,9 @@
 
 
 class Excuse(StrEnum):
-    """The reasons, with the rule of the specification or the fault of the run that justifies them."""
+    """The reasons. A comment states the rule that justifies one, with the page of the specification."""
 
-    # The connections of a process are reset when it dies (PROTOCOL).
+    # The connections of a process are reset when SIGKILL ends it (PROTOCOL).
     KILLED = "its process was killed"
     # A request that arrived more than 0.7 s after SIGTERM may be unanswered at SIGKILL (PROTOCOL).
     KILLED_IN_SHUTDOWN = "arrived late in a shutdown, killed"
--- a/soak/fault_control.py
+++ b/soak/fault_control.py
@@ -1,4 +1,4 @@
-"""Builds the fault library that limiters preload, and switches its faults through a mapped control block."""
+"""Builds the fault library that limiters preload, and controls its faults through a mapped file."""
 
 from __future__ import annotations
 
@@ -58,12 +58,12 @@
 
 
 class StallPoint(IntEnum):
-    """The call before or after which a process stalls."""
+    """The point at which a process stalls, before or after a call."""
 
-    BEFORE_READ = 1  # of a socket that epoll has reported as readable
-    AFTER_READ = 2  # of a socket, if it returned data
-    BEFORE_WRITE = 3  # to a socket
-    BEFORE_CLOCK_READ = 4  # after a socket read that returned data
+    BEFORE_READ = 1  # before a read of a socket that epoll has reported as readable
+    AFTER_READ = 2  # after a socket read that returned data
+    BEFORE_WRITE = 3  # before a write to a socket
+    BEFORE_CLOCK_READ = 4  # before a clock read that follows a socket read with data
 
 
 def build_library(directory: Path) -> Path:
@@ -106,18 +106,19 @@
         self._set(MAX_TRANSFER_POSITION, max_bytes)
 
     def step_clock(self, seconds: float) -> None:
-        """Make the wall clock wrong by ``seconds``; a previous offset is replaced."""
+        """Set the error of the wall clock to ``seconds``."""
         INT64.pack_into(self._block, CLOCK_OFFSET_POSITION, int(seconds * NANOSECONDS_PER_SECOND))
 
     def fail_directory_calls(self, error: int, calls: DirectoryCalls) -> None:
-        """Make only these calls on the shared directory fail, with the error number ``error``."""
+        """Make these calls on the shared directory fail with the error number ``error``, and no others."""
         self._set(DIRECTORY_ERRNO_POSITION, error or errno.EIO)
         self._set(DIRECTORY_CALLS_POSITION, calls)
 
     def stall_process(self, point: StallPoint, seconds: float, count: int = 1, clock_reads: int = 0) -> None:
         """Stall the process for ``seconds`` at each of its next ``count`` calls that reach ``point``.
 
-        At ``BEFORE_CLOCK_READ``, ``clock_reads`` clock reads after a socket read with data precede the stall.
+        At ``BEFORE_CLOCK_READ``, the first ``clock_reads`` clock reads after a socket read with data do not
+        stall.
         """
         self._set(CLOCK_READS_POSITION, clock_reads)
         self._set(STALL_POINT_POSITION, point)
--- a/soak/fault_injector.py
+++ b/soak/fault_injector.py
@@ -14,8 +14,8 @@
 from soak.service_faults import ServiceFaults
 from soak.system_faults import SystemFaults
 
-# Crowds at more limiters would delay the runner's own process, in which the endpoints run.
-MAX_CROWDED_LIMITERS = 3
+# Connection floods of more limiters would delay the runner's own process, in which the endpoints run.
+MAX_FLOODED_LIMITERS = 3
 
 
 class FaultInjector:
@@ -38,8 +38,8 @@
         endpoints = [self._environment.endpoints[index] for index in fault.endpoints]
         if fault.kind in ClientFaults.KINDS:
             limiter_indices = fault.limiters
-            if fault.kind is FaultKind.CROWD:
-                limiter_indices = fault.limiters[:MAX_CROWDED_LIMITERS]
+            if fault.kind is FaultKind.CONNECTION_FLOOD:
+                limiter_indices = fault.limiters[:MAX_FLOODED_LIMITERS]
             await asyncio.gather(*(self._inject_at_clients(index, fault) for index in limiter_indices))
         elif fault.kind in EndpointFaults.KINDS:
             await asyncio.gather(*(self._endpoints.inject(endpoint, fault) for endpoint in endpoints))
--- a/soak/fault_kinds.py
+++ b/soak/fault_kinds.py
@@ -7,7 +7,7 @@
 
 
 class FaultFamily(Enum):
-    """The part of the system that fails. The faults of one group are of different families.
+    """The part of the system that fails. Faults that overlap in one group are of different families.
 
     Scenarios draw families by position: reordering the members would change the scenario of every seed.
     """
@@ -27,7 +27,7 @@
 
 
 class FaultKind(StrEnum):
-    """The fault kinds; ``FAULT_SPECS`` describes their effects."""
+    """The fault kinds; ``FAULT_SPECS`` describes their effects. Printed scenarios contain the values."""
 
     KILL = "kill"
     RELOAD = "reload"
@@ -90,8 +90,8 @@
     FRAGMENTED_REQUESTS = "fragmented_requests"
     INCOMPLETE_REQUESTS = "incomplete_requests"
     LONG_UPLOADS = "long_uploads"
-    RESTING_CLIENTS = "resting_clients"
-    CROWD = "crowd"
+    IDLE_BETWEEN_REQUESTS = "resting_clients"
+    CONNECTION_FLOOD = "crowd"
 
 
 # Scenario versions.
@@ -232,10 +232,10 @@
         FaultFamily.CLIENT,
         FaultTarget.LIMITERS,
         {
-            FaultKind.RESTING_CLIENTS: (
+            FaultKind.IDLE_BETWEEN_REQUESTS: (
                 "one client in four keeps a connection idle, and sends again later if it has not been closed"
             ),
-            FaultKind.CROWD: "more idle clients connect than the limiter has descriptors for",
+            FaultKind.CONNECTION_FLOOD: "more idle clients connect than the limiter has descriptors for",
         },
         since_version=2,
     ),
--- a/soak/history.py
+++ b/soak/history.py
@@ -19,13 +19,13 @@
 
 TRUNCATED_RESPONSE_STATUS = -1
 ALL_LIMITERS = -1
-DELAY_WINDOW_SECONDS = 0.5
+DELAY_WINDOW_SECONDS = 0.5  # a delay of the runner affects times up to this long before and after it
 
 
 class ClientBehaviour(StrEnum):
     """How a client sends its request and waits for the response."""
 
-    PLAIN = "plain"
+    NORMAL = "plain"
     HALF_CLOSE = "half_close"
     DISCONNECT = "disconnect"
     PIPELINING = "pipelining"
@@ -33,13 +33,13 @@
     FRAGMENTED_REQUEST = "fragmented_request"
     INCOMPLETE_REQUEST = "incomplete_request"
     LONG_UPLOAD = "long_upload"
-    RESTING = "resting"
+    IDLE_BETWEEN_REQUESTS = "resting"
 
 
 class RequestOutcome(StrEnum):
     """How a request ended for its client."""
 
-    OPEN = "open"  # not ended yet; at the end of a run this is a fault of the soak test
+    OPEN = "open"  # not ended yet; after a run this is an error in the soak test
     RESPONSE_RECEIVED = "response received"
     CONNECTION_CLOSED = "connection closed without a response"
     TIMED_OUT = "no response"
@@ -59,11 +59,12 @@
     """States of a limiter that explain delays; the runner causes and records them."""
 
     STOPPED = "stopped"  # by SIGSTOP
-    UNAVAILABLE = "unavailable"  # from the end of its last process until the next one is ready
+    UNAVAILABLE = "unavailable"  # from the signal that ends its last process until the next one is ready
     TERMINATING = "terminating"  # from SIGTERM to the exit
-    STARTING = "starting"
-    CHANGING_DISCOVERY = "changing discovery"
-    RUNNER_LATE = "runner late"  # no state of the limiter: the runner itself was delayed
+    STARTING = "starting"  # from the start of a process until it is ready
+    # From SIGHUP with a new discovery address until the new configuration has to be in force.
+    CHANGING_DISCOVERY_ADDRESS = "changing discovery"
+    RUNNER_LATE = "runner late"  # the runner itself was delayed; this is not a state of a limiter
 
 
 SpanKind = FaultKind | LimiterState
@@ -84,11 +85,11 @@
     timeout: float  # seconds
     behaviour: ClientBehaviour
     body_size: int = 0  # bytes
-    sent_at: float = 0.0  # time of the last byte; 0: not sent completely
+    sent_at: float = 0.0  # time at which the last byte was sent; 0: not sent completely
     on_new_connection: bool = False
-    resent: bool = False  # True: sent again on a new connection, because the limiter closed an idle one
+    resent: bool = False  # True: sent again on a new connection, because the limiter had closed the idle one
     resent_at: float = 0.0
-    client_port: int = 0  # the client's port of the last connection that carried the request
+    client_port: int = 0  # the client's port on the last connection that carried the request
     outcome: RequestOutcome = RequestOutcome.OPEN
     status: int = 0
     body: bytes = b""
@@ -209,12 +210,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequest:
-    """A request whose client stopped sending within it and stayed connected."""
+    """A request that its client left incomplete while it kept the connection open."""
 
     limiter: int
     stopped_in: str  # name of the stopping point
     stopped_at: float
-    ended_at: float  # time of the error response or the close; 0: neither
+    ended_at: float  # time of the error response or the close; 0: neither arrived
 
 
 @dataclass(frozen=True, slots=True)
@@ -269,16 +270,16 @@
     incomplete_requests: list[IncompleteRequest] = field(default_factory=list)
     replies: list[CommandReply] = field(default_factory=list)
     processes: list[ProcessLifetime] = field(default_factory=list)
-    # Limiters whose listening socket stays open while no process runs.
-    held_accept_queues: set[int] = field(default_factory=set)
-    # Client ports of the connections on which a read failed, by limiter.
+    # The limiters whose listening socket the runner keeps open while none of their processes runs.
+    limiters_with_listener_kept_open: set[int] = field(default_factory=set)
+    # The client ports of the connections on which a limiter's read failed, by limiter.
     failed_reads: dict[int, set[int]] = field(default_factory=lambda: defaultdict(set))
     excuses: Counter[Excuse] = field(default_factory=Counter)
     exits: list[ProcessExit] = field(default_factory=list)
-    # Metrics by limiter, without the limiters that were restarted.
+    # Metrics by limiter, only of the limiters that ran as a single process.
     metrics: dict[int, dict[str, int]] = field(default_factory=dict)
     runner_delays: list[RunnerDelay] = field(default_factory=list)
-    runner_errors: list[str] = field(default_factory=list)  # faults of the soak test itself
+    runner_errors: list[str] = field(default_factory=list)  # errors in the soak test itself
     runner_events: list[RunnerEvent] = field(default_factory=list)
     started_at: float = field(default_factory=time.monotonic)
 
@@ -292,7 +293,7 @@
         self.runner_events.append(RunnerEvent(time.monotonic(), text))
 
     def record_runner_error(self, context: str, error: BaseException | None) -> None:
-        """Record an unexpected error in the soak test itself; the command exits with ``SOAK_FAILURE``."""
+        """Record an unexpected error in the soak test itself; the command will exit with ``SOAK_FAILURE``."""
         trace = "".join(traceback.format_exception(error)) if error is not None else ""
         self.runner_errors.append(f"{context}\n{trace}".strip())
 
--- a/soak/http_bodies.py
+++ b/soak/http_bodies.py
@@ -1,4 +1,4 @@
-"""Reads HTTP/1.1 message bodies in each framing."""
+"""Reads HTTP/1.1 message bodies: with a Content-Length, chunked, or ended by the close of the connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
-    """Return a body in the framing that the headers announce; trailers are not supported.
+    """Read a body in the framing that the headers announce and return it; trailers are not supported.
 
     Raises ValueError if a chunk is malformed.
     """
--- a/soak/limiter.py
+++ b/soak/limiter.py
@@ -48,9 +48,9 @@
         *,
         discovery: Proxy,
         counter: Proxy,
-        accept_queue_held: bool,
+        listener_kept_open: bool,
     ) -> None:
-        """With ``accept_queue_held`` the runner holds the listening socket open, and processes inherit it."""
+        """With ``listener_kept_open``, the runner owns the listening socket and the processes inherit it."""
         self.index = index
         self.process_lock = asyncio.Lock()
         self.control = FaultControl(directory / "control")
@@ -64,10 +64,10 @@
         self._library = library
         self._started_processes = 0
         self._exit_monitors = set[asyncio.Task[None]]()
-        self._listening_socket = _create_inheritable_listener() if accept_queue_held else None
+        self._listening_socket = _create_inheritable_listener() if listener_kept_open else None
         self.port = _port_of(self._listening_socket) if self._listening_socket else free_port()
-        if accept_queue_held:
-            history.held_accept_queues.add(index)
+        if listener_kept_open:
+            history.limiters_with_listener_kept_open.add(index)
 
     @property
     def current_process(self) -> LimiterProcess | None:
@@ -75,7 +75,7 @@
         return self._processes[-1] if self._processes else None
 
     @property
-    def was_restarted(self) -> bool:
+    def started_several_processes(self) -> bool:
         """Whether more than one process of this limiter has been started."""
         return self._started_processes > 1
 
--- a/soak/limiter_process.py
+++ b/soak/limiter_process.py
@@ -10,7 +10,7 @@
 
 from soak.process_lifetime import ProcessLifetime
 from soak.proxy import LOOPBACK
-from soak.streams import write_open
+from soak.streams import write_data
 
 COMMAND_TIMEOUT_SECONDS = 3.0
 
@@ -59,7 +59,7 @@
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(LOOPBACK, self.admin_port)
-                write_open(writer, command.encode() + b"\n")
+                write_data(writer, command.encode() + b"\n")
                 reply = await reader.read()
                 writer.close()
         except (OSError, TimeoutError):
--- a/soak/process_checks.py
+++ b/soak/process_checks.py
@@ -33,7 +33,7 @@
 def find_late_replies(history: History) -> Iterator[Violation]:
     """Find admin commands with a late reply or without a reply.
 
-    The time in which the limiter was stopped does not count.
+    The time in which the limiter was stopped is subtracted from the waiting time.
     """
     for reply in history.replies:
         start, end = reply.sent_at, reply.received_at
@@ -50,9 +50,9 @@
 def find_crashes(history: History) -> Iterator[Violation]:
     """Find processes that exited unexpectedly or with an error code, or logged an internal error."""
     for ended in history.exits:
-        # SIGTERM may end a process that is not ready: it has no handler for the signal yet.
-        is_early = ended.code == -signal.SIGTERM and not ended.was_ready
-        if not ended.expected or (ended.code not in EXPECTED_EXIT_CODES and not is_early):
+        # SIGTERM may end a process that is not ready, because it has no handler for the signal yet.
+        ended_during_start = ended.code == -signal.SIGTERM and not ended.was_ready
+        if not ended.expected or (ended.code not in EXPECTED_EXIT_CODES and not ended_during_start):
             text = f"process exited with code {ended.code}; log ends with: {ended.log[-LOG_TAIL_CHARACTERS:]}"
             yield Violation(Invariant.CLEAN_EXIT, ended.at, text, limiter=ended.limiter)
         for marker in ERROR_MARKERS:
--- a/soak/process_faults.py
+++ b/soak/process_faults.py
@@ -20,23 +20,27 @@
 
 OLD_DISCOVERY_SECONDS = 1.5  # from SIGHUP until the connections to the old discovery address are reset
 RELOAD_SECONDS = 4.0  # from SIGHUP until the new configuration has to be in force
-CONNECT_BLOCK_DELAY_SECONDS = 0.3  # from the signal that ends the last process
+# From the signal that ends the last process until its clients stop opening new connections.
+CONNECT_BLOCK_DELAY_SECONDS = 0.3
 KILL_DOWNTIME_FRACTION = 0.5  # part of the fault's duration in which no process runs
 MAX_STOP_BEFORE_RESTART_SECONDS = 0.15
 MIN_RELOAD_GAP_SECONDS = 0.2
 RELOADS_IN_SERIES = 4
 MAX_RELOAD_SERIES_GAP_SECONDS = 0.2
 MAX_SIGNAL_GAP_SECONDS = 0.7  # three gaps fit into a shutdown, which lasts at most 2.7 s
-# From the start of a process to SIGTERM: an earlier SIGTERM kills the interpreter while it still starts.
+# The least time from the start of a process to SIGTERM. An earlier SIGTERM would end the interpreter while it
+# still starts.
 MIN_ABORTED_START_SECONDS = 0.2
-ABORTED_START_RANGE_SECONDS = 0.6
+ABORTED_START_RANGE_SECONDS = 0.6  # a random part of it is added to the least time
 MAX_UPGRADE_OVERLAP_SECONDS = 0.5
 MAX_TERMINATION_GAP_SECONDS = 0.4
 SIGCONT_TO_SIGTERM_SECONDS = 0.2
-FULL_DIRECTORY_FRACTION = 0.5  # of the suspensions that are followed by an upgrade
+# The shared directory is full during this fraction of the suspensions that an upgrade follows.
+FULL_DIRECTORY_FRACTION = 0.5
 SUSPENSION_EXTRA_SECONDS = 1.0  # a suspension lasts for the fault's duration and this time
 UPGRADE_AFTER_SUSPENSION_SECONDS = 0.3
-SUSPENSION_EXTRA_SECONDS_WITH_UPGRADE = 2.0  # as SUSPENSION_EXTRA_SECONDS, counted from the upgrade
+# With an upgrade, the suspension ends this long after the upgrade and the fault's duration.
+SUSPENSION_EXTRA_SECONDS_WITH_UPGRADE = 2.0
 
 
 class ProcessFaults:
@@ -61,14 +65,20 @@
 
     @contextmanager
     def _record_unavailability(self, limiter: Limiter) -> Iterator[None]:
-        """Record the limiter as unavailable while the body ends its processes and starts the next one."""
+        """Record the limiter as unavailable while the body ends its processes and starts the next one.
+
+        After the body, its clients may open new connections again.
+        """
         with self._history.span(LimiterState.UNAVAILABLE, limiter.index):
             yield
         self._environment.clients[limiter.index].allow_connects()
 
     @contextmanager
     def _blocked_connects(self, limiter: Limiter) -> Iterator[None]:
-        """Block new client connections from shortly after the body begins to end the last process."""
+        """Block new client connections shortly after the body starts to end the last process.
+
+        They stay blocked until ``_record_unavailability`` allows them again.
+        """
         clients = self._environment.clients[limiter.index]
         loop = asyncio.get_running_loop()
         timer = loop.call_later(CONNECT_BLOCK_DELAY_SECONDS, clients.block_connects)
@@ -128,7 +138,12 @@
         await asyncio.sleep(OLD_DISCOVERY_SECONDS)
         old.close()
         self._history.spans.append(
-            Span(LimiterState.CHANGING_DISCOVERY, limiter.index, reloaded_at, reloaded_at + RELOAD_SECONDS)
+            Span(
+                LimiterState.CHANGING_DISCOVERY_ADDRESS,
+                limiter.index,
+                reloaded_at,
+                reloaded_at + RELOAD_SECONDS,
+            )
         )
 
     async def _reload_twice(self, limiter: Limiter, fault: Fault) -> None:
--- a/soak/process_lifetime.py
+++ b/soak/process_lifetime.py
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True, eq=False)
 class ProcessLifetime:
-    """The times at which the events of one process happened; 0 for an event that has not happened."""
+    """The times of the events of one process; 0 for an event that has not happened."""
 
     limiter: int
     started_at: float
     ready_at: float = 0.0
-    terminated_at: float = 0.0  # the first SIGTERM
-    killed_at: float = 0.0  # the last SIGKILL
+    sigterm_at: float = 0.0  # time of the first SIGTERM
+    sigkill_at: float = 0.0  # time of the last SIGKILL
     exited_at: float = 0.0
 
     def record_ready(self) -> None:
@@ -29,11 +29,11 @@
 
     def record_sigterm(self) -> None:
         """Record that SIGTERM is sent; only the first one counts."""
-        self.terminated_at = self.terminated_at or time.monotonic()
+        self.sigterm_at = self.sigterm_at or time.monotonic()
 
     def record_sigkill(self) -> None:
         """Record that SIGKILL is sent."""
-        self.killed_at = time.monotonic()
+        self.sigkill_at = time.monotonic()
 
     def record_exit(self) -> None:
         """Record that the process has exited."""
@@ -41,17 +41,17 @@
 
     def accepts_until(self) -> float:
         """Return the time until which the process has to accept new connections."""
-        ends = [self.killed_at, self.exited_at]
-        if self.terminated_at:
-            ends.append(self.terminated_at + ACCEPT_SECONDS_AFTER_SIGTERM)
+        ends = [self.sigkill_at, self.exited_at]
+        if self.sigterm_at:
+            ends.append(self.sigterm_at + ACCEPT_SECONDS_AFTER_SIGTERM)
         return min((end for end in ends if end), default=float("inf"))
 
     def was_killed_around(self, at: float, tolerance: float) -> bool:
         """Whether SIGKILL to this process may have ended a connection that ended at ``at``."""
-        if not self.killed_at:
+        if not self.sigkill_at:
             return False
-        gone_at = self.exited_at or self.killed_at
-        return self.killed_at - tolerance <= at <= gone_at + END_OF_CONNECTION_SECONDS + tolerance
+        gone_at = self.exited_at or self.sigkill_at
+        return self.sigkill_at - tolerance <= at <= gone_at + END_OF_CONNECTION_SECONDS + tolerance
 
 
 def seconds_without_accepting_process(
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -6,7 +6,7 @@
 import contextlib
 from typing import NamedTuple
 
-from soak.streams import write_open
+from soak.streams import write_data
 
 READ_BYTES = 65536
 BLACKHOLE_POLL_SECONDS = 0.02
@@ -146,7 +146,7 @@
             await self._apply_delay_and_blackhole()
             limit = self._max_response_bytes
             if limit and forwarded + len(data) > limit:
-                write_open(writer, data[: max(0, limit - forwarded)])
+                write_data(writer, data[: max(0, limit - forwarded)])
                 await writer.drain()
                 writer.transport.abort()  # a FIN would look like the end of a response without a length
                 return
@@ -162,9 +162,9 @@
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         size = self._fragment_bytes
         if not size:
-            write_open(writer, data)
+            write_data(writer, data)
         else:
             for start in range(0, len(data), size):
-                write_open(writer, data[start : start + size])
+                write_data(writer, data[start : start + size])
                 await asyncio.sleep(FRAGMENT_GAP_SECONDS)
         await writer.drain()
--- a/soak/request_checks.py
+++ b/soak/request_checks.py
@@ -37,12 +37,15 @@
 
 # A response may arrive up to this long after the client's timeout.
 RESPONSE_GRACE_SECONDS = 0.5
-# Requests that arrive within this time after SIGTERM must be answered before SIGKILL.
-KILL_GRACE_SECONDS = 0.7
-LONG_RESPONSE_BYTES = 64 * 1024
+# A request that arrives within this time after SIGTERM must be answered before SIGKILL.
+ANSWERED_AFTER_SIGTERM_SECONDS = 0.7
+# The response time is not checked if the response's body is longer.
+LONG_BODY_BYTES = 64 * 1024
+# An attempt may start up to this long after its client disconnected.
 DISCONNECT_GRACE_SECONDS = 0.1
 DEADLINE_TOLERANCE_SECONDS = 0.15
 INCOMPLETE_REQUEST_TIMEOUT_SECONDS = 3.0
+# Limiters check the timeouts of their connections at a shorter interval than this.
 TIMEOUT_SCAN_SECONDS = 0.25
 CEILING_TOLERANCE_FRACTION = 0.1  # fraction of the ceiling's burst
 
@@ -75,7 +78,7 @@
 def _response_delay(history: History, request: ClientRequest) -> float:
     """Return by how many seconds a response was late.
 
-    The time in which the process was stopped, or in which no process served the accept queue, does not count.
+    The delay excludes the time in which the process was stopped or no process served the accept queue.
     """
     latest = request.sent_at + request.timeout + RESPONSE_GRACE_SECONDS
     delay = request.ended_at - latest - timing_tolerance(history, request.ended_at)
@@ -94,17 +97,17 @@
 
 def _unserved_queue_seconds(history: History, request: ClientRequest) -> float:
     """Return how many seconds a new connection waited in an accept queue that no process served."""
-    if not request.on_new_connection or request.limiter not in history.held_accept_queues:
+    if not request.on_new_connection or request.limiter not in history.limiters_with_listener_kept_open:
         return 0.0
     processes = history.processes_of(request.limiter)
     return seconds_without_accepting_process(processes, request.sent_at, request.ended_at)
 
 
 def _is_response_time_unbounded(request: ClientRequest) -> bool:
-    """Whether other requests or the size of a body, not only the limiter, determine the response time."""
+    """Whether the response time depends on other requests or the size of a body, not only on the limiter."""
     return (
         request.behaviour in (ClientBehaviour.PIPELINING, ClientBehaviour.LONG_UPLOAD)
-        or len(request.body) > LONG_RESPONSE_BYTES
+        or len(request.body) > LONG_BODY_BYTES
     )
 
 
@@ -113,7 +116,7 @@
 
 
 def _may_lack_response(history: History, request: ClientRequest) -> bool:
-    """Whether an excuse applies to a request without a response; count the excuse."""
+    """Whether an excuse applies to a request without a response; count the excuse if so."""
     if request.outcome is RequestOutcome.TIMED_OUT:
         due_at = request.sent_at + request.timeout + RESPONSE_GRACE_SECONDS
         stopped = _stopped_seconds(history, request)
@@ -132,9 +135,9 @@
     killed = _process_killed_around(history, request.limiter, request.ended_at)
     if killed is None:
         return False
-    if not killed.terminated_at:
+    if not killed.sigterm_at:
         return history.excuse(Excuse.KILLED)
-    arrived_late = request.sent_at > killed.terminated_at + KILL_GRACE_SECONDS
+    arrived_late = request.sent_at > killed.sigterm_at + ANSWERED_AFTER_SIGTERM_SECONDS
     return history.excuse(Excuse.KILLED_IN_SHUTDOWN, applies=arrived_late)
 
 
@@ -142,7 +145,7 @@
     """Whether the limiter may have closed a new connection unread because it had no file descriptors left."""
     if not request.on_new_connection or _attempts_of(history, request):
         return False
-    return history.is_affected(request.limiter, request.sent_at, request.ended_at, FaultKind.CROWD)
+    return history.is_affected(request.limiter, request.sent_at, request.ended_at, FaultKind.CONNECTION_FLOOD)
 
 
 def _process_killed_around(history: History, limiter: int, at: float) -> ProcessLifetime | None:
@@ -153,7 +156,7 @@
 
 
 def _may_be_refused(history: History, request: ClientRequest) -> bool:
-    """Whether there was a moment around the refusal at which no process had to accept."""
+    """Whether no process had to accept at some moment around the refusal; count the excuse if so."""
     tolerance = timing_tolerance(history, request.ended_at)
     unserved = seconds_without_accepting_process(
         history.processes_of(request.limiter), request.ended_at - tolerance, request.ended_at + tolerance
@@ -204,7 +207,8 @@
     history: History, request: ClientRequest, first: Attempt, previous: Attempt, repeated: Attempt
 ) -> str:
     """Return the text of the violation; empty if the repetition is allowed."""
-    # The client sent the request again: it took the reset by SIGKILL for the close of an idle connection.
+    # SIGKILL ended the process, which reset the connection. The client took the reset for the close of an
+    # idle connection and sent the request again.
     if request.resent and _process_killed_around(history, request.limiter, request.resent_at) is not None:
         history.excuse(Excuse.RESENT_AFTER_KILL)
         return ""
@@ -309,7 +313,7 @@
             return
 
 
-def find_unended_incomplete_requests(history: History) -> Iterator[Violation]:
+def find_overdue_incomplete_requests(history: History) -> Iterator[Violation]:
     """Find incomplete requests that the limiter neither answered with an error nor closed in time."""
     for incomplete in history.incomplete_requests:
         due_at = incomplete.stopped_at + INCOMPLETE_REQUEST_TIMEOUT_SECONDS
@@ -330,7 +334,7 @@
 
 def _is_excused_by_unserved_queue(history: History, incomplete: IncompleteRequest, excess: float) -> bool:
     """Whether the connection waited at least ``excess`` seconds in an accept queue that no process served."""
-    if incomplete.limiter not in history.held_accept_queues:
+    if incomplete.limiter not in history.limiters_with_listener_kept_open:
         return False
     end = incomplete.ended_at or incomplete.stopped_at + INCOMPLETE_REQUEST_TIMEOUT_SECONDS
     processes = history.processes_of(incomplete.limiter)
--- a/soak/scenario.py
+++ b/soak/scenario.py
@@ -14,17 +14,20 @@
     kinds_of,
 )
 
-WARM_UP_SECONDS = 2.5
-FAULT_FREE_END_SECONDS = 4.0  # without faults at the end of a run: open requests end, the limiters recover
+# Faults are scheduled between these times after the start and before the end of the traffic. In the last
+# part, open requests end and the limiters recover.
+FAULT_FREE_START_SECONDS = 2.5
+FAULT_FREE_END_SECONDS = 4.0
 MIN_RUN_SECONDS = 12.0
 MIN_GROUP_GAP_SECONDS = 1.5
 MAX_GROUP_GAP_SECONDS = 3.0
 MAX_OFFSET_IN_GROUP_SECONDS = 0.8
 MIN_FAULT_SECONDS = 0.5
 MAX_FAULT_SECONDS = 3.5
-HELD_ACCEPT_QUEUE_FRACTION = 0.5  # of the limiters, see ``Scenario.accept_queue_held``
-ALL_LIMITERS_FRACTION = 0.2  # of the faults that target limiters: these faults affect every limiter
-MAX_AFFECTED_LIMITERS_DIVISOR = 4  # the other faults affect up to a quarter of the limiters
+LISTENER_KEPT_OPEN_FRACTION = 0.5  # fraction of the limiters, see ``Scenario.listener_kept_open``
+# This fraction of the faults that target limiters affects all of them. The others affect up to a quarter.
+ALL_LIMITERS_FRACTION = 0.2
+MAX_AFFECTED_LIMITERS_DIVISOR = 4
 MAX_AFFECTED_ENDPOINTS_DIVISOR = 3  # a fault affects up to a third of the endpoints
 MIN_ENDPOINTS = 8
 MAX_ENDPOINTS = 12
@@ -40,7 +43,8 @@
     duration: float  # seconds
     limiters: tuple[int, ...]
     endpoints: tuple[int, ...]
-    draw: float  # random number in [0, 1) that sets a detail of the fault, such as an error number or a gap
+    # Random number in [0, 1) that sets a detail of the fault, such as an error number or a time gap.
+    draw: float
 
     def describe(self) -> str:
         """Return the fault's line of the printed scenario."""
@@ -58,7 +62,7 @@
     endpoint_count: int
     # For each limiter: whether the platform keeps its listening socket open while its processes are replaced,
     # which preserves the connections in the accept queue.
-    accept_queue_held: tuple[bool, ...]
+    listener_kept_open: tuple[bool, ...]
     clock_error: float  # seconds by which the wall clocks of all limiters are wrong when they start
     faults: tuple[Fault, ...]
     version: int = FIRST_VERSION  # later versions have more fault kinds
@@ -113,11 +117,11 @@
     """
     random = Random(f"soak {seed}" if version == FIRST_VERSION else f"soak {seed} version {version}")
     endpoints = random.randrange(MIN_ENDPOINTS, MAX_ENDPOINTS + 1)
-    accept_queue_held = tuple(random.random() < HELD_ACCEPT_QUEUE_FRACTION for _ in range(limiters))
+    listener_kept_open = tuple(random.random() < LISTENER_KEPT_OPEN_FRACTION for _ in range(limiters))
     clock_error = random.choice(CLOCK_ERRORS_SECONDS)
     generator = _FaultGenerator(random, limiters, endpoints, version)
     faults = list[Fault]()
-    group_start = WARM_UP_SECONDS
+    group_start = FAULT_FREE_START_SECONDS
     faults_end = seconds - FAULT_FREE_END_SECONDS
     while group_start < faults_end - MIN_FAULT_SECONDS:
         for family in random.sample(list(FaultFamily), random.randrange(2, 4)):
@@ -128,5 +132,5 @@
         group_start += random.uniform(MIN_GROUP_GAP_SECONDS, MAX_GROUP_GAP_SECONDS)
     faults.sort(key=lambda fault: fault.start)
     return Scenario(
-        seed, seconds, limiters, endpoints, accept_queue_held, clock_error, tuple(faults), version
+        seed, seconds, limiters, endpoints, listener_kept_open, clock_error, tuple(faults), version
     )
--- a/soak/scenario_runner.py
+++ b/soak/scenario_runner.py
@@ -78,7 +78,7 @@
         limiters = self._environment.limiters
         for limiter in limiters:
             metrics = await limiter.metrics()
-            if metrics and not limiter.was_restarted:
+            if metrics and not limiter.started_several_processes:
                 self._history.metrics[limiter.index] = metrics
         await asyncio.gather(*(limiter.terminate_all() for limiter in limiters))
 
--- a/soak/system_faults.py
+++ b/soak/system_faults.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CallFault:
-    """A system call, and the error numbers of which a fault uses one."""
+    """A system call, and the error numbers from which the draw of a fault selects one."""
 
     call: SystemCall
     errors: tuple[int, ...]
--- a/soak/tolerances.py
+++ b/soak/tolerances.py
@@ -8,9 +8,9 @@
 
 SOCKET_TOLERANCE_SECONDS = 0.05
 WRITE_DELAY_SECONDS = 0.15  # from the limiter's decision to its write to the socket
-NETWORK_RECOVERY_SECONDS = 1.0
-# Under any fault, a limiter must be notified within this time after discovery has a change. An outage of
-# discovery and the time in which the limiter is stopped are added.
+NETWORK_RECOVERY_SECONDS = 1.0  # a network fault may delay attempts up to this long after its end
+# Under any fault, a limiter must be notified within this time after discovery has a change. The duration of a
+# discovery outage and the time in which the limiter is stopped are added.
 MAX_NOTIFICATION_SECONDS = 6.0
 FAULT_FREE_NOTIFICATION_SECONDS = 0.2
 # A fault that ended up to this long before a change may still delay its notification.
@@ -19,7 +19,7 @@
     FaultKind.DISCOVERY_UNRESPONSIVE,
     FaultKind.DISCOVERY_DOWN,
     FaultKind.DISCOVERY_FRAGMENTED,
-    LimiterState.CHANGING_DISCOVERY,
+    LimiterState.CHANGING_DISCOVERY_ADDRESS,
     LimiterState.STOPPED,
     LimiterState.UNAVAILABLE,
     FaultKind.CONNECT_ERRORS,
@@ -35,7 +35,10 @@
 
 
 def may_be_delayed_by_network(history: History, attempt: Attempt, until: float | None = None) -> bool:
-    """Whether a network fault may have delayed the request of an attempt, or with ``until`` its end."""
+    """Whether a fault of the endpoint's network may have delayed an attempt.
+
+    A fault counts if it began before the request was complete or, if given, before ``until``.
+    """
     end = attempt.complete_at if until is None else until
     start = attempt.first_byte_at - NETWORK_RECOVERY_SECONDS
     return any(
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the soak checker: each check finds its violation, and finds none in a clean history."""
+"""The soak test's checker: each check finds its violation, and none in a clean history or under an excuse."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     plan=PlanName.OPEN,
     account=1,
     timeout=1.0,
-    behaviour=ClientBehaviour.PLAIN,
+    behaviour=ClientBehaviour.NORMAL,
     sent_at=10.0,
     outcome=RequestOutcome.RESPONSE_RECEIVED,
     status=200,
@@ -81,9 +81,9 @@
     history = make_history(replace(REQUEST, outcome=outcome, ended_at=13.0))
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
     history.spans.append(Span(FaultKind.KILL, 0, 9.99, 10.3))
-    history.processes.append(ProcessLifetime(0, 1.0, ready_at=1.5, killed_at=9.99, exited_at=10.0))
+    history.processes.append(ProcessLifetime(0, 1.0, ready_at=1.5, sigkill_at=9.99, exited_at=10.0))
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes.append(ProcessLifetime(0, 10.1, ready_at=10.4, killed_at=12.98, exited_at=12.99))
+    history.processes.append(ProcessLifetime(0, 10.1, ready_at=10.4, sigkill_at=12.98, exited_at=12.99))
     is_excused = outcome is RequestOutcome.CONNECTION_CLOSED
     assert (violated_invariants(history) == []) is is_excused
     assert history.excuses[Excuse.KILLED] == is_excused
@@ -93,13 +93,13 @@
     """SIGKILL excuses a request without a response only if it arrived more than 0.7 s after SIGTERM."""
     closed = replace(REQUEST, outcome=RequestOutcome.CONNECTION_CLOSED, ended_at=12.71)
     history = make_history(closed)
-    terminated = ProcessLifetime(0, 1.0, ready_at=1.5, terminated_at=9.0, exited_at=12.7)
+    terminated = ProcessLifetime(0, 1.0, ready_at=1.5, sigterm_at=9.0, exited_at=12.7)
     history.processes.append(terminated)
     history.spans.append(Span(LimiterState.UNAVAILABLE, 0, 9.0, 14.0))
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes[0] = replace(terminated, terminated_at=9.5, killed_at=12.69)
+    history.processes[0] = replace(terminated, sigterm_at=9.5, sigkill_at=12.69)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes[0] = replace(terminated, terminated_at=9.2, killed_at=12.69)
+    history.processes[0] = replace(terminated, sigterm_at=9.2, sigkill_at=12.69)
     assert violated_invariants(history) == []
     assert history.excuses[Excuse.KILLED_IN_SHUTDOWN] == 1
 
@@ -114,30 +114,30 @@
     assert violated_invariants(history) == []
 
 
-def test_a_timeout_is_excused_only_while_no_process_serves_a_held_accept_queue() -> None:
+def test_a_timeout_is_excused_only_if_no_process_serves_the_accept_queue_of_an_open_listener() -> None:
     waited = replace(REQUEST, outcome=RequestOutcome.TIMED_OUT, ended_at=13.0, on_new_connection=True)
     history = make_history(waited)
     history.spans.append(Span(LimiterState.UNAVAILABLE, 0, 9.0, 12.8))
     history.processes.append(ProcessLifetime(0, 12.0, ready_at=12.8))
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.held_accept_queues.add(0)
+    history.limiters_with_listener_kept_open.add(0)
     assert violated_invariants(history) == []
     peer = ProcessLifetime(0, 1.0, ready_at=1.5)  # this process has to accept
     history.processes.append(peer)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
 
 
-def test_a_crowd_excuses_only_the_close_of_a_new_connection_without_an_attempt() -> None:
+def test_a_connection_flood_excuses_only_the_close_of_a_new_connection_without_an_attempt() -> None:
     closed = replace(REQUEST, outcome=RequestOutcome.CONNECTION_CLOSED, on_new_connection=True)
     history = make_history(closed)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.spans.append(Span(FaultKind.CROWD, 0, 9.0, 11.0))
+    history.spans.append(Span(FaultKind.CONNECTION_FLOOD, 0, 9.0, 11.0))
     assert violated_invariants(history) == []
     was_read = make_history(closed, ATTEMPT)
-    was_read.spans.append(Span(FaultKind.CROWD, 0, 9.0, 11.0))
+    was_read.spans.append(Span(FaultKind.CONNECTION_FLOOD, 0, 9.0, 11.0))
     assert violated_invariants(was_read) == [Invariant.EVERY_REQUEST_ANSWERED]
     is_reused = make_history(replace(closed, on_new_connection=False))
-    is_reused.spans.append(Span(FaultKind.CROWD, 0, 9.0, 11.0))
+    is_reused.spans.append(Span(FaultKind.CONNECTION_FLOOD, 0, 9.0, 11.0))
     assert violated_invariants(is_reused) == [Invariant.EVERY_REQUEST_ANSWERED]
 
 
@@ -156,9 +156,9 @@
     running = ProcessLifetime(0, 1.0, ready_at=1.5)
     history.processes.append(running)
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes[0] = replace(running, terminated_at=9.9)  # it has to accept for 0.4 s more
+    history.processes[0] = replace(running, sigterm_at=9.9)  # it has to accept for 0.4 s more
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
-    history.processes[0] = replace(running, terminated_at=9.7)
+    history.processes[0] = replace(running, sigterm_at=9.7)
     assert violated_invariants(history) == []
     history.processes.append(ProcessLifetime(0, 5.0, ready_at=5.5))
     assert violated_invariants(history) == [Invariant.EVERY_REQUEST_ANSWERED]
@@ -182,9 +182,9 @@
     assert violated_invariants(make_history(REQUEST, ATTEMPT, second)) == [Invariant.NO_REPEATED_EXECUTION]
     resent = make_history(replace(REQUEST, resent=True, resent_at=10.25), ATTEMPT, second)
     resent.spans.append(Span(FaultKind.KILL, 0, 10.1, 10.2))
-    resent.processes.append(ProcessLifetime(0, 1.0, ready_at=1.5, killed_at=10.0, exited_at=10.01))
+    resent.processes.append(ProcessLifetime(0, 1.0, ready_at=1.5, sigkill_at=10.0, exited_at=10.01))
     assert violated_invariants(resent) == [Invariant.NO_REPEATED_EXECUTION]
-    resent.processes.append(ProcessLifetime(0, 1.0, ready_at=1.5, killed_at=10.2, exited_at=10.21))
+    resent.processes.append(ProcessLifetime(0, 1.0, ready_at=1.5, sigkill_at=10.2, exited_at=10.21))
     assert violated_invariants(resent) == []
     rejected = replace(ATTEMPT, executed=False)
     assert violated_invariants(make_history(REQUEST, rejected, second)) == []
@@ -204,7 +204,7 @@
     assert violated_invariants(history) == [Invariant.NO_REPEATED_EXECUTION]
 
 
-def test_an_attempt_at_a_draining_endpoint_is_found_after_the_grace() -> None:
+def test_an_attempt_at_a_draining_endpoint_is_found_after_the_drain_grace() -> None:
     history = make_history(REQUEST, ATTEMPT)
     history.endpoint_changes.append(EndpointChange(7.2, "s-1", EndpointHealth.DRAINING, 0))
     assert violated_invariants(history) == [Invariant.NOTHING_TO_EXCLUDED_ENDPOINTS]
@@ -263,7 +263,7 @@
     ]
 
 
-def test_a_deadline_that_an_endpoint_read_late_is_excused_only_by_stalls_of_that_length() -> None:
+def test_an_excessive_deadline_is_excused_only_if_the_runner_stalled_as_long() -> None:
     history = make_history(REQUEST, replace(ATTEMPT, first_byte_at=10.6, complete_at=10.6))
     assert violated_invariants(history) == [Invariant.DEADLINE_PROPAGATION]  # 0.3 s beyond the tolerance
     history.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 10.1, 10.35))
--- a/tests/test_soak_clients.py
+++ b/tests/test_soak_clients.py
@@ -1,4 +1,4 @@
-"""Tests of the soak clients against a scripted limiter: each request that they send gets an outcome."""
+"""The soak test's clients: each request that they send to a scripted limiter gets an outcome."""
 
 from __future__ import annotations
 
@@ -103,12 +103,12 @@
     history = History()
 
     async def fail(_self: ConnectionPool) -> None:
-        raise RuntimeError("a fault of the soak test")
+        raise RuntimeError("an error in the soak test")
 
     monkeypatch.setattr(ConnectionPool, "acquire", fail)
     async with running_server(respond_slowly) as address:
         await send_traffic(make_clients(address, history))
-    assert "a fault of the soak test" in history.runner_errors[0]
+    assert "an error in the soak test" in history.runner_errors[0]
 
 
 def test_a_failure_of_the_soak_test_has_its_own_exit_code(
--- a/tests/test_soak_scenario.py
+++ b/tests/test_soak_scenario.py
@@ -1,4 +1,7 @@
-"""The soak test without a run: generated scenarios, registered fault kinds, command-line arguments."""
+"""The soak test's scenarios and command line: a seed keeps its scenario, and each fault kind is injected.
+
+No scenario is run.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from soak.endpoint_faults import EndpointFaults, EndpointNetworkFaults
 from soak.fault_kinds import FAULT_SPECS, LATEST_VERSION, FaultFamily, FaultTarget
 from soak.process_faults import ProcessFaults
-from soak.scenario import FAULT_FREE_END_SECONDS, WARM_UP_SECONDS, make_scenario
+from soak.scenario import FAULT_FREE_END_SECONDS, FAULT_FREE_START_SECONDS, make_scenario
 from soak.service_faults import ServiceFaults
 from soak.system_faults import SystemFaults
 
@@ -44,7 +47,7 @@
 
 def test_seed_7_gives_its_recorded_scenario() -> None:
     scenario = make_scenario(7, 20.0, 6)
-    assert scenario.accept_queue_held == (False, False, False, False, True, False)
+    assert scenario.listener_kept_open == (False, False, False, False, True, False)
     assert (scenario.endpoint_count, scenario.clock_error) == (9, 0.0)
     rows = [
         (
@@ -73,7 +76,7 @@
     overlapping = 0
     for seed in range(20):
         faults = make_scenario(seed, 30.0, 24).faults
-        assert all(fault.start >= WARM_UP_SECONDS for fault in faults)
+        assert all(fault.start >= FAULT_FREE_START_SECONDS for fault in faults)
         assert all(fault.start + fault.duration <= 30.0 - FAULT_FREE_END_SECONDS + 1e-9 for fault in faults)
         overlapping += sum(first.start + first.duration > second.start for first, second in pairwise(faults))
     assert overlapping > 100
