--- a/soak/endpoint_checks.py
+++ b/soak/endpoint_checks.py
@@ -27,7 +27,7 @@
 from soak.violations import Invariant, Violation
 
 # If a limiter accepts a suspension, it must be in force within this time after SUSPEND was sent.
-SUSPENSION_TIMEOUT_SECONDS = 1.0
+MAX_SUSPENSION_DELAY_SECONDS = 1.0
 # An overload is a violation only if more than this fraction of its requests came from limiters that must have
 # been notified of the restart.
 NOTIFIED_FRACTION = 2 / 3
@@ -116,7 +116,7 @@
 ) -> bool:
     if (suspension.limiter, suspension.endpoint) != (request.limiter, attempt.endpoint):
         return False
-    in_force_at = min(suspension.accepted_at, suspension.requested_at + SUSPENSION_TIMEOUT_SECONDS)
+    in_force_at = min(suspension.accepted_at, suspension.requested_at + MAX_SUSPENSION_DELAY_SECONDS)
     end = suspension.restored_at or float("inf")
     at = attempt.first_byte_at
     latest = in_force_at + DRAIN_GRACE_SECONDS + WRITE_DELAY_SECONDS + timing_tolerance(history, at)
--- a/soak/endpoint_faults.py
+++ b/soak/endpoint_faults.py
@@ -74,7 +74,7 @@
 
 
 class EndpointNetworkFaults:
-    """Faults of the network of an endpoint. The end of a fault also ends those that overlap it there."""
+    """Faults of the network of an endpoint. The end of one also ends the others on that network."""
 
     KINDS = frozenset(
         {
--- a/soak/endpoints.py
+++ b/soak/endpoints.py
@@ -50,7 +50,7 @@
         self.name = name
         self.zone = zone
         self.incarnation = 0
-        self.started_at_ms = 0  # Unix time; 0: unknown, a long time before the run
+        self.started_at_ms = 0  # Unix time; 0: unknown, because the endpoint started long before the run
         self.health = EndpointHealth.READY
         self.proxy: Proxy
         self._behaviour = EndpointBehaviour()
@@ -85,7 +85,7 @@
         self.health = EndpointHealth.READY
 
     def start_fault(self, behaviour: EndpointBehaviour) -> None:
-        """Behave as given, instead of the current behaviour."""
+        """Behave as ``behaviour`` describes, until the next call or ``end_fault``."""
         self._behaviour = behaviour
 
     def end_fault(self) -> None:
--- a/soak/excuses.py
+++ b/soak/excuses.py
@@ -6,7 +6,7 @@
 
 
 class Excuse(StrEnum):
-    """The reasons. A comment states the rule that justifies one, with the page of the specification."""
+    """The reasons. A comment gives the rule that justifies one, and in parentheses the page with the rule."""
 
     # The connections of a process are reset when SIGKILL ends it (PROTOCOL).
     KILLED = "its process was killed"
