--- a/quota_gateway/net/client/connection.py
+++ b/quota_gateway/net/client/connection.py
@@ -39,7 +39,7 @@
 
     __slots__ = (
         "_close_reason",
-        "_has_sent_data",
+        "_has_received_data",
         "_owner",
         "_shared",
         "pipeline",
@@ -51,7 +51,7 @@
         self._owner = owner
         self._shared = owner.shared
         self._close_reason = CloseReason.BY_CLIENT  # until the limiter closes the connection
-        self._has_sent_data = False
+        self._has_received_data = False  # whether the client has sent anything
         self.transport = ClientTransport()
         self.pipeline = RequestPipeline(self.transport, self, owner.intake, owner.shared)
 
@@ -66,15 +66,15 @@
         """Unregister from the listener, and end the requests that have no response yet."""
         self.transport.on_closed()
         self._shared.stats.record_end(self._close_reason)
-        if self._has_sent_data:
+        if self._has_received_data:
             self._shared.remove_active_connection()
         self._owner.on_disconnected(self)
         self.pipeline.disconnect()
 
     def data_received(self, data: bytes) -> None:
         """Pass received bytes on to the pipeline."""
-        if not self._has_sent_data:
-            self._has_sent_data = True
+        if not self._has_received_data:
+            self._has_received_data = True
             self._shared.add_active_connection()
         self.pipeline.receive(data)
 
@@ -109,7 +109,7 @@
             priority = EvictionPriority.LINGERING
         elif not self.transport.is_open or self.pipeline.queue:
             return None
-        elif not self._has_sent_data:
+        elif not self._has_received_data:
             priority = EvictionPriority.NEVER_SENT_DATA
         elif self.pipeline.reader.in_request:
             priority = EvictionPriority.PARTIAL_REQUEST
@@ -118,7 +118,10 @@
         return EvictionRank(priority, self.pipeline.queue.active_at)
 
     def evict(self) -> bool:
-        """Close or reset, unless a request or a part of one is unread; return whether that was done."""
+        """Close or reset the connection; return whether that was done.
+
+        An open connection that has unread input stays open.
+        """
         if self.transport.is_open and not self.pipeline.reader.in_request:
             return self._close_idle(CloseReason.EVICTED)
         if self.transport.is_open and self.transport.has_unread_input:
--- a/quota_gateway/net/client/listener.py
+++ b/quota_gateway/net/client/listener.py
@@ -47,7 +47,7 @@
         self._scan_count = 0
         self._heartbeat_timer: asyncio.TimerHandle | None = None
         self._acceptor: Acceptor | None = None
-        self._is_inherited = False
+        self._is_inherited = False  # whether the listening socket is inherited
         self._all_closed = asyncio.Event()
 
     async def listen(
@@ -118,7 +118,7 @@
 
     def _record_heartbeat(self) -> None:
         """Record regularly that the event loop runs, even if no client sends anything."""
-        self.shared.stalls.mark(self.shared.clock())
+        self.shared.stalls.record_iteration(self.shared.clock())
         self._heartbeat_timer = asyncio.get_running_loop().call_later(
             HEARTBEAT_INTERVAL_SECONDS, self._record_heartbeat
         )
@@ -126,7 +126,7 @@
     def signal_sent_after(self) -> float:
         """Return the earliest time at which the signal that is being handled may have been sent."""
         now = self.shared.clock()
-        self.shared.stalls.mark(now)
+        self.shared.stalls.record_iteration(now)
         return self.shared.stalls.signal_sent_after(now)
 
     def start_draining(self) -> None:
@@ -136,9 +136,9 @@
     def set_max_connections(self, max_connections: int) -> None:
         """Change the connection limit, and evict the connections in excess of it.
 
-        It is changed while another process serves clients too. The number of active connections above which
-        responses close their connection does not change with the limit: clients move to the other process
-        at that time, and a lower number would make them connect a second time.
+        The limit changes while another process of this limiter serves clients too. The number of active
+        connections above which responses close their connection does not change with it: clients move to
+        the other process at that time, and a lower number would make some of them connect a second time.
         """
         self._max_connections = max_connections
         open_connections = sum(not connection.transport.is_closed for connection in self.connections)
--- a/quota_gateway/net/client/liveness.py
+++ b/quota_gateway/net/client/liveness.py
@@ -12,8 +12,9 @@
 # The reset of a disconnected client arrives within one round trip and one delay of the event loop.
 RESET_WAIT_SECONDS = 0.1
 # An attempt may begin up to 0.1 s after the end of the client's input; the limiter uses half of that, which
-# leaves the other half for delays of the event loop. A client that was seen within this time is not polled.
-PRESENCE_GRACE_SECONDS = 0.05
+# leaves the other half for delays of the event loop. A client that was seen connected within this time is not
+# polled.
+LIVENESS_GRACE_SECONDS = 0.05
 
 
 class PollableTransport(Protocol):
@@ -28,14 +29,14 @@
         """Whether the connection is open and has not failed."""
 
     def poll_peer(self) -> PeerState:
-        """Return what the socket shows of the client."""
+        """Return the state of the client as the socket shows it."""
 
     def has_error(self) -> bool:
         """Whether a reset was received."""
 
 
 class LivenessObserver(Protocol):
-    """Is notified of changes of its client's liveness."""
+    """Receives the changes of one client's liveness."""
 
     def on_client_reset(self) -> None:
         """Abort the connection: its client has disconnected."""
@@ -107,11 +108,11 @@
             return True
         return self._input_ended_at is not None and self._confirmation is not Confirmation.CONFIRMED
 
-    def is_connected(self) -> bool:
+    def may_begin_attempt(self) -> bool:
         """Whether an attempt may begin for the client.
 
         Polls the socket unless the client was seen recently, because the event loop may not have read the end
-        of the input yet. A client that ended its input at most ``PRESENCE_GRACE_SECONDS`` ago may be
+        of the input yet. A client that ended its input at most ``LIVENESS_GRACE_SECONDS`` ago may be
         half-closed and is served. If it ended its input earlier, its unsent attempts are withdrawn; if it
         sent a reset, its connection is aborted.
         """
@@ -123,13 +124,13 @@
         if not self._transport.is_open:
             return False
         ended_at = self._input_ended_at
-        if ended_at is not None and self._clock() - ended_at > PRESENCE_GRACE_SECONDS:
+        if ended_at is not None and self._clock() - ended_at > LIVENESS_GRACE_SECONDS:
             self._observer.on_client_maybe_disconnected()
             return False
         return True
 
     def _was_seen_recently(self) -> bool:
-        return self._clock() - self._last_seen_at <= PRESENCE_GRACE_SECONDS
+        return self._clock() - self._last_seen_at <= LIVENESS_GRACE_SECONDS
 
     def poll(self) -> None:
         """Poll the socket, which shows a disconnect even while the event loop does not read the input."""
--- a/quota_gateway/net/client/request.py
+++ b/quota_gateway/net/client/request.py
@@ -35,10 +35,10 @@
         """Handle an unanswered request whose client ended its sending side and may have disconnected."""
 
 
-class ClientPresence(Protocol):
-    """Tells whether the client of a request is still connected."""
+class AttemptPermission(Protocol):
+    """Decides whether attempts may begin for the client of a request."""
 
-    def is_connected(self) -> bool:
+    def may_begin_attempt(self) -> bool:
         """Whether an attempt may begin for the client."""
 
 
@@ -48,8 +48,8 @@
     shared: SharedState
 
     @property
-    def liveness(self) -> ClientPresence:
-        """The presence of the client."""
+    def liveness(self) -> AttemptPermission:
+        """The liveness of the client, which decides whether attempts may begin."""
 
     def write_responses(self) -> None:
         """Write the responses that are ready, in the order of their requests."""
@@ -70,8 +70,8 @@
 class ClientRequest:
     """A request and its final response, which is either complete or streamed.
 
-    The request is the sink of the stream. At most one of ``response_head`` and ``response_stream`` is ever
-    set, and only once.
+    The request is the sink of a streamed response (``body_stream.BodySink``). At most one of
+    ``response_head`` and ``response_stream`` is ever set, and only once.
     """
 
     __slots__ = (
@@ -150,12 +150,12 @@
         """Return how long the client has been waiting, including stalls of this process."""
         return self._connection.shared.clock() - self.arrived_at
 
-    def is_client_connected(self) -> bool:
+    def may_begin_attempt(self) -> bool:
         """Whether an attempt may begin for the client.
 
         It may not if the client has disconnected, or ended its input more than a short grace period ago.
         """
-        return self._connection.liveness.is_connected()
+        return self._connection.liveness.may_begin_attempt()
 
     # The response.
 
@@ -219,8 +219,10 @@
         """Whether the request has no response yet; a second response is reported as a violation."""
         if self.response_head is None and self.response_stream is None:
             return True
-        story = f"request {self.request_id.decode('latin-1')}: status {status} dropped, already answered"
-        self._connection.shared.metrics.invariants.report(Invariant.ANSWERED_ONCE, story)
+        description = (
+            f"request {self.request_id.decode('latin-1')}: status {status} dropped, already answered"
+        )
+        self._connection.shared.metrics.invariants.report(Invariant.ANSWERED_ONCE, description)
         return False
 
     # The stream of the response.
--- a/quota_gateway/net/client/request_body.py
+++ b/quota_gateway/net/client/request_body.py
@@ -1,4 +1,4 @@
-"""The body of the request that a connection is reading: collected, or streamed if it is long."""
+"""The body of the request that a connection is reading: buffered, or streamed if it is long."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 BODY_TIMEOUT_SECONDS = 2.05
 SILENCE_TIMEOUT_SECONDS = 2.05  # a client that stops sending within a body must receive an error within 3 s
 MIN_BODY_BYTES_PER_SECOND = 8192
-MAX_COLLECTION_SECONDS = 5.0  # for a collected body, even if it arrives at the minimum rate
+# Longest time in which a buffered body must be complete, even if it arrives at the minimum rate.
+MAX_BUFFERING_SECONDS = 5.0
 
 
 class UploadObserver(Protocol):
@@ -30,7 +31,7 @@
 
 
 class RequestBody:
-    """Collects the body of a request, or streams it as an upload, of which it is the source.
+    """Buffers the body of a request, or streams it as an upload; it is the source of the upload's stream.
 
     A connection has one of these, which it uses for one request after the other. Whenever an upload is paused
     or resumed, the measurement of its times and its rate starts again.
@@ -57,8 +58,9 @@
         self._started_at = 0.0  # when the head was complete, or the upload was last paused or resumed
         self._last_byte_at = 0.0  # when a byte last arrived, or the upload was last paused or resumed
         self._rate_base_size = 0  # bytes that had been received at ``_started_at``
-        self._resume_deferred = False  # the endpoint accepts data, but the client may have disconnected
-        self.paused = False  # reading waits until the endpoint accepts more data
+        # Whether the endpoint accepts data again, but the client may have disconnected.
+        self._resume_deferred = False
+        self.paused = False  # whether reading waits until the endpoint accepts more data
         self.size = 0  # bytes received
         self.upload: BodyStream | None = None  # the stream of a long body, until it is complete
 
@@ -83,12 +85,12 @@
         self.upload.write(data)
 
     @property
-    def is_too_long_to_collect(self) -> bool:
+    def is_too_long_to_buffer(self) -> bool:
         """Whether the body must be streamed from now on."""
         return self.size > MAX_BUFFERED_BODY_BYTES and self.upload is None
 
     def start_upload(self, content_length: int | None) -> BodyStream:
-        """Stream the body from now on, beginning with the chunks that have been collected."""
+        """Stream the body from now on, beginning with the chunks that have been buffered."""
         chunks = self._chunks
         self._chunks = []
         upload = self.upload = BodyStream(self, content_length)
@@ -96,7 +98,7 @@
             upload.write(chunk)
         return upload
 
-    def collected(self) -> bytes:
+    def buffered(self) -> bytes:
         """Return the body if it is not streamed."""
         return b"".join(self._chunks)
 
@@ -115,17 +117,17 @@
     # Timeouts.
 
     def is_overdue(self, now: float, *, head_timeout_passed: bool) -> bool:
-        """Whether a collected body takes too long.
+        """Whether a buffered body takes too long to arrive.
 
-        Once the head's timeout has passed, the minimum rate is required of a body of any age: a faulty client
-        must be answered within 3 s of its connect.
+        Once the head's timeout has passed, a body of any age must have arrived at the minimum rate: a faulty
+        client must be answered within 3 s of its connect.
         """
         if self._is_silent(now):
             return True
         age = now - self._started_at
         if age <= BODY_TIMEOUT_SECONDS and not head_timeout_passed:
             return False
-        return age > MAX_COLLECTION_SECONDS or self.size < MIN_BODY_BYTES_PER_SECOND * age
+        return age > MAX_BUFFERING_SECONDS or self.size < MIN_BODY_BYTES_PER_SECOND * age
 
     def is_upload_stalled(self, now: float) -> bool:
         """Whether the client has stopped sending an upload or sends it too slowly."""
@@ -159,7 +161,7 @@
         self._observer.update_reading()
 
     def on_client_confirmed(self) -> None:
-        """Resume an upload that had to wait until the client proved to be half-closed."""
+        """Resume an upload whose resume was deferred until the client was confirmed to be half-closed."""
         if self._resume_deferred:
             self.set_paused(paused=False)
 
--- a/quota_gateway/net/client/request_head.py
+++ b/quota_gateway/net/client/request_head.py
@@ -6,18 +6,22 @@
 
 from quota_gateway.net.client.request_parser import DECIMAL_PATTERN, PARSED_HEADERS, TIMEOUT, BadRequestError
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_HEAD_BYTES, MAX_STREAMED_BODY_BYTES, NOT_FORWARDED
+from quota_gateway.net.common.http_common import (
+    MAX_HEAD_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    NOT_FORWARDED_HEADERS,
+)
 
 ABSOLUTE_FORM_PATTERN = re.compile(rb"https?://[^/?#]+(?=/)", re.IGNORECASE)
 TARGET_PATTERN = re.compile(rb"[!-~]+")
 HTTP_VERSIONS = ("1.0", "1.1")
-HEADERS_NOT_COPIED = NOT_FORWARDED | {TIMEOUT}  # each attempt is sent its own remaining time
+HEADERS_NOT_COPIED = NOT_FORWARDED_HEADERS | {TIMEOUT}  # each attempt is sent its own remaining time
 
 
 class RequestHead:
     """Collects the head of a request from the HTTP parser's callbacks.
 
-    Malformed input raises BadRequestError.
+    The callbacks raise BadRequestError if the input is malformed.
 
     A connection has one of these, which it uses for one request after the other.
     """
@@ -104,7 +108,8 @@
         if self.size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "head too large")
         if self._chunked and self.content_length is not None:
-            raise BadRequestError(400, "two framings, of which one may hide a request")
+            # One of the two framings may hide a second request in the body.
+            raise BadRequestError(400, "both Content-Length and Transfer-Encoding")
         self._is_complete = True
 
     def add_unparsed_input(self, size: int) -> bool:
@@ -125,7 +130,7 @@
         return self._target.decode("latin-1")
 
     def build_forwarded_head(self, body: bytes, upload: BodyStream | None) -> bytes:
-        """Return the head for the endpoint, without the empty line and with framing headers of its own."""
+        """Return the head for the endpoint, without the empty line; its framing headers are generated."""
         framing = b""
         if upload is not None and upload.content_length is None:
             framing = b"Transfer-Encoding: chunked\r\n"
--- a/quota_gateway/net/client/request_intake.py
+++ b/quota_gateway/net/client/request_intake.py
@@ -27,7 +27,7 @@
         """
         shared = self._shared
         if head.method not in (b"GET", b"POST"):
-            raise BadRequestError(405, "method")
+            raise BadRequestError(405, "method other than GET and POST")
         target = head.normalize_target()
         if target.partition("?")[0] == HEALTH_CHECK_PATH:
             request.respond(503 if shared.draining else 200)
--- a/quota_gateway/net/client/request_parser.py
+++ b/quota_gateway/net/client/request_parser.py
@@ -11,7 +11,7 @@
 MAX_TIMEOUT_MILLISECONDS = 60_000
 MILLISECONDS_PER_SECOND = 1000
 # How long requests of the previous classes are accepted after a reload.
-PREVIOUS_CLASSES_SECONDS = 3.0
+PREVIOUS_CLASSES_GRACE_SECONDS = 3.0
 ACCOUNT_ID_LIMIT = 2**33  # exclusive
 
 REQUEST_ID = b"x-request-id"
@@ -59,11 +59,11 @@
     def reconfigure(self, settings: model.Settings) -> None:
         """Apply new settings.
 
-        Requests of the previous classes are accepted for ``PREVIOUS_CLASSES_SECONDS``: some were sent before
-        their clients learned of the new settings.
+        Requests of the previous classes are accepted for ``PREVIOUS_CLASSES_GRACE_SECONDS``: some were sent
+        before their clients received the new settings.
         """
         self._previous_classes = self._classes
-        self._previous_classes_until = self._clock() + PREVIOUS_CLASSES_SECONDS
+        self._previous_classes_until = self._clock() + PREVIOUS_CLASSES_GRACE_SECONDS
         self._classes = {
             request_class.name: request_class.idempotency is model.Idempotency.INHERENT
             for request_class in settings.classes
@@ -114,7 +114,7 @@
                 raise BadRequestError(400, f"{header.decode()} is missing")
         # The class determines the method: the body of a GET request could hide another request.
         if (method == b"GET") not in (self._classes.get(class_name), previous.get(class_name)):
-            raise BadRequestError(405, "method")
+            raise BadRequestError(405, "method differs from that of the class")
 
     def _parse_quota(self, text: bytes) -> _QuotaHeader:
         match = QUOTA_PATTERN.fullmatch(text)
--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -68,9 +68,9 @@
     def update_reading(self) -> None:
         """Pause or resume reading.
 
-        Unsent responses would fill the memory, so reading is paused while the client accepts none of them or
-        too many are pending. It is also paused while the upload is, and while the last responses of a stopped
-        reader are pending.
+        Unsent responses would fill the memory, so reading is paused while the client accepts no output or too
+        many requests are unanswered. It is also paused while the upload is paused, and while responses are
+        pending after the reader has stopped.
         """
         queue = self.queue
         paused = queue.write_blocked or self.reader.body.paused or len(queue) >= MAX_PIPELINED_REQUESTS
@@ -95,7 +95,7 @@
             if not self._transport.count_discarded(len(data)):
                 self._closer.abort(CloseReason.TOO_MUCH_INPUT)
             return
-        self.shared.stalls.mark(self.shared.clock())
+        self.shared.stalls.record_iteration(self.shared.clock())
         self.reader.feed(data)
 
     def on_request_started(self, *, is_first: bool) -> float:
@@ -124,7 +124,7 @@
         try:
             self._intake.accept(request, head, body)
         except BadRequestError as error:
-            # A client that sends one malformed request sends more: the connection ends with the response.
+            # A client that sends one malformed request sends more, so the response closes the connection.
             self.reader.stop_upload()
             request.reject_malformed(error.status)
             raise
@@ -146,7 +146,7 @@
         now = self.shared.clock()
         data_age = self._transport.seconds_since_last_data() if self.shared.reports_data_age else None
         if data_age is None:
-            self.liveness.record_seen(self.shared.stalls.unread_since(now))
+            self.liveness.record_seen(self.shared.stalls.input_arrived_after(now))
             return now
         self.liveness.record_seen(now - data_age)
         return now - data_age
@@ -189,7 +189,7 @@
         """Reset the connection."""
         self._closer.abort(reason)
 
-    # The presence of the client.
+    # The liveness of the client.
 
     def end_input(self) -> bool:
         """Record the end of the input; return whether the client may wait half-closed for a response."""
@@ -197,8 +197,8 @@
             return False
         stalls = self.shared.stalls
         now = self.shared.clock()
-        stalls.mark(now)
-        self.liveness.on_input_ended(stalls.unread_since(now) if stalls.is_after_stall(now) else now)
+        stalls.record_iteration(now)
+        self.liveness.on_input_ended(stalls.input_arrived_after(now) if stalls.is_after_stall(now) else now)
         return True
 
     def has_queued_requests(self) -> bool:
@@ -216,11 +216,11 @@
             self._transport.write(INTERIM_RESPONSE)
 
     def on_client_maybe_disconnected(self) -> None:
-        """Withdraw the attempts that have not been sent; those in flight may still answer the client."""
+        """Withdraw the unsent attempts; the responses to those in flight may still reach the client."""
         self.queue.withdraw_attempts(self._intake)
 
     def on_client_confirmed(self) -> None:
-        """Resume a deferred upload, as the client has proved to be half-closed."""
+        """Resume a deferred upload: the client was confirmed to be half-closed."""
         self.reader.body.on_client_confirmed()
 
     # Timeouts.
--- a/quota_gateway/net/client/request_reader.py
+++ b/quota_gateway/net/client/request_reader.py
@@ -40,7 +40,7 @@
     ) -> None:
         """Accept a request whose body is complete or, if it is long, whose upload has begun.
 
-        Raises BadRequestError if it is not valid; its response has been sent then.
+        Raises BadRequestError if the request is not valid; the response to it has then been written.
         """
 
     def on_upload_completed(self) -> None:
@@ -186,7 +186,7 @@
         if self.phase is _STOPPED:
             return
         self.body.append(data)
-        if self.body.is_too_long_to_collect:
+        if self.body.is_too_long_to_buffer:
             self._start_upload()
 
     def _start_upload(self) -> None:
@@ -204,7 +204,7 @@
         self.phase = _BETWEEN_REQUESTS
         self._has_read_request = True
         if self.body.upload is None:
-            body = self.body.collected()
+            body = self.body.buffered()
             keep_alive = self._parser.should_keep_alive()
             self._receiver.on_request_read(self.head, body, None, keep_alive=keep_alive)
             return
--- a/quota_gateway/net/client/response_queue.py
+++ b/quota_gateway/net/client/response_queue.py
@@ -11,7 +11,8 @@
 from quota_gateway.net.client.shared_state import SharedState
 
 MAX_PIPELINED_REQUESTS = 8  # unanswered requests of one connection; most clients send one at a time
-RESPONSE_STALL_TIMEOUT_SECONDS = 15.0  # without a client accepting data of a streamed response
+# The connection of a client that accepts no data of a streamed response for this time is aborted.
+RESPONSE_STALL_TIMEOUT_SECONDS = 15.0
 
 
 class ResponseOutput(Protocol):
@@ -59,13 +60,15 @@
         while self and self._output.is_open:
             request = self[0]
             if request.response_head is None:
-                request.start_stream(closes=self._shared.closes_connections, writable=not self.write_blocked)
+                request.start_stream(
+                    closes=self._shared.closes_after_response, writable=not self.write_blocked
+                )
                 break  # later responses wait until the streamed one is finished
             self.popleft()
             self.active_at = self._shared.clock()
             # A drain or an end of input closes the connection only after the last queued response, because
             # all queued requests have been accepted.
-            closes = not self and (self._shared.closes_connections or input_ended)
+            closes = not self and (self._shared.closes_after_response or input_ended)
             closes = closes or not request.keep_alive
             self._output.write(request.response_bytes(closes=closes))
             if closes:
@@ -73,7 +76,7 @@
         return False
 
     def finish_stream(self, request: ClientRequest, *, input_ended: bool) -> bool:
-        """Remove a request whose streamed response has been written completely."""
+        """Remove a request whose streamed response is complete; return whether to close the connection."""
         if not self or self[0] is not request:
             return False
         self.popleft()
--- a/quota_gateway/net/client/shared_state.py
+++ b/quota_gateway/net/client/shared_state.py
@@ -12,7 +12,8 @@
 
 # If the active connections exceed this fraction of the limit, each response closes its connection. Otherwise
 # clients that send one request and keep the connection open, or a client whose pool leaks connections, would
-# use up the limit. The cost: clients that send requests continuously connect anew for each request.
+# use up the limit. The cost is that clients that
+# send requests continuously then connect again for each request.
 MAX_KEEP_ALIVE_FRACTION = 0.5
 
 
@@ -49,8 +50,8 @@
         self._max_keep_alive_connections = MAX_KEEP_ALIVE_FRACTION * max_connections
 
     @property
-    def closes_connections(self) -> bool:
-        """Whether responses announce the close of their connection, and then close it."""
+    def closes_after_response(self) -> bool:
+        """Whether each response announces the close of its connection, which then closes."""
         return self.draining or self.active_connections > self._max_keep_alive_connections
 
     def start_serving(self) -> None:
--- a/quota_gateway/net/common/backoff.py
+++ b/quota_gateway/net/common/backoff.py
@@ -32,7 +32,7 @@
 
 
 def reconnect_delay(consecutive_failures: int, draw: float) -> float:
-    """Return the seconds until the next attempt to connect to the counter.
+    """Return the seconds until the next connect to the counter.
 
     The delay is an exponential backoff with partial jitter.
     """
--- a/quota_gateway/net/common/http_common.py
+++ b/quota_gateway/net/common/http_common.py
@@ -10,7 +10,7 @@
 MAX_PORT = 65535
 # Headers that belong to one connection and are never forwarded (RFC 9110, 7.6.1), and the framing headers,
 # which are generated again because the body may be framed differently on the next connection.
-NOT_FORWARDED = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     (
         b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-authenticate",
         b"proxy-authorization", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
--- a/quota_gateway/net/common/metrics.py
+++ b/quota_gateway/net/common/metrics.py
@@ -21,7 +21,7 @@
 
 
 class Metrics:
-    """Requests by class and outcome, attempts, reloads, and violations of invariants."""
+    """Counts requests by class and outcome, attempts, reloads, and violations of invariants."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
         """Create metrics that include the request classes of these names."""
--- a/quota_gateway/net/counter/connector.py
+++ b/quota_gateway/net/counter/connector.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_SECONDS = 0.25
-# The minimum time between two attempts prevents a busy loop if the counter closes each connection at once.
+# The minimum time between two connects prevents a busy loop if the counter closes each connection at once.
 MIN_RECONNECT_INTERVAL_SECONDS = 0.05
 
 
@@ -28,14 +28,14 @@
 
 
 class CounterConnector:
-    """Opens connections to the current address, one at a time; owns the task of the attempt."""
+    """Opens connections to the current address, one at a time; owns the task that opens one."""
 
     def __init__(self, address: Address, owner: ConnectorOwner, rng: Random) -> None:
         """``rng`` draws the jitter of the delays."""
         self.address = address
         self.consecutive_failures = 0
-        self.last_attempt_at = 0.0  # seconds of the event loop's clock
-        self.next_attempt_at = 0.0
+        self.last_connect_at = 0.0  # seconds of the event loop's clock
+        self.next_connect_at = 0.0
         self._owner = owner
         self._rng = rng
         self._loop = asyncio.get_running_loop()
@@ -43,28 +43,28 @@
         self._failure_logged = False
 
     def set_address(self, address: Address) -> None:
-        """Use another address from now on: cancel the attempt in progress and reset the backoff."""
+        """Use another address from now on: cancel a connect in progress and reset the backoff."""
         self.address = address
         self.consecutive_failures = 0
-        self.next_attempt_at = 0.0
+        self.next_connect_at = 0.0
         self.cancel()
 
     def cancel(self) -> None:
-        """Cancel the attempt in progress."""
+        """Cancel the connect in progress."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def connect(self) -> None:
-        """Start an attempt, unless one is in progress or the backoff delay has not passed."""
-        if self._task is not None or self._loop.time() < self.next_attempt_at:
+        """Start to connect, unless a connect is in progress or the backoff delay has not passed."""
+        if self._task is not None or self._loop.time() < self.next_connect_at:
             return
-        self.last_attempt_at = self._loop.time()
+        self.last_connect_at = self._loop.time()
         self._task = self._loop.create_task(self._connect(self.address))
 
     def seconds_until_reconnect(self) -> float:
         """Return the seconds until a lost connection may be replaced."""
-        return max(0.0, self.last_attempt_at + MIN_RECONNECT_INTERVAL_SECONDS - self._loop.time())
+        return max(0.0, self.last_connect_at + MIN_RECONNECT_INTERVAL_SECONDS - self._loop.time())
 
     async def _connect(self, address: Address) -> None:
         connection = self._owner.new_connection(address)
@@ -97,4 +97,4 @@
         self._task = None
         self.consecutive_failures += 1
         delay = reconnect_delay(self.consecutive_failures, self._rng.random())
-        self.next_attempt_at = self._loop.time() + delay
+        self.next_connect_at = self._loop.time() + delay
--- a/quota_gateway/net/dispatch/attempt_forwarder.py
+++ b/quota_gateway/net/dispatch/attempt_forwarder.py
@@ -84,7 +84,7 @@
             upload=request.upload,
             timeout=action.timeout,
             not_after=min(action.not_after, latest_write_time(pending)),
-            is_client_connected=request.is_client_connected,
+            may_begin_attempt=request.may_begin_attempt,
         )
 
     def _start(self, attempt: Exchange, pending: PendingRequest) -> None:
@@ -113,9 +113,8 @@
                 elapsed=attempt.elapsed,
                 request_finished=succeeded or self._requests.find(request_id) is None,
                 load_report=attempt.load_report,
-                charged_units=attempt.charged_units
-                if succeeded
-                else None,  # only a success corrects the charge
+                # Only a successful attempt corrects the charge.
+                charged_units=attempt.charged_units if succeeded else None,
                 may_retry=attempt.upload is None or not attempt.upload.consumed,
             )
         )
--- a/quota_gateway/net/dispatch/attempt_guard.py
+++ b/quota_gateway/net/dispatch/attempt_guard.py
@@ -17,7 +17,7 @@
 
 
 class AttemptGuard:
-    """Refuses attempts that would violate an invariant; the decisions request none unless they are faulty."""
+    """Refuses attempts that would violate an invariant; only faulty decisions request such attempts."""
 
     __slots__ = ("_may_hedge", "_monitor")
 
--- a/quota_gateway/net/dispatch/dispatcher.py
+++ b/quota_gateway/net/dispatch/dispatcher.py
@@ -17,7 +17,7 @@
 from quota_gateway.net.common.metrics import Metrics
 from quota_gateway.net.counter.client import CounterClient
 from quota_gateway.net.discovery.watch_event import WatchEvent
-from quota_gateway.net.dispatch.admin_calls import AdminCalls
+from quota_gateway.net.dispatch.admin_calls import PendingCommands
 from quota_gateway.net.dispatch.attempt_forwarder import AttemptForwarder
 from quota_gateway.net.dispatch.network_actions import NetworkActions
 from quota_gateway.net.dispatch.process_group_events import ProcessGroupEvents
@@ -72,8 +72,10 @@
         self._attempts = AttemptForwarder(
             settings, clock, pool, self.requests, self.dispatch, self._metrics.invariants
         )
-        self._admin_calls = AdminCalls(self._metrics, self.requests, self._process_group)
-        self._group_events = ProcessGroupEvents(self._process_group, pool, self._admin_calls, self.dispatch)
+        self._pending_commands = PendingCommands(self._metrics, self.requests, self._process_group)
+        self._group_events = ProcessGroupEvents(
+            self._process_group, pool, self._pending_commands, self.dispatch
+        )
         self._network_actions = NetworkActions(settings, clock, pool, counter, self.dispatch)
         self._executors = self._executors_by_action()
 
@@ -87,7 +89,7 @@
             model.CheckHealth: self._network_actions.check_health,
             model.SetTimer: self._network_actions.set_timer,
             model.Log: self._network_actions.log,
-            model.AdminReply: self._admin_calls.reply,
+            model.AdminReply: self._pending_commands.reply,
             model.RecordSuspension: self._group_events.record_suspension,
             model.HandOver: self._group_events.hand_over,
         }
@@ -130,7 +132,7 @@
         if isinstance(event, model.Request):
             self.requests.respond_without_decisions(event.id, STATUS_INTERNAL_ERROR)
         elif isinstance(event, model.AdminRequest):
-            self._admin_calls.fail(event.id)
+            self._pending_commands.fail(event.id)
         elif isinstance(event, model.TimerFired):
             # The decisions set their next timer when one fires: without the retry no timer would fire again.
             self._loop.call_later(TIMER_RETRY_DELAY_SECONDS, self.dispatch, event)
@@ -152,7 +154,7 @@
         self.dispatch(update)
 
     def on_request(self, request: ClientRequest) -> None:
-        """Dispatch a request that was received; of a streamed upload, only the head was received."""
+        """Dispatch a request; if its body is streamed, only the head has been received completely."""
         self._process_group.poll_if_late()
         event = request.event
         assert event is not None
@@ -181,7 +183,7 @@
 
     def on_admin_command(self, command: model.AdminCommand, endpoint: str, on_reply: ReplyCallback) -> None:
         """Dispatch an operator's command; ``endpoint`` is empty if the command takes none."""
-        self.dispatch(model.AdminRequest(self._admin_calls.add(command, on_reply), command, endpoint))
+        self.dispatch(model.AdminRequest(self._pending_commands.add(command, on_reply), command, endpoint))
 
     def on_process_group_changed(self, change: GroupChange) -> None:
         """Dispatch a change of the number of processes or of the suspended endpoints."""
--- a/quota_gateway/net/dispatch/pending_request.py
+++ b/quota_gateway/net/dispatch/pending_request.py
@@ -33,7 +33,7 @@
         self.max_attempts = max_attempts
         self.deadline = math.inf  # seconds of the dispatcher's clock
         self.attempts: list[Exchange] = []  # an attempt's number is its index
-        self.timer: asyncio.TimerHandle | None = None  # responds after the deadline if the decisions have not
+        self.timer: asyncio.TimerHandle | None = None  # responds after the deadline unless the decisions have
 
     @property
     def has_deadline(self) -> bool:
--- a/quota_gateway/net/dispatch/process_group_events.py
+++ b/quota_gateway/net/dispatch/process_group_events.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from quota_gateway import model
-from quota_gateway.net.dispatch.admin_calls import AdminCalls
+from quota_gateway.net.dispatch.admin_calls import PendingCommands
 from quota_gateway.net.process_group.group import GroupChange, ProcessGroup
 from quota_gateway.net.upstream.pool import ConnectionPool
 
@@ -20,13 +20,13 @@
         self,
         process_group: ProcessGroup,
         pool: ConnectionPool,
-        admin_calls: AdminCalls,
+        pending_commands: PendingCommands,
         dispatch: Callable[[model.Event], None],
     ) -> None:
         """``dispatch`` receives the events."""
         self._process_group = process_group
         self._pool = pool
-        self._admin_calls = admin_calls
+        self._pending_commands = pending_commands
         self._dispatch = dispatch
 
     def on_changed(self, change: GroupChange) -> None:
@@ -48,8 +48,9 @@
         """Record that an endpoint is suspended or restored, for all processes of this limiter."""
         log.info("endpoint %s: %s", action.endpoint, "suspended" if action.suspended else "restored")
         suspensions = self._process_group.set_suspended(action.endpoint, suspended=action.suspended)
-        if (action.endpoint in suspensions) is not action.suspended:  # not recorded: too many suspensions
-            self._admin_calls.fail_next_reply()
+        # The change is not recorded if there are too many suspensions.
+        if (action.endpoint in suspensions) is not action.suspended:
+            self._pending_commands.fail_next_reply()
         self._pool.set_suspended_endpoints(suspensions)
         # Another process may have recorded further suspensions in the meantime.
         self._dispatch(model.SuspensionsChanged(suspensions))
--- a/quota_gateway/net/dispatch/request_log.py
+++ b/quota_gateway/net/dispatch/request_log.py
@@ -1,4 +1,4 @@
-"""Logs single requests that had more than one attempt, or an attempt that did not succeed.
+"""Logs each request that had more than one attempt, or an attempt that did not succeed.
 
 Requests that were served by their first attempt, or had none, are not logged; the metrics count them.
 Reports of invariant violations describe their request in the same form.
--- a/quota_gateway/net/dispatch/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -22,11 +22,12 @@
 
 # Part of the client's timeout that is reserved for the transfer of the response.
 RESPONSE_MARGIN_SECONDS = 0.02
-MAX_RESPONSE_MARGIN_FRACTION = 0.1  # of the timeout
-# If the decisions do not respond, the request fails this fraction of the margin before the client's timeout.
+MAX_RESPONSE_MARGIN_FRACTION = 0.1  # upper limit of the margin, as a fraction of the timeout
+# If the decisions do not respond, the limiter responds when this fraction of the margin remains until the
+# client's timeout.
 UNANSWERED_MARGIN_FRACTION = 0.5
-MIN_TIMEOUT_SECONDS = 0.001  # least timeout in an event for the decisions
-SHUTDOWN_RETRY_AFTER_SECONDS = 0.1  # Retry-After of requests rejected because the process ends
+MIN_TIMEOUT_SECONDS = 0.001  # lower limit of the timeout in an event for the decisions
+SHUTDOWN_RETRY_AFTER_SECONDS = 0.1  # Retry-After of the responses with status 503 at the end of the process
 STATUS_OK = 200
 STATUS_REJECTED = 429
 STATUS_INTERNAL_ERROR = 500
@@ -66,7 +67,7 @@
     def apply_settings(self, settings: model.Settings) -> None:
         """Replace the settings; a lower ``max_attempts`` applies to open requests too.
 
-        Removed classes are kept for requests of them that arrive later.
+        Classes that the settings no longer contain are kept, because requests of them may still arrive.
         """
         self._classes |= {request_class.name: request_class for request_class in settings.classes}
         self.max_attempts = settings.max_attempts
--- a/quota_gateway/net/upstream/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -33,7 +33,9 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One attempt at a request; ``on_complete`` is called exactly once, with ``status`` set.
+    """One attempt of a request, or a health check.
+
+    ``on_complete`` is called exactly once, with ``status`` set.
 
     At most one connection at a time carries the exchange, and none once it is ``completed``. The pool and the
     connection change it only through its methods.
@@ -62,8 +64,9 @@
     endpoint_started_at: float = 0.0  # start time of the incarnation that the request was sent to
     connection_number: int = 0  # number of the connection that carried the exchange, from 1; 0 if none
     on_reused_connection: bool = False
-    # Called just before the request is written; returns whether the client is still connected.
-    is_client_connected: Callable[[], bool] | None = None
+    # Called just before the request is written; returns whether an attempt may begin for the client. None for
+    # a health check, which has no client.
+    may_begin_attempt: Callable[[], bool] | None = None
     connection: ExchangeConnection | None = None  # the connection that carries the exchange
     expiry_timer: asyncio.TimerHandle | None = None  # fires at ``expires_at``
 
@@ -136,12 +139,12 @@
         self.on_complete(self)
 
     def has_lost_client(self) -> bool:
-        """Poll whether the client has disconnected; False where there is no client, as for a health check.
+        """Whether no attempt may begin, because the client may have disconnected; False for a health check.
 
-        If the poll finds that the client may have disconnected, it withdraws the client's unsent exchanges,
-        which may include this one.
+        This may poll the client's socket. If the client may have disconnected, its unsent exchanges are
+        withdrawn, which may include this one.
         """
-        return self.is_client_connected is not None and not self.is_client_connected()
+        return self.may_begin_attempt is not None and not self.may_begin_attempt()
 
     def may_be_executing(self) -> bool:
         """Whether the endpoint may be executing the request, so a timeout counts against the endpoint.
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -19,10 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PROPAGATED_TIMEOUT_SECONDS = 3600.0  # upper limit of X-Timeout-Ms, sent if there is no deadline
+# Upper limit of the timeout in X-Timeout-Ms; a request without a deadline is sent with it.
+MAX_PROPAGATED_TIMEOUT_SECONDS = 3600.0
 # The checks before a write are repeated if they took longer than this: the process stalled meanwhile.
 MAX_CHECK_SECONDS = 0.05
-MAX_CHECKS_BEFORE_WRITE = 5  # a request is not sent if this many checks in a row were followed by a stall
+MAX_CHECKS_BEFORE_WRITE = 5  # a request is not sent if the process stalled in this many checks in a row
 SCAN_INTERVAL_SECONDS = 1.0  # between two scans for expired idle connections and stalled bodies
 SCANS_PER_LOG_LINE = 10
 
@@ -153,7 +154,7 @@
     def on_connect_error(self, exchange: Exchange, error: Exception) -> None:
         """End an exchange after an unexpected error, and report it."""
         log.error(
-            "unexpected error while connecting or sending to %s; attempt abandoned",
+            "unexpected error while connecting or sending to %s; the attempt ends as failed",
             exchange.endpoint,
             exc_info=error,
         )
--- a/quota_gateway/net/upstream/request_writer.py
+++ b/quota_gateway/net/upstream/request_writer.py
@@ -50,9 +50,10 @@
         self._clock = clock
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None  # the one whose request is being written
-        self._upload_finished = False  # the last chunk of the upload is passed to the transport
+        self._upload_finished = False  # whether the last chunk of the upload is passed to the transport
         self._last_progress = 0.0  # when the upload last advanced, in seconds of the clock
-        self.has_unsent_bytes = False  # the transport holds bytes that the operating system has not accepted
+        # Whether the transport buffers bytes that the operating system has not accepted.
+        self.has_unsent_bytes = False
 
     def write(self, transport: asyncio.Transport, exchange: Exchange, data: bytes) -> None:
         """Write the head of a request and its buffered body, then attach its upload if it has one."""
--- a/quota_gateway/net/upstream/response_parser.py
+++ b/quota_gateway/net/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""Incremental parser of responses: framing, size limits and the headers that the gateway interprets."""
+"""Incremental parser of responses: framing, size limits and the headers that the limiter interprets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 import httptools
 
 from quota_gateway.net.common.body_stream import BodyStream
-from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, NOT_FORWARDED
+from quota_gateway.net.common.http_common import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    NOT_FORWARDED_HEADERS,
+)
 from quota_gateway.net.upstream.response_status import STATUS_OK
 
 FIRST_FINAL_STATUS = 200  # lower status codes are interim responses
@@ -106,7 +110,7 @@
         return status
 
     def has_open_ended_body(self) -> bool:
-        """Whether part of a body of unknown length is buffered, whose truncation a client could detect."""
+        """Whether part of a body of unknown length is buffered and its client could detect a truncation."""
         if not self._head_complete or self.body_size == 0:
             return False
         truncation_visible = self._chunked or (self.ends_at_eof and self._closes_connection)
@@ -156,7 +160,7 @@
             self.not_processed = value == b"1"
         elif key == b"connection":
             self._closes_connection = b"close" in value.lower()
-        elif key not in NOT_FORWARDED:
+        elif key not in NOT_FORWARDED_HEADERS:
             self.header_lines.append(b"%b: %b\r\n" % (name, value))
 
     def _set_content_length(self, value: bytes) -> None:
--- a/quota_gateway/net/upstream/stats.py
+++ b/quota_gateway/net/upstream/stats.py
@@ -19,8 +19,8 @@
     reused: int = 0
     broken_on_first_request: int = 0
     broken_on_reuse: int = 0
-    closed_while_idle: int = 0  # those in broken_on_reuse that broke as soon as they were written to
-    idle_too_long: int = 0  # closed by this gateway instead of being reused
+    closed_while_idle: int = 0  # part of broken_on_reuse: broke as soon as a request was written
+    idle_too_long: int = 0  # closed by this limiter instead of being reused
     malformed_responses: int = 0
 
     def record_opened(self) -> None:
--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -92,7 +92,7 @@
     client.close()
 
 
-DISCONNECTS = [socket.socket.close, reset]
+DISCONNECT_FUNCTIONS = [socket.socket.close, reset]
 
 
 async def assert_rejected(request_bytes: bytes, status: int) -> None:
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -1,4 +1,4 @@
-"""Transient failures of accept: the limiter must continue to accept and lose no connection."""
+"""``Acceptor``: after a temporary failure of accept it must continue to accept, and lose no connection."""
 
 from __future__ import annotations
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,7 @@
-"""Tests of the admin address: of the listener alone, and of a running limiter."""
+"""The admin address, as a listener alone and in a running limiter: each admin command gets one reply.
+
+Connections that stall must not delay the replies on others.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_attempts_out.py
+++ b/tests/test_attempts_out.py
@@ -1,4 +1,4 @@
-"""Test of abandoned attempts: their connection is closed before the next attempt of the request is written.
+"""``UpstreamConnection``: after a failed attempt it is closed before the next attempt is written.
 
 Otherwise two attempts of one request could be in flight at once.
 """
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,7 +1,6 @@
-"""Tests of the backoff.
+"""The backoff of polls and reconnects: limiters must not all poll or reconnect at the same moment.
 
-They guard against limiters that all poll or reconnect at the same moment, and against polls that are too late
-to receive an endpoint update in time.
+In addition, no poll may be too late to receive an endpoint update in time.
 """
 
 from __future__ import annotations
--- a/tests/test_body_stream.py
+++ b/tests/test_body_stream.py
@@ -1,4 +1,7 @@
-"""Long bodies over loopback sockets: streaming both ways, backpressure, and truncated streams."""
+"""``BodyStream`` over loopback sockets: long bodies pass unchanged, and truncated ones do not look complete.
+
+A body is read no faster than its receiver accepts it.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from quota_gateway import model
 from soak.http_bodies import read_body
 from tests.client_helpers import (
-    DISCONNECTS,
+    DISCONNECT_FUNCTIONS,
     LATE_SECONDS,
     execute,
     limiter_with_endpoint,
@@ -145,11 +148,11 @@
         data = upload(framing, LONG_BODY)
         writer.write(data[:200_000])
         await head_received.wait()
-        (opened,) = limiter.dispatcher.requests.open_requests()
-        assert opened.deadline == math.inf
-        assert opened.timer is None  # the client's timeout has not started
-        assert opened.attempts[0].expiry_timer is None
-        assert not opened.attempts[0].request_written
+        (pending,) = limiter.dispatcher.requests.open_requests()
+        assert pending.deadline == math.inf
+        assert pending.timer is None  # the client's timeout has not started
+        assert pending.attempts[0].expiry_timer is None
+        assert not pending.attempts[0].request_written
         writer.write(data[200_000:])
         assert (await read_message(reader))[2] == b"hi"
         assert bodies == [LONG_BODY]
@@ -248,8 +251,8 @@
     client.sendall(b"10000\r\n" + b"x" * 0x10000 + b"\r\n1\r\nx\r\n")  # long enough to be streamed
     size = 0x10001
     while True:
-        opened = list(limiter.dispatcher.requests.open_requests())
-        if opened and opened[0].attempts[0].connection:
+        pending = list(limiter.dispatcher.requests.open_requests())
+        if pending and pending[0].attempts[0].connection:
             break
         await asyncio.sleep(0)
     while connection.pipeline.reader.body.paused or connection.pipeline.reader.body.size < size:
@@ -264,7 +267,7 @@
     return size
 
 
-@pytest.mark.parametrize("disconnect", DISCONNECTS)
+@pytest.mark.parametrize("disconnect", DISCONNECT_FUNCTIONS)
 @async_test
 async def test_upload_with_an_unread_end_is_truncated_when_its_client_disconnects(disconnect: Any) -> None:
     endpoint = PausedEndpoint()
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Requests and responses of one client connection over loopback sockets: order, keep-alive, backpressure."""
+"""``ClientConnection`` over loopback sockets: responses are complete and in the order of their requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @async_test
 async def test_request_and_response_pass_through_unchanged() -> None:
-    body = bytes(range(256)) * 256  # 64 KiB, the maximum size of a collected body
+    body = bytes(range(256)) * 256  # 64 KiB, the maximum size of a buffered body
     response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: a/b\r\n\r\n" % len(body) + body
     endpoint = ScriptedEndpoint(lambda _n: response)
     async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -1,7 +1,6 @@
-"""Detection of disconnected and half-closed clients, over real sockets.
+"""``ClientLiveness`` over loopback sockets: no attempt begins for a client that has disconnected.
 
-Guards against attempts that begin for a client that has disconnected, and against a half-closed client that
-gets no response. No test depends on the speed of the machine.
+A half-closed client must still get its response. No test depends on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 from quota_gateway.net.client.response_queue import MAX_PIPELINED_REQUESTS
 from quota_gateway.net.upstream import connector, idle_connections
 from tests.client_helpers import (
-    DISCONNECTS,
+    DISCONNECT_FUNCTIONS,
     LATE_SECONDS,
     execute,
     limiter_with_endpoint,
@@ -95,7 +94,7 @@
         assert not endpoint.requests
 
 
-@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("close_client", DISCONNECT_FUNCTIONS)
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_disconnect_is_detected_while_requests_wait(close_client: Any, request_count: int) -> None:
@@ -177,7 +176,7 @@
     assert endpoint.requests[-1][1]["x-request-id"].encode() in request
 
 
-@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("close_client", DISCONNECT_FUNCTIONS)
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_no_attempt_begins_for_a_client_that_disconnected_while_its_requests_waited(
@@ -259,7 +258,7 @@
 async def test_request_of_a_client_that_has_just_half_closed_is_still_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_liveness, "PRESENCE_GRACE_SECONDS", 10.0)  # more than a slow machine needs
+    monkeypatch.setattr(client_liveness, "LIVENESS_GRACE_SECONDS", 10.0)  # more than a slow machine needs
 
     script = ScriptedDecisions(take_no_action)
     endpoint = ScriptedEndpoint()
@@ -284,7 +283,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """After a start or a stall, unread input may be old; the operating system reports its age."""
-    monkeypatch.setattr(client_liveness, "PRESENCE_GRACE_SECONDS", 10.0)  # more than a slow machine needs
+    monkeypatch.setattr(client_liveness, "LIVENESS_GRACE_SECONDS", 10.0)  # more than a slow machine needs
     monkeypatch.setattr(client_liveness, "RESET_WAIT_SECONDS", 10.0)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
@@ -308,7 +307,7 @@
     )
 
 
-@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("close_client", DISCONNECT_FUNCTIONS)
 @pytest.mark.parametrize("request_count", [1, MAX_PIPELINED_REQUESTS])
 @async_test
 async def test_no_retry_begins_for_a_client_that_disconnected_during_the_previous_attempt(
@@ -375,7 +374,7 @@
         return self._loop
 
 
-@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("close_client", DISCONNECT_FUNCTIONS)
 @async_test
 async def test_no_attempt_begins_for_a_client_that_disconnected_during_the_connect(
     close_client: Any, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of idle and slow clients."""
+"""Timeouts of client connections: idle connections are closed, and clients that are too slow get an error."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     monkeypatch.setattr(listener, "SCAN_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(request_body, "BODY_TIMEOUT_SECONDS", 0.1)
-    monkeypatch.setattr(request_body, "MAX_COLLECTION_SECONDS", 0.3)
+    monkeypatch.setattr(request_body, "MAX_BUFFERING_SECONDS", 0.3)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit of client connections: which of them are evicted, and when responses close them."""
+"""The limit of client connections: idle clients must not use it up, and requests must not be evicted."""
 
 from __future__ import annotations
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,7 @@
-"""``ConnectionPool`` over loopback sockets: connecting, reuse, draining and suspended endpoints, limits."""
+"""``ConnectionPool`` over loopback sockets: no request goes to an endpoint that is draining or suspended.
+
+No response may answer the request of another exchange, and the number of connections is limited.
+"""
 
 from __future__ import annotations
 
@@ -60,12 +63,12 @@
 
 @async_test
 async def test_a_timeout_closes_the_connection_so_that_no_late_response_answers_the_next_request() -> None:
-    origin = ScriptedEndpoint(lambda number: None if number == 1 else OK_RESPONSE)
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint(lambda number: None if number == 1 else OK_RESPONSE)
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch(0.1)).status is CallStatus.TIMEOUT
-        await origin.disconnected.wait()
+        await endpoint.disconnected.wait()
         assert (await harness.fetch()).status is CallStatus.OK
-        assert origin.connection_count == 2
+        assert endpoint.connection_count == 2
 
 
 @async_test
@@ -110,26 +113,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         PoolHarness(address, idle_timeout=30.0) as harness,
     ):
         await asyncio.gather(harness.fetch(), harness.fetch())
         await harness.fetch()
-        assert origin.connection_count == 2
+        assert endpoint.connection_count == 2
         harness.set_clock(harness.clock() + 16.0)  # over half of idle_timeout
         await harness.fetch()
-        assert origin.connection_count == 3
+        assert endpoint.connection_count == 3
 
 
 @async_test
 async def test_a_connection_is_not_reused_after_a_response_with_connection_close() -> None:
     closing = OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-    origin = ScriptedEndpoint(lambda _number: closing)
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint(lambda _number: closing)
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         assert [(await harness.fetch()).status for _ in range(2)] == [CallStatus.OK, CallStatus.OK]
-        assert origin.connection_count == 2
+        assert endpoint.connection_count == 2
 
 
 @pytest.mark.parametrize(
@@ -144,23 +147,23 @@
 async def test_draining_closes_idle_connections_and_stops_new_requests_at_once(
     drain: Callable[[ConnectionPool], None],
 ) -> None:
-    origin = ScriptedEndpoint()
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint()
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         await harness.fetch()
         drain(harness.pool)
-        await origin.disconnected.wait()
+        await endpoint.disconnected.wait()
         assert (await harness.fetch()).status is CallStatus.NOT_SENT
-        assert len(origin.requests) == 1
+        assert len(endpoint.requests) == 1
 
 
 @async_test
 async def test_an_endpoint_that_starts_draining_during_a_connect_gets_no_request() -> None:
-    origin = ScriptedEndpoint()
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint()
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         _, completed = harness.start()
         harness.pool.update_endpoint(ENDPOINT, address, available=False)
         assert (await completed).status is CallStatus.NOT_SENT
-        assert not origin.requests
+        assert not endpoint.requests
 
 
 @async_test
@@ -198,9 +201,9 @@
 
 @async_test
 async def test_at_the_total_limit_an_idle_connection_is_evicted_for_a_new_one() -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     async with (
-        running_server(origin.handle_connection) as address,
+        running_server(endpoint.handle_connection) as address,
         PoolHarness(address, max_connections=1) as harness,
     ):
         harness.pool.update_endpoint("s2", address, available=True)
@@ -239,13 +242,13 @@
 
 @async_test
 async def test_a_suspended_endpoint_gets_no_connection_until_it_is_restored() -> None:
-    origin = ScriptedEndpoint()
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint()
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         await harness.fetch()
         harness.pool.set_suspended_endpoints(frozenset({ENDPOINT}))
-        await origin.disconnected.wait()
+        await endpoint.disconnected.wait()
         assert (await harness.fetch()).status is CallStatus.NOT_SENT
-        assert origin.connection_count == 1
+        assert endpoint.connection_count == 1
         harness.pool.set_suspended_endpoints(frozenset())
         assert (await harness.fetch()).status is CallStatus.OK
 
@@ -291,8 +294,8 @@
 
 @async_test
 async def test_the_elapsed_time_of_an_exchange_counts_from_the_last_byte_of_its_upload() -> None:
-    origin = ScriptedEndpoint()
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint()
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         harness.set_clock(harness.clock())
         upload = BodyStream(UploadSource(), content_length=4)
         completed = asyncio.get_running_loop().create_future()
@@ -304,4 +307,4 @@
         upload.write(b"body")
         upload.finish()
         assert (await completed).elapsed == 0
-        assert origin.requests[0][2] == b"body"
+        assert endpoint.requests[0][2] == b"body"
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,7 +1,6 @@
-"""Tests of the counter client over loopback sockets.
+"""``CounterClient`` over loopback sockets: each call completes once, with its own result, in call order.
 
-They guard against results in the wrong order, replies matched to the wrong call, and calls that are lost or
-never complete at timeouts, lost connections, malformed replies and changes of the address.
+The faults are timeouts, lost connections, malformed replies and changes of the address.
 """
 
 from __future__ import annotations
@@ -297,5 +296,5 @@
     connector = client.connections.connector
     while connector.consecutive_failures < 4:
         await asyncio.sleep(0.01)
-    assert connector.next_attempt_at - connector.last_attempt_at >= 0.4
+    assert connector.next_connect_at - connector.last_connect_at >= 0.4
     client.close()
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""Descriptor exhaustion, on real sockets: idle clients use up the limit, or no descriptor can be opened."""
+"""Descriptor exhaustion: neither idle clients at the limit nor a lack of descriptors may stop the service."""
 
 from __future__ import annotations
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,6 +1,6 @@
-"""Tests of the discovery client over loopback sockets, at changes of discovery's address.
+"""``DiscoveryClient`` over loopback sockets: a change of discovery's address loses and delays no update.
 
-They guard against a limiter that drops the old address too early or is notified too late at the new one.
+The client must not drop the old address too early, or be notified too late at the new one.
 """
 
 from __future__ import annotations
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher over loopback sockets: one response per request, deadlines, failing decisions."""
+"""``Dispatcher`` over loopback sockets: each request gets one response in time, whatever the decisions do."""
 
 from __future__ import annotations
 
@@ -202,7 +202,7 @@
             assert " 502 " in (await limiter.fetch(post))[0]
         assert len(endpoint.requests) == 2
     assert [violation.invariant for violation in no_violations] == [Invariant.REPEATED_SAFELY] * 2
-    # Only the first violation is logged; its trace lists the attempts.
+    # Only the first violation is logged; its description lists the attempts.
     assert caplog.text.count("invariant violated: repeated_safely") == 1
     assert "attempt 0 at s1" in no_violations[0].description
     assert "error after" in no_violations[0].description
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,7 +1,7 @@
-"""Tests of the endpoint watcher over loopback sockets.
+"""``EndpointWatcher`` over loopback sockets: no update is lost or late when a watch fails.
 
-They guard against updates that are lost or late when a watch ends, stops sending heartbeats or contains
-malformed lines, and when discovery is down or overloaded.
+A watch fails when it ends, stops sending heartbeats or contains malformed lines, and when discovery is down
+or overloaded.
 """
 
 from __future__ import annotations
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -1,4 +1,4 @@
-"""Requests and responses in all valid forms and framings are forwarded, over loopback sockets."""
+"""HTTP framing over loopback sockets: requests and responses in all valid forms are forwarded."""
 
 from __future__ import annotations
 
--- a/tests/test_idle_policy.py
+++ b/tests/test_idle_policy.py
@@ -48,10 +48,10 @@
 async def test_only_an_immediate_break_on_reuse_reduces_the_idle_limit(
     break_delay: float, reused: bool
 ) -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     async with (
         running_server(break_on_reuse) as breaking,
-        running_server(origin.handle_connection) as healthy,
+        running_server(endpoint.handle_connection) as healthy,
         PoolHarness(breaking) as harness,
     ):
         harness.pool.update_endpoint("s2", healthy, available=True)
@@ -61,15 +61,15 @@
         await harness.fetch(endpoint="s2")
         harness.set_clock(harness.clock() + 0.18)  # exceeds the reduced limit, 0.7 of 0.2 s
         await harness.fetch(endpoint="s2")
-        assert origin.connection_count == (1 if reused else 2)
+        assert endpoint.connection_count == (1 if reused else 2)
 
 
 @async_test
 async def test_random_breaks_do_not_end_the_reuse_of_connections() -> None:
-    origin = ScriptedEndpoint()
+    endpoint = ScriptedEndpoint()
     async with (
         running_server(break_on_reuse) as breaking,
-        running_server(origin.handle_connection) as healthy,
+        running_server(endpoint.handle_connection) as healthy,
         PoolHarness(breaking) as harness,
     ):
         harness.pool.update_endpoint("s2", healthy, available=True)
@@ -80,4 +80,4 @@
         await harness.fetch(endpoint="s2")
         harness.set_clock(harness.clock() + 0.04)
         await harness.fetch(endpoint="s2")
-        assert origin.connection_count == 1
+        assert endpoint.connection_count == 1
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Health check and draining of the client listener."""
+"""``ClientListener``: accepted requests get their responses while it drains, and the health check fails."""
 
 from __future__ import annotations
 
@@ -112,7 +112,7 @@
 
 
 @async_test
-async def test_request_that_completes_after_abandon_all_is_rejected_and_not_dropped() -> None:
+async def test_request_that_completes_after_the_shutdown_responses_gets_a_503() -> None:
     endpoint = ScriptedEndpoint(lambda _n: None)
     async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         reader, writer = await limiter.connect()
@@ -134,7 +134,7 @@
 
 
 @async_test
-async def test_abandoned_request_that_was_never_forwarded_is_rejected_and_not_failed() -> None:
+async def test_open_request_that_was_never_forwarded_gets_a_503_at_the_shutdown() -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         reader, writer = await limiter.connect()
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -1,4 +1,4 @@
-"""Parsing of load reports."""
+"""``parse_load_report``: a load report is parsed completely, or dropped if any part is malformed."""
 
 from __future__ import annotations
 
@@ -20,6 +20,6 @@
 
 @async_test
 async def test_a_load_report_in_a_response_header_is_parsed() -> None:
-    origin = ScriptedEndpoint(lambda _number: empty_response("200 OK", "X-Server-Load: queue=2\r\n"))
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint(lambda _number: empty_response("200 OK", "X-Server-Load: queue=2\r\n"))
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).load_report == {"queue": 2.0}
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,7 @@
-"""Tests of the counts in the metrics. ``test_wire_formats.py`` checks their text byte by byte."""
+"""``Metrics``: requests are counted by the status of their response, and their counts survive a reload.
+
+``test_wire_formats.py`` checks the text of the metrics byte by byte.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_process_stalls.py
+++ b/tests/test_process_stalls.py
@@ -1,7 +1,7 @@
-"""Stalls of a limiter process at chosen points, while its sockets continue to receive input.
+"""Stalls of a limiter process at chosen points: it must not decide by a clock reading from before the stall.
 
-Guards against decisions by a clock reading from before the stall: propagated deadlines that are too long,
-late responses, attempts for disconnected clients, and shutdowns that last until SIGKILL may be sent.
+Such decisions lead to propagated deadlines that are too long, late responses, attempts for disconnected
+clients, and shutdowns that last until SIGKILL may be sent. The sockets receive input during the stall.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import pytest
 
 from quota_gateway.lifecycle.shutdown import KILL_GRACE_SECONDS, MAX_DEADLINE_SECONDS
-from quota_gateway.net.client.stall_detector import AFTERMATH_SECONDS
+from quota_gateway.net.client.stall_detector import STALL_RECOVERY_SECONDS
 from soak.fault_control import StallPoint
 from tests.discovery_server import RESPONSE_HEAD, chunk, message, read_request_path
 from tests.gateway_process import ProcessFaults, Program, config, started
@@ -72,7 +72,7 @@
         running_server(serve or scripted.handle_connection) as address,
         started(config(address), folder, environment=faults.environment) as program,
     ):
-        await asyncio.sleep(AFTERMATH_SECONDS + DEADLINE_SLACK)
+        await asyncio.sleep(STALL_RECOVERY_SECONDS + DEADLINE_SLACK)
         yield StalledLimiter(program, scripted)
 
 
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -1,4 +1,4 @@
-"""The request parser: the event that target and headers result in, and invalid requests."""
+"""``RequestParser``: the event contains the values of the headers, and invalid requests are rejected."""
 
 from __future__ import annotations
 
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""The request reader: framing, size limits and pipelining of requests, and malformed requests."""
+"""``RequestReader``: requests may arrive in many parts, and malformed or too large ones are rejected."""
 
 from __future__ import annotations
 
--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -1,7 +1,7 @@
-"""Input that arrives while the limiter process is stalled.
+"""Stalls of the limiter process: input that arrives during a stall counts from its time of arrival.
 
-The time of the stall counts: a request must not be forwarded with the timeout that it had before the stall,
-nor for a client that has disconnected since. A request or response that arrived in time must not time out.
+A request must not be forwarded with the timeout that it had before the stall, nor for a client that has
+disconnected since. A request or response that arrived in time must not time out.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 from quota_gateway import model
 from quota_gateway.net.client.request_reader import HEAD_TIMEOUT_SECONDS
-from quota_gateway.net.client.stall_detector import AFTERMATH_SECONDS
+from quota_gateway.net.client.stall_detector import STALL_RECOVERY_SECONDS
 from quota_gateway.net.common.http_common import MAX_BUFFERED_BODY_BYTES
 from quota_gateway.net.upstream.response_timer import MAX_RESPONSE_GAP_SECONDS
-from tests.client_helpers import DISCONNECTS, limiter_with_endpoint, wait_for_partial_request
+from tests.client_helpers import DISCONNECT_FUNCTIONS, limiter_with_endpoint, wait_for_partial_request
 from tests.loopback import (
     OK_RESPONSE,
     LoopbackLimiter,
@@ -73,7 +73,7 @@
         writer.close()
 
 
-@pytest.mark.parametrize("close_client", DISCONNECTS)
+@pytest.mark.parametrize("close_client", DISCONNECT_FUNCTIONS)
 @pytest.mark.parametrize("is_first", [True, False])
 @async_test
 async def test_no_attempt_begins_for_a_client_that_sends_a_request_and_disconnects_during_a_stall(
@@ -200,12 +200,13 @@
 
 
 @async_test
-async def test_a_stall_between_wake_up_and_read_is_deducted_from_the_timeout_of_a_request() -> None:
+async def test_a_request_that_waited_during_a_stall_between_wake_up_and_read_has_less_time() -> None:
     """The event loop reads its clock before the stall, and the request after it with that earlier time."""
     script = ScriptedDecisions(forward_to_s1)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
-        await asyncio.sleep(AFTERMATH_SECONDS + SLACK)  # the start of a limiter counts as the end of a stall
+        # The start of a limiter counts as the end of a stall.
+        await asyncio.sleep(STALL_RECOVERY_SECONDS + SLACK)
         reader, writer = await limiter.connect()
         writer.write(http_request())
         await read_message(reader)
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -1,4 +1,4 @@
-"""Tests of unexpected exceptions: the service continues, and each attempt is reported as ended."""
+"""Unexpected exceptions: the service continues, and each attempt is reported as ended."""
 
 from __future__ import annotations
 
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -1,4 +1,7 @@
-"""``UpstreamConnection`` over loopback sockets: the status of each exchange, and the limits on responses."""
+"""``UpstreamConnection`` over loopback sockets: each exchange ends with the right status.
+
+Responses that are malformed, incomplete or too large must not end in a timeout or answer another request.
+"""
 
 from __future__ import annotations
 
@@ -110,8 +113,8 @@
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", settle_delay)
     surplus = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
-    origin = ScriptedEndpoint(lambda number: OK_RESPONSE + surplus if number == 1 else OK_RESPONSE)
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint(lambda number: OK_RESPONSE + surplus if number == 1 else OK_RESPONSE)
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         bodies = list[bytes]()
         finished = asyncio.Event()
 
@@ -129,7 +132,7 @@
         start_exchange()
         await finished.wait()
         assert bodies == [b"hi", b"hi"]
-        assert origin.connection_count == 2
+        assert endpoint.connection_count == 2
 
 
 @pytest.mark.parametrize(
@@ -176,6 +179,6 @@
 async def test_charged_units_are_accepted_only_as_a_plain_decimal_number(
     value: str, charged: float | None
 ) -> None:
-    origin = ScriptedEndpoint(lambda _number: empty_response("200 OK", f"X-Units-Charged: {value}\r\n"))
-    async with running_server(origin.handle_connection) as address, PoolHarness(address) as harness:
+    endpoint = ScriptedEndpoint(lambda _number: empty_response("200 OK", f"X-Units-Charged: {value}\r\n"))
+    async with running_server(endpoint.handle_connection) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).charged_units == charged
--- a/tests/test_watch_event.py
+++ b/tests/test_watch_event.py
@@ -1,4 +1,4 @@
-"""Tests of the parsing of discovery's messages."""
+"""``parse_watch_event``: all fields of a message are parsed, and numbers out of range are malformed."""
 
 from __future__ import annotations
 
