--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -184,7 +184,7 @@
     cast(asyncio.Transport, writer.transport).resume_reading()
 
 
-def watch_event(
+def watch_event_listing(
     addresses: dict[str, str],
     health: model.EndpointHealth = model.EndpointHealth.HEALTHY,
     *,
@@ -210,7 +210,7 @@
         self.pool = ConnectionPool(clock, connect_timeout=0.25, idle_timeout=idle_timeout, max_connections=64)
         self.dispatcher = Dispatcher(SETTINGS, decisions, clock, self.pool, counter)
         self.listener = ClientListener(self.dispatcher, SETTINGS, max_connections=64)
-        self.dispatcher.on_watch_event(watch_event(addresses))
+        self.dispatcher.on_watch_event(watch_event_listing(addresses))
         self.address = ("", 0)  # the address that clients connect to, set when the limiter starts
 
     async def __aenter__(self) -> Self:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -23,7 +23,7 @@
     http_request,
     read_message,
     running_server,
-    watch_event,
+    watch_event_listing,
 )
 
 
@@ -281,7 +281,7 @@
     ):
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         remaining = {} if complete else {"s1": address}
-        drained = watch_event(remaining, model.EndpointHealth.DRAINING, complete=complete)
+        drained = watch_event_listing(remaining, model.EndpointHealth.DRAINING, complete=complete)
         limiter.dispatcher.on_watch_event(drained)
         await endpoint.disconnected.wait()
         assert " 429 " in (await limiter.fetch(http_request()))[0]
@@ -305,7 +305,7 @@
         (healthy,) = await script.wait_for(model.HealthChecked)
         assert (healthy.endpoint, healthy.status) == ("s1", model.CallStatus.OK)
         assert endpoint.requests[0][0] == "GET /healthz HTTP/1.1"
-        limiter.dispatcher.on_watch_event(watch_event({"s1": address}))
+        limiter.dispatcher.on_watch_event(watch_event_listing({"s1": address}))
         assert (await script.wait_for(model.HealthChecked, 2))[1].status is model.CallStatus.ERROR
         unreachable_reply = model.CounterReplied(5, model.CallStatus.UNREACHABLE)
         assert script.events.count(unreachable_reply) == 2
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -26,7 +26,7 @@
     async_test,
     http_request,
     running_server,
-    watch_event,
+    watch_event_listing,
 )
 
 LINGER_AND_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s: closing the socket resets the connection
@@ -143,7 +143,7 @@
             for writer, task in zip(endpoint.writers, (lookup, post), strict=True):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 await task
-            limiter.dispatcher.on_watch_event(watch_event({"s1": one, "s2": two, "s3": three}))
+            limiter.dispatcher.on_watch_event(watch_event_listing({"s1": one, "s2": two, "s3": three}))
             while not decisions.gateway.endpoints.by_name["s1"].half_open:
                 await send_requests(limiter, decisions, number=1, interval=0.1)
             endpoint.recovered = True
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -38,8 +38,8 @@
     async_test,
     forward_to_s1,
     running_server,
+    watch_event_listing,
 )
-from tests.loopback import watch_event as watch_event_listing
 
 ROOT = Path(__file__).parent.parent
 OTHER_PROCESS_FILE = "process-31-0a1b2c3d"  # name of the file that a process of another version locks
