--- a/quota_gateway/net/client/request_pipeline.py
+++ b/quota_gateway/net/client/request_pipeline.py
@@ -79,7 +79,7 @@
             self._transport.set_reading_paused(paused=paused)
 
     def set_write_blocked(self, *, blocked: bool) -> None:
-        """Record whether the client accepts output; only then is output produced and input read."""
+        """Record whether the client accepts output; while it does not, responses and input wait."""
         self.queue.set_write_blocked(blocked=blocked)
         self.update_reading()
 
--- a/quota_gateway/net/client/request_reader.py
+++ b/quota_gateway/net/client/request_reader.py
@@ -40,7 +40,7 @@
     ) -> None:
         """Accept a request whose body is complete or, if it is long, whose upload has begun.
 
-        Raises BadRequestError if the request is not valid; the response to it has then been written.
+        Raises BadRequestError if the request is not valid, after setting its response.
         """
 
     def on_upload_completed(self) -> None:
--- a/quota_gateway/net/upstream/endpoint_table.py
+++ b/quota_gateway/net/upstream/endpoint_table.py
@@ -57,7 +57,7 @@
             self._by_name[name] = UpstreamEndpoint(name, new_address, available, started_at)
 
     def retain_only(self, names: set[str]) -> None:
-        """Make all endpoints unavailable that are not among ``names``, those of a complete endpoint list."""
+        """Make all endpoints unavailable except those in ``names``, the names in a complete endpoint list."""
         for name, endpoint in list(self._by_name.items()):
             if name not in names:
                 if endpoint.available:
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -104,7 +104,7 @@
         self._endpoints.update(name, address, available=available, started_at=started_at)
 
     def retain_only(self, names: set[str]) -> None:
-        """Make all endpoints unavailable that are not among ``names``, those of a complete endpoint list."""
+        """Make all endpoints unavailable except those in ``names``, the names in a complete endpoint list."""
         self._endpoints.retain_only(names)
 
     def log_transitions(self) -> None:
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -1,4 +1,7 @@
-"""``ClientConnection`` over loopback sockets: responses are complete and in the order of their requests."""
+"""``ClientConnection`` over loopback sockets: responses are complete and in the order of their requests.
+
+No input is read from a client that does not read its responses.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit of client connections: idle clients must not use it up, and requests must not be evicted."""
+"""The limit of client connections: idle clients must not use it up, and no busy connection is evicted."""
 
 from __future__ import annotations
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -112,7 +112,7 @@
 
 
 @async_test
-async def test_request_that_completes_after_the_shutdown_responses_gets_a_503() -> None:
+async def test_request_that_completes_after_respond_to_all_gets_a_503() -> None:
     endpoint = ScriptedEndpoint(lambda _n: None)
     async with limiter_with_endpoint(endpoint.handle_connection) as limiter:
         reader, writer = await limiter.connect()
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -1,6 +1,7 @@
 """``UpstreamConnection`` over loopback sockets: each exchange ends with the right status.
 
-Responses that are malformed, incomplete or too large must not end in a timeout or answer another request.
+Malformed, incomplete or too large responses must not end in a timeout, and surplus bytes must not answer the
+next request.
 """
 
 from __future__ import annotations
