--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher over loopback sockets: one response per request, deadlines, failing decisions."""
+"""``Dispatcher`` over loopback sockets: each request gets one response in time, whatever the decisions do."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     http_request,
     read_message,
     running_server,
-    watch_event,
+    watch_event_listing,
 )
 
 
@@ -202,7 +202,7 @@
             assert " 502 " in (await limiter.fetch(post))[0]
         assert len(endpoint.requests) == 2
     assert [violation.invariant for violation in no_violations] == [Invariant.REPEATED_SAFELY] * 2
-    # Only the first violation is logged; its trace lists the attempts.
+    # Only the first violation is logged; its description lists the attempts.
     assert caplog.text.count("invariant violated: repeated_safely") == 1
     assert "attempt 0 at s1" in no_violations[0].description
     assert "error after" in no_violations[0].description
@@ -281,7 +281,7 @@
     ):
         assert " 200 " in (await limiter.fetch(http_request()))[0]
         remaining = {} if complete else {"s1": address}
-        drained = watch_event(remaining, model.EndpointHealth.DRAINING, complete=complete)
+        drained = watch_event_listing(remaining, model.EndpointHealth.DRAINING, complete=complete)
         limiter.dispatcher.on_watch_event(drained)
         await endpoint.disconnected.wait()
         assert " 429 " in (await limiter.fetch(http_request()))[0]
@@ -305,7 +305,7 @@
         (healthy,) = await script.wait_for(model.HealthChecked)
         assert (healthy.endpoint, healthy.status) == ("s1", model.CallStatus.OK)
         assert endpoint.requests[0][0] == "GET /healthz HTTP/1.1"
-        limiter.dispatcher.on_watch_event(watch_event({"s1": address}))
+        limiter.dispatcher.on_watch_event(watch_event_listing({"s1": address}))
         assert (await script.wait_for(model.HealthChecked, 2))[1].status is model.CallStatus.ERROR
         unreachable_reply = model.CounterReplied(5, model.CallStatus.UNREACHABLE)
         assert script.events.count(unreachable_reply) == 2
