--- a/scale/changing_list.py
+++ b/scale/changing_list.py
@@ -6,7 +6,7 @@
 from scale.synthetic_inputs import endpoint_row, watch_event_text
 
 REPLACEMENT_STRIDE = 7  # list positions from one replaced endpoint to the next
-# A replacement is three changes of the list; this is the health on the wire in each of them.
+# An endpoint is replaced by three changes of the list. This is its health on the wire in each of them.
 REPLACEMENT_STEPS = ("draining", "gone", "ready")
 
 
@@ -18,7 +18,7 @@
         self._size = size
         self._version = 1
         self._endpoints = [*range(size.servers)]  # endpoint number by list position
-        self._changes = 0
+        self._change_count = 0
         self._replaced_position = 0
 
     def complete_text(self) -> str:
@@ -31,11 +31,11 @@
 
         One change drains an endpoint, the next removes it, and the third adds a new endpoint at its position.
         """
-        step = self._changes % len(REPLACEMENT_STEPS)
+        step = self._change_count % len(REPLACEMENT_STEPS)
         self._version += 1
-        self._changes += 1
+        self._change_count += 1
         if step == 0:
-            replacements = self._changes // len(REPLACEMENT_STEPS)
+            replacements = self._change_count // len(REPLACEMENT_STEPS)
             self._replaced_position = replacements * REPLACEMENT_STRIDE % len(self._endpoints)
         position = self._replaced_position
         health = REPLACEMENT_STEPS[step]
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -1,4 +1,4 @@
-"""The command line: options, run of the selected tests, and exit code."""
+"""The command line: reads the options, runs the selected tests, and returns the exit code."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import click
 
 from scale.input_checks import check_sizes, machine_memory, reject_option
-from scale.model import BrokenRunError, Budget, Effort, Result, ScaleTest, Size
+from scale.model import Budget, Effort, Result, RunFailedError, ScaleTest, Size
 from scale.registry import TESTS
 from scale.report import Outcome, json_report, print_outcome, write_json_atomically
 
@@ -25,7 +25,7 @@
     WITHIN_BUDGET = 0
     OVER_BUDGET = 1
     BAD_INPUT = 2  # the code of click
-    BROKEN_RUN = 3
+    RUN_FAILED = 3
     INTERRUPTED = 130  # the code of a shell after SIGINT
 
 
@@ -36,7 +36,7 @@
         click.echo(f"{test.name}: {test.about}", err=True)
         try:
             result = test.run(size, budget, effort)
-        except BrokenRunError as error:
+        except RunFailedError as error:
             outcome.failures[test.name] = str(error)
         except KeyboardInterrupt:
             raise click.exceptions.Exit(ExitCode.INTERRUPTED) from None
@@ -72,7 +72,7 @@
 def exit_code(outcome: Outcome) -> ExitCode:
     """Return the exit code for the outcome of a run."""
     if outcome.failures:
-        return ExitCode.BROKEN_RUN
+        return ExitCode.RUN_FAILED
     if all(figure.passed for figure in outcome.figures):
         return ExitCode.WITHIN_BUDGET
     return ExitCode.OVER_BUDGET
@@ -145,5 +145,5 @@
             write_json_atomically(path, json_report(size, budget, effort, outcome))
         except (OSError, ValueError) as error:
             click.echo(f"the results could not be written to {path}: {error}", err=True)
-            return ExitCode.BROKEN_RUN
+            return ExitCode.RUN_FAILED
     return exit_code(outcome)
--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -214,7 +214,7 @@
 
 
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
-    """Add the costs at the size and control's share of a core."""
+    """Add the costs at the full size, and control's share of a core."""
     recent_tenants = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_ACCOUNT_SECONDS)
     result.add_note(
         f"at {size.rate / size.limiters:.0f} requests a second, if each limiter serves every customer, "
--- a/scale/event_costs.py
+++ b/scale/event_costs.py
@@ -47,6 +47,6 @@
         return self._costs.get(event_type, _EventCost()).events
 
     def mean_seconds(self, first: type[model.Event], *caused: type[model.Event]) -> float:
-        """Return the processor time of all events of these types, divided by the number of type ``first``."""
+        """Return the processor time of all events of these types per event of type ``first``."""
         nanoseconds = sum(self._costs.get(each, _EventCost()).nanoseconds for each in (first, *caused))
         return nanoseconds / max(1, self._costs[first].events) / NANOSECONDS_PER_SECOND
--- a/scale/fleet/accounting.py
+++ b/scale/fleet/accounting.py
@@ -1,4 +1,4 @@
-"""The exact usage of a tenant, added up over all limiters: offered, served, over quota, and violations."""
+"""Counts a tenant's usage exactly, over all limiters: offered, served, over quota and over the ceiling."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
 class PendingRequest:
     """A client's request with its retry.
 
-    ``limiter`` and ``due_at`` belong to the client's last attempt: the request itself or its retry.
+    ``limiter`` and ``due_at`` belong to what the client sent last: the request itself or its retry.
     """
 
     __slots__ = (
+        "charged_units",
         "due_at",
         "forwarded_within_quota",
         "is_retry",
         "kind",
         "limiter",
         "started_at",
-        "true_units",
         "units",
         "value",
         "within_quota",
     )
 
-    def __init__(self, started_at: float, kind: int, *, units: int, true_units: int, value: int) -> None:
-        """Create a new request; ``value`` counts if it is served in time."""
+    def __init__(self, started_at: float, kind: int, *, units: int, charged_units: int, value: int) -> None:
+        """Create a new request; ``value`` counts if the request is served in time."""
         self.started_at = started_at
         self.kind = kind  # index of ``REQUEST_KINDS``
         self.units = units  # as estimated by the client
-        self.true_units = true_units
+        self.charged_units = charged_units  # as charged by the endpoint
         self.value = value
         self.due_at = 0.0  # the time at which the client stops waiting
         self.limiter = 0  # -1: no limiter was available
         self.is_retry = False
-        self.within_quota = False  # when the client offered it; the retry does not change it
+        self.within_quota = False  # at the time of the offer; a retry does not change it
         self.forwarded_within_quota = False
 
-    def start_attempt(self, limiter: int, due_at: float) -> None:
-        """Record the limiter of an attempt and the time until which the client waits."""
+    def record_limiter(self, limiter: int, due_at: float) -> None:
+        """Record the limiter that the client has chosen and the time until which the client waits."""
         self.limiter = limiter
         self.due_at = due_at
 
     def start_retry(self) -> None:
-        """Record that the next attempt is a retry."""
+        """Record that the client retries the request."""
         self.is_retry = True
 
     def record_offered(self, *, within_quota: bool) -> None:
@@ -109,7 +109,7 @@
     def record_served(self, at: float, request: PendingRequest) -> None:
         """Count a served request, and its value if it met its latency objective and was within the quota."""
         if request.forwarded_within_quota:
-            self.forwarded_bucket.charge(at, request.true_units - request.units)
+            self.forwarded_bucket.charge(at, request.charged_units - request.units)
         counts = self._tally.at(request.started_at)
         counts["answers"] += 1
         if at - request.started_at > REQUEST_KINDS[request.kind].latency_objective:
--- a/scale/fleet/clients.py
+++ b/scale/fleet/clients.py
@@ -130,11 +130,11 @@
         while kind < len(REQUEST_KINDS) - 1 and draw >= REQUEST_KINDS[kind].fraction:
             draw -= REQUEST_KINDS[kind].fraction
             kind += 1
-        units = true_units = rng.randint(1, MAX_UNITS)
+        units = charged_units = rng.randint(1, MAX_UNITS)
         if rng.random() < WRONG_ESTIMATE_PROBABILITY:
-            true_units = min(MAX_UNITS, max(1, units + rng.choice((-1, 1))))
+            charged_units = min(MAX_UNITS, max(1, units + rng.choice((-1, 1))))
         value = REQUEST_KINDS[kind].priority_weight * self._plan.price * units
-        return PendingRequest(now, kind, units=units, true_units=true_units, value=value)
+        return PendingRequest(now, kind, units=units, charged_units=charged_units, value=value)
 
     def _send(
         self, now: float, request: PendingRequest, avoided_limiter: int = _NO_LIMITER
@@ -145,9 +145,9 @@
         limiter = self._choose_limiter(now, avoided_limiter)
         kind = REQUEST_KINDS[request.kind]
         timeout = kind.deadline * self._rng.uniform(_MIN_TIMEOUT_FRACTION, 1.0)
-        expected_work = kind.work * self._world.work_scale * request.true_units / MEAN_UNITS
+        expected_work = kind.work * self._world.work_scale * request.charged_units / MEAN_UNITS
         work = expected_work * self._rng.lognormvariate(*WORK_LOGNORMAL_MU_SIGMA)
-        request.start_attempt(limiter, due_at=now + timeout)
+        request.record_limiter(limiter, due_at=now + timeout)
         if limiter == _NO_LIMITER:
             counts["failed: no living limiter"] += 1
             return None
@@ -168,7 +168,7 @@
             timeout=timeout,
             account=self.tenant.account,
             units=request.units,
-            true_units=request.true_units,
+            charged_units=request.charged_units,
             work=work,
             is_retry=request.is_retry,
         )
--- a/scale/fleet/command.py
+++ b/scale/fleet/command.py
@@ -12,12 +12,12 @@
 
 from scale.fleet.faults import FaultSchedule, Interval, Slowdown
 from scale.fleet.parameters import COUNTER_CALLS_PER_SECOND, COUNTER_PARTITIONS
-from scale.fleet.scale_test import SHORT_RUN_SECONDS, WARM_UP_SECONDS, like_fleets
+from scale.fleet.scale_test import SHORT_RUN_SECONDS, WARM_UP_SECONDS, fleets_sharing_counter
 from scale.fleet.scenario import Scenario
 from scale.fleet.simulation import simulate
 from scale.fleet.summary import summarize
 from scale.fleet.text_report import format_summary
-from scale.model import BrokenRunError, Size
+from scale.model import RunFailedError, Size
 
 
 @click.command()
@@ -80,7 +80,7 @@
     scenario = _scenario(size, **options)
     try:
         result = simulate(scenario, min(processes, limiters))
-    except BrokenRunError as error:
+    except RunFailedError as error:
         raise click.ClickException(str(error)) from None
     summary = summarize(scenario, result)
     click.echo(format_summary(summary))
@@ -107,7 +107,7 @@
         seed=seed,
         counter_capacity=calls,
         counter_partitions=parts,
-        like_fleets=crowd or like_fleets(size, Size()),
+        fleets_sharing_counter=crowd or fleets_sharing_counter(size, Size()),
         package=str(Path(package).resolve()) if package else "",
         discovery_capacity=lists,
         progress=progress,
@@ -123,7 +123,7 @@
 ) -> FaultSchedule:
     """Return the fault schedule that the options describe."""
     return replace(
-        FaultSchedule.of(seconds, warm_up),
+        FaultSchedule.for_run(seconds, warm_up),
         counter_outages=tuple(Interval(*outage) for outage in silence),
         counter_slowdowns=tuple(Slowdown(*slowdown) for slowdown in slow),
     )
--- a/scale/fleet/counter.py
+++ b/scale/fleet/counter.py
@@ -12,15 +12,16 @@
 from scale.fleet.faults import Interval, Slowdown
 
 MAX_LIFETIME_SECONDS = 60.0  # longest lifetime of a total
-# Assumed: the calls of like fleets arrive within this time after a call of the simulated fleet, uniformly.
-LIKE_FLEET_SPREAD_SECONDS = 0.25
+# Assumed: another fleet's call follows a call of the simulated fleet after a uniformly distributed time, at
+# most this long.
+OTHER_FLEET_CALL_SPREAD_SECONDS = 0.25
 SERVICE_TIME_FACTORS = (0.4, 1.6)  # range of a call's service time divided by the mean, uniform
 
 
 class CounterReply(NamedTuple):
     """The time of a reply, and the total, which includes the call's amount."""
 
-    answered_at: float
+    replied_at: float
     total: float
 
 
@@ -38,9 +39,10 @@
     calls that arrive or are served during an outage are not added and get no reply. An outage deletes all
     totals. ``capacity`` is in calls a second, all partitions together.
 
-    ``like_fleets`` fleets of the same size, this one included, share the counter. Without the others, the
-    calls of a reduced fleet would wait less than those of the full one. After each call of this fleet, every
-    other fleet makes one call within ``LIKE_FLEET_SPREAD_SECONDS``, which only uses service time.
+    ``fleets_sharing_counter`` fleets of the same size, this one included, share the counter. Without the
+    others, the calls of a reduced fleet would wait less than those of the full one. After each call of this
+    fleet, every other fleet makes one call within ``OTHER_FLEET_CALL_SPREAD_SECONDS``. That call only uses
+    service time.
     """
 
     def __init__(
@@ -51,10 +53,10 @@
         *,
         outages: tuple[Interval, ...] = (),
         slowdowns: tuple[Slowdown, ...] = (),
-        like_fleets: int = 1,
+        fleets_sharing_counter: int = 1,
     ) -> None:
         """Create an empty counter; the service times are drawn with the seed."""
-        self._like_fleets = like_fleets
+        self._fleets_sharing_counter = fleets_sharing_counter
         self._other_calls = list[float]()  # heap of the times at which calls of other fleets arrive
         self._other_rng = Random(f"{seed} crowd")
         self._mean_service_time = partitions / capacity
@@ -71,17 +73,17 @@
         if self._is_out(at):
             return None
         self._serve_other_fleets(at)
-        begin, answered_at = self._serve(at, counter_id % len(self._free_at))
-        if any(outage.begin <= answered_at and begin < outage.end for outage in self._outages):
+        begin, replied_at = self._serve(at, counter_id % len(self._free_at))
+        if any(outage.begin <= replied_at and begin < outage.end for outage in self._outages):
             return None  # the outage starts before the call has been served
         units, expires_at = self._totals.get(counter_id, (0.0, 0.0))
-        if answered_at >= expires_at:
+        if replied_at >= expires_at:
             units = 0.0
-            expires_at = answered_at + min(MAX_LIFETIME_SECONDS, lifetime)
+            expires_at = replied_at + min(MAX_LIFETIME_SECONDS, lifetime)
         units += amount
         self._totals[counter_id] = _Total(units, expires_at)
         self.served += 1
-        return CounterReply(answered_at, units)
+        return CounterReply(replied_at, units)
 
     def _is_out(self, at: float) -> bool:
         """Return whether there is an outage; delete the totals if one has ended since the last call."""
@@ -98,8 +100,8 @@
         while self._other_calls and self._other_calls[0] <= at:
             other = heappop(self._other_calls)
             self._serve(other, self._other_rng.randrange(len(self._free_at)))
-        for _ in range(self._like_fleets - 1):
-            heappush(self._other_calls, at + LIKE_FLEET_SPREAD_SECONDS * self._other_rng.random())
+        for _ in range(self._fleets_sharing_counter - 1):
+            heappush(self._other_calls, at + OTHER_FLEET_CALL_SPREAD_SECONDS * self._other_rng.random())
 
     def _serve(self, at: float, partition: int) -> Interval:
         """Add a call to the queue of its partition; return the begin and end of its service."""
--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -40,10 +40,10 @@
 
 
 class Notification(NamedTuple):
-    """The time at which a limiter's agent is notified of the first ``known_changes`` changes."""
+    """The time at which a limiter's agent is notified of the first ``known_change_count`` changes."""
 
     at: float
-    known_changes: int
+    known_change_count: int
 
 
 class EndpointHistory:
@@ -55,10 +55,10 @@
         self.initial = tuple(self._endpoint(index) for index in range(world.size.servers))
         self.changes = [self._removal(), *self._restarts()]
 
-    def complete_list(self, known_changes: int, failed: set[str]) -> model.EndpointUpdate:
-        """Return the list after the first ``known_changes`` changes, without the endpoints in ``failed``."""
+    def complete_list(self, known_change_count: int, failed: set[str]) -> model.EndpointUpdate:
+        """Return the list after the first ``known_change_count`` changes, without ``failed`` endpoints."""
         endpoints = {endpoint.name: endpoint for endpoint in self.initial}
-        for _, changed in self.changes[:known_changes]:
+        for _, changed in self.changes[:known_change_count]:
             endpoints |= {endpoint.name: endpoint for endpoint in changed}
         present = (
             endpoint
@@ -74,11 +74,11 @@
         rng = Random(f"{world.seed} notices {limiter}")
         latest = 0.0
         notifications = list[Notification]()
-        for known_changes, change in enumerate(self.changes, 1):
+        for known_change_count, change in enumerate(self.changes, 1):
             latest = max(latest, change.at + rng.uniform(*NOTIFICATION_DELAY_SECONDS))
             if world.faults.partitioned(zone, COORDINATION_ZONE, latest):
                 latest = world.schedule.partition.end + rng.uniform(*NOTIFICATION_DELAY_SECONDS)
-            notifications.append(Notification(latest, known_changes))
+            notifications.append(Notification(latest, known_change_count))
         return notifications
 
     def _removal(self) -> ListChange:
@@ -95,9 +95,9 @@
         """Return the restarts of the endpoints of the failed zone: one change for each group."""
         groups = dict[float, list[model.Endpoint]]()
         for index in range(self._world.size.servers):
-            boots_at = self._world.faults.boots_at(index)
-            if boots_at > 0:
-                groups.setdefault(boots_at, []).append(self._endpoint(index, started_at=boots_at))
+            restarts_at = self._world.faults.endpoint_restarts_at(index)
+            if restarts_at > 0:
+                groups.setdefault(restarts_at, []).append(self._endpoint(index, started_at=restarts_at))
         return (ListChange(at, tuple(endpoints)) for at, endpoints in sorted(groups.items()))
 
     def _endpoint(
--- a/scale/fleet/endpoint.py
+++ b/scale/fleet/endpoint.py
@@ -39,22 +39,22 @@
     An overload is work that arrives within ``OVERLOAD_WINDOW_SECONDS`` and exceeds ``OVERLOAD_FACTOR`` times
     the present capacity. Attempts that were accepted before the failure still get their responses.
 
-    ``boots_at`` is the time of the restart; 0 means that the endpoint is warm from the beginning.
+    ``restarts_at`` is the time of the restart; 0 means that the endpoint is warm from the beginning.
     """
 
-    __slots__ = ("_arrivals", "_boots_at", "_free_at", "_queue", "_recent_work", "_started_at", "failed")
+    __slots__ = ("_arrivals", "_free_at", "_queue", "_recent_work", "_restarts_at", "_started_at", "failed")
 
-    def __init__(self, boots_at: float) -> None:
-        """Start idle; ``boots_at`` is in virtual seconds."""
+    def __init__(self, restarts_at: float) -> None:
+        """Start idle; ``restarts_at`` is in virtual seconds."""
         self._started_at = -math.inf
-        self._boots_at = boots_at
+        self._restarts_at = restarts_at
         self.failed = False
         self._reset()
 
     def attempt(self, at: float, work: float, timeout: float) -> AttemptResult:
         """Serve an attempt that arrives at ``at``, which never decreases; ``work`` is seconds of one core."""
-        if at >= self._boots_at > 0 and self._started_at != self._boots_at:
-            self._started_at = self._boots_at
+        if at >= self._restarts_at > 0 and self._started_at != self._restarts_at:
+            self._started_at = self._restarts_at
             self._reset()
         if self.failed or self._fails_under(at, work):
             return AttemptResult(AttemptOutcome.UNREACHABLE, at)
--- a/scale/fleet/endpoint_watch.py
+++ b/scale/fleet/endpoint_watch.py
@@ -51,7 +51,7 @@
         self._zone = world.topology.zone(index)
         self._calls_discovery = world.scenario.discovery_capacity > 0
         self._is_open = not self._calls_discovery
-        self._known_changes = 0  # changes of the endpoint list that the limiter has received
+        self._known_change_count = 0  # changes of the endpoint list that the limiter has received
         self._failed_endpoints = set[str]()
         self._call_id = _NO_CALL  # id of the call in flight
         self._reconnecting_since = 0.0
@@ -59,14 +59,14 @@
 
     def complete_list(self) -> model.EndpointUpdate:
         """Return the endpoint list that the limiter knows."""
-        return self._history.complete_list(self._known_changes, self._failed_endpoints)
+        return self._history.complete_list(self._known_change_count, self._failed_endpoints)
 
     def on_endpoints_changed(self, event: EndpointsChanged) -> model.EndpointUpdate | None:
         """Return the change that the watch delivers; None if the watch is not open."""
         if not self._is_open:
             return None
-        self._known_changes = max(self._known_changes, event.known_changes)
-        change = self._history.changes[event.known_changes - 1]
+        self._known_change_count = max(self._known_change_count, event.known_change_count)
+        change = self._history.changes[event.known_change_count - 1]
         return model.EndpointUpdate(change.endpoints, complete=False)
 
     def on_endpoint_failed(self, event: EndpointFailed) -> model.EndpointUpdate | None:
@@ -78,14 +78,17 @@
         return model.EndpointUpdate((event.endpoint,), complete=False) if self._is_open else None
 
     def schedule_partition_timeout(self) -> None:
-        """Schedule the timeout of the watch in the partition; only a far limiter without an agent has one."""
+        """Schedule the timeout of the watch that the partition interrupts.
+
+        Only the watches of limiters without an agent in the far region are interrupted.
+        """
         if self._calls_discovery and self._world.topology.region(self._zone):
             self._mailbox.schedule(
                 self._world.schedule.partition.begin + SILENCE_TIMEOUT_SECONDS, WatchTimedOut()
             )
 
     def reconnect(self, now: float, incarnation: int) -> None:
-        """Close the watch and schedule a call to discovery; does nothing with an agent."""
+        """Close the watch and schedule a call to discovery, unless an agent notifies the limiter."""
         if not self._calls_discovery:
             return
         self._is_open = False
@@ -102,7 +105,7 @@
         """Call discovery, unless a call is in flight or the watch is open."""
         if self._call_id or self._is_open:
             return
-        self._call_id = self._mailbox.next_number()
+        self._call_id = self._mailbox.next_sequence_number()
         self._tally.at(now)["discovery calls"] += 1
         self._mailbox.schedule(
             now + SILENCE_TIMEOUT_SECONDS, DiscoveryCallTimedOut(incarnation, self._call_id)
@@ -132,7 +135,7 @@
         counts = self._tally.at(now)
         counts["watches"] += 1
         counts["watch delay ms"] += round((now - self._reconnecting_since) * 1000)
-        self._known_changes = max(self._known_changes, event.known_changes)
+        self._known_change_count = max(self._known_change_count, event.known_change_count)
         return self.complete_list()
 
     def _schedule_call(self, now: float, incarnation: int) -> None:
--- a/scale/fleet/faults.py
+++ b/scale/fleet/faults.py
@@ -7,7 +7,12 @@
 from random import Random
 from typing import NamedTuple
 
-from scale.fleet.parameters import BOOT_GROUP_INTERVAL_SECONDS, BOOT_GROUPS, FAILOVER_SECONDS, RESTART_SECONDS
+from scale.fleet.parameters import (
+    ENDPOINT_RESTART_GROUP_INTERVAL_SECONDS,
+    ENDPOINT_RESTART_GROUPS,
+    FAILOVER_SECONDS,
+    RESTART_SECONDS,
+)
 from scale.fleet.topology import Topology
 from scale.model import Size
 
@@ -51,8 +56,8 @@
     counter_slowdowns: tuple[Slowdown, ...] = ()
 
     @staticmethod
-    def of(seconds: float, warm_up: float = 0.0) -> FaultSchedule:
-        """Return the schedule of a run of ``seconds``, and of ``warm_up`` seconds that precede it.
+    def for_run(seconds: float, warm_up: float = 0.0) -> FaultSchedule:
+        """Return the schedule of a run that lasts ``seconds`` after a warm-up of ``warm_up`` seconds.
 
         The warm-up is needed because a fleet that has just started knows no tenant, and its calls queue at
         the counter. In runs shorter than ``FULL_LENGTH_SECONDS`` the faults are shorter in proportion.
@@ -100,17 +105,17 @@
         begin, end = self.schedule.partition
         return begin <= at < end and self._topology.region(one) != self._topology.region(other)
 
-    def boots_at(self, endpoint: int) -> float:
+    def endpoint_restarts_at(self, endpoint: int) -> float:
         """Return the time of the restart of an endpoint of the failed zone; 0 for the others."""
         zone = self._topology.zone(endpoint)
         if zone != self.schedule.failed_zone:
             return 0.0
-        group = self._topology.position_in_zone(endpoint) % BOOT_GROUPS
-        return self.schedule.zone_outage.end + BOOT_GROUP_INTERVAL_SECONDS * group
+        group = self._topology.position_in_zone(endpoint) % ENDPOINT_RESTART_GROUPS
+        return self.schedule.zone_outage.end + ENDPOINT_RESTART_GROUP_INTERVAL_SECONDS * group
 
     def endpoint_down(self, endpoint: int, at: float) -> bool:
         """Return whether the endpoint is down because its zone has failed."""
-        return self.schedule.zone_outage.begin <= at < self.boots_at(endpoint)
+        return self.schedule.zone_outage.begin <= at < self.endpoint_restarts_at(endpoint)
 
     def limiter_down(self, limiter: int, at: float) -> bool:
         """Return whether the limiter has been killed and has not restarted."""
--- a/scale/fleet/limiter.py
+++ b/scale/fleet/limiter.py
@@ -14,7 +14,7 @@
 from scale.fleet.messages import (
     AttemptEnded,
     ClientRequest,
-    CounterAnswered,
+    CounterReplied,
     DiscoveryCallDue,
     DiscoveryCallTimedOut,
     EndpointFailed,
@@ -73,7 +73,7 @@
             self._mailbox.schedule(faults.killed_at[self._index], LimiterKilled())
             self._mailbox.schedule(faults.restarted_at[self._index], LimiterStarted())
         for notification in history.notifications(self._index):
-            self._mailbox.schedule(notification.at, EndpointsChanged(notification.known_changes))
+            self._mailbox.schedule(notification.at, EndpointsChanged(notification.known_change_count))
 
     def _on_client_request(self, now: float, message: ClientRequest) -> None:
         assert self._process is not None  # clients cannot reach a limiter that is down
@@ -135,7 +135,7 @@
         ClientRequest: _on_client_request,
         AttemptEnded: _on_process_message,
         TimerDue: _on_process_message,
-        CounterAnswered: _on_process_message,
+        CounterReplied: _on_process_message,
         HealthChecked: _on_process_message,
         LimiterStarted: _on_started,
         LimiterKilled: _on_killed,
--- a/scale/fleet/limiter_network.py
+++ b/scale/fleet/limiter_network.py
@@ -10,9 +10,9 @@
     AttemptEnded,
     AttemptOutcome,
     ClientRequest,
-    CounterAnswered,
     CounterCall,
     CounterOutcome,
+    CounterReplied,
     HealthCheck,
     HealthChecked,
     RequestForwarded,
@@ -124,12 +124,12 @@
             self._mailbox.schedule(now + CONNECT_TIMEOUT_SECONDS, failed)
 
     def call_counter(self, now: float, incarnation: int, increment: model.IncrementCounter) -> int:
-        """Send a counter call and return its id. ``CounterAnswered`` always follows: a reply or a failure."""
-        call_id = self._mailbox.next_number()
+        """Send a counter call and return its id. ``CounterReplied`` always follows: a reply or a failure."""
+        call_id = self._mailbox.next_sequence_number()
         partitioned = self._faults.partitioned(self._zone, COORDINATION_ZONE, now)
         times_out_at = now + COUNTER_TIMEOUT_SECONDS
         failure = self._counter_failure(now, partitioned=partitioned)
-        failed = CounterAnswered(incarnation, call_id, failure, total=0.0, arrived_at=times_out_at)
+        failed = CounterReplied(incarnation, call_id, failure, total=0.0, arrived_at=times_out_at)
         self._mailbox.schedule(times_out_at, failed)
         if not partitioned:
             draw = pair_draw(self._index, COORDINATION_ZONE)
--- a/scale/fleet/limiter_process.py
+++ b/scale/fleet/limiter_process.py
@@ -15,8 +15,8 @@
     AttemptEnded,
     AttemptOutcome,
     ClientRequest,
-    CounterAnswered,
     CounterOutcome,
+    CounterReplied,
     HealthChecked,
     RequestEnded,
     RequestResult,
@@ -40,7 +40,7 @@
 }
 MICROSECONDS_PER_SECOND = 1e6
 MILLIUNITS_PER_UNIT = 1000
-ProcessMessage = AttemptEnded | TimerDue | CounterAnswered | HealthChecked
+ProcessMessage = AttemptEnded | TimerDue | CounterReplied | HealthChecked
 _KILLED = "killed"  # reason of the requests that fail because the process is killed
 
 
@@ -148,14 +148,14 @@
             elapsed=now - request.sent_at,
             request_finished=served,
             load_report={},
-            charged_units=float(request.client_request.true_units) if served else None,
+            charged_units=float(request.client_request.charged_units) if served else None,
         )
         self._handle_event(now, event)
 
     def _on_timer_due(self, now: float, message: TimerDue) -> None:
         self._handle_event(now, model.TimerFired(message.token))
 
-    def _on_counter_answered(self, now: float, message: CounterAnswered) -> None:
+    def _on_counter_replied(self, now: float, message: CounterReplied) -> None:
         counter_id = self._counter_ids.pop(message.call_id, None)
         if counter_id is None:
             return
@@ -219,7 +219,7 @@
     _MESSAGE_HANDLERS: ClassVar[dict[type[ProcessMessage], _Handler]] = {
         AttemptEnded: _on_attempt_ended,
         TimerDue: _on_timer_due,
-        CounterAnswered: _on_counter_answered,
+        CounterReplied: _on_counter_replied,
         HealthChecked: _on_health_checked,
     }
     _ACTION_HANDLERS: ClassVar[dict[type[model.Action], _Handler]] = {
--- a/scale/fleet/lockstep.py
+++ b/scale/fleet/lockstep.py
@@ -11,7 +11,7 @@
 from multiprocessing.process import BaseProcess
 from typing import Any, NamedTuple
 
-from scale.model import BrokenRunError
+from scale.model import RunFailedError
 
 # Takes the outbox for each worker; returns the messages of all workers for this one.
 Exchange = Callable[[list[list[Any]]], list[Any]]
@@ -47,7 +47,7 @@
 def run_workers(
     work: Work, count: int, task: Any, on_started: Callable[[list[int]], None] = lambda _pids: None
 ) -> list[Any]:
-    """Return the workers' results in order. Raise ``BrokenRunError`` if a worker fails or exits.
+    """Return the workers' results in order. Raise ``RunFailedError`` if a worker fails or exits.
 
     Each worker is a process of its own, which receives ``work`` and ``task`` pickled. ``on_started`` is
     called with the process ids after all workers have started.
@@ -63,7 +63,7 @@
             elif outcome.status is _Status.FAILED:
                 causes.append(f"worker {index}: {outcome.content}")
         if len(results) < count:
-            raise BrokenRunError(
+            raise RunFailedError(
                 "; ".join(causes) or "the workers lost their connections, and none reported the cause"
             )
     finally:
@@ -111,7 +111,7 @@
                 process = workers[index].process
                 process.join(_EXIT_TIMEOUT_SECONDS)
                 outcome = _Outcome(
-                    _Status.FAILED, f"its process ended with exit code {process.exitcode} before its result"
+                    _Status.FAILED, f"its process ended with exit code {process.exitcode} and sent no result"
                 )
             yield index, outcome
 
--- a/scale/fleet/mailbox.py
+++ b/scale/fleet/mailbox.py
@@ -25,7 +25,7 @@
         self._send = send
         self._sequence = 0
 
-    def next_number(self) -> int:
+    def next_sequence_number(self) -> int:
         """Return a sequence number that the limiter has not used yet."""
         self._sequence += 1
         return self._sequence
@@ -36,6 +36,6 @@
         heappush(self._events, Envelope(at, self._index, self._sequence, self._index, event))
 
     def send(self, recipient: int, at: float, event: Event) -> None:
-        """Deliver an event to a recipient at time ``at``; the type of the event determines the role."""
+        """Deliver an event to a recipient at time ``at``; the type of the event determines its role."""
         self._sequence += 1
         self._send(Envelope(at, self._index, self._sequence, recipient, event))
--- a/scale/fleet/messages.py
+++ b/scale/fleet/messages.py
@@ -51,7 +51,7 @@
     FAILED = "failed"
 
 
-# Events that a limiter receives. It ignores one with an incarnation other than its current one.
+# Events that a limiter receives. It ignores an event that states another incarnation than its current one.
 
 
 class ClientRequest(NamedTuple):
@@ -64,7 +64,7 @@
     timeout: float  # seconds
     account: str
     units: int  # as estimated by the client
-    true_units: int
+    charged_units: int
     work: float  # seconds of one core
     is_retry: bool
 
@@ -85,7 +85,7 @@
     token: int
 
 
-class CounterAnswered(NamedTuple):
+class CounterReplied(NamedTuple):
     """The counter has replied to a call, or the call has timed out."""
 
     incarnation: int
@@ -105,9 +105,9 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """Discovery notifies the limiter of a change; ``known_changes`` includes it and all earlier changes."""
+    """Discovery notifies the limiter of a change; the count includes it and all earlier changes."""
 
-    known_changes: int
+    known_change_count: int
 
 
 class EndpointFailed(NamedTuple):
@@ -125,7 +125,7 @@
 
 
 class WatchTimedOut(NamedTuple):
-    """The limiter has received nothing from its watch of the endpoint list for the timeout."""
+    """The limiter has received nothing on its watch of the endpoint list within the timeout."""
 
 
 class DiscoveryCallDue(NamedTuple):
@@ -146,7 +146,7 @@
 
     incarnation: int
     call_id: int
-    known_changes: int
+    known_change_count: int
 
 
 # Events that a limiter sends to an endpoint, the counter or discovery. The envelope's source is the limiter.
@@ -213,7 +213,7 @@
     ClientRequest
     | AttemptEnded
     | TimerDue
-    | CounterAnswered
+    | CounterReplied
     | HealthChecked
     | EndpointsChanged
     | EndpointFailed
--- a/scale/fleet/parameters.py
+++ b/scale/fleet/parameters.py
@@ -25,8 +25,8 @@
 ENDPOINT_WARM_UP_SECONDS = 12.0  # from an endpoint's start to its full capacity
 OVERLOAD_FACTOR = 2.5  # an endpoint that is warming up fails under more than this multiple of its capacity
 OVERLOAD_WINDOW_SECONDS = 1.0  # window over which arriving work is summed to detect overload
-BOOT_GROUPS = 3  # number of groups in which the endpoints of a returning zone start (assumed)
-BOOT_GROUP_INTERVAL_SECONDS = 1.0  # between the starts of two groups (assumed)
+ENDPOINT_RESTART_GROUPS = 3  # number of groups in which the endpoints of a returning zone start (assumed)
+ENDPOINT_RESTART_GROUP_INTERVAL_SECONDS = 1.0  # between the starts of two groups (assumed)
 CELL_SIZE = 4  # endpoints per cell, all in one zone
 
 # One-way network delays, as the range over all pairs.
@@ -35,25 +35,27 @@
 # Assumed: at 15 ms or more one way, every counter call from the far region would time out.
 OTHER_REGION_DELAY_SECONDS = (0.008, 0.010)
 
-# Times of faults, as ranges.
+# Delays after faults and changes of the endpoint list, as ranges.
 NOTIFICATION_DELAY_SECONDS = (0.65, 4.8)  # from a change to the notification of a limiter
 RESTART_SECONDS = (1.4, 8.0)  # from the kill of a limiter to its restart
 FAILOVER_SECONDS = (1.2, 3.7)  # from the kill of a limiter until clients send it no more requests
 
 # Clients.
-CLIENT_START_SECONDS = 1.0  # limiters start at random times before this, so that their timers do not coincide
+# Clients start at this time. Limiters start at random times before it, so that their timers do not coincide.
+CLIENT_START_SECONDS = 1.0
 CLIENT_RETRY_DELAY_SECONDS = (0.03, 0.24)  # before a client's only retry of a request
 CLIENT_RETRY_PROBABILITY = 0.5
 RESPONSE_GRACE_SECONDS = 0.05  # a final response counts as in time until this long after the deadline
 MEAN_UNITS = 2.5
 MAX_UNITS = 4  # a request has 1 to 4 units, uniformly distributed
-# Of a request that is charged one unit more or less than its estimate, limited to 1 to ``MAX_UNITS``.
+# Probability that the charge of a request is drawn one unit above or below its estimate. The charge is then
+# limited to the range from 1 to ``MAX_UNITS``.
 WRONG_ESTIMATE_PROBABILITY = 0.3
 WORK_LOGNORMAL_MU_SIGMA = (-0.08, 0.4)  # of the logarithm of a request's work divided by its expected work
 BURST_RATE_FACTOR = (2.0, 7.9)  # rate in a burst divided by the rate of the quota
 BURST_SECONDS = (0.61, 3.7)
 BURST_INTERVAL_SECONDS = 40.0  # mean time between two bursts of a tenant
-LIMITER_ROTATION_SECONDS = (8.1, 23.0)  # until a tenant prefers the next limiter of its set
+LIMITER_ROTATION_SECONDS = (8.1, 23.0)  # time after which a tenant prefers the next limiter of its set
 
 # Tenants: fractions of all tenants, and the utilization of their quotas.
 VOLUME_PLAN_FRACTION = 0.11
--- a/scale/fleet/scale_test.py
+++ b/scale/fleet/scale_test.py
@@ -10,7 +10,7 @@
 from scale.fleet.scenario import Scenario
 from scale.fleet.simulation import simulate
 from scale.fleet.summary import summarize
-from scale.model import BrokenRunError, Budget, Effort, Figure, Origin, Result, ScaleTest, Size, Slope
+from scale.model import Budget, Effort, Figure, Origin, Result, RunFailedError, ScaleTest, Size, Slope
 
 SHORT_RUN_SECONDS = 30.0  # virtual, for a run of a reduced fleet
 WARM_UP_SECONDS = 20.0  # virtual; afterwards, service and counter calls no longer depend on the start
@@ -44,7 +44,7 @@
     )
 
 
-def like_fleets(size: Size, full_size: Size) -> int:
+def fleets_sharing_counter(size: Size, full_size: Size) -> int:
     """Return the number of fleets of ``size`` that make up the full size and share its counter."""
     return max(1, round(full_size.limiters / size.limiters))
 
@@ -78,10 +78,10 @@
 def run(size: Size, budget: Budget, effort: Effort) -> Result:
     """Simulate reduced sizes for the slopes, then the full size.
 
-    Raise ``BrokenRunError`` if the size is out of range, or if a worker fails or exits.
+    Raise ``RunFailedError`` if the size is out of range, or if a worker fails or exits.
     """
     if min(size.limiters, size.servers, size.tenants) < 1 or size.rate <= 0:
-        raise BrokenRunError(
+        raise RunFailedError(
             f"a fleet needs at least 1 limiter, 1 endpoint, 1 tenant and a rate above 0: {size}"
         )
     points = _SlopePoints()
@@ -92,7 +92,7 @@
             for scenario in scenarios
         ]
         last = scenarios[-1]
-        points.add(last.size, last.like_fleets, summaries)
+        points.add(last.size, last.fleets_sharing_counter, summaries)
     source = (
         f"one run of {last.size.limiters} limiters over {last.schedule.end:g} virtual s, seed {last.seed}"
     )
@@ -105,11 +105,14 @@
     """Return the scenarios of the runs of one size; each run has a different seed."""
     is_full_size = fraction == 1.0
     runs = 1 if is_full_size or effort.quick else min(MAX_RUNS, effort.runs)
-    schedule = FaultSchedule.of(FULL_LENGTH_SECONDS if is_full_size else SHORT_RUN_SECONDS, WARM_UP_SECONDS)
+    schedule = FaultSchedule.for_run(
+        FULL_LENGTH_SECONDS if is_full_size else SHORT_RUN_SECONDS, WARM_UP_SECONDS
+    )
     fleet = reduced_size(size, fraction)
-    fleets = like_fleets(fleet, size)
+    fleets = fleets_sharing_counter(fleet, size)
     return [
-        Scenario(fleet, schedule, seed, like_fleets=fleets) for seed in range(effort.seed, effort.seed + runs)
+        Scenario(fleet, schedule, seed, fleets_sharing_counter=fleets)
+        for seed in range(effort.seed, effort.seed + runs)
     ]
 
 
--- a/scale/fleet/scenario.py
+++ b/scale/fleet/scenario.py
@@ -25,7 +25,7 @@
     seed: int = 1
     counter_capacity: float = COUNTER_CALLS_PER_SECOND  # calls a second, of all partitions together
     counter_partitions: int = COUNTER_PARTITIONS
-    like_fleets: int = 1  # number of fleets of this size that share the counter
+    fleets_sharing_counter: int = 1  # number of fleets of this size that share the counter
     package: str = ""  # path of the checkout whose decisions are simulated; empty: this checkout
     # Calls a second that discovery serves. 0: no limiter calls it; it notifies an agent of each limiter.
     discovery_capacity: float = 0.0
@@ -50,7 +50,7 @@
             "seed": self.seed,
             "calls": self.counter_capacity,
             "parts": self.counter_partitions,
-            "crowd": self.like_fleets,
+            "crowd": self.fleets_sharing_counter,
             "package": self.package,
             "lists": self.discovery_capacity,
             "progress": self.progress,
--- a/scale/fleet/services.py
+++ b/scale/fleet/services.py
@@ -17,9 +17,9 @@
     Attempt,
     AttemptEnded,
     AttemptOutcome,
-    CounterAnswered,
     CounterCall,
     CounterOutcome,
+    CounterReplied,
     DiscoveryCall,
     EndpointFailed,
     Envelope,
@@ -58,7 +58,7 @@
             scenario.seed,
             outages=scenario.schedule.counter_outages,
             slowdowns=scenario.schedule.counter_slowdowns,
-            like_fleets=scenario.like_fleets,
+            fleets_sharing_counter=scenario.fleets_sharing_counter,
         )
 
     def serve_until(self, start: float) -> None:
@@ -72,20 +72,20 @@
         reply = self._counter.call(arrived_at, call.counter_id, call.amount, call.lifetime)
         if reply is None:
             return
-        answered_at = reply.answered_at
+        replied_at = reply.replied_at
         if self._tally is not None:
-            counts = self._tally.at(answered_at)
+            counts = self._tally.at(replied_at)
             counts["counter calls served"] += 1
-            counts["counter latency us"] += round((answered_at - arrived_at) * MICROSECONDS_PER_SECOND)
+            counts["counter latency us"] += round((replied_at - arrived_at) * MICROSECONDS_PER_SECOND)
         if not self._router.owns_limiter(limiter):
             return
         topology = self._world.topology
         zone = topology.zone(limiter)
-        if self._world.faults.partitioned(zone, COORDINATION_ZONE, answered_at):
+        if self._world.faults.partitioned(zone, COORDINATION_ZONE, replied_at):
             return
         delay = topology.delay(zone, COORDINATION_ZONE, pair_draw(limiter, COORDINATION_ZONE))
-        arrives_at = answered_at + delay
-        event = CounterAnswered(call.incarnation, call.call_id, CounterOutcome.OK, reply.total, arrives_at)
+        arrives_at = replied_at + delay
+        event = CounterReplied(call.incarnation, call.call_id, CounterOutcome.OK, reply.total, arrives_at)
         sequence = self._counter.served
         heappush(
             self._events, Envelope(max(window_start, arrives_at), self._source, sequence, limiter, event)
@@ -115,18 +115,18 @@
             self._serve(envelope.time, start, envelope.source, call)
 
     def _serve(self, arrived_at: float, window_start: float, limiter: int, call: DiscoveryCall) -> None:
-        answered_at = self._discovery.call(arrived_at)
+        responded_at = self._discovery.call(arrived_at)
         if not self._router.owns_limiter(limiter):
             return
         topology = self._world.topology
         zone = topology.zone(limiter)
-        if self._world.faults.partitioned(zone, COORDINATION_ZONE, answered_at):
+        if self._world.faults.partitioned(zone, COORDINATION_ZONE, responded_at):
             return
         min_delay, _ = NOTIFICATION_DELAY_SECONDS
-        known_changes = sum(change.at + min_delay <= answered_at for change in self._history.changes)
+        known_change_count = sum(change.at + min_delay <= responded_at for change in self._history.changes)
         delay = topology.delay(zone, COORDINATION_ZONE, pair_draw(limiter, COORDINATION_ZONE))
-        event = WatchOpened(call.incarnation, call.call_id, known_changes)
-        arrives_at = max(window_start, answered_at + delay)
+        event = WatchOpened(call.incarnation, call.call_id, known_change_count)
+        arrives_at = max(window_start, responded_at + delay)
         heappush(self._events, Envelope(arrives_at, self._source, call.call_id, limiter, event))
 
 
@@ -145,7 +145,7 @@
         self._first_source = SourceNumbers(world.size).first_endpoint
         self._sequences = Counter[int]()  # sequence numbers, by endpoint
         self._endpoints = {
-            index: SimulatedEndpoint(world.faults.boots_at(index))
+            index: SimulatedEndpoint(world.faults.endpoint_restarts_at(index))
             for index in range(world.size.servers)
             if router.owns_endpoint(index)
         }
@@ -181,17 +181,17 @@
         self._respond(index, envelope.source, ended_at, end, response)
 
     def _respond(
-        self, index: int, limiter: int, answered_at: float, window_end: float, response: LimiterEvent
+        self, index: int, limiter: int, responded_at: float, window_end: float, response: LimiterEvent
     ) -> None:
         """Send a response, unless the endpoint is down or a partition separates the zones."""
         zone = self._topology.zone(index)
         limiter_zone = self._topology.zone(limiter)
-        if self._faults.endpoint_down(index, answered_at):
+        if self._faults.endpoint_down(index, responded_at):
             return
-        if self._faults.partitioned(zone, limiter_zone, answered_at):
+        if self._faults.partitioned(zone, limiter_zone, responded_at):
             return
         delay = self._topology.delay(zone, limiter_zone, pair_draw(limiter, index))
-        self._send(index, limiter, max(window_end, answered_at + delay), response)
+        self._send(index, limiter, max(window_end, responded_at + delay), response)
 
     def _notify_of_failure(self, index: int, at: float) -> None:
         """Notify all limiters of the failure of an endpoint; a partition delays those of the far region."""
--- a/scale/fleet/simulation.py
+++ b/scale/fleet/simulation.py
@@ -22,7 +22,7 @@
 
 
 def simulate(scenario: Scenario, processes: int) -> SimulationResult:
-    """Run a scenario in a number of processes. Raise ``BrokenRunError`` if one fails or exits."""
+    """Run a scenario in a number of processes. Raise ``RunFailedError`` if one fails or exits."""
     started_at = time.monotonic()
     tallies = run_workers(run_worker, processes, scenario)
     total: Tally = tallies[0]
--- a/scale/fleet/summary.py
+++ b/scale/fleet/summary.py
@@ -14,7 +14,8 @@
 from scale.fleet.simulation import SimulationResult
 from scale.fleet.tally import ALL_EVENTS, CONTROL_EVENTS, Tally
 
-RECOVERY_TOLERANCE = 0.02  # by which the service may be below its fault-free value and count as recovered
+# The service counts as recovered if it is at most this much below its value without faults.
+RECOVERY_TOLERANCE = 0.02
 RECOVERY_SECONDS = 3  # time for which the service has to stay recovered
 _MICROSECONDS_PER_SECOND = 1e6
 _NANOSECONDS_PER_SECOND = 1e9
@@ -37,7 +38,7 @@
         "seconds": {
             second: {
                 "service": _service(tally, [second]),
-                "calls/s": counts["counter calls"] * scenario.like_fleets,
+                "calls/s": counts["counter calls"] * scenario.fleets_sharing_counter,
                 "cold": counts["endpoints warming up"],
             }
             for second, counts in sorted(tally.seconds.items())
@@ -72,7 +73,7 @@
         "seconds": seconds,
         **_phase_service(counts, seconds),
         **_phase_outcomes(counts),
-        **_phase_counter_calls(counts, seconds, scenario.like_fleets),
+        **_phase_counter_calls(counts, seconds, scenario.fleets_sharing_counter),
         "probes/s": counts["health checks"] / seconds,
         "busy": counts["work us"]
         / _MICROSECONDS_PER_SECOND
@@ -115,13 +116,13 @@
     }
 
 
-def _phase_counter_calls(counts: Counter[str], seconds: float, like_fleets: int) -> dict[str, Any]:
+def _phase_counter_calls(counts: Counter[str], seconds: float, fleets_sharing_counter: int) -> dict[str, Any]:
     """Return the figures of the calls to the counter."""
     calls = counts["counter calls"]
     served = counts["counter calls served"]
     return {
-        "calls/s": calls * like_fleets / seconds,
-        "calls served/s": served * like_fleets / seconds,
+        "calls/s": calls * fleets_sharing_counter / seconds,
+        "calls served/s": served * fleets_sharing_counter / seconds,
         "calls timed out": _ratio(counts["counter calls timed out"], calls),
         "calls per try": _ratio(calls, counts["requests"]),
         "units per call": _ratio(counts["counter milliunits"] / 1000, calls),
@@ -148,7 +149,7 @@
         "beyond": _ratio(total["units over quota"], total["units sent"]),
         "with room": _ratio(total["rejected within quota"], total["requests"]),
         **_counter_waits(tally, total["requests"]),
-        "most calls in a second": busiest_second * scenario.like_fleets,
+        "most calls in a second": busiest_second * scenario.fleets_sharing_counter,
         **_costs(tally, scenario.size.limiters, scenario.schedule.end),
         "real seconds": result.elapsed,
         "processes": result.processes,
@@ -197,7 +198,7 @@
 
 
 def _recovery(tally: Tally, schedule: FaultSchedule, fault_end: float, until: float) -> float:
-    """Return the seconds from a fault's end to the recovery of service; infinity if not before ``until``."""
+    """Return the seconds from a fault's end to the recovery of service; infinity if it is after ``until``."""
     fault_free = range(math.ceil(schedule.fault_free_from), int(schedule.zone_outage.begin))
     fault_free_service = _service(tally, fault_free)
     for second in range(math.ceil(fault_end), int(until) - RECOVERY_SECONDS + 1):
--- a/scale/fleet/worker.py
+++ b/scale/fleet/worker.py
@@ -1,9 +1,9 @@
 """One of the processes that simulate a fleet: its limiters, endpoints and tenants, window by window.
 
-Endpoints, clients, the counter and discovery handle the messages of one window at the start of the next, with
-the exact times of arrival. A limiter handles an endpoint's response in the window after that at the earliest,
-and a counter reply in that window itself. So a response that takes less than two windows (an overload, a
-refused connection) is up to two windows late, and a counter reply that takes less than one is up to one late.
+Endpoints, clients, the counter and discovery handle the messages that arrive in window N at the start of
+window N + 1, with their exact times of arrival. A limiter handles the counter's reply in window N + 1 at the
+earliest, and an endpoint's response in window N + 2. So a reply that takes less than one window is up to one
+window late, and a response that takes less than two (an overload, a refused connection) up to two windows.
 """
 
 from __future__ import annotations
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -24,7 +24,8 @@
     status: int  # or ``NO_RESPONSE``
     received_at: float  # seconds of ``time.monotonic``
     service_time: float = 0.0  # seconds at the endpoint
-    on_new_connection: bool = False  # whether it is the first on the limiter's connection to the endpoint
+    # Whether the request was the first on the limiter's connection to the endpoint.
+    on_new_connection: bool = False
 
     @property
     def is_served(self) -> bool:
@@ -148,7 +149,8 @@
         self._on_response = None
         if self._is_retry or self._buffer:
             on_response(Response(NO_RESPONSE, time.monotonic()))
-        else:  # the limiter may have closed an idle connection, so the protocol allows a retry
+        else:
+            # The limiter may have closed an idle connection, in which case the protocol allows a retry.
             self._client.send_on_new_connection(self._request, on_response, is_retry=True)
 
 
@@ -178,14 +180,15 @@
     def send(self, request: bytes, on_response: OnResponse) -> None:
         """Send a request; ``on_response`` gets its response, with status ``NO_RESPONSE`` if there is none."""
         while self._idle:
-            connection = self._idle.popleft()  # the one idle for longest, before the limiter closes it
+            # Takes the connection that has been idle longest, before the limiter closes it.
+            connection = self._idle.popleft()
             if connection.is_open:
                 connection.send(request, on_response, is_retry=False)
                 return
         self.send_on_new_connection(request, on_response, is_retry=False)
 
     def send_on_new_connection(self, request: bytes, on_response: OnResponse, *, is_retry: bool) -> None:
-        """Open a connection and send a request on it; ``on_response`` is that of ``send``."""
+        """Open a connection and send a request on it; ``on_response`` gets the response, as in ``send``."""
         sending = self._connect_and_send(request, on_response, is_retry=is_retry)
         task = asyncio.get_running_loop().create_task(sending)
         self._tasks.add(task)
--- a/scale/input_checks.py
+++ b/scale/input_checks.py
@@ -11,8 +11,8 @@
 
 from scale.model import Effort, ScaleTest, Size
 
-# Memory estimate for tests that have none of their own. It includes the tables of each process, by the slopes
-# of the test `state`, and as much again, because a process needs it while it reads a complete list.
+# Memory estimate for tests that have none of their own. It includes the tables of each process, sized by the
+# slopes of the test ``state``, and as much memory again, which a process needs to read a complete list.
 PROCESS_BYTES = 60e6
 SERVER_BYTES = 2000.0
 TENANT_BYTES = 1500.0
--- a/scale/latency/load.py
+++ b/scale/latency/load.py
@@ -13,7 +13,7 @@
 from scale.http_client import HttpClient, Response, encode_request
 from scale.latency.cells import Case
 from scale.latency.workload import CLIENT_TIMEOUT_SECONDS, plan_of, poisson_schedule, tenants_per_limiter
-from scale.model import BrokenRunError, Size
+from scale.model import RunFailedError, Size
 from scale.stand_ins.timers import PreciseTimers
 
 LEAD_SECONDS = 0.02  # from the drawing of the schedules to the start of the run
@@ -27,8 +27,9 @@
     """The measurements in one run of a case; times in seconds."""
 
     added: list[float] = field(default_factory=list)  # added latency of each served request
-    added_on_new: list[float] = field(default_factory=list)  # part of it on new connections to endpoints
-    added_on_reused: list[float] = field(default_factory=list)  # part of it on reused connections
+    # The values of ``added`` for requests on new and on reused connections to endpoints.
+    added_on_new: list[float] = field(default_factory=list)
+    added_on_reused: list[float] = field(default_factory=list)
     rejections: list[float] = field(default_factory=list)  # from the scheduled time to the rejection
     send_delays: list[float] = field(default_factory=list)  # from the scheduled time to the sending
     rejected_by_plan: dict[str, int] = field(default_factory=lambda: defaultdict(int))
@@ -77,7 +78,7 @@
         self._timers.close()
 
     async def run(self, seconds: float) -> RunMeasurements:
-        """Send requests for a time and wait for the responses. Raise ``BrokenRunError`` if one is missing."""
+        """Send requests for a time and wait for the responses. Raise ``RunFailedError`` if one is missing."""
         measurements = RunMeasurements()
         start = time.monotonic() + LEAD_SECONDS
         for number, client in enumerate(self._clients):
@@ -87,7 +88,7 @@
         while measurements.pending and time.monotonic() < deadline:
             await asyncio.sleep(POLL_SECONDS)
         if measurements.pending:
-            raise BrokenRunError(
+            raise RunFailedError(
                 f"{self._case.name}: {measurements.pending} requests got no response "
                 f"within {CLIENT_TIMEOUT_SECONDS} s"
             )
--- a/scale/latency/measurement.py
+++ b/scale/latency/measurement.py
@@ -19,7 +19,7 @@
 from scale.latency.load import LoadGenerator, RunMeasurements
 from scale.latency.percentiles import Percentile, Percentiles, percentiles
 from scale.latency.workload import limiter_settings
-from scale.model import BrokenRunError, Effort, Size
+from scale.model import Effort, RunFailedError, Size
 from scale.processes import (
     ChildProcess,
     Limiter,
@@ -165,13 +165,13 @@
 
 
 def _summarize(case: Case, runs: list[RunMeasurements], counter_calls: int) -> CaseResult:
-    """Raise ``BrokenRunError`` if a run served no request, or if too many requests failed."""
+    """Raise ``RunFailedError`` if a run served no request, or if too many requests failed."""
     if any(not run.added for run in runs):
-        raise BrokenRunError(f"{case.name}: no request was served in one of the runs")
+        raise RunFailedError(f"{case.name}: no request was served in one of the runs")
     failed = sum(run.failed for run in runs)
     served = sum(len(run.added) for run in runs)
     if failed > MAX_FAILED_FRACTION * served:
-        raise BrokenRunError(
+        raise RunFailedError(
             f"{case.name}: {failed} requests failed and {served} were served; too many failed"
         )
     send_delays = percentiles(value for run in runs for value in run.send_delays)
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -18,7 +18,7 @@
 from scale.model import Size
 from scale.simulated_limiter import SimulatedLimiter
 
-# Connections of clients, and as many to endpoints: both fit into 1,024 descriptors.
+# Client connections, and as many connections to endpoints: together they fit into 1,024 file descriptors.
 MAX_CONNECTIONS = 480
 CONNECT_TIMEOUT_SECONDS = 0.25
 IDLE_TIMEOUT_SECONDS = 30.0
--- a/scale/memory/summary.py
+++ b/scale/memory/summary.py
@@ -30,9 +30,9 @@
 
     name: str
     by: str  # name of the count
-    each: str  # one object, as the figures name it
+    object_name: str  # one object, as the figures name it
     job: str
-    full: int  # largest measured count
+    max_count: int  # largest measured count
     size_count: int | None  # number of objects at the size; None: no figure of their total memory
     arguments: dict[str, Any] = field(default_factory=dict)
 
@@ -48,18 +48,18 @@
         Series(
             name="state of the servers",
             by="servers",
-            each="a server",
+            object_name="a server",
             job="scale.memory.decisions:memory_of_endpoints",
-            full=size.servers,
+            max_count=size.servers,
             size_count=size.servers,
             arguments=arguments,
         ),
         Series(
             name="state of the customers",
             by="customers",
-            each="a customer",
+            object_name="a customer",
             job="scale.memory.decisions:memory_of_tenants",
-            full=size.tenants,
+            max_count=size.tenants,
             size_count=size.tenants,
             arguments=arguments,
         ),
@@ -71,17 +71,17 @@
         Series(
             name="clients' connections",
             by="connections",
-            each="a client's connection",
+            object_name="a client's connection",
             job="scale.memory.connections:memory_of_client_connections",
-            full=MAX_CONNECTIONS,
+            max_count=MAX_CONNECTIONS,
             size_count=MAX_CONNECTIONS,
         ),
         Series(
             name="connections to servers",
             by="connections",
-            each="a connection to a server",
+            object_name="a connection to a server",
             job="scale.memory.connections:memory_of_endpoint_connections",
-            full=MAX_CONNECTIONS,
+            max_count=MAX_CONNECTIONS,
             size_count=MAX_CONNECTIONS,
         ),
     ]
@@ -92,17 +92,17 @@
         Series(
             name="counts in flight",
             by="counts",
-            each="a count in flight",
+            object_name="a count in flight",
             job="scale.memory.decisions:memory_of_counter_calls",
-            full=IN_FLIGHT_CALLS,
+            max_count=IN_FLIGHT_CALLS,
             size_count=None,
         ),
         Series(
             name="classes of the settings",
             by="classes",
-            each="a class, for a route",
+            object_name="a class, for a route",
             job="scale.memory.decisions:memory_of_classes",
-            full=CLASSES,
+            max_count=CLASSES,
             size_count=size.routes,
         ),
     ]
@@ -135,7 +135,7 @@
 
 def measure_slopes(series: Series, effort: Effort) -> list[Slope]:
     """Measure the allocated bytes by count, and the resident bytes if the job returns them."""
-    counts = [count for count in sample_sizes(series.full, effort) for _ in range(effort.runs)]
+    counts = [count for count in sample_sizes(series.max_count, effort) for _ in range(effort.runs)]
     jobs = [Job(series.job, {"count": count, **series.arguments}) for count in counts]
     allocated: dict[float, list[float]] = defaultdict(list)
     resident: dict[float, list[float]] = defaultdict(list)
@@ -153,7 +153,7 @@
 def _add_figures(result: Result, series: Series, slope: Slope) -> None:
     """Add the memory of one object, and of all objects at the size."""
     how = f"slope of '{series.name}'"
-    result.add_figure(Figure(f"bytes of {series.each}", "B", slope.slope, Origin.MEASURED, how))
+    result.add_figure(Figure(f"bytes of {series.object_name}", "B", slope.slope, Origin.MEASURED, how))
     count = series.size_count
     if count is not None:
         megabytes = slope.slope * count / BYTES_PER_MEGABYTE
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -31,7 +31,7 @@
 CHECKING_SECONDS = 60.0  # a failed endpoint is checked until the endpoint list shows the failure (assumed)
 CHECK_INTERVAL_SECONDS = 2.0  # between two health checks, which start at ticks
 DISCOVERY_CALLS_PER_SECOND = (8.0, 100.0)  # capacity of discovery (assumed)
-LIST_CHANGES = 300  # whose mean size is measured
+LIST_CHANGES = 300  # number of changes over which the size of a change is averaged
 BYTES_PER_MEGABYTE = 1e6
 
 
@@ -53,7 +53,7 @@
     for full_spread in (False, True)
     for name, mix in (("calm", CALM_MIX), ("tense", TENSE_MIX))
 )
-Demands = dict[Scenario, list[CounterDemand]]  # by run
+Demands = dict[Scenario, list[CounterDemand]]  # the demand in each run, by scenario
 
 
 @dataclass(frozen=True, slots=True)
--- a/scale/model.py
+++ b/scale/model.py
@@ -117,16 +117,16 @@
     quick: bool = False  # smaller sizes and no figures, for tests and a first look
 
 
-class BrokenRunError(Exception):
-    """A stand-in or worker exited, or an invariant was violated: the run has no valid figure."""
+class RunFailedError(Exception):
+    """The run has no valid figures, for example because a stand-in or a worker exited."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleTest:
-    """One scale test; ``run`` raises ``BrokenRunError`` if a run fails."""
+    """One scale test; ``run`` raises ``RunFailedError`` if a run fails."""
 
     name: str
     about: str
     run: Callable[[Size, Budget, Effort], Result]
-    # Peak memory in bytes, by the option that causes it ("servers", ...); None: estimated by the size.
+    # Peak memory in bytes, by the option that causes it ("servers", ...); None: estimated from the size.
     memory: Callable[[Size, Effort], Mapping[str, float]] | None = None
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, TypeVar, cast
 
-from scale.model import BrokenRunError
+from scale.model import RunFailedError
 from scale.reserved_port import LOOPBACK, reserved_port
 from scale.stand_ins.control import Addresses, HealthChange, Setup, Stats
 from scale.stand_ins.discovery import EndpointEntry
@@ -76,7 +76,7 @@
 
 
 async def guard(work: Awaitable[T], *processes: ChildProcess) -> T:
-    """Await ``work`` and return its result. Raise ``BrokenRunError`` as soon as a process exits."""
+    """Await ``work`` and return its result. Raise ``RunFailedError`` as soon as a process exits."""
     task = asyncio.ensure_future(work)
     by_exit = {process.exit: process for process in processes}
     done, _ = await asyncio.wait({task, *by_exit}, return_when=asyncio.FIRST_COMPLETED)
@@ -85,7 +85,7 @@
         with contextlib.suppress(asyncio.CancelledError, Exception):
             await task
         await asyncio.sleep(0)
-        raise BrokenRunError(by_exit[cast(asyncio.Task[int], ended)].describe_exit())
+        raise RunFailedError(by_exit[cast(asyncio.Task[int], ended)].describe_exit())
     return task.result()
 
 
@@ -95,7 +95,7 @@
     addresses: Addresses
 
     async def stats(self) -> Stats:
-        """Return the counts so far. Raise ``BrokenRunError`` if the process has exited."""
+        """Return the counts so far. Raise ``RunFailedError`` if the process has exited."""
         return Stats.from_json(await self.exchange({}))
 
     async def change_health(self, port: int, health: str) -> Stats:
@@ -117,7 +117,7 @@
         reply = await stdout.readline()
         if not reply:
             await self.exit
-            raise BrokenRunError(self.describe_exit())
+            raise RunFailedError(self.describe_exit())
         return cast(dict[str, Any], json.loads(reply))
 
 
@@ -234,7 +234,7 @@
 async def start_limiters(directory: Path, configs: list[dict[str, Any]]) -> AsyncIterator[list[Limiter]]:
     """Start real limiters, wait until they are ready to serve, and kill them at the end.
 
-    Raise ``BrokenRunError`` if one exits or is not ready in time.
+    Raise ``RunFailedError`` if one exits or is not ready in time.
     """
     limiters = list[Limiter]()
     with ExitStack() as reservations:
@@ -252,9 +252,9 @@
 
 
 async def _wait_until_ready(limiters: list[Limiter]) -> None:
-    """Wait until all limiters are ready. Raise ``BrokenRunError`` if one exits or is not ready in time."""
+    """Wait until all limiters are ready. Raise ``RunFailedError`` if one exits or is not ready in time."""
     try:
         async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             await guard(asyncio.gather(*(limiter.wait_ready() for limiter in limiters)), *limiters)
     except TimeoutError:
-        raise BrokenRunError(f"not all limiters were ready within {READY_TIMEOUT_SECONDS:.0f} s") from None
+        raise RunFailedError(f"not all limiters were ready within {READY_TIMEOUT_SECONDS:.0f} s") from None
--- a/scale/propagation/cases.py
+++ b/scale/propagation/cases.py
@@ -21,7 +21,7 @@
     REFUSED = auto()  # connections are reset and refused
     UNRESPONSIVE = auto()  # connections stay open but receive no data
     HALF_OPEN = auto()  # from the start, connections are accepted but calls get no response
-    MOVED = auto()  # as REFUSED, then the clients' configuration has the address of another discovery
+    MOVED = auto()  # as REFUSED; the clients then get the address of another discovery
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     name: str
     limiters: int
     fault: Fault
-    # True: all limiters call one discovery; False: an agent on the machine of each limiter notifies it.
+    # True: all limiters call one discovery. False: an agent on the machine of a limiter notifies the limiter.
     shared: bool = True
     capacity: float = 0.0  # calls a second that discovery serves after the outage; 0: unlimited
     write_seconds: float = 0.0  # in which discovery writes one line of a watch
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -22,7 +22,7 @@
 from quota_gateway.net.discovery.poll_timing import PollTiming
 from quota_gateway.net.discovery.watch_event import WatchEvent
 from quota_gateway.settings_parser import parse_timing
-from scale.model import BrokenRunError, Effort
+from scale.model import Effort, RunFailedError
 from scale.processes import split_address
 from scale.propagation.cases import Case, Fault
 from scale.stand_ins.discovery import FIRST_VERSION, DiscoveryStandIn, make_endpoints
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Convergence:
-    """The times at which a group was notified, in seconds after the first moment at which it could be."""
+    """The times at which a group was notified, in seconds after the earliest possible time."""
 
     median: float
     last: float  # of the clients that were notified
     never: int  # clients that were not notified within the serving time and ``NOTIFY_TIMEOUT_SECONDS``
-    calls: int  # received by discovery after that moment
+    calls: int  # calls that discovery received after the earliest possible time
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,7 +127,7 @@
         self._clients = _ClientGroup(case, seed)
 
     async def run(self) -> Convergence:
-        """Run the case. Raise ``BrokenRunError`` if clients get no first list before the fault."""
+        """Run the case. Raise ``RunFailedError`` if clients get no first list before the fault."""
         address = await self._discovery.open()
         try:
             self._clients.expect(_any_event)
@@ -161,7 +161,7 @@
         if half_open:
             return
         if not await self._clients.wait_notified(SETTLE_TIMEOUT_SECONDS):
-            raise BrokenRunError(f"{self._case.name}: not all discovery clients received their first list")
+            raise RunFailedError(f"{self._case.name}: not all discovery clients received their first list")
         await asyncio.sleep(Random(self._seed).uniform(*SETTLE_DELAY_SECONDS))
 
     async def _measure_change(self) -> Convergence:
@@ -247,7 +247,7 @@
 def measure_groups(cases: list[Case], effort: Effort) -> list[GroupRun]:
     """Run all cases several times in parallel, each time in a separate process.
 
-    Raise ``BrokenRunError`` if a process exits, or if it may not open the sockets that the cases need.
+    Raise ``RunFailedError`` if a process exits, or if it may not open the sockets that the cases need.
     """
     _check_descriptors(cases)
     runs = min(effort.runs, effort.processes)
@@ -256,7 +256,7 @@
         futures = [pool.submit(run_cases, cases, effort.seed + run) for run in range(runs)]
         return [future.result() for future in futures]
     except BrokenProcessPool as error:
-        raise BrokenRunError(f"a process of discovery clients exited: {error}") from None
+        raise RunFailedError(f"a process of discovery clients exited: {error}") from None
     finally:
         pool.shutdown(cancel_futures=True)
 
@@ -265,6 +265,6 @@
     needed = 2 * sum(case.limiters for case in cases) + SPARE_DESCRIPTORS
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed != resource.RLIM_INFINITY and needed > allowed:
-        raise BrokenRunError(
+        raise RunFailedError(
             f"the discovery clients need {needed} file descriptors, but the limit of a process is {allowed}"
         )
--- a/scale/propagation/real_limiters.py
+++ b/scale/propagation/real_limiters.py
@@ -16,7 +16,7 @@
 
 from scale.http_client import HttpClient, encode_request
 from scale.limiter_settings import make_settings
-from scale.model import BrokenRunError, Effort, Size
+from scale.model import Effort, RunFailedError, Size
 from scale.processes import Limiter, StandIns, guard, limiter_config, start_limiters, start_stand_ins
 from scale.stand_ins.control import Setup
 from scale.stand_ins.counter import CounterSpec
@@ -125,7 +125,7 @@
         self._size = size
 
     async def run(self, servers: int, runs: int, warm_up: float) -> RealLimiterTimes:
-        """Measure all changes. Raise ``BrokenRunError`` if a limiter did not reload each configuration."""
+        """Measure all changes. Raise ``RunFailedError`` if a limiter did not reload each configuration."""
         await asyncio.sleep(warm_up)
         times = RealLimiterTimes([], [], servers)
         for run in range(runs):
@@ -154,7 +154,7 @@
         for limiter in self._limiters:
             metrics = await limiter.metrics()
             if metrics["loads"] != runs or metrics["load_errors"]:
-                raise BrokenRunError(f"{limiter.name} reloaded {metrics['loads']} of {runs} configurations")
+                raise RunFailedError(f"{limiter.name} reloaded {metrics['loads']} of {runs} configurations")
 
     async def _drain(self, port: int, times: RealLimiterTimes) -> None:
         """Drain the endpoints of a port, and add the time until each limiter stopped using them."""
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -74,7 +74,7 @@
         self._events = list[_ScheduledEvent]()  # heap
         self._order = count()
         self._last_request_id = 0
-        self._attempts = dict[int, int]()  # started so far, by request
+        self._attempts = dict[int, int]()  # number of attempts started so far, by request id
         self._first_tenant = 0
 
     def start(self) -> None:
--- a/scale/stand_ins/connection.py
+++ b/scale/stand_ins/connection.py
@@ -11,9 +11,10 @@
 
 
 class StandInConnection(asyncio.Protocol):
-    """A connection to a stand-in. It is in a set of connections while it is open."""
+    """A connection to a stand-in, which is in the stand-in's set of connections while it is open."""
 
-    def __init__(self, connections: set[Any]) -> None:  # Any, because sets of subclasses are no subtype
+    # The parameter is a set of any type, because a set of a subclass is not a subtype of a set of this class.
+    def __init__(self, connections: set[Any]) -> None:
         """``connections`` is the set of open connections."""
         self._connections = connections
         self.buffer = b""
--- a/scale/stand_ins/counter.py
+++ b/scale/stand_ins/counter.py
@@ -29,7 +29,7 @@
     round_trip: float = 0.0002  # seconds on the network
     background_rate: float = 0.0  # calls a second of the other limiters of the fleet
     max_connections: int = MAX_CONNECTIONS  # of one address
-    queue_limit: int = 0  # waiting calls at which further ones are rejected (``busy``); 0: no limit
+    queue_limit: int = 0  # further calls are rejected (``busy``) while this many wait; 0: no limit
 
 
 @dataclass(slots=True)
--- a/scale/stand_ins/discovery.py
+++ b/scale/stand_ins/discovery.py
@@ -73,7 +73,7 @@
         self._keep_alive_timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> str:
-        """Start or resume serving, after ``crash`` or ``stop_responding`` too; return ``host:port``."""
+        """Start serving, or resume it after ``crash`` or ``stop_responding``; return ``host:port``."""
         self.is_unresponsive = False
         if self._keep_alive_timer is None:
             self._schedule_keep_alive()
--- a/scale/stand_ins/timers.py
+++ b/scale/stand_ins/timers.py
@@ -14,7 +14,7 @@
 
 LIBC = ctypes.CDLL(None, use_errno=True)
 TFD_TIMER_ABSTIME = 1  # flag of timerfd_settime: the time is absolute
-TIMERFD_READ_BYTES = 8  # of the count of expirations
+TIMERFD_READ_BYTES = 8  # size of the number of expirations, which a read returns
 NANOSECONDS_PER_SECOND = 1e9
 
 
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from scale.model import BrokenRunError
+from scale.model import RunFailedError
 
 ROOT = Path(__file__).resolve().parent.parent  # root of the checkout, working directory of all processes
 JOB_TIMEOUT_SECONDS = 3600.0  # only a job that hangs takes longer
@@ -31,7 +31,7 @@
 
 
 def run_job(job: Job) -> Any:
-    """Run a job; return its result, a dataclass as a dict. Raise ``BrokenRunError`` if the job fails."""
+    """Run a job; return its result, a dataclass as a dict. Raise ``RunFailedError`` if the job fails."""
     command = [sys.executable, "-m", "scale.worker", job.function]
     arguments = json.dumps(job.arguments)
     try:
@@ -45,22 +45,22 @@
             check=False,
         )
     except subprocess.TimeoutExpired:
-        raise BrokenRunError(f"{job.function} did not finish within {JOB_TIMEOUT_SECONDS:.0f} s") from None
+        raise RunFailedError(f"{job.function} did not finish within {JOB_TIMEOUT_SECONDS:.0f} s") from None
     except OSError as error:
-        raise BrokenRunError(f"{job.function} could not be started: {error}") from None
+        raise RunFailedError(f"{job.function} could not be started: {error}") from None
     return _parse_result(job, completed)
 
 
 def _parse_result(job: Job, completed: subprocess.CompletedProcess[str]) -> Any:
     if completed.returncode < 0:
-        raise BrokenRunError(f"{job.function} was killed by {signal.Signals(-completed.returncode).name}")
+        raise RunFailedError(f"{job.function} was killed by {signal.Signals(-completed.returncode).name}")
     if completed.returncode:
         last_line = (completed.stderr.strip().splitlines() or ["nothing on standard error"])[-1]
-        raise BrokenRunError(f"{job.function} exited with code {completed.returncode}: {last_line:.200}")
+        raise RunFailedError(f"{job.function} exited with code {completed.returncode}: {last_line:.200}")
     try:
         return json.loads(completed.stdout)
     except ValueError:
-        raise BrokenRunError(f"{job.function} wrote no result in JSON: {completed.stdout!r:.80}") from None
+        raise RunFailedError(f"{job.function} wrote no result in JSON: {completed.stdout!r:.80}") from None
 
 
 def run_jobs(jobs: Sequence[Job], processes: int) -> list[Any]:
--- a/tests/test_scale_cli.py
+++ b/tests/test_scale_cli.py
@@ -1,4 +1,7 @@
-"""The command line of the scale tests: invalid options, exit codes, failed runs and quick runs."""
+"""The command line of the scale tests: it rejects invalid options before any test runs.
+
+The exit code and the report show exceeded budgets and failed runs. A quick run has slopes but no figures.
+"""
 
 from __future__ import annotations
 
@@ -101,7 +104,7 @@
     tests += [make_broken_test(function), make_test(0.5)]
     path = tmp_path / "results.json"
     done = invoke("--json", str(path))
-    assert done.exit_code == ExitCode.BROKEN_RUN
+    assert done.exit_code == ExitCode.RUN_FAILED
     assert cause in done.stderr
     assert "those of made are valid" in done.stderr
     assert "made cost" in done.stdout
@@ -111,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "code"), [(KeyError("x"), ExitCode.BROKEN_RUN), (KeyboardInterrupt(), 130)]
+    ("error", "code"), [(KeyError("x"), ExitCode.RUN_FAILED), (KeyboardInterrupt(), 130)]
 )
 def test_an_exception_does_not_give_the_exit_code_of_an_exceeded_budget(
     error: BaseException, code: int, tests: list[ScaleTest]
@@ -126,7 +129,7 @@
 def test_a_figure_that_is_not_finite_fails_its_test(tests: list[ScaleTest]) -> None:
     tests.append(make_test(float("nan")))
     done = invoke()
-    assert done.exit_code == ExitCode.BROKEN_RUN
+    assert done.exit_code == ExitCode.RUN_FAILED
     assert "made cost" not in done.stdout
 
 
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -1,4 +1,7 @@
-"""Tests of the fleet simulation: its services, its accounts, and equal results with one and two workers."""
+"""The fleet simulation: its services follow their specification, and its counts of the usage are exact.
+
+One and two workers give equal results, and a worker that exits fails the run.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
     RequestResult,
     RequestServed,
 )
-from scale.fleet.scale_test import like_fleets, reduced_size
+from scale.fleet.scale_test import fleets_sharing_counter, reduced_size
 from scale.fleet.scenario import Scenario, World
 from scale.fleet.simulation import simulate
 from scale.fleet.summary import percentile, summarize
@@ -35,7 +38,7 @@
 from scale.fleet.text_report import format_summary
 from scale.fleet.token_bucket import TokenBucket
 from scale.fleet.wire_format import decode, encode
-from scale.model import BrokenRunError, Size
+from scale.model import RunFailedError, Size
 
 SMALL_FLEET = Size(limiters=5, servers=20, tenants=75, rate=180.0)
 
@@ -49,7 +52,7 @@
     counter = SimulatedCounter(1, 1000.0, seed=1)
     # Twice the capacity, for 1 s.
     replies = [counter.call(number * 0.0005, 7, 1.0, 60.0) for number in range(2000)]
-    times = [reply.answered_at for reply in replies if reply is not None]
+    times = [reply.replied_at for reply in replies if reply is not None]
     assert len(times) == 2000
     assert times == sorted(times)
     assert times[-1] == pytest.approx(2.0, rel=0.05)  # the queue is served at the capacity
@@ -62,8 +65,8 @@
         counter.call(0.0, 2, 1.0, 60.0)
     busy = require_reply(counter.call(0.0, 4, 1.0, 60.0))
     idle = require_reply(counter.call(0.0, 3, 1.0, 60.0))
-    assert busy.answered_at > 0.15
-    assert idle.answered_at < 0.004
+    assert busy.replied_at > 0.15
+    assert idle.replied_at < 0.004
 
 
 def test_a_counter_total_expires_one_lifetime_after_its_first_call() -> None:
@@ -81,23 +84,23 @@
     assert require_reply(counter.call(2.5, 1, 1.0, 60.0)).total == 1.0
 
 
-def test_other_fleets_on_the_counter_take_part_of_its_capacity() -> None:
+def test_other_fleets_that_share_the_counter_use_part_of_its_capacity() -> None:
     unshared = SimulatedCounter(1, 1000.0, seed=1)
-    shared = SimulatedCounter(1, 1000.0, seed=1, like_fleets=20)
+    shared = SimulatedCounter(1, 1000.0, seed=1, fleets_sharing_counter=20)
     unshared_replies = [unshared.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
     shared_replies = [shared.call(number * 0.01, 1, 1.0, 60.0) for number in range(200)]
-    assert require_reply(unshared_replies[-1]).answered_at - 1.99 < 0.002
-    assert require_reply(shared_replies[-1]).answered_at - 1.99 > 0.5  # 2,000 calls a second in total
+    assert require_reply(unshared_replies[-1]).replied_at - 1.99 < 0.002
+    assert require_reply(shared_replies[-1]).replied_at - 1.99 > 0.5  # 2,000 calls a second in total
 
 
 def test_an_endpoint_queues_attempts_up_to_its_limit_and_skips_those_that_timed_out() -> None:
-    endpoint = SimulatedEndpoint(boots_at=0.0)
+    endpoint = SimulatedEndpoint(restarts_at=0.0)
     accepted = parameters.ENDPOINT_CORES + parameters.ENDPOINT_QUEUE_LIMIT
     results = [endpoint.attempt(0.0, 0.1, 10.0) for _ in range(accepted + 1)]
     outcomes = [result.outcome for result in results]
     assert outcomes == [AttemptOutcome.OK] * accepted + [AttemptOutcome.OVERLOADED]
     assert results[parameters.ENDPOINT_CORES].ended_at == pytest.approx(0.2)
-    busy = SimulatedEndpoint(boots_at=0.0)
+    busy = SimulatedEndpoint(restarts_at=0.0)
     for _ in range(parameters.ENDPOINT_CORES):
         busy.attempt(0.0, 1.0, 2.0)
     assert busy.attempt(0.0, 1.0, 0.5).outcome is AttemptOutcome.TIMED_OUT
@@ -105,7 +108,7 @@
 
 
 def test_a_warming_up_endpoint_is_slow_and_fails_beyond_the_overload_factor() -> None:
-    lightly_loaded, overloaded = SimulatedEndpoint(boots_at=5.0), SimulatedEndpoint(boots_at=5.0)
+    lightly_loaded, overloaded = SimulatedEndpoint(restarts_at=5.0), SimulatedEndpoint(restarts_at=5.0)
     outcome, ended_at = lightly_loaded.attempt(5.0, 0.1, 2.0)
     assert outcome is AttemptOutcome.OK
     assert ended_at == pytest.approx(5.0 + 0.1 / parameters.INITIAL_CAPACITY_FRACTION)
@@ -131,8 +134,8 @@
     return envelope.event.request_id
 
 
-def test_a_tenant_account_counts_excess_units_exceeded_ceilings_rejections_and_lost_requests() -> None:
-    world = World(Scenario(SMALL_FLEET, FaultSchedule.of(10.0)))
+def test_tenant_usage_counts_units_over_quota_exceeded_ceilings_rejections_and_lost_requests() -> None:
+    world = World(Scenario(SMALL_FLEET, FaultSchedule.for_run(10.0)))
     tenant = next(tenant for tenant in world.tenants if tenant.plan == 1)
     tally = Tally((0.0,))
     clients = TenantClients(tenant, world, tally)
@@ -157,7 +160,7 @@
 
 
 def test_one_and_two_workers_give_equal_results_and_violate_no_invariant() -> None:
-    scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), like_fleets=84)
+    scenario = Scenario(SMALL_FLEET, FaultSchedule.for_run(10.0), fleets_sharing_counter=84)
     one, two = simulate(scenario, 1), simulate(scenario, 2)
     assert one.tally.phases == two.tally.phases
     assert one.tally.seconds == two.tally.seconds
@@ -176,8 +179,8 @@
     (tmp_path / "quota_gateway" / "__init__.py").write_text(
         "raise RuntimeError('imported from the other checkout')"
     )
-    scenario = Scenario(SMALL_FLEET, FaultSchedule.of(10.0), package=str(tmp_path))
-    with pytest.raises(BrokenRunError, match="imported from the other checkout"):
+    scenario = Scenario(SMALL_FLEET, FaultSchedule.for_run(10.0), package=str(tmp_path))
+    with pytest.raises(RunFailedError, match="imported from the other checkout"):
         simulate(scenario, 1)
 
 
@@ -192,7 +195,7 @@
 
 
 def test_a_killed_worker_fails_the_run_with_its_exit_code() -> None:
-    with pytest.raises(BrokenRunError, match=r"worker 1.* exit code -9"):
+    with pytest.raises(RunFailedError, match=r"worker 1.* exit code -9"):
         lockstep.run_workers(work_until_killed, 2, 10.0, kill_last_worker)
 
 
@@ -206,7 +209,7 @@
 def test_a_reduced_fleet_keeps_its_proportions() -> None:
     fleet = reduced_size(Size(), 0.1)
     assert (fleet.limiters, fleet.servers, fleet.tenants, fleet.rate) == (42, 340, 1500, 3600.0)
-    assert like_fleets(fleet, Size()) == 10
+    assert fleets_sharing_counter(fleet, Size()) == 10
 
 
 def test_discovery_serves_calls_in_turn_and_every_limiter_opens_a_watch() -> None:
--- a/tests/test_scale_latency.py
+++ b/tests/test_scale_latency.py
@@ -1,4 +1,4 @@
-"""A quick run of the scale test ``latency``."""
+"""The scale test ``latency``: a quick run gives plausible figures, which have no budgets."""
 
 from __future__ import annotations
 
--- a/tests/test_scale_memory.py
+++ b/tests/test_scale_memory.py
@@ -1,7 +1,6 @@
-"""The jobs of the scale test ``state``.
+"""The jobs of the scale test ``state``: they report the error of their forked peer if it fails.
 
-They guard against a job that reports a timeout or a broken connection although its forked peer failed first,
-and against a whole-process job that returns no plausible memory.
+A timeout or a broken connection would hide the error. The whole-process job returns plausible memory.
 """
 
 from __future__ import annotations
--- a/tests/test_scale_messages.py
+++ b/tests/test_scale_messages.py
@@ -1,7 +1,4 @@
-"""The jobs of the scale test ``messages``.
-
-The test guards against a job that waits for its timeout, or hides the cause, if its stand-in fails.
-"""
+"""The jobs of the scale test ``messages``: a job whose stand-in fails reports the error, not a timeout."""
 
 from __future__ import annotations
 
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from scale.model import BrokenRunError
+from scale.model import RunFailedError
 from scale.processes import guard, start_stand_ins
 from scale.reserved_port import LOOPBACK, reserved_port
 from scale.stand_ins.control import Setup
@@ -24,9 +24,9 @@
     setup = Setup(4, EndpointsSpec(), CounterSpec(), 1)
     async with start_stand_ins(tmp_path, setup) as stand_ins:
         os.kill(stand_ins.process.pid, signal.SIGKILL)
-        with pytest.raises(BrokenRunError, match="the stand-ins exited with code -9"):
+        with pytest.raises(RunFailedError, match="the stand-ins exited with code -9"):
             await guard(asyncio.sleep(10), stand_ins)
-        with pytest.raises(BrokenRunError, match="the stand-ins exited with code -9"):
+        with pytest.raises(RunFailedError, match="the stand-ins exited with code -9"):
             await stand_ins.stats()
 
 
--- a/tests/test_scale_propagation.py
+++ b/tests/test_scale_propagation.py
@@ -1,4 +1,4 @@
-"""A quick run of the scale test ``in_force``."""
+"""The scale test ``in_force``: a quick run gives plausible figures, which have no budgets."""
 
 from __future__ import annotations
 
--- a/tests/test_scale_regression.py
+++ b/tests/test_scale_regression.py
@@ -1,4 +1,4 @@
-"""Lines of the scale tests: the fit, and warnings about lines that are not reliable."""
+"""The slopes of the scale tests: a line fits the medians, and a line that is not reliable gets a warning."""
 
 from __future__ import annotations
 
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -1,4 +1,7 @@
-"""The stand-ins of the scale tests: replies as in the protocol, limited rates, and reported service times."""
+"""The stand-ins of the scale tests: they reply as the protocols specify, and serve no more than their rate.
+
+The endpoints report the service times that the latency test subtracts.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_scale_worker.py
+++ b/tests/test_scale_worker.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from scale.model import BrokenRunError
+from scale.model import RunFailedError
 from scale.worker import Job, run_job
 
 
 def test_a_job_without_a_result_fails_the_run() -> None:
-    with pytest.raises(BrokenRunError, match="no result"):
+    with pytest.raises(RunFailedError, match="no result"):
         run_job(Job("sys:exit"))
