--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -33,7 +33,8 @@
 LIST_CHANGES = 60
 COMPLETE_LISTS = 5
 RELOADS = 5
-FIRST_PRIORITY_WEIGHT = 7.0  # of the first request class in the first reload; each further reload adds 1
+# Priority weight of the first request class in the first reload; each further reload adds 1.
+FIRST_PRIORITY_WEIGHT = 7.0
 NANOSECONDS_PER_SECOND = 1e9
 MICROSECONDS_PER_SECOND = 1e6
 MICROSECONDS_PER_MILLISECOND = 1e3
--- a/scale/fleet/accounting.py
+++ b/scale/fleet/accounting.py
@@ -45,7 +45,7 @@
         self.due_at = 0.0  # the time at which the client stops waiting
         self.limiter = 0  # -1: no limiter was available
         self.is_retry = False
-        self.within_quota = False  # at the time of the offer; a retry does not change it
+        self.within_quota = False  # state at the time of the offer; a retry does not change it
         self.forwarded_within_quota = False
 
     def record_limiter(self, limiter: int, due_at: float) -> None:
--- a/scale/fleet/messages.py
+++ b/scale/fleet/messages.py
@@ -240,7 +240,7 @@
 class Envelope(NamedTuple):
     """An event in transit."""
 
-    time: float  # of arrival, in virtual seconds
+    time: float  # time of arrival, in virtual seconds
     source: int  # number of the sender, from ``SourceNumbers``
     sequence: int  # increases with each envelope of the source
     # Index of the limiter, endpoint or tenant. In a call to the counter or discovery, index of the caller.
--- a/scale/fleet/parameters.py
+++ b/scale/fleet/parameters.py
@@ -22,11 +22,11 @@
 ENDPOINT_QUEUE_LIMIT = 40  # requests that may wait at an endpoint (assumed)
 TARGET_UTILIZATION = 0.5  # fraction of the endpoints' capacity that usage within the quotas takes
 INITIAL_CAPACITY_FRACTION = 0.3  # fraction of the full capacity just after an endpoint's start
-ENDPOINT_WARM_UP_SECONDS = 12.0  # from an endpoint's start to its full capacity
+ENDPOINT_WARM_UP_SECONDS = 12.0  # time from an endpoint's start to its full capacity
 OVERLOAD_FACTOR = 2.5  # an endpoint that is warming up fails under more than this multiple of its capacity
 OVERLOAD_WINDOW_SECONDS = 1.0  # window over which arriving work is summed to detect overload
 ENDPOINT_RESTART_GROUPS = 3  # number of groups in which the endpoints of a returning zone start (assumed)
-ENDPOINT_RESTART_GROUP_INTERVAL_SECONDS = 1.0  # between the starts of two groups (assumed)
+ENDPOINT_RESTART_GROUP_INTERVAL_SECONDS = 1.0  # interval between the starts of two groups (assumed)
 CELL_SIZE = 4  # endpoints per cell, all in one zone
 
 # One-way network delays, as the range over all pairs.
@@ -36,9 +36,9 @@
 OTHER_REGION_DELAY_SECONDS = (0.008, 0.010)
 
 # Delays after faults and changes of the endpoint list, as ranges.
-NOTIFICATION_DELAY_SECONDS = (0.65, 4.8)  # from a change to the notification of a limiter
-RESTART_SECONDS = (1.4, 8.0)  # from the kill of a limiter to its restart
-FAILOVER_SECONDS = (1.2, 3.7)  # from the kill of a limiter until clients send it no more requests
+NOTIFICATION_DELAY_SECONDS = (0.65, 4.8)  # time from a change to the notification of a limiter
+RESTART_SECONDS = (1.4, 8.0)  # time from the kill of a limiter to its restart
+FAILOVER_SECONDS = (1.2, 3.7)  # time from the kill of a limiter until clients avoid it
 
 # Clients.
 # Clients start at this time. Limiters start at random times before it, so that their timers do not coincide.
@@ -51,7 +51,8 @@
 # Probability that the charge of a request is drawn one unit above or below its estimate. The charge is then
 # limited to the range from 1 to ``MAX_UNITS``.
 WRONG_ESTIMATE_PROBABILITY = 0.3
-WORK_LOGNORMAL_MU_SIGMA = (-0.08, 0.4)  # of the logarithm of a request's work divided by its expected work
+# Mean and standard deviation of the logarithm of a request's work divided by its expected work.
+WORK_LOGNORMAL_MU_SIGMA = (-0.08, 0.4)
 BURST_RATE_FACTOR = (2.0, 7.9)  # rate in a burst divided by the rate of the quota
 BURST_SECONDS = (0.61, 3.7)
 BURST_INTERVAL_SECONDS = 40.0  # mean time between two bursts of a tenant
@@ -74,7 +75,7 @@
     """A request class."""
 
     name: str
-    fraction: float  # of all requests
+    fraction: float  # fraction of all requests
     work: float  # seconds of one core
     latency_objective: float  # seconds
     deadline: float  # seconds; the longest timeout of a client
--- a/scale/fleet/scale_test.py
+++ b/scale/fleet/scale_test.py
@@ -16,7 +16,7 @@
 WARM_UP_SECONDS = 20.0  # virtual; afterwards, service and counter calls no longer depend on the start
 SIZE_FRACTIONS = (0.025, 0.05, 0.1, 1.0)
 QUICK_SIZE_FRACTIONS = (0.0125, 0.025, 0.05, 0.1)
-MAX_RUNS = 3  # of each reduced size; the full size is simulated once
+MAX_RUNS = 3  # maximum of runs of each reduced size; the full size is simulated once
 MIN_ENDPOINTS_PER_ZONE = 4
 # Estimates from the slopes of the memory scale test.
 _ENDPOINT_BYTES = 900.0  # per endpoint at each limiter
@@ -53,9 +53,10 @@
 class _SlopePoints:
     """The costs in the runs of each size, from which the slopes are derived."""
 
-    counter_calls: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by number of limiters
-    memory: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by number of limiters
-    control_cpu: dict[float, tuple[float, ...]] = field(default_factory=dict)  # by number of endpoints
+    # Counter calls and memory by the number of limiters, control CPU by the number of endpoints.
+    counter_calls: dict[float, tuple[float, ...]] = field(default_factory=dict)
+    memory: dict[float, tuple[float, ...]] = field(default_factory=dict)
+    control_cpu: dict[float, tuple[float, ...]] = field(default_factory=dict)
 
     def add(self, size: Size, fleets: int, summaries: list[dict[str, Any]]) -> None:
         """Add the runs of one size, in which ``fleets`` fleets shared the counter."""
--- a/scale/fleet/scenario.py
+++ b/scale/fleet/scenario.py
@@ -12,7 +12,7 @@
 from scale.fleet.topology import Topology
 from scale.model import Size
 
-REGIONS = 2  # the counter and discovery are in one of them
+REGIONS = 2  # the counter and discovery are in one of the regions
 MIN_ZONES = 2
 
 
--- a/scale/fleet/tenants.py
+++ b/scale/fleet/tenants.py
@@ -30,7 +30,7 @@
 _NEAR_QUOTA_LOAD = (0.85, 1.0)
 _MAX_BELOW_QUOTA_LOAD = 0.75
 _MIN_LOAD = 1e-4
-_PARETO_SHAPE = 0.9  # of the loads below the quota
+_PARETO_SHAPE = 0.9  # shape of the distribution of the loads below the quota
 _PARETO_SCALE = 0.05
 _BISECTION_STEPS = 50
 _MAX_LOAD_SCALE = 1000.0  # upper bound of the factor on the loads below the quota
@@ -43,7 +43,7 @@
     name: str
     rate: float
     burst: float
-    price: int  # in tenths: an integer, so that sums of prices do not depend on their order
+    price: int  # tenths; an integer, so that sums of prices do not depend on their order
     over_quota_cost: float
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
@@ -55,7 +55,7 @@
 
     index: int
     plan: int  # index into ``Population.plans``
-    first_limiter: int  # of its set of limiters, which have consecutive indices
+    first_limiter: int  # first index of its set of limiters, which have consecutive indices
     rate: float  # requests a second, without retries
     bursty: bool
     account: str
--- a/scale/fleet/worker.py
+++ b/scale/fleet/worker.py
@@ -26,10 +26,10 @@
 from scale.fleet.tally import Tally
 from scale.fleet.workload import Workload
 
-WINDOW_SECONDS = 0.005  # virtual, between two exchanges
+WINDOW_SECONDS = 0.005  # virtual time between two exchanges
 # Virtual time after the last request in which open requests can complete.
 DRAIN_SECONDS = 1.1 * max(kind.deadline for kind in REQUEST_KINDS)
-_PROGRESS_INTERVAL_SECONDS = 10  # virtual, between two progress messages
+_PROGRESS_INTERVAL_SECONDS = 10  # virtual time between two progress messages
 _BYTES_PER_KIB = 1024  # ``ru_maxrss`` is in KiB
 
 
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -13,7 +13,7 @@
 from scale.processes import split_address
 
 NO_RESPONSE = 0  # status if no complete response was received
-STATUS_CODE_SLICE = slice(9, 12)  # in a status line
+STATUS_CODE_SLICE = slice(9, 12)  # position of the status code in a status line
 MICROSECONDS_PER_SECOND = 1e6
 
 
--- a/scale/input_checks.py
+++ b/scale/input_checks.py
@@ -17,8 +17,9 @@
 SERVER_BYTES = 2000.0
 TENANT_BYTES = 1500.0
 ROUTE_BYTES = 1500.0
-MEMORY_FRACTION = 0.5  # of the machine's memory that a run may use
-MAX_REQUESTS_PER_SECOND = 2000.0  # of one limiter; its decisions use a quarter of a core at this rate
+MEMORY_FRACTION = 0.5  # fraction of the machine's memory that a run may use
+# Maximum rate of one limiter. Its decisions use a quarter of a core at this rate.
+MAX_REQUESTS_PER_SECOND = 2000.0
 MAX_VALUES = {
     "limiters": 100_000,
     "servers": 1_000_000,
--- a/scale/latency/load.py
+++ b/scale/latency/load.py
@@ -16,9 +16,9 @@
 from scale.model import RunFailedError, Size
 from scale.stand_ins.timers import PreciseTimers
 
-LEAD_SECONDS = 0.02  # from the drawing of the schedules to the start of the run
+LEAD_SECONDS = 0.02  # time to draw the schedules before the run starts
 SETTLE_SECONDS = 0.4  # wait for the last responses of a run
-POLL_SECONDS = 0.02  # between two checks for missing responses
+POLL_SECONDS = 0.02  # interval between two checks for missing responses
 SEED_SHIFT = 24  # runs with different seeds have different request ids
 
 
@@ -30,8 +30,8 @@
     # The values of ``added`` for requests on new and on reused connections to endpoints.
     added_on_new: list[float] = field(default_factory=list)
     added_on_reused: list[float] = field(default_factory=list)
-    rejections: list[float] = field(default_factory=list)  # from the scheduled time to the rejection
-    send_delays: list[float] = field(default_factory=list)  # from the scheduled time to the sending
+    rejections: list[float] = field(default_factory=list)  # time from the schedule to the rejection
+    send_delays: list[float] = field(default_factory=list)  # time from the schedule to the sending
     rejected_by_plan: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     failed: int = 0  # requests that were neither served nor rejected
     pending: int = 0  # requests without a response
--- a/scale/latency/measurement.py
+++ b/scale/latency/measurement.py
@@ -36,9 +36,9 @@
 
 LIMITERS = 3  # as many as serve one tenant (``Size.spread``)
 COUNTER_CALLS_PER_SECOND = 1100.0  # capacity of the counter; operators report 930 to 1,300
-BACKGROUND_FRACTION = 0.7  # of the counter's capacity, used by the other limiters of the fleet (assumed)
+BACKGROUND_FRACTION = 0.7  # fraction of the counter's capacity that other limiters use (assumed)
 CONNECTIONS_PER_LIMITER = 24  # opened by a client before the load starts
-WARM_UP_SECONDS = 1.5  # of load before the first run
+WARM_UP_SECONDS = 1.5  # duration of the load before the first run
 QUICK_WARM_UP_SECONDS = WARM_UP_SECONDS / 3
 MILLISECONDS_PER_SECOND = 1e3
 MAX_FAILED_FRACTION = 0.02  # failed requests divided by served requests
@@ -48,13 +48,13 @@
 class CaseResult:
     """The results of a case's runs, in seconds."""
 
-    runs: list[Percentiles]  # of the added latency, by run
-    pooled: Percentiles  # of the added latency, over the requests of all runs
-    added_on_new: Percentiles  # of the added latency on new connections to endpoints
-    added_on_reused: Percentiles  # of the added latency on reused connections to endpoints
-    rejections: Percentiles  # from the scheduled time to the rejection
+    runs: list[Percentiles]  # added latency in each run
+    pooled: Percentiles  # added latency over the requests of all runs
+    added_on_new: Percentiles  # added latency on new connections to endpoints
+    added_on_reused: Percentiles  # added latency on reused connections to endpoints
+    rejections: Percentiles  # time from the schedule to the rejection
     core_waits: list[float]  # ``RunMeasurements.core_wait`` of each run
-    send_delay_p99: float  # from the scheduled time to the sending
+    send_delay_p99: float  # time from the schedule to the sending
     served: int
     rejected: int
     rejected_far_below_quota: int  # rejected requests of tenants far below their quota
--- a/scale/latency/workload.py
+++ b/scale/latency/workload.py
@@ -9,8 +9,8 @@
 from scale.limiter_settings import make_settings
 from scale.model import Size
 
-NEAR_FRACTION = 0.2  # of the tenants, with a demand near their quota
-OVER_FRACTION = 0.1  # of the tenants, with a demand over their quota
+NEAR_FRACTION = 0.2  # fraction of the tenants with a demand near their quota
+OVER_FRACTION = 0.1  # fraction of the tenants with a demand over their quota
 # Demand of a tenant divided by its quota, by the name of its plan.
 DEMAND = {"far": 0.1, "near": 0.92, "over": 1.5}
 BURST_SECONDS = 2.0  # time in which the quota fills the token bucket
--- a/scale/load_profile.py
+++ b/scale/load_profile.py
@@ -8,8 +8,8 @@
 from scale.model import Size
 
 SECONDS_PER_DAY = 86_400.0
-FAILURES_PER_DAY = 5  # of endpoints
-RESTARTS_PER_DAY = 760  # of endpoints, replacements included
+FAILURES_PER_DAY = 5  # failures of endpoints
+RESTARTS_PER_DAY = 760  # restarts of endpoints, replacements included
 CHANGES_PER_RESTART = 3  # changes of the list: draining, removed, ready
 CHANGES_PER_FAILURE = 2  # changes of the list: removed, ready
 ROLLING_RESTART_SECONDS = 600.0  # assumed duration of a rolling restart, with as many changes as a day
--- a/scale/memory/allocation.py
+++ b/scale/memory/allocation.py
@@ -15,7 +15,7 @@
 class MemoryUse:
     """The memory of the measured objects in bytes."""
 
-    allocated: int  # by Python objects
+    allocated: int  # memory of Python objects
     # Growth of the process's resident memory, which includes that of tracemalloc; None: not measured.
     resident: int | None = None
 
--- a/scale/memory/process.py
+++ b/scale/memory/process.py
@@ -23,7 +23,7 @@
 CONNECT_TIMEOUT_SECONDS = 0.25
 IDLE_TIMEOUT_SECONDS = 30.0
 FILL_SECONDS = 20.0  # virtual, at the start of the load; each tenant sends one request in this time
-TURNOVER_FRACTION = 0.05  # of the tenants, replaced by new ones in each minute of churn (assumed)
+TURNOVER_FRACTION = 0.05  # fraction of the tenants replaced in each minute of churn (assumed)
 SECONDS_PER_MINUTE = 60.0
 
 
@@ -80,7 +80,7 @@
             for _ in range(changes // minutes):
                 self.apply_list(self.limiter.next_list_change())
             if minute == minutes // 2:
-                self.apply_list(self.limiter.complete_list())  # as after a new watch
+                self.apply_list(self.limiter.complete_list())  # a new watch sends the complete list
             self.limiter.run(SECONDS_PER_MINUTE)
 
     def close(self) -> None:
--- a/scale/memory/summary.py
+++ b/scale/memory/summary.py
@@ -16,11 +16,11 @@
 from scale.simulated_limiter import SimulatedLimiter
 from scale.worker import Job, run_jobs
 
-IN_FLIGHT_CALLS = 2000  # to the counter; far more than in operation, for a significant slope
+IN_FLIGHT_CALLS = 2000  # counter calls; far more than in operation, for a significant slope
 CLASSES = 400
 LOAD_SECONDS = 180.0  # virtual
 CHURN_SECONDS = 3600.0  # virtual, after the load
-MAX_PROCESS_RUNS = 3  # of the whole-process job, which takes long
+MAX_PROCESS_RUNS = 3  # maximum of runs of the whole-process job, which takes long
 BYTES_PER_MEGABYTE = 1e6
 
 
--- a/scale/messages/counting_stand_in.py
+++ b/scale/messages/counting_stand_in.py
@@ -7,8 +7,8 @@
 from contextlib import asynccontextmanager
 from typing import TypeVar
 
-REPLY_TIMEOUT_SECONDS = 10.0  # of the measured clients
-RESULT_TIMEOUT_SECONDS = 0.1  # for reading a result that should have arrived by then
+REPLY_TIMEOUT_SECONDS = 10.0  # timeout of the measured clients
+RESULT_TIMEOUT_SECONDS = 0.1  # timeout for a result that should have arrived already
 
 T = TypeVar("T")
 
--- a/scale/messages/summary.py
+++ b/scale/messages/summary.py
@@ -20,16 +20,16 @@
 from scale.synthetic_inputs import BUCKET_SECONDS, CALM_MIX, TENSE_MIX, LoadMix, watch_event_text
 from scale.worker import Job, run_job, run_jobs
 
-IDLE_SECONDS = 21.0  # for ten pings of each connection of an idle client
+IDLE_SECONDS = 21.0  # time for ten pings on each connection of an idle client
 QUICK_IDLE_SECONDS = 2.5
 KEEP_ALIVE_CHUNK = b"1\r\n\n\r\n"  # an empty line as a chunk
-KEEP_ALIVE_INTERVAL_SECONDS = 2.0  # between two keep-alives
+KEEP_ALIVE_INTERVAL_SECONDS = 2.0  # interval between two keep-alives
 WARM_UP_SECONDS = 240.0  # virtual, until the limiter's counter budget has grown
 QUICK_WARM_UP_SECONDS = 20.0
 LOAD_SECONDS = 60.0  # virtual
 QUICK_LOAD_SECONDS = 10.0
 CHECKING_SECONDS = 60.0  # a failed endpoint is checked until the endpoint list shows the failure (assumed)
-CHECK_INTERVAL_SECONDS = 2.0  # between two health checks, which start at ticks
+CHECK_INTERVAL_SECONDS = 2.0  # interval between two health checks, which start at ticks
 DISCOVERY_CALLS_PER_SECOND = (8.0, 100.0)  # capacity of discovery (assumed)
 LIST_CHANGES = 300  # number of changes over which the size of a change is averaged
 BYTES_PER_MEGABYTE = 1e6
--- a/scale/model.py
+++ b/scale/model.py
@@ -11,7 +11,7 @@
     """How a figure was obtained."""
 
     MEASURED = "measured"
-    DERIVED = "derived"  # from slopes and the size
+    DERIVED = "derived"  # calculated from slopes and the size
     ASSUMED = "assumed"
 
 
@@ -49,7 +49,7 @@
     """A cost as a linear function of a count, fitted to the medians of several runs."""
 
     name: str
-    unit: str  # of the cost
+    unit: str  # unit of the cost
     by: str  # the count: "servers", "tenants", ...
     points: tuple[tuple[float, tuple[float, ...]], ...]  # the count, and the cost in each run
     slope: float
@@ -111,7 +111,7 @@
 class Effort:
     """The number and kind of the runs of a test."""
 
-    runs: int = 5  # at each size
+    runs: int = 5  # number of runs at each size
     seed: int = 1
     processes: int = 4
     quick: bool = False  # smaller sizes and no figures, for tests and a first look
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -21,9 +21,9 @@
 
 READY_TIMEOUT_SECONDS = 30.0
 READY_POLL_SECONDS = 0.02
-MAX_LOG_CHARACTERS = 600  # from the end of an exited process's log, in the error of the failed run
-MAX_LINE_BYTES = 1 << 20  # of a reply of the stand-ins
-MAX_SOCKETS = 1024  # of a limiter
+MAX_LOG_CHARACTERS = 600  # length of the end of an exited process's log that the error quotes
+MAX_LINE_BYTES = 1 << 20  # maximum length of a reply of the stand-ins
+MAX_SOCKETS = 1024  # maximum of open sockets of a limiter
 NANOSECONDS_PER_SECOND = 1e9
 T = TypeVar("T")
 
--- a/scale/propagation/cases.py
+++ b/scale/propagation/cases.py
@@ -10,7 +10,7 @@
 OUTAGE_SECONDS = 12.0
 QUICK_OUTAGE_SECONDS = 1.0
 OUTAGE_BEFORE_MOVE_SECONDS = 6.0
-SLOW_WRITE_SECONDS = 2.0  # in which discovery writes one line of a watch
+SLOW_WRITE_SECONDS = 2.0  # time that a slow discovery takes to write one line of a watch
 
 
 class Fault(Enum):
@@ -20,7 +20,7 @@
     START = auto()  # the limiters have just started
     REFUSED = auto()  # connections are reset and refused
     UNRESPONSIVE = auto()  # connections stay open but receive no data
-    HALF_OPEN = auto()  # from the start, connections are accepted but calls get no response
+    HALF_OPEN = auto()  # calls get no response from the start, although connections are accepted
     MOVED = auto()  # as REFUSED; the clients then get the address of another discovery
 
 
@@ -34,7 +34,7 @@
     # True: all limiters call one discovery. False: an agent on the machine of a limiter notifies the limiter.
     shared: bool = True
     capacity: float = 0.0  # calls a second that discovery serves after the outage; 0: unlimited
-    write_seconds: float = 0.0  # in which discovery writes one line of a watch
+    write_seconds: float = 0.0  # time that discovery takes to write one line of a watch
     outage: float = OUTAGE_SECONDS  # seconds
 
     @property
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -28,14 +28,14 @@
 from scale.stand_ins.discovery import FIRST_VERSION, DiscoveryStandIn, make_endpoints
 
 LIST_LENGTH = 8  # endpoints on the list
-START_INTERVAL_SECONDS = 0.003  # between the starts of two clients
-SETTLE_TIMEOUT_SECONDS = 30.0  # until all clients have their first list, before a fault
+START_INTERVAL_SECONDS = 0.003  # interval between the starts of two clients
+SETTLE_TIMEOUT_SECONDS = 30.0  # time in which all clients have to receive their first list, before a fault
 # Clients that are not notified in this time, in addition to the serving time, count as never notified.
 NOTIFY_TIMEOUT_SECONDS = 25.0
-MOVED_VERSION = 77  # of the list at the other discovery
+MOVED_VERSION = 77  # version of the list at the other discovery
 CHANGED_ENDPOINT = "s-00000000"
 SETTLE_DELAY_SECONDS = (0.1, 0.4)  # range; random, so that changes have no fixed phase to the keep-alives
-LOOP_DELAY_INTERVAL_SECONDS = 0.05  # between two measurements of the event loop's delay
+LOOP_DELAY_INTERVAL_SECONDS = 0.05  # interval between two measurements of the event loop's delay
 SEED_SHIFT = 20  # clients of runs with different seeds have different random numbers
 SEEDS_PER_CASE = 1000
 SPARE_DESCRIPTORS = 200
@@ -46,7 +46,7 @@
     """The times at which a group was notified, in seconds after the earliest possible time."""
 
     median: float
-    last: float  # of the clients that were notified
+    last: float  # time of the last client that was notified
     never: int  # clients that were not notified within the serving time and ``NOTIFY_TIMEOUT_SECONDS``
     calls: int  # calls that discovery received after the earliest possible time
 
@@ -55,7 +55,7 @@
 class GroupRun:
     """The results of one run of all cases."""
 
-    convergences: list[Convergence]  # by case, in the order of the cases
+    convergences: list[Convergence]  # one for each case, in the order of the cases
     max_loop_delay: float  # longest delay of the event loop, in seconds
 
 
@@ -72,7 +72,7 @@
         self._is_expected: Callable[[WatchEvent], bool] = _any_event
         self._missing = set[int]()
         self._all_notified = asyncio.Event()
-        self.notified_at = dict[int, float]()  # by client, in seconds of ``time.monotonic``
+        self.notified_at = dict[int, float]()  # time by client, in seconds of ``time.monotonic``
         self._clients = [
             DiscoveryClient(
                 partial(self._on_event, number),
--- a/scale/regression.py
+++ b/scale/regression.py
@@ -7,7 +7,8 @@
 
 from scale.model import Slope
 
-MAX_RESIDUAL_FRACTION = 0.10  # of the largest median; a larger residual means that the cost is not linear
+# Largest residual of a cost that counts as linear, as a fraction of the largest median.
+MAX_RESIDUAL_FRACTION = 0.10
 MIN_SIZES_FOR_LINE = 2  # fewer sizes do not determine a line
 MIN_SIZES_FOR_FIT = 4  # with fewer sizes, the residual may be small although the cost is not linear
 
--- a/scale/report.py
+++ b/scale/report.py
@@ -25,7 +25,7 @@
 from scale.worker import ROOT
 
 FIGURE_HEADER = ("figure", "value", "unit", "budget", "", "origin", "how")
-SIGNIFICANT_DIGITS = 4  # of a number in a table
+SIGNIFICANT_DIGITS = 4  # significant digits of a number in a table
 MAX_DECIMALS = 6
 GIT_TIMEOUT_SECONDS = 10.0
 FILE_MODE = 0o644
--- a/scale/sample_sizes.py
+++ b/scale/sample_sizes.py
@@ -4,7 +4,7 @@
 
 from scale.model import Effort
 
-FRACTIONS = (0.125, 0.25, 0.5, 1.0)  # of the largest size
+FRACTIONS = (0.125, 0.25, 0.5, 1.0)  # fractions of the largest size
 QUICK_FRACTION = 0.1  # largest size of a quick run, as a fraction of the full size
 
 
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -33,7 +33,7 @@
 
 MEDIAN_RESPONSE_SECONDS = 0.04
 RESPONSE_TIME_SIGMA = 0.4  # standard deviation of the logarithm of the response time
-REPLY_SECONDS = 0.005  # until the counter replies or an endpoint responds to a health check
+REPLY_SECONDS = 0.005  # time until the counter replies or an endpoint responds to a health check
 VIRTUAL_START_SECONDS = 1000.0
 
 
--- a/scale/stand_ins/counter.py
+++ b/scale/stand_ins/counter.py
@@ -13,7 +13,7 @@
 from scale.stand_ins.connection import LoopbackListener, StandInConnection
 from scale.stand_ins.timers import PreciseTimers
 
-MAX_CONNECTIONS = 32  # from one address
+MAX_CONNECTIONS = 32  # maximum of open connections from one address
 IDLE_TIMEOUT_SECONDS = 10.0
 MAX_LIFETIME_MS = 60_000
 MILLISECONDS_PER_SECOND = 1000
@@ -28,7 +28,7 @@
     shards: int = 1
     round_trip: float = 0.0002  # seconds on the network
     background_rate: float = 0.0  # calls a second of the other limiters of the fleet
-    max_connections: int = MAX_CONNECTIONS  # of one address
+    max_connections: int = MAX_CONNECTIONS  # maximum of open connections from one address
     queue_limit: int = 0  # further calls are rejected (``busy``) while this many wait; 0: no limit
 
 
--- a/scale/stand_ins/discovery.py
+++ b/scale/stand_ins/discovery.py
@@ -12,9 +12,9 @@
 
 from scale.stand_ins.connection import LoopbackListener, StandInConnection
 
-KEEP_ALIVE_SECONDS = 2.0  # between two empty lines of a watch
+KEEP_ALIVE_SECONDS = 2.0  # interval between two empty lines of a watch
 SLOW_WRITE_CHUNKS = 5  # number of chunks of a line that takes ``write_seconds``
-FIRST_VERSION = 41  # of the list
+FIRST_VERSION = 41  # first version of the list
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,7 +156,7 @@
         super().__init__(connections)
         self._discovery = discovery
         self._watching = False
-        self._write_ends_at = 0.0  # of the line that is being written
+        self._write_ends_at = 0.0  # end of the write of the current line
         self._is_unresponsive = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/scale/stand_ins/endpoints.py
+++ b/scale/stand_ins/endpoints.py
@@ -13,7 +13,7 @@
 from scale.stand_ins.connection import LoopbackListener, StandInConnection
 from scale.stand_ins.timers import PreciseTimers
 
-MIN_IDLE_CHECK_SECONDS = 0.05  # between two checks of an idle connection
+MIN_IDLE_CHECK_SECONDS = 0.05  # shortest interval between two checks of an idle connection
 SENDER_BYTES = 4  # the first bytes of a request id are the number of its client
 MICROSECONDS_PER_SECOND = 1e6
 
@@ -44,7 +44,7 @@
         self.spec = spec
         self.timers = timers
         self.rng = Random(seed)
-        self.last_request_at = dict[str, float]()  # by "port sender", in seconds of ``time.monotonic``
+        self.last_request_at = dict[str, float]()  # time by "port sender", in seconds of ``time.monotonic``
         self._connections = set[_EndpointConnection]()
 
     async def open(self) -> list[str]:
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -120,7 +120,7 @@
     assert overloaded.attempt(60.0, 0.1, 2.0).outcome is AttemptOutcome.UNREACHABLE
 
 
-def test_a_token_bucket_keeps_its_tokens_when_units_exceed_the_quota() -> None:
+def test_a_token_bucket_keeps_its_tokens_if_a_request_exceeds_them() -> None:
     bucket = TokenBucket(2.0, 4.0)
     assert [bucket.take(0.0, 3.0), bucket.take(0.0, 3.0), bucket.take(0.5, 2.0)] == [True, False, True]
     assert bucket.fill(10.0) == 4.0
--- a/tests/test_scale_regression.py
+++ b/tests/test_scale_regression.py
@@ -15,7 +15,7 @@
     assert [regression.cost_at(line, 40), regression.cost_at(line, 100)] == pytest.approx([127, 307])
 
 
-def test_a_nonlinear_cost_or_too_few_sizes_are_reported() -> None:
+def test_warnings_report_a_nonlinear_cost_and_too_few_sizes() -> None:
     assert (
         regression.warning(regression.line("cost", "B", "things", {n: [n * n] for n in (10, 20, 40, 80)}))
         == "no line"
