--- a/scale/cpu.py
+++ b/scale/cpu.py
@@ -33,7 +33,8 @@
 LIST_CHANGES = 60
 COMPLETE_LISTS = 5
 RELOADS = 5
-FIRST_PRIORITY_WEIGHT = 7.0  # of the first request class in the first reload; each further reload adds 1
+# Priority weight of the first request class in the first reload; each further reload adds 1.
+FIRST_PRIORITY_WEIGHT = 7.0
 NANOSECONDS_PER_SECOND = 1e9
 MICROSECONDS_PER_SECOND = 1e6
 MICROSECONDS_PER_MILLISECOND = 1e3
@@ -214,7 +215,7 @@
 
 
 def _add_figures(size: Size, budget: Budget, result: Result) -> None:
-    """Add the costs at the size and control's share of a core."""
+    """Add the costs at the full size, and control's share of a core."""
     recent_tenants = SimulatedLimiter(size, full_spread=True, seed=1).expected_tenants(IDLE_ACCOUNT_SECONDS)
     result.add_note(
         f"at {size.rate / size.limiters:.0f} requests a second, if each limiter serves every customer, "
--- a/scale/model.py
+++ b/scale/model.py
@@ -11,7 +11,7 @@
     """How a figure was obtained."""
 
     MEASURED = "measured"
-    DERIVED = "derived"  # from slopes and the size
+    DERIVED = "derived"  # calculated from slopes and the size
     ASSUMED = "assumed"
 
 
@@ -49,7 +49,7 @@
     """A cost as a linear function of a count, fitted to the medians of several runs."""
 
     name: str
-    unit: str  # of the cost
+    unit: str  # unit of the cost
     by: str  # the count: "servers", "tenants", ...
     points: tuple[tuple[float, tuple[float, ...]], ...]  # the count, and the cost in each run
     slope: float
@@ -111,22 +111,22 @@
 class Effort:
     """The number and kind of the runs of a test."""
 
-    runs: int = 5  # at each size
+    runs: int = 5  # number of runs at each size
     seed: int = 1
     processes: int = 4
     quick: bool = False  # smaller sizes and no figures, for tests and a first look
 
 
-class BrokenRunError(Exception):
-    """A stand-in or worker exited, or an invariant was violated: the run has no valid figure."""
+class RunFailedError(Exception):
+    """The run has no valid figures, for example because a stand-in or a worker exited."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleTest:
-    """One scale test; ``run`` raises ``BrokenRunError`` if a run fails."""
+    """One scale test; ``run`` raises ``RunFailedError`` if a run fails."""
 
     name: str
     about: str
     run: Callable[[Size, Budget, Effort], Result]
-    # Peak memory in bytes, by the option that causes it ("servers", ...); None: estimated by the size.
+    # Peak memory in bytes, by the option that causes it ("servers", ...); None: estimated from the size.
     memory: Callable[[Size, Effort], Mapping[str, float]] | None = None
--- a/scale/propagation/real_limiters.py
+++ b/scale/propagation/real_limiters.py
@@ -16,7 +16,7 @@
 
 from scale.http_client import HttpClient, encode_request
 from scale.limiter_settings import make_settings
-from scale.model import BrokenRunError, Effort, Size
+from scale.model import Effort, RunFailedError, Size
 from scale.processes import Limiter, StandIns, guard, limiter_config, start_limiters, start_stand_ins
 from scale.stand_ins.control import Setup
 from scale.stand_ins.counter import CounterSpec
@@ -27,8 +27,8 @@
 QUICK_LIMITERS = 2
 QUICK_SERVERS = 60
 MAX_QUICK_RUNS = 2
-PORTS = 4  # of the endpoints; all endpoints of a port drain together
-REQUEST_INTERVAL_SECONDS = 0.01  # between a response and the next request
+PORTS = 4  # ports that the endpoints share; all endpoints of a port drain together
+REQUEST_INTERVAL_SECONDS = 0.01  # interval between a response and the next request
 CLIENT_TIMEOUT_SECONDS = 2.0
 SERVING_GATEWAYS = 3
 ACCOUNTS = 50  # used by the traffic of one limiter
@@ -36,7 +36,7 @@
 SEED_SHIFT = 24  # runs with different seeds have different request ids
 WARM_UP_SECONDS = 1.5
 QUICK_WARM_UP_SECONDS = 0.5
-RELOAD_TIMEOUT_SECONDS = 10.0  # in which a new configuration has to be in force
+RELOAD_TIMEOUT_SECONDS = 10.0  # time in which a new configuration has to be in force
 RELOAD_POLL_SECONDS = 0.005
 DRAIN_SECONDS = 1.5  # duration of a drain of a port's endpoints
 RECOVERY_SECONDS = 0.5  # after a drain, in which limiters start to use the endpoints again
@@ -125,7 +125,7 @@
         self._size = size
 
     async def run(self, servers: int, runs: int, warm_up: float) -> RealLimiterTimes:
-        """Measure all changes. Raise ``BrokenRunError`` if a limiter did not reload each configuration."""
+        """Measure all changes. Raise ``RunFailedError`` if a limiter did not reload each configuration."""
         await asyncio.sleep(warm_up)
         times = RealLimiterTimes([], [], servers)
         for run in range(runs):
@@ -154,7 +154,7 @@
         for limiter in self._limiters:
             metrics = await limiter.metrics()
             if metrics["loads"] != runs or metrics["load_errors"]:
-                raise BrokenRunError(f"{limiter.name} reloaded {metrics['loads']} of {runs} configurations")
+                raise RunFailedError(f"{limiter.name} reloaded {metrics['loads']} of {runs} configurations")
 
     async def _drain(self, port: int, times: RealLimiterTimes) -> None:
         """Drain the endpoints of a port, and add the time until each limiter stopped using them."""
--- a/scale/simulated_limiter.py
+++ b/scale/simulated_limiter.py
@@ -33,7 +33,7 @@
 
 MEDIAN_RESPONSE_SECONDS = 0.04
 RESPONSE_TIME_SIGMA = 0.4  # standard deviation of the logarithm of the response time
-REPLY_SECONDS = 0.005  # until the counter replies or an endpoint responds to a health check
+REPLY_SECONDS = 0.005  # time until the counter replies or an endpoint responds to a health check
 VIRTUAL_START_SECONDS = 1000.0
 
 
@@ -74,7 +74,7 @@
         self._events = list[_ScheduledEvent]()  # heap
         self._order = count()
         self._last_request_id = 0
-        self._attempts = dict[int, int]()  # started so far, by request
+        self._attempts = dict[int, int]()  # number of attempts started so far, by request id
         self._first_tenant = 0
 
     def start(self) -> None:
