--- a/quota_gateway/lifecycle/connection_limits.py
+++ b/quota_gateway/lifecycle/connection_limits.py
@@ -4,9 +4,10 @@
 
 from typing import NamedTuple
 
-# File descriptors for everything but client and endpoint connections, and for sockets that are being closed.
+# File descriptors of one process for everything but client and endpoint connections, and for sockets that are
+# being closed. A process reserves fewer while several processes share the descriptors.
 RESERVED_DESCRIPTORS = 48
-RESERVED_DESCRIPTORS_IN_GROUP = 24  # for the same, per process, while several processes share the descriptors
+RESERVED_DESCRIPTORS_IN_GROUP = 24
 MIN_CONNECTIONS = 8  # lower bound of each limit, even if there are too few descriptors
 
 
--- a/quota_gateway/lifecycle/reload.py
+++ b/quota_gateway/lifecycle/reload.py
@@ -50,8 +50,8 @@
             return
         metrics.record_reload(succeeded=True)
         self._apply(updated)
-        # The listening socket keeps its address. Keeping the old address here makes each reload until the
-        # restart log that a change needs one.
+        # The listening socket keeps its address. With the old address kept here, every reload before the
+        # restart logs that a change needs a restart.
         self._running = replace(updated, listen=running.listen)
         _log_reloaded(updated, running)
 
--- a/quota_gateway/lifecycle/shutdown.py
+++ b/quota_gateway/lifecycle/shutdown.py
@@ -14,7 +14,7 @@
 KILL_GRACE_SECONDS = 0.7
 MAX_DEADLINE_SECONDS = 3.0  # also used if the settings have no deadline
 SIGNAL_DELAY_SECONDS = 0.2  # safety margin before SIGKILL, since SIGTERM may be handled late
-FLUSH_TIMEOUT_SECONDS = 0.15  # to write the last responses after the drain has timed out
+FLUSH_TIMEOUT_SECONDS = 0.15  # time to write the last responses after the drain has timed out
 
 
 def drain_timeout(settings: model.Settings) -> float:
--- a/quota_gateway/net/process_group/group.py
+++ b/quota_gateway/net/process_group/group.py
@@ -31,7 +31,7 @@
 
     process_count: int
     suspended_endpoints: frozenset[str]
-    seconds_since_poll: float  # time since the previous poll, in which the change happened
+    seconds_since_poll: float  # time since the previous poll; the change happened within this time
 
 
 OnChange = Callable[[GroupChange], None]
@@ -58,7 +58,7 @@
         self._reported_suspensions = frozenset[str]()
         self._poll_timer: asyncio.TimerHandle | None = None
         self._polled_at = 0.0  # seconds of the event loop's clock; 0 before the first poll
-        self._seconds_since_poll = 0.0  # time between the last two polls
+        self._seconds_between_polls = 0.0  # time between the last two polls; 0 before the second poll
         self._on_change: OnChange | None = None
         self._on_handover: OnHandover | None = None
 
@@ -84,7 +84,7 @@
             self._accepting.write(membership.directory, membership.process_file)
 
     def withdraw_accepting(self) -> None:
-        """Withdraw the announcement; call this before the process stops accepting clients."""
+        """Withdraw the announcement; to be called before the process stops accepting clients."""
         self._accepting.withdraw(self._membership.directory, self._membership.process_file)
 
     def has_accepting_peer(self) -> bool:
@@ -120,12 +120,12 @@
 
     @property
     def suspensions_loaded(self) -> bool:
-        """Whether the suspensions of earlier processes have been read, or there are none."""
+        """Whether the suspension file has been read, or is missing or malformed; true without a directory."""
         return self._suspension_file.is_loaded
 
     @property
     def suspensions_saved(self) -> bool:
-        """Whether all commands so far are recorded for the other processes."""
+        """Whether all suspensions and restorations so far are recorded for the other processes."""
         return self._suspension_file.is_saved
 
     def set_suspended(self, endpoint: str, *, suspended: bool) -> frozenset[str]:
@@ -158,7 +158,7 @@
             self._poll_timer.cancel()
         self._poll_timer = loop.call_later(POLL_INTERVAL_SECONDS, self._poll)
         now = loop.time()
-        self._seconds_since_poll = now - self._polled_at if self._polled_at else 0.0
+        self._seconds_between_polls = now - self._polled_at if self._polled_at else 0.0
         self._polled_at = now
         steps = (
             self._membership.join,
@@ -172,7 +172,7 @@
             try:
                 step()
             except Exception:
-                log.exception("one step of a poll of the shared directory failed, the other steps go on")
+                log.exception("a step of the poll of the shared directory failed, the other steps still run")
 
     def _write_pending_handover(self) -> None:
         if self._membership.directory is not None:
@@ -186,7 +186,7 @@
         self._reported_process_count = process_count
         self._reported_suspensions = suspensions
         if self._on_change is not None:
-            self._on_change(GroupChange(process_count, suspensions, self._seconds_since_poll))
+            self._on_change(GroupChange(process_count, suspensions, self._seconds_between_polls))
 
     def _take_over(self) -> None:
         state = self.read_handover()
--- a/quota_gateway/net/process_group/handover_codec.py
+++ b/quota_gateway/net/process_group/handover_codec.py
@@ -81,7 +81,8 @@
     except (ValueError, RecursionError) as error:
         raise HandoverFormatError(location="file", found=str(error), expected="JSON") from None
     root = _JsonObject(document, "file")
-    shift = clock_offset - root.number("clock") if root.has("clock") else 0.0  # older files have none
+    # Processes of earlier versions write no clock.
+    shift = clock_offset - root.number("clock") if root.has("clock") else 0.0
     endpoints = tuple(_decode_endpoint(endpoint, shift) for endpoint in root.objects("servers"))
     accounts = tuple(_decode_account(account, shift) for account in root.objects("accounts"))
     return model.HandoverState(
--- a/quota_gateway/net/process_group/handover_files.py
+++ b/quota_gateway/net/process_group/handover_files.py
@@ -19,8 +19,8 @@
 
 HANDOVER_FILE_PREFIX = "notes-for-"  # the name of the reader's process file follows
 MAX_HANDOVER_BYTES = 4 * 1024 * 1024
-# How long a failed write of a handover is retried. A new process takes over state only this long
-# after its start.
+# How long a failed write of a handover is retried. A new process takes over state only within this
+# time after its start.
 RETRY_TIMEOUT_SECONDS = 5.0
 
 
@@ -44,17 +44,17 @@
 
 
 class HandoverFiles:
-    """Hands over to each process once and reads once: no part of a ceiling may be used twice."""
+    """Writes at most one handover per successor and reads at most one: no ceiling part may be used twice."""
 
     def __init__(self, clock_offset: float) -> None:
         """``clock_offset`` is this process's Unix time minus its monotonic time, in seconds."""
         self._clock_offset = clock_offset
         self._successors = set[str]()  # process files of the processes that have been handed a state
         self._pending: PendingHandover | None = None
-        self._is_read = False  # the state has been read, but its file could not be deleted
+        self._is_read = False  # true if the state has been read, but its file could not be deleted
 
     def new_successor(self, running: list[str]) -> str | None:
-        """Return the one running process that was not handed a state; None if there is none or several."""
+        """Return the running process that has not been handed a state; None if there is none or several."""
         joined = [process for process in running if process not in self._successors]
         return joined[0] if len(joined) == 1 else None
 
--- a/quota_gateway/net/process_group/shared_files.py
+++ b/quota_gateway/net/process_group/shared_files.py
@@ -8,7 +8,7 @@
 from types import TracebackType
 from typing import Self
 
-LOCK_FILE_MODE = 0o600  # readable by the owner alone
+LOCK_FILE_MODE = 0o600  # accessible to the owner only
 
 
 class FileLock:
--- a/quota_gateway/net/process_group/suspension_file.py
+++ b/quota_gateway/net/process_group/suspension_file.py
@@ -22,7 +22,7 @@
 
 
 class SuspensionFormatError(ValueError):
-    """The file of suspended endpoints is malformed."""
+    """The suspension file is malformed."""
 
 
 def _encode(endpoints: frozenset[str]) -> str:
@@ -51,7 +51,7 @@
         self._directory = directory
         self._temporary_name = f"{FILE_NAME}.{process_file}"
         self._recorded = frozenset[str]()  # endpoints in the file when it was last read or written
-        self._unsaved = dict[str, bool]()  # by endpoint: commands that are not in the file yet; true suspends
+        self._unsaved = dict[str, bool]()  # commands that are not in the file yet, by endpoint; true suspends
         self._content: bytes | None = None  # bytes of the file when it was last read or written
         self._error_logged = False
         self.is_loaded = directory is None  # whether the file has been read, or found missing or malformed
--- a/quota_gateway/settings_parser.py
+++ b/quota_gateway/settings_parser.py
@@ -17,7 +17,7 @@
     "at_most_once": model.Idempotency.NONE,
 }
 SCOPE_BY_GROUP = {scope.value: scope for scope in model.DeduplicationScope}
-POLLED_DISCOVERY = "ask"  # value of ``discovery`` if limiters poll it; with any other value it pushes
+POLLED_DISCOVERY = "ask"  # value of the key ``discovery`` if limiters poll it; with any other value it pushes
 DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.25
 DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0
 DEFAULT_DRAIN_NOTICE_SECONDS = 1.0  # time after which a draining endpoint must get no new requests
@@ -38,7 +38,8 @@
     connect_timeout: float  # timeout of a connection attempt to an endpoint
     idle_timeout: float  # time after which an endpoint closes an idle connection
     client_count: int = 1  # limiters whose polls discovery serves in turn; 1 if it pushes
-    # If discovery pushes, its local agent replies at once, and both limits are fractions of the drain notice.
+    # The defaults of both limits apply if limiters poll discovery. If it pushes, its local agent replies at
+    # once, and the limits are fractions of the drain notice.
     answer_timeout: float = 3.0  # timeout of a call to discovery
     max_poll_interval: float = 4.5  # longest time from the start of one call to the start of the next
 
@@ -78,9 +79,9 @@
         name=entry["name"],
         latency_objective=_number(entry, "aim_s"),
         priority_weight=_number(entry, "worth", 1.0),
-        idempotency=_choice(IDEMPOTENCY_BY_EFFECT, "effect", entry.get("effect", "at_most_once")),
+        idempotency=_map_value(IDEMPOTENCY_BY_EFFECT, "effect", entry.get("effect", "at_most_once")),
         late_weight=_number(entry, "late_worth"),
-        deduplication_scope=_choice(SCOPE_BY_GROUP, "group", entry.get("group") or "all"),
+        deduplication_scope=_map_value(SCOPE_BY_GROUP, "group", entry.get("group") or "all"),
         deduplication_window=_number(entry, "window_s"),
         deadline=_number(entry, "hard_limit_s"),
     )
@@ -152,10 +153,10 @@
         if name != OPTIONAL_CLASS_KEY and all(name in item for item in running)
     }
     if not isinstance(value, list) or not value:
-        raise SettingsError(f"settings: {key} is not a list or is empty")
+        raise SettingsError(f"settings: {key}: expected a list that is not empty")
     for item in value:
         if not isinstance(item, dict):
-            raise SettingsError(f"settings: {key} is not a list of objects")
+            raise SettingsError(f"settings: {key}: expected a list of objects")
         check_reloaded_settings(item, required_keys)
 
 
@@ -165,7 +166,7 @@
     if value is None:
         return {}
     if not isinstance(value, dict):
-        raise SettingsError(f"settings: {key} is not an object")
+        raise SettingsError(f"settings: {key}: expected an object")
     return value
 
 
@@ -175,7 +176,7 @@
     if not isinstance(items, list) or not all(
         isinstance(item, dict) and isinstance(item.get("name"), str) for item in items
     ):
-        raise SettingsError(f"settings: {key} is not a list of named objects")
+        raise SettingsError(f"settings: {key}: expected a list of objects, each with a name")
     return items
 
 
@@ -189,12 +190,12 @@
     except OverflowError:  # raised for an integer that exceeds the range of a float
         number = math.nan
     if not math.isfinite(number):
-        raise SettingsError(f"settings: {key} is not a finite number: {value!r:.60}")
+        raise SettingsError(f"settings: {key}: expected a finite number, found {value!r:.60}")
     return number
 
 
-def _choice(choices: dict[str, T], key: str, value: object) -> T:
-    """Return the meaning of a value; the key allows only the values of ``choices``."""
-    if not isinstance(value, str) or value not in choices:
+def _map_value(mapping: dict[str, T], key: str, value: object) -> T:
+    """Look up the value under a key; raise ``SettingsError`` if the mapping lacks it."""
+    if not isinstance(value, str) or value not in mapping:
         raise SettingsError(f"settings: {key}: unknown value {value!r:.60}")
-    return choices[value]
+    return mapping[value]
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -38,15 +38,15 @@
     try:
         batch = json.loads(line)
     except ValueError as error:
-        raise MalformedInputError(f"batch: the line is not valid JSON: {error}") from None
+        raise MalformedInputError(f"batch: expected JSON: {error}") from None
     if not isinstance(batch, dict):
-        raise MalformedInputError("batch: the line is not a JSON object")
+        raise MalformedInputError("batch: expected an object")
     now = batch.get("moment_s")
     if isinstance(now, bool) or not isinstance(now, int | float):
-        raise MalformedInputError("batch: moment_s is missing or has the wrong type")
+        raise MalformedInputError("batch: moment_s: expected a number")
     parts = batch.get("parts")
     if not isinstance(parts, list):
-        raise MalformedInputError("batch: parts is missing or has the wrong type")
+        raise MalformedInputError("batch: parts: expected an array")
     return Batch(number=batch.get("n"), now=now, gateway_parts=parts)
 
 
@@ -76,10 +76,10 @@
     def _handle_part(self, now: float, part: Any) -> list[model.Action]:
         """Apply one gateway's messages of a batch, and return the actions that it takes."""
         if not isinstance(part, dict) or not isinstance(part.get("limiter_id"), str):
-            raise MalformedInputError("batch: limiter_id of a part is missing or has the wrong type")
+            raise MalformedInputError("batch: limiter_id of a part: expected a string")
         messages = part.get("news")
         if not isinstance(messages, list):
-            raise MalformedInputError("batch: news is missing or has the wrong type")
+            raise MalformedInputError("batch: news of a part: expected an array")
         limiter_id = part["limiter_id"]
         actions: list[model.Action] = []
         for message in messages:
--- a/quota_gateway/simulator_protocol.py
+++ b/quota_gateway/simulator_protocol.py
@@ -130,12 +130,12 @@
 def _unpack(message: str, fields: tuple[Field, ...], values: list[Any]) -> list[Any]:
     """Validate a message's values against its fields, and return them with None for each omitted value."""
     if len(values) > len(fields):
-        raise MalformedInputError(f"{message}: got {len(values)} values, expected at most {len(fields)}")
+        raise MalformedInputError(f"{message}: expected at most {len(fields)} values, found {len(values)}")
     padded = values + [None] * (len(fields) - len(values))
     for value, (name, types, optional) in zip(padded, fields, strict=True):
         if value is None:
             if not optional:
-                raise MalformedInputError(f"{message}: required value {name} is missing")
+                raise MalformedInputError(f"{message}: {name} is missing")
         elif not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
             raise MalformedInputError(f"{message}: {name} has the wrong type: {value!r:.60}")
     return padded
@@ -144,7 +144,7 @@
 def unpack_message(message: Any) -> tuple[str, list[Any]]:
     """Return a message's name and one value for each of its fields; a malformed message raises an error."""
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise MalformedInputError("a message is not an array that starts with its name")
+        raise MalformedInputError("message: expected an array that starts with the name of the message")
     name, *values = message
     fields = MESSAGE_FIELDS.get(name)
     if fields is None:
@@ -163,7 +163,7 @@
 def decode_endpoint(entry: Any) -> model.Endpoint:
     """Decode one entry of a message ``register``; raise ``MalformedInputError`` if the entry is malformed."""
     if not isinstance(entry, list):
-        raise MalformedInputError("register: an entry of the endpoint list is not an array")
+        raise MalformedInputError("register: an entry of the endpoint list: expected an array")
     born_s, size, group, _machine, server, health, zone = _unpack("register", ENDPOINT_FIELDS, entry)
     return model.Endpoint(
         name=server,
@@ -183,7 +183,7 @@
         if value is None:
             continue
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise MalformedInputError(f"server_stats: {name} has the wrong type: {value!r:.60}")
+            raise MalformedInputError(f"server_stats: {name}: expected a number, found {value!r:.60}")
         load_report[name] = value
     return load_report
 
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the whole program: they start a limiter process with a configuration."""
+"""Helpers for tests of a whole limiter: they start its process with a configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from soak.fault_control import FaultControl
 from tests.loopback import read_message
 
-POLL_INTERVAL = 0.02  # seconds between two attempts to connect to a process that is starting
+POLL_INTERVAL = 0.02  # seconds between two attempts to connect to a limiter that is starting
 WIRE_SETTINGS: dict[str, Any] = {
     "classes": [{"name": "lookup", "aim_s": 5.0, "effect": "idempotent", "worth": 1.0, "group": "all"}],
     "tariffs": [{"name": "basic", "quota_rate": 100.0, "store_size": 100.0}],
@@ -78,7 +78,7 @@
         writer.close()
         return status_line
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until the limiter accepts clients."""
         while True:
             try:
@@ -94,20 +94,23 @@
     directory: Path,
     fds: tuple[int, ...] = (),
     environment: Mapping[str, str] | None = None,
-    **env: str,
+    **variables: str,
 ) -> AsyncIterator[Program]:
-    """Run a limiter in a block, from when it is ready; then kill it and search its log for violations."""
+    """Start a limiter and wait until it is ready; after the block, kill it and check its log for violations.
+
+    ``environment`` and ``variables`` are both added to the environment of the process.
+    """
     path = directory / "config.json"
     path.write_text(json.dumps(raw))
-    variables = {**os.environ, "LB_CONFIG": str(path), **(environment or {}), **env}
+    process_environment = {**os.environ, "LB_CONFIG": str(path), **(environment or {}), **variables}
     with tempfile.TemporaryFile() as log:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "quota_gateway", env=variables, pass_fds=fds, stderr=log
+            sys.executable, "-m", "quota_gateway", env=process_environment, pass_fds=fds, stderr=log
         )
-        program = Program(process, raw["listen"])
+        limiter = Program(process, raw["listen"])
         try:
-            await program.ready()
-            yield program
+            await limiter.wait_until_ready()
+            yield limiter
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Tests of wrong wall clocks: an endpoint that has just started must get a slow start in spite of them."""
+"""Slow start: it applies to every endpoint that has just started, even if a wall clock is wrong."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
             writer.write(OK_RESPONSE)
 
 
-async def send_for(program: Program, seconds: float) -> None:
-    """Send one request after the other."""
-    reader, writer = await program.connect()
+async def send_for(limiter: Program, seconds: float) -> None:
+    """Send one request after the other for this time."""
+    reader, writer = await limiter.connect()
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         writer.write(http_request())
@@ -68,14 +68,14 @@
         pytest.param(-HOUR, False, 0.0, id="behind"),
         pytest.param(0.0, True, -12 * HOUR, id="restart with an earlier start time"),
         pytest.param(HOUR, True, 0.0, id="restart, ahead"),
-        pytest.param(0.0, False, -HOUR, id="new, with an earlier start time"),
+        pytest.param(0.0, False, -HOUR, id="new endpoint with an earlier start time"),
     ],
 )
 @async_test
 async def test_a_started_endpoint_gets_a_slow_start_despite_wrong_clocks(
     clock_error: float, is_known: bool, start_error: float, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    """The limiter's clock is wrong when it starts, or the clock of the started endpoint's machine is."""
+    """Either the limiter's clock is wrong when it starts, or the clock of the started endpoint's machine."""
     warm = SlowEndpoint()
     cold = SlowEndpoint()
     faults.control.step_clock(clock_error)
@@ -89,12 +89,12 @@
             entries.append(replace(cold_entry, started_at_ms=int((time.time() - 10 * HOUR) * 1000)))
         discovery = DiscoveryStandIn(entries)
         raw = slow_start_config(warm_address, await discovery.open())
-        async with started(raw, tmp_path, environment=faults.environment) as program:
-            await send_for(program, LEARNING_SECONDS)
+        async with started(raw, tmp_path, environment=faults.environment) as limiter:
+            await send_for(limiter, LEARNING_SECONDS)
             before = len(warm.requests), len(cold.requests)
             started_at_ms = int((time.time() + start_error) * 1000)
             discovery.publish(replace(cold_entry, started_at_ms=started_at_ms))
-            await send_for(program, COLD_SECONDS)
+            await send_for(limiter, COLD_SECONDS)
             sent_to_warm = len(warm.requests) - before[0]
             sent_to_cold = len(cold.requests) - before[1]
             assert sent_to_cold < 0.1 * sent_to_warm
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -1,4 +1,4 @@
-"""Tests of temporary failures of the shared directory, which must not lose a suspension or a process."""
+"""Shared directory: a temporary failure must not lose a suspension or the detection of a process."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 MAX_SAVE_SECONDS = 1.0  # from the end of the failure until a suspension is saved
 
 
-async def send_request(program: Program) -> str:
+async def send_request(limiter: Program) -> str:
     """Send one request and return the status line of its response."""
-    reader, writer = await program.connect()
+    reader, writer = await limiter.connect()
     writer.write(http_request())
     status_line, _, _ = await read_message(reader)
     writer.close()
     return status_line
 
 
-async def kill_process(program: Program) -> None:
-    """Kill the process, so that its process file stays in the shared directory."""
-    program.process.send_signal(signal.SIGKILL)
-    await program.process.wait()
+async def kill_process(limiter: Program) -> None:
+    """Kill the process, which leaves its process file in the shared directory."""
+    limiter.process.send_signal(signal.SIGKILL)
+    await limiter.process.wait()
 
 
 @pytest.mark.parametrize(
@@ -51,22 +51,22 @@
         raw = config(endpoint_address)
         port = free_port()
         mgmt = f"127.0.0.1:{port}"
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
-            assert " 200 " in await send_request(program)
+        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
+            assert " 200 " in await send_request(limiter)
             faults.control.fail_directory_calls(error, calls)
             called_at = time.monotonic()
             reply = await send_command(port, b"SUSPEND s1")
             assert time.monotonic() - called_at < MAX_REPLY_SECONDS
             assert reply == "FAILURE\n"  # SUCCESS would promise that the suspension is recorded
             # The suspension is in force nevertheless, since it may be recorded at any time.
-            assert " 429 " in await send_request(program)
+            assert " 429 " in await send_request(limiter)
             faults.control.fail_directory_calls(0, DirectoryCalls.NONE)
             await asyncio.sleep(MAX_SAVE_SECONDS)
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
-            await kill_process(program)
+            await kill_process(limiter)
         endpoint.requests.clear()
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
-            assert " 429 " in await send_request(program)
+        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
+            assert " 429 " in await send_request(limiter)
             assert not endpoint.requests
             assert await send_command(port, b"RESTORE s1") == "SUCCESS\n"
 
@@ -76,20 +76,20 @@
 async def test_a_process_that_starts_during_a_directory_failure_joins_later(
     calls: DirectoryCalls, tmp_path: Path, faults: ProcessFaults
 ) -> None:
-    """It becomes ready, applies earlier suspensions, and has its process file once the failure has ended."""
+    """The process becomes ready, applies earlier suspensions, and joins once the failure has ended."""
     async with running_server(ScriptedEndpoint().handle_connection) as endpoint_address:
         raw = config(endpoint_address)
         port = free_port()
         mgmt = f"127.0.0.1:{port}"
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
+        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
-            await kill_process(program)
+            await kill_process(limiter)
         faults.control.fail_directory_calls(errno.EIO, calls)
         asyncio.get_running_loop().call_later(
             1.5, faults.control.fail_directory_calls, 0, DirectoryCalls.NONE
         )
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as program:
-            assert " 429 " in await send_request(program)
+        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
+            assert " 429 " in await send_request(limiter)
             await asyncio.sleep(2.0)
             (directory,) = faults.shared_directory.iterdir()
             assert [path.name for path in directory.iterdir() if path.name.startswith("process-")]
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -1,4 +1,7 @@
-"""Tests of the codec of the handover file; ``test_wire_formats.py`` checks the bytes of the format."""
+"""Handover codec: a state is decoded as it was encoded, and any malformed file raises a format error.
+
+``test_wire_formats.py`` checks the bytes of the file.
+"""
 
 from __future__ import annotations
 
@@ -97,7 +100,7 @@
     assert decode_handover(json.dumps(raw).encode(), clock_offset=3600.0) == STATE
 
 
-def changed(**members: Any) -> bytes:
+def file_with(**members: Any) -> bytes:
     """Return a valid file in which the values of some keys are replaced."""
     return json.dumps(document() | members).encode()
 
@@ -105,10 +108,10 @@
 @pytest.mark.parametrize(
     "data",
     [
-        pytest.param(changed(bases=[1]), id="list of latencies"),
-        pytest.param(changed(bases=3), id="number of latencies"),
-        pytest.param(changed(mean=10**400), id="beyond the float range"),
-        pytest.param(changed(clock=10**400), id="clock beyond the float range"),
+        pytest.param(file_with(bases=[1]), id="list of latencies"),
+        pytest.param(file_with(bases=3), id="number of latencies"),
+        pytest.param(file_with(mean=10**400), id="beyond the float range"),
+        pytest.param(file_with(clock=10**400), id="clock beyond the float range"),
         pytest.param(b"[" * 100_000, id="nested too deep"),
     ],
 )
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,3 +1,5 @@
+"""KNOWN-RED plugin: only listed tests may fail, and a malformed or stale entry aborts the run."""
+
 from __future__ import annotations
 
 import os
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Tests of the lifecycle of a limiter process: readiness, reload, graceful shutdown, SIGKILL and restart."""
+"""Lifecycle of a limiter process: it serves after a start, reload or restart, and drains at SIGTERM."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
     return handle_connection
 
 
-async def send_until_received(program: Program, endpoint: ScriptedEndpoint) -> None:
+async def send_until_received(limiter: Program, endpoint: ScriptedEndpoint) -> None:
     """Send requests until one is forwarded to the endpoint."""
     while not endpoint.requests:
-        reader, writer = await program.connect()
+        reader, writer = await limiter.connect()
         writer.write(http_request())
         await read_message(reader)
 
@@ -66,15 +66,15 @@
 
     async with (
         running_server(handle_connection) as endpoint_address,
-        started(config(endpoint_address), tmp_path) as program,
+        started(config(endpoint_address), tmp_path) as limiter,
     ):
-        early_reader, early_writer = await program.connect()
+        early_reader, early_writer = await limiter.connect()
         early_writer.write(http_request())
         await received.wait()
-        program.process.send_signal(signal.SIGTERM)
-        while " 200 " in await program.health():
+        limiter.process.send_signal(signal.SIGTERM)
+        while " 200 " in await limiter.health():
             pass
-        late_reader, late_writer = await program.connect()
+        late_reader, late_writer = await limiter.connect()
         late_writer.write(http_request())
         release.set()
         for reader in (early_reader, late_reader):
@@ -83,7 +83,7 @@
             assert body == b"hi"
             assert await reader.read() == b""
             assert headers["connection"] == "close"
-        assert await program.process.wait() == 0
+        assert await limiter.process.wait() == 0
 
 
 @async_test
@@ -99,20 +99,20 @@
     ):
         raw = config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
         raw["settings"] = WIRE_SETTINGS | {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
-        async with started(raw, tmp_path) as program:
+        async with started(raw, tmp_path) as limiter:
             for text in ("{", "[]", json.dumps(raw | {"counter": 5})):
                 path.write_text(text)
-                program.process.send_signal(signal.SIGHUP)
-                assert " 200 " in await program.health()
+                limiter.process.send_signal(signal.SIGHUP)
+                assert " 200 " in await limiter.health()
             path.write_text(json.dumps(raw | {"discovery": discovery, "counter": counter}))
-            program.process.send_signal(signal.SIGHUP)
+            limiter.process.send_signal(signal.SIGHUP)
             peers = set[str]()
             while peers != {"agent", "counter"}:  # two connections to the counter may precede the watch
                 peers.add(await connected.get())
-            await send_until_received(program, endpoint)  # only the pushed list has its address
-            program.process.send_signal(signal.SIGTERM)
-            program.process.send_signal(signal.SIGHUP)
-            assert await program.process.wait() == 0
+            await send_until_received(limiter, endpoint)  # only the pushed list has the endpoint's address
+            limiter.process.send_signal(signal.SIGTERM)
+            limiter.process.send_signal(signal.SIGHUP)
+            assert await limiter.process.wait() == 0
 
 
 @async_test
@@ -120,12 +120,12 @@
     async with running_server(ScriptedEndpoint().handle_connection) as endpoint_address:
         raw = config(endpoint_address)
         for _ in range(2):
-            async with started(raw, tmp_path) as program:
-                reader, writer = await program.connect()
+            async with started(raw, tmp_path) as limiter:
+                reader, writer = await limiter.connect()
                 writer.write(http_request())
                 assert (await read_message(reader))[2] == b"hi"
-                program.process.kill()
-                assert await program.process.wait() == -signal.SIGKILL
+                limiter.process.kill()
+                assert await limiter.process.wait() == -signal.SIGKILL
 
 
 @async_test
@@ -135,10 +135,10 @@
     async with (
         running_server(endpoint.handle_connection) as endpoint_address,
         running_server(pushing_agent(endpoint_address, 42, connected)) as discovery,
-        started(config("127.0.0.1:1", discovery), tmp_path) as program,
+        started(config("127.0.0.1:1", discovery), tmp_path) as limiter,
     ):
         await connected.get()
-        await send_until_received(program, endpoint)
+        await send_until_received(limiter, endpoint)
 
 
 @async_test
@@ -154,8 +154,8 @@
         directory.mkdir()
         raw = config(endpoint_address, discovery)
         raw["settings"] = WIRE_SETTINGS | {"discovery": "ask", "n_instances": 200}
-        async with started(raw, directory) as program:
-            reader, writer = await program.connect()
+        async with started(raw, directory) as limiter:
+            reader, writer = await limiter.connect()
             writer.write(http_request(timeout_ms=10_000))
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
@@ -169,16 +169,16 @@
 
 @async_test
 async def test_a_reload_retries_a_file_that_is_temporarily_unreadable(faults: ProcessFaults) -> None:
-    """A system error says nothing about the content of the file, which must be in force 4 s after SIGHUP."""
+    """A file that cannot be read may be valid: its content must be in force within 4 s of SIGHUP."""
     connected = asyncio.Queue[str]()
     directory = faults.shared_directory
     async with running_server(pushing_agent("127.0.0.1:1", 42, connected)) as discovery:
         raw = config("127.0.0.1:1")
-        async with started(raw, directory, environment=faults.environment) as program:
+        async with started(raw, directory, environment=faults.environment) as limiter:
             (directory / "config.json").write_text(json.dumps(raw | {"discovery": discovery}))
             faults.control.fail_directory_calls(errno.ENFILE, DirectoryCalls.READING)
-            program.process.send_signal(signal.SIGHUP)
-            assert " 200 " in await program.health()
+            limiter.process.send_signal(signal.SIGHUP)
+            assert " 200 " in await limiter.health()
             await asyncio.sleep(0.5)
             faults.control.fail_directory_calls(0, DirectoryCalls.NONE)
             async with asyncio.timeout(3.0):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the rate limit of the log."""
+"""Log rate limit: a fault that repeats with every request must not fill the disk."""
 
 from __future__ import annotations
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the command: an unusable configuration gives exit code 2 and one line on standard error."""
+"""Command line: an unusable configuration gives exit code 2 and one line on standard error."""
 
 from __future__ import annotations
 
--- a/tests/test_process_group.py
+++ b/tests/test_process_group.py
@@ -1,4 +1,4 @@
-"""Tests of the process group: detection of running processes, suspended endpoints and the handover file."""
+"""Process group: each process detects the others, reads their suspensions and takes over a handover once."""
 
 from __future__ import annotations
 
@@ -186,7 +186,7 @@
     successor: ProcessGroup,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """If an error counted as the other's exit, both processes would use the whole of every ceiling."""
+    """If an error counted as the exit of the other process, both would use the whole of every ceiling."""
     assert group.count_processes() == 2
     with monkeypatch.context() as patch:
         patch.setattr(*owner_and_name, failing_call(error))
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -1,4 +1,4 @@
-"""Tests of an upgrade: a new process of a limiter takes over from the old one."""
+"""Upgrade: the two processes share the limits, and the new one takes over the state of the old one."""
 
 from __future__ import annotations
 
@@ -93,13 +93,13 @@
     assert total > 150
 
 
-@pytest.mark.parametrize("sockets", [256, 384, 1024])
-def test_two_processes_split_the_descriptors_and_leave_enough_for_usual_clients(sockets: int) -> None:
-    clients, endpoints = connection_limits(sockets, 2)
-    alone = connection_limits(sockets, 1)
-    assert 2 * (clients + endpoints) + 2 * 20 <= sockets
-    assert sum(alone) + 40 <= sockets
-    assert clients * 2 > sockets / 3
+@pytest.mark.parametrize("max_descriptors", [256, 384, 1024])
+def test_two_processes_split_the_descriptors_and_leave_enough_for_usual_clients(max_descriptors: int) -> None:
+    clients, endpoints = connection_limits(max_descriptors, 2)
+    limits_alone = connection_limits(max_descriptors, 1)
+    assert 2 * (clients + endpoints) + 2 * 20 <= max_descriptors
+    assert sum(limits_alone) + 40 <= max_descriptors
+    assert clients * 2 > max_descriptors / 3
     assert endpoints >= 32
 
 
@@ -114,18 +114,18 @@
     assert old.ceiling_tokens == 1.0
 
 
-@pytest.mark.parametrize("stalled", [0.5, 1.5, 3.0, 10.0])
+@pytest.mark.parametrize("stall_seconds", [0.5, 1.5, 3.0, 10.0])
 def test_a_process_that_stalled_while_another_joined_keeps_only_its_part_of_the_ceiling(
-    stalled: float,
+    stall_seconds: float,
 ) -> None:
     """The new process may have refilled its part since the last poll of the stalled process."""
     plan = model.Plan("capped", 1.0, 30.0, 90.0, ceiling_rate=CEILING_RATE, ceiling_burst=CEILING_BURST)
     old = Account(100.0, plan, "acct", 1, started_at=0.0, max_units=4.0)
     old.ceiling_tokens = 0.0  # empty when the process stalls
     new = Account(100.0, plan, "acct", 1, started_at=100.0, max_units=4.0, process_count=2)
-    now = 100.0 + stalled
+    now = 100.0 + stall_seconds
     new.take_over(now, old.set_process_count(now, 2, alone_until=100.0))
-    assert old.ceiling_tokens + new.ceiling_tokens <= min(CEILING_BURST, CEILING_RATE * stalled) + 1e-9
+    assert old.ceiling_tokens + new.ceiling_tokens <= min(CEILING_BURST, CEILING_RATE * stall_seconds) + 1e-9
 
 
 def test_a_new_process_takes_over_the_state_of_the_old_one() -> None:
@@ -139,7 +139,7 @@
         old.complete_attempts()
         old.reply_to_counter_calls()
     old.feed(model.AdminRequest(1, model.AdminCommand.SUSPEND, "s1"))
-    # Begins a slow start that the endpoint list does not show.
+    # The command begins a slow start that the endpoint list does not show.
     old.feed(model.AdminRequest(2, model.AdminCommand.RESTORE, "s1"))
     new.now = old.now
     new.gateway = Gateway(make_settings(), 3, old.now)
@@ -212,8 +212,8 @@
     assert headers["connection"] == "close"
 
 
-async def check_service(program: Program, admin_port: int) -> None:
-    reader, writer = await program.connect()
+async def check_service(limiter: Program, admin_port: int) -> None:
+    reader, writer = await limiter.connect()
     writer.write(http_request())
     _, _, body = await read_message(reader)
     assert body == b"hi"
@@ -249,7 +249,7 @@
 
 @contextmanager
 def process_that_does_not_accept(directory: Path) -> Iterator[None]:
-    """Simulate another process that has joined but does not accept clients, since it starts or drains."""
+    """Simulate another process that has joined but does not accept clients, as it is starting or draining."""
     (group_directory,) = directory.glob("cypresspulley-*")
     with FileLock(group_directory / "process-1-00000000") as lock:
         assert lock.acquired
@@ -264,16 +264,16 @@
         deployment = Deployment(tmp_path, listener, inherited=False)
     async with (
         running_server(endpoint.handle_connection) as address,
-        deployment.start(address, port) as program,
+        deployment.start(address, port) as limiter,
     ):
         with process_that_does_not_accept(tmp_path):
-            program.process.send_signal(signal.SIGTERM)
+            limiter.process.send_signal(signal.SIGTERM)
             while await send_command(port, b"STATUS") == "SUCCESS\n":
                 pass
-            reader, writer = await program.connect()  # clients cannot know of the shutdown yet
+            reader, writer = await limiter.connect()  # clients cannot know of the shutdown yet
             writer.write(http_request())
             assert " 200 " in (await read_message(reader))[0]
-            assert await program.process.wait() == 0
+            assert await limiter.process.wait() == 0
 
 
 @async_test
--- a/tests/test_shared_files.py
+++ b/tests/test_shared_files.py
@@ -1,4 +1,4 @@
-"""Tests of the locks and the atomic replacement of files that several processes use."""
+"""Shared files: a lock excludes other holders, and replacing a file leaves no temporary file."""
 
 from __future__ import annotations
 
--- a/tests/test_shutdown_time.py
+++ b/tests/test_shutdown_time.py
@@ -1,4 +1,4 @@
-"""The longest time that a graceful shutdown takes."""
+"""Graceful shutdown: it ends before the platform sends SIGKILL, and uses most of the time until then."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
     ("deadline", "kill_delay"), [(0.7, 1.4), (2.0, 2.7), (3.0, 3.7), (9.0, 3.7), (0.0, 3.7)]
 )
 def test_shutdown_ends_before_the_platform_sends_sigkill(deadline: float, kill_delay: float) -> None:
-    """SIGKILL comes 0.7 s after the longest deadline, counted as at most 3 s; a deadline of 0 means none."""
+    """The platform sends SIGKILL 0.7 s after the longest deadline has passed.
+
+    A deadline over 3 s counts as 3 s, and so does a deadline of 0, which means that there is none.
+    """
     settings = replace(
         SETTINGS,
         classes=tuple(replace(request_class, deadline=deadline) for request_class in SETTINGS.classes),
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Simulator adapter: replies to requests, to unusual batches and to malformed input."""
+"""Simulator adapter: each batch gets its reply, and malformed input gives an error that names the fault."""
 
 from __future__ import annotations
 
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""Simulator protocol: decoding of single messages into events."""
+"""Simulator protocol: the units that an endpoint has charged are decoded, and 0 means not charged."""
 
 from __future__ import annotations
 
--- a/tests/test_suspension_file.py
+++ b/tests/test_suspension_file.py
@@ -1,4 +1,7 @@
-"""Tests of the file of suspended endpoints; ``test_wire_formats.py`` checks its bytes."""
+"""Suspension file: all processes read the same suspensions, and a missing or malformed file removes none.
+
+``test_wire_formats.py`` checks the bytes of the file.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,7 @@
     assert "expected a list of names under the key out" in record.getMessage()
 
 
-def test_no_more_than_the_maximum_of_endpoints_are_suspended(tmp_path: Path) -> None:
+def test_a_suspension_beyond_the_maximum_is_ignored(tmp_path: Path) -> None:
     file = SuspensionFile(tmp_path, "first")
     names = ", ".join(f'"s{index}"' for index in range(MAX_SUSPENSIONS))
     (tmp_path / FILE_NAME).write_text(f'{{"out": [{names}]}}')
