--- a/quota_gateway/settings_parser.py
+++ b/quota_gateway/settings_parser.py
@@ -40,7 +40,7 @@
     client_count: int = 1  # limiters whose polls discovery serves in turn; 1 if it pushes
     # The defaults of both limits apply if limiters poll discovery. If it pushes, its local agent replies at
     # once, and the limits are fractions of the drain notice.
-    answer_timeout: float = 3.0  # timeout of a call to discovery
+    response_timeout: float = 3.0  # timeout of a call to discovery
     max_poll_interval: float = 4.5  # longest time from the start of one call to the start of the next
 
 
@@ -113,7 +113,7 @@
     )
     if not is_polled:
         agent_timeout = _agent_timeout(raw)
-        timing = replace(timing, answer_timeout=agent_timeout, max_poll_interval=2 * agent_timeout)
+        timing = replace(timing, response_timeout=agent_timeout, max_poll_interval=2 * agent_timeout)
     if timing.connect_timeout <= 0 or timing.idle_timeout <= 0:
         raise SettingsError("settings: dial_timeout_s and conn_idle_s must be above 0")
     return timing
--- a/scale/propagation/discovery_clients.py
+++ b/scale/propagation/discovery_clients.py
@@ -75,7 +75,7 @@
         self._clients = [
             DiscoveryClient(
                 partial(self._on_event, number),
-                PollTiming(timing.client_count, timing.answer_timeout, timing.max_poll_interval),
+                PollTiming(timing.client_count, timing.response_timeout, timing.max_poll_interval),
                 Random((seed << SEED_SHIFT) + number),
             )
             for number in range(case.limiters)
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -33,7 +33,7 @@
         return port
 
 
-def config(endpoint: str, discovery: str = "127.0.0.1:1") -> dict[str, Any]:
+def make_config(endpoint: str, discovery: str = "127.0.0.1:1") -> dict[str, Any]:
     """Return a configuration whose initial endpoint list has one endpoint, at the given address."""
     host = {"host": "s1", "dial": endpoint, "site": "a", "block": 0, "health": "ready", "born_ms": 0}
     return {
@@ -58,7 +58,7 @@
         }
 
 
-class Program:
+class LimiterProcess:
     """A running limiter process."""
 
     def __init__(self, process: asyncio.subprocess.Process, listen_address: str) -> None:
@@ -89,13 +89,13 @@
 
 
 @asynccontextmanager
-async def started(
+async def running_limiter(
     raw: dict[str, Any],
     directory: Path,
     fds: tuple[int, ...] = (),
     environment: Mapping[str, str] | None = None,
     **variables: str,
-) -> AsyncIterator[Program]:
+) -> AsyncIterator[LimiterProcess]:
     """Start a limiter and wait until it is ready; after the block, kill it and check its log for violations.
 
     ``environment`` and ``variables`` are both added to the environment of the process.
@@ -107,7 +107,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "quota_gateway", env=process_environment, pass_fds=fds, stderr=log
         )
-        limiter = Program(process, raw["listen"])
+        limiter = LimiterProcess(process, raw["listen"])
         try:
             await limiter.wait_until_ready()
             yield limiter
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -9,7 +9,7 @@
 
 from soak.fault_control import SystemCall
 from tests.admin_client import send_command
-from tests.gateway_process import ProcessFaults, config, free_port, started
+from tests.gateway_process import ProcessFaults, free_port, make_config, running_limiter
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
 
 
@@ -24,8 +24,8 @@
     port = free_port()
     async with (
         running_server(ScriptedEndpoint().handle_connection) as endpoint,
-        started(
-            config(endpoint), tmp_path, LB_MGMT=f"127.0.0.1:{port}", environment=faults.environment
+        running_limiter(
+            make_config(endpoint), tmp_path, LB_MGMT=f"127.0.0.1:{port}", environment=faults.environment
         ) as program,
     ):
         for _ in range(2):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,7 +13,7 @@
 from quota_gateway import model
 from quota_gateway.net.admin import listener as admin
 from tests.admin_client import send_command, stalled_connections
-from tests.gateway_process import config, free_port, started
+from tests.gateway_process import free_port, make_config, running_limiter
 from tests.loopback import ScriptedEndpoint, run, running_server
 
 MALFORMED_COMMANDS = (
@@ -96,7 +96,9 @@
         port = free_port()
         async with (
             running_server(ScriptedEndpoint().handle_connection) as address,
-            started(config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)),
+            running_limiter(
+                make_config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)
+            ),
             stalled_connections(port),
         ):
             assert await send_command(port, b"STATUS") == "SUCCESS\n"
@@ -112,7 +114,7 @@
     async def main() -> None:
         async with (
             running_server(ScriptedEndpoint().handle_connection) as address,
-            started(config(address), tmp_path, TMPDIR=str(tmp_path)) as program,
+            running_limiter(make_config(address), tmp_path, TMPDIR=str(tmp_path)) as program,
         ):
             assert " 200 " in await program.health()
             assert [path.name for path in tmp_path.iterdir()] == ["config.json"]
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -73,12 +73,12 @@
     """A limiter must be notified of an update within 6 s of discovery's return, however long a poll took."""
     timing = parse_timing({"discovery": "ask", "n_instances": client_count})
     for failures in range(1, 40):
-        for elapsed in (0.0, 0.5, timing.answer_timeout, timing.max_poll_interval, 30.0):
+        for elapsed in (0.0, 0.5, timing.response_timeout, timing.max_poll_interval, 30.0):
             interval = elapsed + poll_delay(
                 client_count, failures, 1.0, max_interval=timing.max_poll_interval, elapsed=elapsed
             )
             assert interval <= max(4.5, elapsed), "too late if discovery returns just after the last poll"
-    assert timing.answer_timeout <= timing.max_poll_interval <= 4.5
+    assert timing.response_timeout <= timing.max_poll_interval <= 4.5
     assert timing.max_poll_interval == MAX_POLL_INTERVAL_SECONDS
 
 
@@ -98,10 +98,10 @@
         assert poll_delay(client_count, 0, 1.0) < 2.5
         assert poll_delay(client_count, 9, 1.0) <= 4.5
     timing = parse_timing({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
-    assert timing.answer_timeout + timing.max_poll_interval < 1.0, (
+    assert timing.response_timeout + timing.max_poll_interval < 1.0, (
         "the limiter must be notified of a drain within 1 s after the agent is"
     )
-    assert parse_timing({"discovery": "ask"}).answer_timeout == 3.0
+    assert parse_timing({"discovery": "ask"}).response_timeout == 3.0
 
 
 class SimulatedFleet:
@@ -129,7 +129,7 @@
     def _first_poll_after(self, outage: float, failure_mode: str, rng: Random) -> float:
         max_interval = self.timing.max_poll_interval
         # A poll before the return ends at once if it is refused. A half-open discovery lets it time out.
-        elapsed = 0.0 if failure_mode == "refused" else self.timing.answer_timeout
+        elapsed = 0.0 if failure_mode == "refused" else self.timing.response_timeout
         polled_at = poll_delay(self.client_count, 0, rng.random(), max_interval=max_interval)
         failures = 0
         while polled_at < outage:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 import pytest
 
 from scale.stand_ins.discovery import DiscoveryStandIn, EndpointEntry
-from tests.gateway_process import WIRE_SETTINGS, ProcessFaults, Program, config, started
+from tests.gateway_process import WIRE_SETTINGS, LimiterProcess, ProcessFaults, make_config, running_limiter
 from tests.loopback import (
     OK_RESPONSE,
     ScriptedEndpoint,
@@ -30,7 +30,7 @@
 
 
 def slow_start_config(endpoint: str, discovery: str) -> dict[str, Any]:
-    raw = config(endpoint, discovery)
+    raw = make_config(endpoint, discovery)
     raw["known"] = None
     contract = {"cold_from": 0.1, "warm_after_s": 10.0, "fall_multiple": 1.5, "fall_s": 1.0}
     raw["settings"] = WIRE_SETTINGS | {"contract": contract}
@@ -49,7 +49,7 @@
             writer.write(OK_RESPONSE)
 
 
-async def send_for(limiter: Program, seconds: float) -> None:
+async def send_for(limiter: LimiterProcess, seconds: float) -> None:
     """Send one request after the other for this time."""
     reader, writer = await limiter.connect()
     end = time.monotonic() + seconds
@@ -89,7 +89,7 @@
             entries.append(replace(cold_entry, started_at_ms=int((time.time() - 10 * HOUR) * 1000)))
         discovery = DiscoveryStandIn(entries)
         raw = slow_start_config(warm_address, await discovery.open())
-        async with started(raw, tmp_path, environment=faults.environment) as limiter:
+        async with running_limiter(raw, tmp_path, environment=faults.environment) as limiter:
             await send_for(limiter, LEARNING_SECONDS)
             before = len(warm.requests), len(cold.requests)
             started_at_ms = int((time.time() + start_error) * 1000)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from quota_gateway.config import Environment, parse_config
-from tests.gateway_process import config
+from tests.gateway_process import make_config
 
 
 def test_a_configuration_is_parsed() -> None:
-    parsed = parse_config(config("127.0.0.1:7070") | {"counter": "127.0.0.1:6400"}, Environment())
+    parsed = parse_config(make_config("127.0.0.1:7070") | {"counter": "127.0.0.1:6400"}, Environment())
     assert parsed.counter == ("127.0.0.1", 6400)
     assert parsed.seed == 0x8C1F30D27A5BE964
     endpoints = parsed.initial_endpoints
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -19,7 +19,7 @@
 from quota_gateway import model
 from quota_gateway.net.client import listener
 from tests.client_helpers import limiter_with_endpoint, on_timer, reject, take_no_action
-from tests.gateway_process import Program, config, free_port, started
+from tests.gateway_process import LimiterProcess, free_port, make_config, running_limiter
 from tests.loopback import (
     LoopbackLimiter,
     ScriptedDecisions,
@@ -36,7 +36,7 @@
 MIN_DESCRIPTORS = 256  # the smallest limit in the specification
 
 
-def connect_without_sending(program: Program, count: int) -> list[socket.socket]:
+def connect_without_sending(program: LimiterProcess, count: int) -> list[socket.socket]:
     """Return clients that have begun to connect and send nothing."""
     host, port = program.listen_address.split(":")
     clients = list[socket.socket]()
@@ -48,7 +48,7 @@
     return clients
 
 
-def connect_sending(program: Program) -> socket.socket:
+def connect_sending(program: LimiterProcess) -> socket.socket:
     """Return a client that has connected and sent a request."""
     host, port = program.listen_address.split(":")
     client = socket.create_connection((host, int(port)))
@@ -63,7 +63,7 @@
     writer.close()
 
 
-def open_descriptors(program: Program) -> int:
+def open_descriptors(program: LimiterProcess) -> int:
     """Return the number of open descriptors of the limiter's process."""
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
@@ -81,7 +81,7 @@
     async def serve_list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Send the endpoint list, and keep the watch open."""
         await reader.readuntil(b"\r\n\r\n")
-        event = json.dumps(config(self._endpoint)["known"] | {"seq": 42}).encode() + b"\n"
+        event = json.dumps(make_config(self._endpoint)["known"] | {"seq": 42}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(head + b"%x\r\n%b\r\n" % (len(event), event))
         self.list_sent.set()
@@ -109,14 +109,14 @@
 def limited_config(endpoint: str, services: RecoveringServices) -> dict[str, Any]:
     """Return a configuration with the lowest descriptor limit, and quotas that reject no request."""
     discovery_port, counter_port = services.ports
-    raw = config(endpoint, f"127.0.0.1:{discovery_port}") | {"counter": f"127.0.0.1:{counter_port}"}
+    raw = make_config(endpoint, f"127.0.0.1:{discovery_port}") | {"counter": f"127.0.0.1:{counter_port}"}
     raw["limits"] = {"sockets": MIN_DESCRIPTORS}
     raw["settings"] = raw["settings"] | {"specifics": {"has_counter": False, "count_wait_s": 0.05}}
     raw["settings"]["tariffs"] = [{"name": "basic", "quota_rate": 1e5, "store_size": 1e5}]
     return raw
 
 
-async def connect_clients_while_stopped(program: Program) -> list[socket.socket]:
+async def connect_clients_while_stopped(program: LimiterProcess) -> list[socket.socket]:
     """Connect about twice as many clients as the limit while the process is stopped; a few send a request."""
     resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, MIN_DESCRIPTORS))
     program.process.send_signal(signal.SIGSTOP)
@@ -142,7 +142,7 @@
         running_server(listed_endpoint.handle_connection) as listed_address,
     ):
         services = RecoveringServices(listed_address)
-        async with started(limited_config(known_address, services), tmp_path) as program:
+        async with running_limiter(limited_config(known_address, services), tmp_path) as program:
             idle_clients = await connect_clients_while_stopped(program)
             max_descriptors = 0
             for _ in range(10):
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -105,7 +105,7 @@
     async with running_server(discovery.serve) as address:
         client = DiscoveryClient(
             lambda _event: notified.set(),
-            PollTiming(200, timing.answer_timeout * time_scale, timing.max_poll_interval * time_scale),
+            PollTiming(200, timing.response_timeout * time_scale, timing.max_poll_interval * time_scale),
             Random(3),
         )
         client.set_address("127.0.0.1", 1, 41)
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -80,7 +80,7 @@
             address,
             self._on_event,
             timing=PollTiming(
-                FLEET_SIZE, timing.answer_timeout * time_scale, timing.max_poll_interval * time_scale
+                FLEET_SIZE, timing.response_timeout * time_scale, timing.max_poll_interval * time_scale
             ),
             seed=seed,
         )
--- a/tests/test_failing_folder.py
+++ b/tests/test_failing_folder.py
@@ -12,14 +12,14 @@
 
 from soak.fault_control import DirectoryCalls
 from tests.admin_client import fetch_metrics, send_command
-from tests.gateway_process import ProcessFaults, Program, config, free_port, started
+from tests.gateway_process import LimiterProcess, ProcessFaults, free_port, make_config, running_limiter
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
 
 MAX_REPLY_SECONDS = 1.0
 MAX_SAVE_SECONDS = 1.0  # from the end of the failure until a suspension is saved
 
 
-async def send_request(limiter: Program) -> str:
+async def send_request(limiter: LimiterProcess) -> str:
     """Send one request and return the status line of its response."""
     reader, writer = await limiter.connect()
     writer.write(http_request())
@@ -28,7 +28,7 @@
     return status_line
 
 
-async def kill_process(limiter: Program) -> None:
+async def kill_process(limiter: LimiterProcess) -> None:
     """Kill the process, which leaves its process file in the shared directory."""
     limiter.process.send_signal(signal.SIGKILL)
     await limiter.process.wait()
@@ -48,10 +48,10 @@
 ) -> None:
     endpoint = ScriptedEndpoint()
     async with running_server(endpoint.handle_connection) as endpoint_address:
-        raw = config(endpoint_address)
+        raw = make_config(endpoint_address)
         port = free_port()
         mgmt = f"127.0.0.1:{port}"
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
+        async with running_limiter(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
             assert " 200 " in await send_request(limiter)
             faults.control.fail_directory_calls(error, calls)
             called_at = time.monotonic()
@@ -65,7 +65,7 @@
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
             await kill_process(limiter)
         endpoint.requests.clear()
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
+        async with running_limiter(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
             assert " 429 " in await send_request(limiter)
             assert not endpoint.requests
             assert await send_command(port, b"RESTORE s1") == "SUCCESS\n"
@@ -78,17 +78,17 @@
 ) -> None:
     """The process becomes ready, applies earlier suspensions, and joins once the failure has ended."""
     async with running_server(ScriptedEndpoint().handle_connection) as endpoint_address:
-        raw = config(endpoint_address)
+        raw = make_config(endpoint_address)
         port = free_port()
         mgmt = f"127.0.0.1:{port}"
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
+        async with running_limiter(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
             assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
             await kill_process(limiter)
         faults.control.fail_directory_calls(errno.EIO, calls)
         asyncio.get_running_loop().call_later(
             1.5, faults.control.fail_directory_calls, 0, DirectoryCalls.NONE
         )
-        async with started(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
+        async with running_limiter(raw, tmp_path, environment=faults.environment, LB_MGMT=mgmt) as limiter:
             assert " 429 " in await send_request(limiter)
             await asyncio.sleep(2.0)
             (directory,) = faults.shared_directory.iterdir()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from soak.fault_control import DirectoryCalls
-from tests.gateway_process import WIRE_SETTINGS, ProcessFaults, Program, config, started
+from tests.gateway_process import WIRE_SETTINGS, LimiterProcess, ProcessFaults, make_config, running_limiter
 from tests.loopback import (
     ConnectionHandler,
     ScriptedEndpoint,
@@ -26,7 +26,7 @@
     async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         connected.put_nowait("agent")
-        line = json.dumps(config(endpoint_address)["known"] | {"seq": version}).encode() + b"\n"
+        line = json.dumps(make_config(endpoint_address)["known"] | {"seq": version}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(head + b"%x\r\n%b\r\n" % (len(line), line))
         await asyncio.Event().wait()
@@ -44,7 +44,7 @@
     return handle_connection
 
 
-async def send_until_received(limiter: Program, endpoint: ScriptedEndpoint) -> None:
+async def send_until_received(limiter: LimiterProcess, endpoint: ScriptedEndpoint) -> None:
     """Send requests until one is forwarded to the endpoint."""
     while not endpoint.requests:
         reader, writer = await limiter.connect()
@@ -66,7 +66,7 @@
 
     async with (
         running_server(handle_connection) as endpoint_address,
-        started(config(endpoint_address), tmp_path) as limiter,
+        running_limiter(make_config(endpoint_address), tmp_path) as limiter,
     ):
         early_reader, early_writer = await limiter.connect()
         early_writer.write(http_request())
@@ -97,9 +97,9 @@
         running_server(pushing_agent(endpoint_address, 1, connected)) as discovery,
         running_server(unresponsive_counter(connected)) as counter,
     ):
-        raw = config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
+        raw = make_config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
         raw["settings"] = WIRE_SETTINGS | {"specifics": {"has_counter": True, "count_wait_s": 0.05}}
-        async with started(raw, tmp_path) as limiter:
+        async with running_limiter(raw, tmp_path) as limiter:
             for text in ("{", "[]", json.dumps(raw | {"counter": 5})):
                 path.write_text(text)
                 limiter.process.send_signal(signal.SIGHUP)
@@ -118,9 +118,9 @@
 @async_test
 async def test_a_process_restarts_at_the_same_address_after_sigkill(tmp_path: Path) -> None:
     async with running_server(ScriptedEndpoint().handle_connection) as endpoint_address:
-        raw = config(endpoint_address)
+        raw = make_config(endpoint_address)
         for _ in range(2):
-            async with started(raw, tmp_path) as limiter:
+            async with running_limiter(raw, tmp_path) as limiter:
                 reader, writer = await limiter.connect()
                 writer.write(http_request())
                 assert (await read_message(reader))[2] == b"hi"
@@ -135,7 +135,7 @@
     async with (
         running_server(endpoint.handle_connection) as endpoint_address,
         running_server(pushing_agent(endpoint_address, 42, connected)) as discovery,
-        started(config("127.0.0.1:1", discovery), tmp_path) as limiter,
+        running_limiter(make_config("127.0.0.1:1", discovery), tmp_path) as limiter,
     ):
         await connected.get()
         await send_until_received(limiter, endpoint)
@@ -152,9 +152,9 @@
     async def start_and_send(index: int, endpoint_address: str, discovery: str) -> None:
         directory = tmp_path / str(index)
         directory.mkdir()
-        raw = config(endpoint_address, discovery)
+        raw = make_config(endpoint_address, discovery)
         raw["settings"] = WIRE_SETTINGS | {"discovery": "ask", "n_instances": 200}
-        async with started(raw, directory) as limiter:
+        async with running_limiter(raw, directory) as limiter:
             reader, writer = await limiter.connect()
             writer.write(http_request(timeout_ms=10_000))
             assert " 200 " in (await read_message(reader))[0]
@@ -173,8 +173,8 @@
     connected = asyncio.Queue[str]()
     directory = faults.shared_directory
     async with running_server(pushing_agent("127.0.0.1:1", 42, connected)) as discovery:
-        raw = config("127.0.0.1:1")
-        async with started(raw, directory, environment=faults.environment) as limiter:
+        raw = make_config("127.0.0.1:1")
+        async with running_limiter(raw, directory, environment=faults.environment) as limiter:
             (directory / "config.json").write_text(json.dumps(raw | {"discovery": discovery}))
             faults.control.fail_directory_calls(errno.ENFILE, DirectoryCalls.READING)
             limiter.process.send_signal(signal.SIGHUP)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.gateway_process import config
+from tests.gateway_process import make_config
 
 
 def check_configuration_error(path: str) -> None:
@@ -44,13 +44,13 @@
     change: dict[str, Any], tmp_path: Path
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config("127.0.0.1:1") | change))
+    path.write_text(json.dumps(make_config("127.0.0.1:1") | change))
     check_configuration_error(str(path))
 
 
 def test_an_address_in_use_gives_one_line_and_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    raw = config("127.0.0.1:1")
+    raw = make_config("127.0.0.1:1")
     with socket.create_server(("127.0.0.1", 0)) as occupied:
         raw["listen"] = f"127.0.0.1:{occupied.getsockname()[1]}"
         path.write_text(json.dumps(raw))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,7 +8,7 @@
 
 from quota_gateway.net.common.metrics import Metrics
 from tests.admin_client import fetch_metrics, parse_metrics, send_command, stalled_connections
-from tests.gateway_process import Program, config, free_port, started
+from tests.gateway_process import LimiterProcess, free_port, make_config, running_limiter
 from tests.loopback import (
     OK_RESPONSE,
     ScriptedEndpoint,
@@ -48,7 +48,7 @@
     return b"" if count == 2 else OK_RESPONSE
 
 
-async def request(program: Program) -> str:
+async def request(program: LimiterProcess) -> str:
     """Send a request; return the status line of its response."""
     reader, writer = await program.connect()
     writer.write(http_request())
@@ -56,7 +56,7 @@
     return status_line
 
 
-async def check_metrics_of_requests(program: Program, port: int) -> None:
+async def check_metrics_of_requests(program: LimiterProcess, port: int) -> None:
     before = await fetch_metrics(port)
     assert before["app.handled.lookup.passed"] == 0
     assert before["app.upstream_tries"] == 0
@@ -72,7 +72,7 @@
     assert after["app.handled.lookup.dropped"] == 0
 
 
-async def check_metrics_of_a_suspended_endpoint(program: Program, port: int) -> None:
+async def check_metrics_of_a_suspended_endpoint(program: LimiterProcess, port: int) -> None:
     for _ in range(2):
         assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
     assert (await fetch_metrics(port))["app.skipped_servers"] == 1
@@ -86,7 +86,9 @@
     port = free_port()
     async with (
         running_server(ScriptedEndpoint(break_second_response).handle_connection) as address,
-        started(config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)) as program,
+        running_limiter(
+            make_config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)
+        ) as program,
         stalled_connections(port),
     ):
         await check_metrics_of_requests(program, port)
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -22,7 +22,7 @@
 from quota_gateway.net.process_group.shared_files import FileLock
 from quota_gateway.state import Account
 from tests.admin_client import fetch_metrics, send_command
-from tests.gateway_process import Program, config, free_port, started
+from tests.gateway_process import LimiterProcess, free_port, make_config, running_limiter
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
 from tests.simulation import GatewaySimulation, endpoint_list, make_request, make_settings
 
@@ -187,14 +187,16 @@
         else:
             listener.close()
 
-    def start(self, endpoint_address: str, admin_port: int) -> AbstractAsyncContextManager[Program]:
+    def start(self, endpoint_address: str, admin_port: int) -> AbstractAsyncContextManager[LimiterProcess]:
         addresses = {"listen": self._address, "mgmt": f"127.0.0.1:{admin_port}"}
         directory = self._directory / str(admin_port)
         directory.mkdir()
-        return started(config(endpoint_address) | addresses, directory, self._descriptors, self._environment)
+        return running_limiter(
+            make_config(endpoint_address) | addresses, directory, self._descriptors, self._environment
+        )
 
 
-async def check_takeover(old: Program, old_port: int, new_port: int) -> None:
+async def check_takeover(old: LimiterProcess, old_port: int, new_port: int) -> None:
     """Terminate the old process once the new one is ready; restore the endpoint through the new one."""
     while await send_command(new_port, b"STATUS") != "SUCCESS\n":
         pass
@@ -212,7 +214,7 @@
     assert headers["connection"] == "close"
 
 
-async def check_service(limiter: Program, admin_port: int) -> None:
+async def check_service(limiter: LimiterProcess, admin_port: int) -> None:
     reader, writer = await limiter.connect()
     writer.write(http_request())
     _, _, body = await read_message(reader)
@@ -290,7 +292,7 @@
 
     monkeypatch.setattr(Gateway, "handle", record)
     config_path = tmp_path / "config.json"
-    config_path.write_text(json.dumps(config("127.0.0.1:1")))
+    config_path.write_text(json.dumps(make_config("127.0.0.1:1")))
     environment = Environment(
         str(config_path), admin_address=f"127.0.0.1:{free_port()}", shared_directory=str(tmp_path)
     )
--- a/tests/test_process_stalls.py
+++ b/tests/test_process_stalls.py
@@ -20,7 +20,7 @@
 from quota_gateway.net.client.stall_detector import AFTERMATH_SECONDS
 from soak.fault_control import StallPoint
 from tests.discovery_server import RESPONSE_HEAD, chunk, message, read_request_path
-from tests.gateway_process import ProcessFaults, Program, config, started
+from tests.gateway_process import LimiterProcess, ProcessFaults, make_config, running_limiter
 from tests.loopback import (
     OK_RESPONSE,
     ConnectionHandler,
@@ -45,7 +45,7 @@
 class StalledLimiter(NamedTuple):
     """A running limiter, whose start no longer counts as a stall, and its endpoint."""
 
-    program: Program
+    program: LimiterProcess
     endpoint: ScriptedEndpoint
 
     def propagated_deadline(self) -> float:
@@ -70,7 +70,7 @@
     scripted = endpoint or ScriptedEndpoint()
     async with (
         running_server(serve or scripted.handle_connection) as address,
-        started(config(address), folder, environment=faults.environment) as program,
+        running_limiter(make_config(address), folder, environment=faults.environment) as program,
     ):
         await asyncio.sleep(AFTERMATH_SECONDS + DEADLINE_SLACK)
         yield StalledLimiter(program, scripted)
@@ -329,7 +329,7 @@
     async with (
         running_server(endpoint.handle_connection) as address,
         running_server(agent.serve) as discovery,
-        started(config(address, discovery), tmp_path) as program,
+        running_limiter(make_config(address, discovery), tmp_path) as program,
     ):
         reader, writer = await program.connect()
         writer.write(http_request())
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -14,7 +14,7 @@
 from quota_gateway import model
 from quota_gateway.settings_parser import SettingsError, check_reloaded_settings, parse_settings
 from tests.admin_client import fetch_metrics
-from tests.gateway_process import WIRE_SETTINGS, Program, config, free_port, started
+from tests.gateway_process import WIRE_SETTINGS, LimiterProcess, free_port, make_config, running_limiter
 from tests.loopback import ScriptedEndpoint, async_test, http_request, read_message, running_server
 from tests.simulation import (
     IDEMPOTENT_CLASS,
@@ -126,7 +126,7 @@
 class ReloadingLimiter:
     """A limiter whose configuration file is replaced while it runs."""
 
-    def __init__(self, program: Program, path: Path, admin_port: int) -> None:
+    def __init__(self, program: LimiterProcess, path: Path, admin_port: int) -> None:
         self._program = program
         self._path = path
         self._admin_port = admin_port
@@ -171,6 +171,6 @@
 async def test_sighup_loads_new_classes_and_rejects_an_invalid_file_as_a_whole(tmp_path: Path) -> None:
     port = free_port()
     async with running_server(ScriptedEndpoint().handle_connection) as address:
-        raw = config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
-        async with started(raw, tmp_path, TMPDIR=str(tmp_path)) as program:
+        raw = make_config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
+        async with running_limiter(raw, tmp_path, TMPDIR=str(tmp_path)) as program:
             await check_reloads(ReloadingLimiter(program, tmp_path / "config.json", port), raw)
