--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the whole program: they start a limiter process with a configuration."""
+"""Helpers for tests of a whole limiter: they start its process with a configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from soak.fault_control import FaultControl
 from tests.loopback import read_message
 
-POLL_INTERVAL = 0.02  # seconds between two attempts to connect to a process that is starting
+POLL_INTERVAL = 0.02  # seconds between two attempts to connect to a limiter that is starting
 WIRE_SETTINGS: dict[str, Any] = {
     "classes": [{"name": "lookup", "aim_s": 5.0, "effect": "idempotent", "worth": 1.0, "group": "all"}],
     "tariffs": [{"name": "basic", "quota_rate": 100.0, "store_size": 100.0}],
@@ -33,7 +33,7 @@
         return port
 
 
-def config(endpoint: str, discovery: str = "127.0.0.1:1") -> dict[str, Any]:
+def make_config(endpoint: str, discovery: str = "127.0.0.1:1") -> dict[str, Any]:
     """Return a configuration whose initial endpoint list has one endpoint, at the given address."""
     host = {"host": "s1", "dial": endpoint, "site": "a", "block": 0, "health": "ready", "born_ms": 0}
     return {
@@ -58,7 +58,7 @@
         }
 
 
-class Program:
+class LimiterProcess:
     """A running limiter process."""
 
     def __init__(self, process: asyncio.subprocess.Process, listen_address: str) -> None:
@@ -78,7 +78,7 @@
         writer.close()
         return status_line
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until the limiter accepts clients."""
         while True:
             try:
@@ -89,25 +89,28 @@
 
 
 @asynccontextmanager
-async def started(
+async def running_limiter(
     raw: dict[str, Any],
     directory: Path,
     fds: tuple[int, ...] = (),
     environment: Mapping[str, str] | None = None,
-    **env: str,
-) -> AsyncIterator[Program]:
-    """Run a limiter in a block, from when it is ready; then kill it and search its log for violations."""
+    **variables: str,
+) -> AsyncIterator[LimiterProcess]:
+    """Start a limiter and wait until it is ready; after the block, kill it and check its log for violations.
+
+    ``environment`` and ``variables`` are both added to the environment of the process.
+    """
     path = directory / "config.json"
     path.write_text(json.dumps(raw))
-    variables = {**os.environ, "LB_CONFIG": str(path), **(environment or {}), **env}
+    process_environment = {**os.environ, "LB_CONFIG": str(path), **(environment or {}), **variables}
     with tempfile.TemporaryFile() as log:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "quota_gateway", env=variables, pass_fds=fds, stderr=log
+            sys.executable, "-m", "quota_gateway", env=process_environment, pass_fds=fds, stderr=log
         )
-        program = Program(process, raw["listen"])
+        limiter = LimiterProcess(process, raw["listen"])
         try:
-            await program.ready()
-            yield program
+            await limiter.wait_until_ready()
+            yield limiter
         finally:
             if process.returncode is None:
                 process.kill()
