--- a/quota_gateway/decisions/admission.py
+++ b/quota_gateway/decisions/admission.py
@@ -15,7 +15,7 @@
 # readings.
 MIN_ADMIT_FRACTION = 0.1
 UNRESERVED_TOKENS = 2  # part of the bucket's depth that is open to requests of any priority
-# Fraction of the remaining depth that requests of the lowest priority must leave to others.
+# Fraction of the remaining depth that requests of the lowest priority may not use.
 PRIORITY_RESERVE_FRACTION = 0.6
 RANKING_WINDOW_REQUESTS = 300  # number of recent requests among which a request is ranked
 # Idle latency of a class before its first response, as a fraction of its latency objective.
--- a/quota_gateway/decisions/context.py
+++ b/quota_gateway/decisions/context.py
@@ -22,9 +22,8 @@
     plans: dict[str, Plan] = field(init=False)
     # Seconds without a response after which an endpoint is unresponsive.
     unresponsive_timeout: float = field(init=False)
-    target_residence_time: float = field(
-        init=False
-    )  # target time in seconds that a request spends at an endpoint
+    # Target time in seconds that a request spends at an endpoint.
+    target_residence_time: float = field(init=False)
 
     def __post_init__(self) -> None:
         self.reconfigure(self.settings)
@@ -32,7 +31,7 @@
     def reconfigure(self, settings: Settings) -> None:
         """Apply new settings."""
         self.settings = settings
-        # Removed classes are kept: some of their requests may not have reached the gateway yet.
+        # Removed classes stay valid: some of their requests may not have reached the gateway yet.
         self.classes |= {request_class.name: request_class for request_class in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         objectives = [request_class.latency_objective for request_class in settings.classes]
--- a/quota_gateway/decisions/controller.py
+++ b/quota_gateway/decisions/controller.py
@@ -18,8 +18,8 @@
 LOW_LOAD = 0.5 * REFERENCE_LOAD  # below this load, the endpoints can certainly serve more requests
 ARRIVALS_WEIGHT = 0.3  # weight of the latest interval in the moving average of arrivals
 MIN_READINGS = 3  # number of load readings that an update of the admit rate requires
-# After this many intervals without an update, a single reading is enough: at one request per second, no
-# interval would have MIN_READINGS.
+# After this many intervals without an update, a single reading is enough: at less than one request per
+# second, MIN_READINGS could take longer.
 MAX_READING_AGE_INTERVALS = 4
 
 
--- a/quota_gateway/decisions/counter_budget.py
+++ b/quota_gateway/decisions/counter_budget.py
@@ -27,7 +27,7 @@
 
 
 class CounterBudget:
-    """A token bucket of counter calls; it is empty while the counter is considered unavailable."""
+    """A token bucket of counter calls; allows none while the counter is considered unavailable."""
 
     def __init__(self, now: float, gateways: int, draw: float, timeout: float = 0.0) -> None:
         """Start at an even share of the initial limit.
@@ -41,7 +41,8 @@
         self.typical_latency = 0.0  # seconds, for a reply without a queue; 0 before the first reply
         self.queueing_threshold = QUEUEING_FRACTION * timeout if timeout > 0 else float("inf")  # seconds
         self.last_congestion_at = now  # Unix time of the last sign of congestion
-        self.consecutive_failures = 0  # consecutive calls without a reply
+        # Calls without a reply since the last successful one; calls that were pending together count once.
+        self.consecutive_failures = 0
         self.unavailable_until = 0.0  # Unix time
 
     def refill(self, now: float) -> None:
--- a/quota_gateway/decisions/endpoint_set.py
+++ b/quota_gateway/decisions/endpoint_set.py
@@ -32,7 +32,7 @@
     subset: list[EndpointState] = field(default_factory=list)
     suspended: frozenset[str] = frozenset()  # names of the endpoints that operators have suspended
     has_list: bool = False  # whether an endpoint list has been received
-    clock_lag: float = 0.0  # least time in seconds by which the local wall clock was behind at the start
+    clock_lag: float = 0.0  # lower bound, in seconds, of the local wall clock's lag at the start
 
     def listed(self) -> list[EndpointState]:
         """Return the endpoints that the list names."""
--- a/quota_gateway/decisions/forwarding.py
+++ b/quota_gateway/decisions/forwarding.py
@@ -15,7 +15,7 @@
 from quota_gateway.model import NO_SIGN_OF_LIFE, PROVES_NOT_EXECUTED, AttemptCompleted, CallStatus
 from quota_gateway.state import EndpointState, OpenRequest
 
-# Below this load, requests over quota are admitted if the plan's value of them exceeds its cost.
+# Below this load, requests over quota are admitted if the plan values them above their cost.
 MAX_OVER_QUOTA_LOAD = 0.6 * REFERENCE_LOAD
 SLOWDOWN_WEIGHT = 0.1  # least weight of one response in the averages of its endpoint's slowdown
 
@@ -87,7 +87,7 @@
             return False
         request.start_attempt(now, state)
         if request.uploading:
-            timeout = request.useful_time  # starts at the last byte of the body
+            timeout = request.useful_time  # an upload's timeout starts at the last byte of the body
         not_after = repeat_deadline(request)
         self.context.actions.append(model.Forward(request.id, state.endpoint.name, timeout, not_after))
         return True
--- a/quota_gateway/decisions/handover.py
+++ b/quota_gateway/decisions/handover.py
@@ -16,7 +16,7 @@
 )
 
 TAKE_OVER_SECONDS = 5.0  # a process takes over state only within this time after its start
-MAX_HANDOVER_ACCOUNTS = 4000  # most accounts in a handover; those created first are left out
+MAX_HANDOVER_ACCOUNTS = 4000  # limit on the accounts in a handover; beyond it, the oldest are omitted
 
 
 @dataclass(slots=True, eq=False)
--- a/quota_gateway/decisions/leases.py
+++ b/quota_gateway/decisions/leases.py
@@ -29,7 +29,7 @@
 
 
 def _lease_size(now: float, account: Account, horizon: float) -> float:
-    """Return the units to lease for the demand of ``horizon`` seconds, limited to this gateway's share.
+    """Return the units that the lease lacks for ``horizon`` seconds of demand, up to this gateway's share.
 
     The share is proportional to demand, since even shares would leave those of idle gateways unused.
     """
--- a/quota_gateway/decisions/load_balancer.py
+++ b/quota_gateway/decisions/load_balancer.py
@@ -18,8 +18,7 @@
 # For bursts, a limit of n requests is raised at load 0 by n + BURST_REQUESTS * sqrt(n) requests. The raise
 # falls to 0 as the load rises to LOW_LOAD.
 BURST_REQUESTS = 4
-# Limits of the subset and of its endpoints.
-# Fraction of a limit that requests of the lowest priority must leave to others.
+# Fraction of the limits of the subset and of its endpoints that requests of the lowest priority may not use.
 PRIORITY_FRACTION = 0.5 * PRIORITY_RESERVE_FRACTION
 OWN_WORK_FRACTION = 0.5  # part of a request's own work that has to fit under a limit
 # The minimum limit of one endpoint is MIN_ENDPOINT_FRACTION of the mean limit of the warm endpoints, or
@@ -85,7 +84,7 @@
         return limit
 
     def _unresponsive(self, now: float) -> list[EndpointState]:
-        """Return the unresponsive endpoints, or none if most are: so many are slow, not hung or lost."""
+        """Return the unresponsive endpoints, or none if most are: so many are probably slow, not hung."""
         unresponsive = self.endpoints.unresponsive(now)
         return unresponsive if len(unresponsive) <= len(self.endpoints.subset) / 2 else []
 
--- a/quota_gateway/decisions/outlier_detection.py
+++ b/quota_gateway/decisions/outlier_detection.py
@@ -7,7 +7,7 @@
 from quota_gateway.model import CONNECTION_LOST, NO_EVIDENCE, RESPONSES, CallStatus, EjectionCause
 from quota_gateway.state import EndpointState
 
-SIGNIFICANCE_LEVEL = 0.005  # consecutive failures with a lower probability are not taken for chance
+SIGNIFICANCE_LEVEL = 0.005  # consecutive failures with a lower probability are not attributed to chance
 MIN_TIMEOUT_RATE = 0.07  # lower bound of the timeout rate that is expected of all endpoints
 MIN_FAILURE_RATE = 0.05  # lower bound of the failure rate that is expected of all endpoints
 TIMEOUT_RATE_WEIGHT = 0.02  # weight of one attempt in the timeout rate
--- a/quota_gateway/decisions/retries.py
+++ b/quota_gateway/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the retry budget, when a repeat is harmless, and when a client may be asked to retry."""
+"""Retries: the retry budget, when a repeat is harmless, and when a request may be rejected."""
 
 import math
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
         return has_attempts and has_time and self.tokens >= 1 and may_repeat(now, request)
 
     def spend(self, request: OpenRequest, event: AttemptCompleted) -> None:
-        """Charge the budget for a retry, by the work that the attempt before it may have caused."""
+        """Charge the budget for a retry, by the work that the previous attempt may have caused."""
         if event.status in NEVER_STARTED:
             return
         if event.status is CallStatus.RESET_AFTER_REQUEST:
@@ -68,7 +68,7 @@
 
 
 def may_reject(request: OpenRequest) -> bool:
-    """Whether the client may be asked to retry: not if that could be a harmful second execution."""
+    """Whether the request may be rejected: not if the client's retry could be a harmful second execution."""
     if _may_repeat_anywhere(request):
         return True
     request_class = request.request_class
--- a/quota_gateway/decisions/slow_start.py
+++ b/quota_gateway/decisions/slow_start.py
@@ -9,7 +9,7 @@
 from quota_gateway.state import EndpointState
 
 SAFE_LOAD_FRACTION = 0.45  # allowed load as a fraction of the load at which a warming endpoint fails
-MIN_RESPONSES = 10  # number of responses that are needed to tell how warm an endpoint is
+MIN_RESPONSES = 10  # responses needed before their slowdown shows how warm an endpoint is
 MAX_WARM_SLOWDOWN = 0.9  # highest mean slowdown of a warm endpoint
 # Fast responses raise the warm fraction to at most this multiple of the fraction planned by the settings.
 MAX_SPEED_UP = 2
--- a/quota_gateway/lifecycle/reload.py
+++ b/quota_gateway/lifecycle/reload.py
@@ -50,8 +50,8 @@
             return
         metrics.record_reload(succeeded=True)
         self._apply(updated)
-        # The listening socket keeps its address. With the old address kept here, every reload before the
-        # restart logs that a change needs a restart.
+        # The listening socket keeps its address, and so does the running configuration. Until the restart,
+        # every reload therefore logs that some changes need one.
         self._running = replace(updated, listen=running.listen)
         _log_reloaded(updated, running)
 
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -64,7 +64,7 @@
     units: float = 1.0  # cost in units of the customer's quota
     serving_gateways: int = 1  # gateways that serve this customer
     is_retry: bool = False  # the client retries after a rejection or failure
-    uploading: bool = False  # the body is not complete: the timeout starts with ``UploadCompleted``
+    uploading: bool = False  # the body is incomplete; the timeout starts with ``UploadCompleted``
 
     def with_timeout(self, timeout: float) -> Request:
         """Return the request with another timeout; ``dataclasses.replace`` takes twice as long."""
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The graceful shutdown of this process has started: it accepts no new requests."""
+    """The graceful shutdown of this process has started; requests may still arrive for a short time."""
 
 
 Event = (
--- a/quota_gateway/model/rejection.py
+++ b/quota_gateway/model/rejection.py
@@ -8,7 +8,7 @@
 class RejectionReason(StrEnum):
     """Why a request is not served, whether it is rejected or failed; the values are the names in the log."""
 
-    ADMISSION_GATE = "gate"  # the admission gate has no tokens left
+    ADMISSION_GATE = "gate"  # the admission gate has too few tokens for the request
     QUOTA = "quota"  # the customer's quota is used up
     CEILING = "ceiling"  # the plan's hard ceiling is reached
     CONCURRENCY = "concurrency"  # the endpoints have as much work in flight as the concurrency limit allows
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -17,7 +17,7 @@
     """Where a request may be repeated if it may have been executed already."""
 
     INHERENT = "inherent"  # anywhere: a second execution has no effect
-    KEYED = "keyed"  # at endpoints of its deduplication scope, within the deduplication window
+    KEYED = "keyed"  # at endpoints of the deduplication scope, within the deduplication window
     NONE = "none"  # nowhere
 
 
--- a/quota_gateway/net/client/shared_state.py
+++ b/quota_gateway/net/client/shared_state.py
@@ -12,8 +12,8 @@
 
 # If the active connections exceed this fraction of the limit, each response closes its connection. Otherwise
 # clients that send one request and keep the connection open, or a client whose pool leaks connections, would
-# use up the limit. The cost is that clients that
-# send requests continuously then connect again for each request.
+# use up the limit. The cost is that clients that send requests continuously then connect again for each
+# request.
 MAX_KEEP_ALIVE_FRACTION = 0.5
 
 
--- a/quota_gateway/net/client/transport.py
+++ b/quota_gateway/net/client/transport.py
@@ -13,7 +13,7 @@
 # and a client that receives a reset before it has read its response loses the response.
 LINGER_SECONDS = 0.5
 MAX_DISCARDED_BYTES = 128 * 1024  # a limit, because the client must not determine how much input is discarded
-# The linger time while the rest of a well-formed upload arrives that was rejected before its end.
+# The linger time for the rest of a well-formed upload that was rejected before its end.
 UPLOAD_LINGER_SECONDS = 5.0
 
 
--- a/quota_gateway/net/common/acceptor.py
+++ b/quota_gateway/net/common/acceptor.py
@@ -120,7 +120,8 @@
         """Close the listening socket.
 
         With ``drain_seconds`` the connections in the accept queue are accepted first; a failing accept is
-        retried for this time. Without it, they are left to the other processes that share the socket.
+        retried for this time. Without it, the connections in the queue remain for the other processes that
+        share the socket.
         """
         if self._retry_timer is not None:
             self._retry_timer.cancel()
--- a/quota_gateway/net/common/backoff.py
+++ b/quota_gateway/net/common/backoff.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-MAX_EXPONENT = 16  # This prevents an overflow; every delay reaches its limit at a lower exponent.
+MAX_EXPONENT = 16  # prevents an overflow; every delay reaches its limit at a lower exponent
 
 # Without backoff each limiter would try to connect ten times a second when the counter returns.
 MIN_RECONNECT_DELAY_SECONDS = 0.1
@@ -17,7 +17,7 @@
 # responses, so the polls are spread over a time that grows with the number of limiters.
 POLL_SPREAD_PER_CLIENT_SECONDS = 0.075
 MIN_POLL_SPREAD_SECONDS = 0.25
-MAX_POLL_SPREAD_FACTOR = 4.0  # Backoff multiplies the spread of the first poll by at most this factor.
+MAX_POLL_SPREAD_FACTOR = 4.0  # backoff multiplies the spread of the first poll by at most this factor
 # A limiter must be notified of an update within 6 s after discovery becomes unresponsive and within 4 s after
 # discovery's address changes, for any number of limiters. This limits the spread of the first poll. Each
 # failure multiplies the limit by FIRST_POLL_SPREAD_FACTOR.
@@ -27,7 +27,7 @@
 # just before the return and is lost. With this maximum time between the starts of two polls, 1.5 s of the
 # 6 s remain for the response.
 MAX_POLL_INTERVAL_SECONDS = 4.5
-SPREAD_OUT_FAILURES = 2  # After this number of consecutive failures the polls of a fleet are out of phase.
+SPREAD_OUT_FAILURES = 2  # after this number of consecutive failures the polls of a fleet are out of phase
 SPREAD_OUT_JITTER_FRACTION = 0.25  # the random part of a poll delay after these failures
 
 
--- a/quota_gateway/net/discovery/watch_request.py
+++ b/quota_gateway/net/discovery/watch_request.py
@@ -117,7 +117,7 @@
         """Handle the head of the response."""
         status = self._parser.get_status_code()
         if status != STATUS_OK:
-            # The version is kept when discovery is overloaded: the complete list would increase its load.
+            # If discovery is overloaded, the version stays valid: the complete list would increase the load.
             if status < MIN_SERVER_ERROR_STATUS and status != STATUS_TOO_MANY_REQUESTS:
                 self._owner.on_version_rejected()
             raise ConnectionError(f"discovery responded with status {status}")
--- a/quota_gateway/net/discovery/watcher.py
+++ b/quota_gateway/net/discovery/watcher.py
@@ -163,7 +163,7 @@
         self._latest = answered  # before ``_poll`` resumes, since ``follow`` may be cancelled first
 
     def on_version_rejected(self) -> None:
-        """Have the next request ask for the complete list: the version may be the cause of the rejection."""
+        """Request the complete list next: the version may be the cause of the rejection."""
         self.since_version = None
 
     def on_ended(self, cause: str) -> None:
--- a/quota_gateway/net/dispatch/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -67,7 +67,7 @@
     def apply_settings(self, settings: model.Settings) -> None:
         """Replace the settings; a lower ``max_attempts`` applies to open requests too.
 
-        Classes that the settings no longer contain are kept, because requests of them may still arrive.
+        Classes that the settings no longer contain stay valid, because requests of them may still arrive.
         """
         self._classes |= {request_class.name: request_class for request_class in settings.classes}
         self.max_attempts = settings.max_attempts
--- a/quota_gateway/net/process_group/membership.py
+++ b/quota_gateway/net/process_group/membership.py
@@ -1,7 +1,7 @@
 """Membership of this process in its group: its process file, and the process files of the others.
 
 Each process holds a lock on its own process file. The kernel releases the lock however the process ends, so a
-stale file is never taken for a running process.
+stale file is never mistaken for a running process.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 DIRECTORY_MODE = 0o700  # accessible to the owner only
 PROCESS_FILE_PREFIX = "process-"
 PROCESS_TOKEN_BYTES = 4  # random part of the file name, needed since process ids are reused
-UNKNOWN_PROCESS = "unknown"  # stands for a process that may be running but cannot be detected
+UNKNOWN_PROCESS = "unknown"  # placeholder for a process that may be running but cannot be detected
 # After these errors no process of the limiter can use the directory, so this process counts as the only one.
 PERMANENT_ERRORS = frozenset(
     (errno.ENOENT, errno.ENOTDIR, errno.EROFS, errno.EACCES, errno.EPERM, errno.ELOOP)
@@ -125,7 +125,7 @@
 
 
 def _files_of(directory: Path, process_file: str) -> tuple[Path, ...]:
-    """Return all files that a process may have left, with temporary files; its process file comes last."""
+    """Return the paths of all files of a process, including temporary ones; its process file comes last."""
     return (
         accepting_path(directory, process_file),
         handover_path(directory, process_file),
--- a/quota_gateway/net/process_group/suspension_file.py
+++ b/quota_gateway/net/process_group/suspension_file.py
@@ -44,14 +44,14 @@
 
 
 class SuspensionFile:
-    """The suspended endpoints; without a shared directory they are kept in memory only."""
+    """The suspended endpoints; without a shared directory they are in memory only."""
 
     def __init__(self, directory: Path | None, process_file: str) -> None:
         """``process_file`` is unique to this process; it names the temporary file."""
         self._directory = directory
         self._temporary_name = f"{FILE_NAME}.{process_file}"
         self._recorded = frozenset[str]()  # endpoints in the file when it was last read or written
-        self._unsaved = dict[str, bool]()  # commands that are not in the file yet, by endpoint; true suspends
+        self._unsaved = dict[str, bool]()  # commands not in the file yet, by endpoint; True: suspend
         self._content: bytes | None = None  # bytes of the file when it was last read or written
         self._error_logged = False
         self.is_loaded = directory is None  # whether the file has been read, or found missing or malformed
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -109,7 +109,7 @@
         self.idle_since = now
 
     def mark_reused(self, now: float) -> None:
-        """Record that the idle connection was taken for an exchange at ``now``."""
+        """Record that the idle connection was assigned to an exchange at ``now``."""
         self.reused_at = now
 
     def idle_time(self, now: float) -> float:
--- a/quota_gateway/net/upstream/endpoint_table.py
+++ b/quota_gateway/net/upstream/endpoint_table.py
@@ -67,7 +67,7 @@
                 self.remove_if_unused(endpoint)
 
     def set_suspended_endpoints(self, names: frozenset[str]) -> None:
-        """Replace the names of the suspended endpoints, and close the idle connections to those."""
+        """Replace the names of the suspended endpoints, and close the idle connections to them."""
         self._suspended = names
         for name in names:
             endpoint = self._by_name.get(name)
--- a/quota_gateway/net/upstream/exchange.py
+++ b/quota_gateway/net/upstream/exchange.py
@@ -46,13 +46,13 @@
     request_body: bytes
     expires_at: float  # seconds, by the pool's clock
     on_complete: Callable[[Exchange], None]
-    # Called with a streamed response once its head is known; returns False if its client is gone.
+    # Called with a streamed response once its head is known; returns False if its client has disconnected.
     on_response_started: Callable[[Exchange, BodyStream], bool] | None = None
     upload: BodyStream | None = None  # a streamed request body; ``expires_at`` is set once it is complete
     timeout: float = math.inf  # seconds; limit of the timeout that is propagated to the endpoint
     not_after: float = math.inf  # latest time to write the request, in seconds by the pool's clock
     started_at: float = 0.0  # seconds, by the pool's clock
-    request_written: bool = False  # all of it is written, so the endpoint may execute it
+    request_written: bool = False  # completely written, so the endpoint may execute it
     completed: bool = False
     status: CallStatus = CallStatus.NOT_SENT
     elapsed: float = 0.0  # seconds from ``started_at``
--- a/quota_gateway/simulator_protocol.py
+++ b/quota_gateway/simulator_protocol.py
@@ -337,5 +337,5 @@
 
 
 def encode_command(action: model.Action) -> list[Any]:
-    """Return the command that asks the simulator to execute an action."""
+    """Return the command by which the simulator executes an action."""
     return COMMAND_ENCODERS[type(action)](action)
--- a/quota_gateway/state/global_bucket.py
+++ b/quota_gateway/state/global_bucket.py
@@ -80,7 +80,7 @@
         self.leased = 0.0
         self.lease_requested = 0.0
         self.counter_total: float | None = None  # the counter's last total
-        self.last_synchronised = started_at  # time of the last total, or of the start before the first total
+        self.last_synchronised = started_at  # time of the last total; until the first one, of the start
         other_gateways = self.serving_gateways - 1
         remote_share = plan.rate * other_gateways / self.serving_gateways
         self.remote_usage_rate = remote_share * INITIAL_REMOTE_USAGE_FRACTION  # units per second
@@ -143,7 +143,7 @@
             self.unreported_usage = self.unreported_usage + call.amount - call.lease
             self.tokens += call.lease
         if status is CallStatus.OK:
-            # Leased units that the bucket did not hold.
+            # Return the leased units that the bucket did not hold.
             uncovered = max(0.0, min(self.leased, -self.tokens))
             self.return_lease(uncovered)
         self.tokens = max(self.tokens, -self.lease_requested)
