--- a/quota_gateway/decisions/counter_budget.py
+++ b/quota_gateway/decisions/counter_budget.py
@@ -41,7 +41,8 @@
         self.typical_latency = 0.0  # seconds, for a reply without a queue; 0 before the first reply
         self.queueing_threshold = QUEUEING_FRACTION * timeout if timeout > 0 else float("inf")  # seconds
         self.last_congestion_at = now  # Unix time of the last sign of congestion
-        # Calls without a reply since the last successful one; calls that were pending together count once.
+        # Calls without a reply, or with the reply ``error``, since the last successful one. Calls that were
+        # pending together count once.
         self.consecutive_failures = 0
         self.unavailable_until = 0.0  # Unix time
 
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: the request failed, and it may have been executed."""
+    """Final answer: the request failed; it may have been executed, or an endpoint returned a client error."""
 
     request_id: int
 
--- a/quota_gateway/model/status.py
+++ b/quota_gateway/model/status.py
@@ -10,7 +10,7 @@
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "overloaded"  # the peer rejected the call for lack of capacity: not executed
+    OVERLOADED = "overloaded"  # the peer has no capacity, or no connection to it is free: not executed
     TIMEOUT = "timeout"  # no response in time: possibly executed
     UNREACHABLE = "unreachable"  # the connection was refused or timed out: not executed
     # The connection was lost before the whole request was written: not executed.
@@ -44,7 +44,8 @@
 NO_SIGN_OF_LIFE = (CallStatus.TIMEOUT, CallStatus.CANCELLED, CallStatus.UNREACHABLE)
 # The status says nothing about the endpoint's health and does not count in its failure rate.
 NO_EVIDENCE = (CallStatus.CANCELLED, CallStatus.NOT_SENT, CallStatus.OVERLOADED, CallStatus.REJECTED)
-# The counter replied, successfully or not.
+# The counter is available: it replied with a total, with ``busy`` or with a malformed line. The reply
+# ``error`` counts like a missing reply.
 COUNTER_REPLIES = (CallStatus.OK, CallStatus.OVERLOADED, CallStatus.MALFORMED)
 # The endpoint has not started to execute the request.
 NEVER_STARTED = (CallStatus.UNREACHABLE, CallStatus.RESET_BEFORE_REQUEST)
--- a/quota_gateway/net/common/unix_clock.py
+++ b/quota_gateway/net/common/unix_clock.py
@@ -15,7 +15,7 @@
     """Return a clock of Unix time, in seconds, that is not affected by steps of the wall clock.
 
     Unix time is needed because endpoints report their start times in it. ``offset`` is a result of
-    ``unix_offset``; the default is the present one.
+    ``unix_offset``; the default is the current offset.
     """
     fixed_offset = unix_offset() if offset is None else offset
     return lambda: fixed_offset + time.monotonic()
--- a/quota_gateway/net/dispatch/request_table.py
+++ b/quota_gateway/net/dispatch/request_table.py
@@ -176,7 +176,7 @@
             pending.request.respond(STATUS_REJECTED, retry_after=max(0.0, action.retry_after))
 
     def fail(self, action: model.Fail) -> None:
-        """Fail a request: respond with 502, since an endpoint may have executed it."""
+        """Fail a request: respond with 502, since an endpoint may have executed or has refused it."""
         pending = self.close(action.request_id)
         if pending is not None:
             self._record_end(pending, STATUS_FAILED)
--- a/quota_gateway/net/upstream/idle_connections.py
+++ b/quota_gateway/net/upstream/idle_connections.py
@@ -44,10 +44,10 @@
             connections.append(connection)
 
     def take(self, endpoint: UpstreamEndpoint, now: float) -> UpstreamConnection | None:
-        """Remove and return the last used connection whose settle delay is over; None if there is none.
+        """Remove and return the most recently used connection whose settle delay is over, if there is one.
 
-        The endpoint is least likely to be closing the last used connection. Connections that were idle for
-        too long or have unread input are closed during the search.
+        The endpoint is least likely to be closing the most recently used connection. Connections that were
+        idle for too long or have unread input are closed during the search.
         """
         connections = self._by_endpoint.get(endpoint)
         if not connections:
--- a/quota_gateway/net/upstream/stats.py
+++ b/quota_gateway/net/upstream/stats.py
@@ -20,7 +20,7 @@
     broken_on_first_request: int = 0
     broken_on_reuse: int = 0
     closed_while_idle: int = 0  # part of broken_on_reuse: broke as soon as a request was written
-    idle_too_long: int = 0  # closed by this limiter instead of being reused
+    idle_too_long: int = 0  # closed instead of being reused: idle for too long, or with unread input
     malformed_responses: int = 0
 
     def record_opened(self) -> None:
