--- a/tests/client_helpers.py
+++ b/tests/client_helpers.py
@@ -49,7 +49,7 @@
 async def limiter_with_endpoint(
     serve: ConnectionHandler, script: ScriptedDecisions | None = None
 ) -> AsyncIterator[LoopbackLimiter]:
-    """Run a limiter whose only endpoint is ``s1``; without ``script`` it forwards each request to it."""
+    """Run a limiter whose only endpoint is ``s1``; without ``script``, it forwards each request to ``s1``."""
     decisions = script or ScriptedDecisions(forward_to_s1)
     async with (
         running_server(serve) as address,
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -77,7 +77,7 @@
 
 
 class DueStep(NamedTuple):
-    """A due timer or a due timeout of an attempt; steps are sorted by time, then timers come first."""
+    """A due timer or a due timeout of an attempt; at equal times, timers come first."""
 
     at: float
     is_timeout: bool
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -26,11 +26,11 @@
         running_server(ScriptedEndpoint().handle_connection) as endpoint,
         running_limiter(
             make_config(endpoint), tmp_path, LB_MGMT=f"127.0.0.1:{port}", environment=faults.environment
-        ) as program,
+        ) as limiter,
     ):
         for _ in range(2):
             faults.control.fail_calls(SystemCall.ACCEPT, error, 3)
-            reader, writer = await program.connect()
+            reader, writer = await limiter.connect()
             writer.write(http_request())
             assert " 200 " in (await read_message(reader))[0]
             writer.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -117,9 +117,9 @@
     async def main() -> None:
         async with (
             running_server(ScriptedEndpoint().handle_connection) as address,
-            running_limiter(make_config(address), tmp_path, TMPDIR=str(tmp_path)) as program,
+            running_limiter(make_config(address), tmp_path, TMPDIR=str(tmp_path)) as limiter,
         ):
-            assert " 200 " in await program.health()
+            assert " 200 " in await limiter.health()
             assert [path.name for path in tmp_path.iterdir()] == ["config.json"]
 
     assert "LB_MGMT" not in os.environ
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -98,7 +98,7 @@
         assert poll_delay(client_count, 9, 1.0) <= 4.5
     timing = parse_timing({"discovery": "push", "contract": {"stop_sending_within_s": 1.0}})
     assert timing.response_timeout + timing.max_poll_interval < 1.0, (
-        "the limiter must be notified of a drain within 1 s after the agent is"
+        "the limiter must be notified of a drain within 1 s after discovery is"
     )
     assert parse_timing({"discovery": "ask"}).response_timeout == 3.0
 
@@ -127,7 +127,8 @@
 
     def _first_poll_after(self, outage: float, failure_mode: str, rng: Random) -> float:
         max_interval = self.timing.max_poll_interval
-        # A poll before the return ends at once if it is refused. A half-open discovery lets it time out.
+        # A poll before the return ends at once if it is refused. If discovery is half-open, it accepts
+        # the poll and sends no response, so the poll times out.
         elapsed = 0.0 if failure_mode == "refused" else self.timing.response_timeout
         polled_at = poll_delay(self.client_count, 0, rng.random(), max_interval=max_interval)
         failures = 0
--- a/tests/test_client_liveness.py
+++ b/tests/test_client_liveness.py
@@ -239,10 +239,10 @@
 
 
 @async_test
-async def test_no_attempt_begins_for_a_client_whose_confirmation_as_half_closed_is_late(
+async def test_no_attempt_begins_for_a_half_closed_client_that_is_confirmed_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A stall delays the check for a reset after the end of input was read and an interim response sent."""
+    """The limiter stalls between its interim response to the end of the input and the check for a reset."""
     await assert_half_closed_client_is_not_served(monkeypatch, stall_after_read=LATE_SECONDS)
 
 
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -84,7 +84,7 @@
 async def test_timeout_of_a_missing_body_after_a_late_head_counts_from_the_connect(
     sent_bytes: int, times_out: bool
 ) -> None:
-    """A body that arrives above the minimum rate has its own timeout instead."""
+    """If the body arrives above the minimum rate, its own timeout replaces that of the head."""
     async with LoopbackLimiter(ScriptedDecisions(reject), {}) as limiter:
         reader, writer = await limiter.connect()
         request = http_request("/post?account=00000000b4d65521", b"x" * 60_000)
--- a/tests/test_connect_race.py
+++ b/tests/test_connect_race.py
@@ -25,7 +25,10 @@
 async def test_a_connection_that_ends_before_create_connection_returns_proves_that_nothing_was_executed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request would otherwise wait until its timeout, since ``connection_lost`` was called already."""
+    """``connection_lost`` is called before ``create_connection`` returns, and not again after it.
+
+    If the connector did not check for this, the request would wait until its timeout.
+    """
 
     async def connect_and_wait_for_end(*args: Any) -> Any:
         """Return a connection only after the endpoint has ended it."""
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""Closing client connections: neither a response nor a request that crosses the close is lost."""
+"""Closing client connections: input that arrives during the close causes no reset and loses no response."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 @async_test
-async def test_response_that_closes_its_connection_is_not_lost_if_input_crosses_it() -> None:
+async def test_response_that_closes_its_connection_is_not_lost_if_input_is_unread() -> None:
     script = ScriptedDecisions(take_no_action)
     async with LoopbackLimiter(script, {}) as limiter:
         client = socket.create_connection(limiter.address)
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -36,9 +36,9 @@
 MIN_DESCRIPTORS = 256  # the smallest limit in the specification
 
 
-def connect_without_sending(program: LimiterProcess, count: int) -> list[socket.socket]:
+def connect_without_sending(limiter: LimiterProcess, count: int) -> list[socket.socket]:
     """Return clients that have begun to connect and send nothing."""
-    host, port = program.listen_address.split(":")
+    host, port = limiter.listen_address.split(":")
     clients = list[socket.socket]()
     for _ in range(count):
         client = socket.socket()
@@ -48,9 +48,9 @@
     return clients
 
 
-def connect_sending(program: LimiterProcess) -> socket.socket:
+def connect_sending(limiter: LimiterProcess) -> socket.socket:
     """Return a client that has connected and sent a request."""
-    host, port = program.listen_address.split(":")
+    host, port = limiter.listen_address.split(":")
     client = socket.create_connection((host, int(port)))
     client.sendall(http_request())
     return client
@@ -63,9 +63,9 @@
     writer.close()
 
 
-def open_descriptors(program: LimiterProcess) -> int:
+def open_descriptors(limiter: LimiterProcess) -> int:
     """Return the number of open descriptors of the limiter's process."""
-    return len(os.listdir(f"/proc/{program.process.pid}/fd"))
+    return len(os.listdir(f"/proc/{limiter.process.pid}/fd"))
 
 
 class RecoveringServices:
@@ -116,16 +116,16 @@
     return raw
 
 
-async def connect_clients_while_stopped(program: LimiterProcess) -> list[socket.socket]:
+async def connect_clients_while_stopped(limiter: LimiterProcess) -> list[socket.socket]:
     """Connect about twice as many clients as the limit while the process is stopped; a few send a request."""
-    resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, MIN_DESCRIPTORS))
-    program.process.send_signal(signal.SIGSTOP)
+    resource.prlimit(limiter.process.pid, resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, MIN_DESCRIPTORS))
+    limiter.process.send_signal(signal.SIGSTOP)
     idle_clients = list[socket.socket]()
     sending_clients = list[socket.socket]()
     for _ in range(20):
-        idle_clients += connect_without_sending(program, MIN_DESCRIPTORS // 10)
-        sending_clients.append(connect_sending(program))
-    program.process.send_signal(signal.SIGCONT)
+        idle_clients += connect_without_sending(limiter, MIN_DESCRIPTORS // 10)
+        sending_clients.append(connect_sending(limiter))
+    limiter.process.send_signal(signal.SIGCONT)
     await asyncio.gather(*map(assert_served, sending_clients))
     return idle_clients
 
@@ -142,23 +142,23 @@
         running_server(listed_endpoint.handle_connection) as listed_address,
     ):
         services = RecoveringServices(listed_address)
-        async with running_limiter(limited_config(known_address, services), tmp_path) as program:
-            idle_clients = await connect_clients_while_stopped(program)
+        async with running_limiter(limited_config(known_address, services), tmp_path) as limiter:
+            idle_clients = await connect_clients_while_stopped(limiter)
             max_descriptors = 0
             for _ in range(10):
-                idle_clients += connect_without_sending(program, MIN_DESCRIPTORS // 5)
-                await asyncio.gather(*(assert_served(connect_sending(program)) for _ in range(4)))
-                max_descriptors = max(max_descriptors, open_descriptors(program))
+                idle_clients += connect_without_sending(limiter, MIN_DESCRIPTORS // 5)
+                await asyncio.gather(*(assert_served(connect_sending(limiter)) for _ in range(4)))
+                max_descriptors = max(max_descriptors, open_descriptors(limiter))
             await services.start()
             reachable_at = asyncio.get_running_loop().time()
             while not (
                 services.list_sent.is_set() and services.counter_reached.is_set() and listed_endpoint.requests
             ):
-                idle_clients += connect_without_sending(program, 5)
-                await assert_served(connect_sending(program))
-                max_descriptors = max(max_descriptors, open_descriptors(program))
+                idle_clients += connect_without_sending(limiter, 5)
+                await assert_served(connect_sending(limiter))
+                max_descriptors = max(max_descriptors, open_descriptors(limiter))
                 assert asyncio.get_running_loop().time() < reachable_at + LIST_DEADLINE_SECONDS
-            assert program.process.returncode is None
+            assert limiter.process.returncode is None
             assert max_descriptors < MIN_DESCRIPTORS
             assert len(idle_clients) > 5 * MIN_DESCRIPTORS // 2
             services.close()
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -59,7 +59,7 @@
 
     async with running_server(old_discovery.serve) as old, running_server(new_discovery.serve) as new:
         client = DiscoveryClient(on_event)
-        for address in (old, "127.0.0.1:1", new, new):  # the third replaces the second
+        for address in (old, "127.0.0.1:1", new, new):  # the third address replaces the second one
             host, port = address.split(":")
             client.set_address(host, int(port), 41 if address == old else None)
             if address == old:
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -334,7 +334,7 @@
 async def test_watcher_leaves_no_task_if_cancelled_when_a_response_starts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An earlier request than the latest one gets the response.
+    """The response goes to a request that is not the latest one.
 
     If the watcher did not cancel the task of that request, the task would run until the new watch ends.
     """
--- a/tests/test_fault_detection.py
+++ b/tests/test_fault_detection.py
@@ -84,7 +84,7 @@
 async def send_requests(
     limiter: LoopbackLimiter, decisions: RealDecisions, number: int, interval: float
 ) -> None:
-    """Send requests in sequence; the clock of the decisions advances before each."""
+    """Send requests in sequence; the clock of the decisions advances before each request."""
     for _ in range(number):
         decisions.advance(interval)
         await limiter.fetch(http_request())
@@ -169,7 +169,7 @@
             for _ in range(400):
                 await send_requests(limiter, decisions, number=1, interval=0.05)
                 ejected += sum(endpoint.ejected_until > decisions.now for endpoint in endpoints)
-    # Ejections after any two resets in a row would give about half of the 1200 samples.
+    # If any two resets in a row ejected an endpoint, it would be ejected in about half of the 1200 samples.
     assert ejected < 120
 
 
@@ -224,9 +224,8 @@
     async with running_server(endpoint.handle_connection) as address:
         addresses = {"s1": address, "s2": address, "s3": address}
         async with LoopbackLimiter(decisions_in_real_time(), addresses) as limiter:
-            answers = [
-                (await limiter.fetch(http_request()))[0] for _ in range(30)
-            ]  # within the guaranteed share
+            # All thirty requests are within the guaranteed share.
+            answers = [(await limiter.fetch(http_request()))[0] for _ in range(30)]
             assert all(" 200 " in answer for answer in answers)  # lookups are retried at other endpoints
 
 
@@ -242,9 +241,7 @@
 
 
 @async_test
-async def test_rejected_request_fails_without_a_retry_and_does_not_count_as_a_failure_of_the_endpoint() -> (
-    None
-):
+async def test_request_that_an_endpoint_rejects_is_not_retried_and_is_no_endpoint_failure() -> None:
     rejection = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
     endpoint = ScriptedEndpoint(lambda number: rejection if number <= 8 else OK_RESPONSE)
     async with running_server(endpoint.handle_connection) as address:
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -116,6 +116,6 @@
     ],
 )
 def test_any_malformed_file_raises_a_format_error(data: bytes) -> None:
-    """``HandoverFiles.read`` handles no other exception: the file would not be reported as malformed."""
+    """``HandoverFiles.read`` handles only this error; any other would not report the file as malformed."""
     with pytest.raises(HandoverFormatError):
         decode_handover(data, 0.0)
--- a/tests/test_http_framing.py
+++ b/tests/test_http_framing.py
@@ -22,7 +22,7 @@
     "framing", [b"Content-Length: 5 ", b"transfer-encoding:  chunked ", b"Connection: close"]
 )
 @async_test
-async def test_short_response_in_every_framing(framing: bytes) -> None:
+async def test_short_response_is_forwarded_in_every_framing(framing: bytes) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         body = chunked(b"hello", 2) if b"chunked" in framing else b"hello"
--- a/tests/test_idle_policy.py
+++ b/tests/test_idle_policy.py
@@ -31,7 +31,7 @@
 
 
 @async_test
-async def test_after_a_break_on_reuse_no_connection_is_reused_after_the_same_idle_time(
+async def test_a_break_on_reuse_prevents_reuse_after_the_same_idle_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_DELAY_SECONDS", 0.0)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -45,7 +45,7 @@
     return subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True, check=False)
 
 
-def test_only_listed_tests_are_expected_to_fail_and_printed(tmp_path: Path) -> None:
+def test_only_listed_tests_are_marked_as_expected_failures_and_printed(tmp_path: Path) -> None:
     result = run_pytest(
         tmp_path, f"test_sample.py::test_fails{DETAILS}\ntest_sample.py::test_cases{DETAILS}\n"
     )
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -61,9 +61,9 @@
     simulation.counter_totals[counter_id] = 4.0  # the other gateways have used four units of the burst of six
     simulation.reply_to_counter_calls()
     simulation.complete_attempts()
-    simulation.now += 1.0  # the refill makes three units, of which the other gateways may have used some
+    simulation.now += 1.0  # with the refill, the bucket has three units unless others use some
     send_without_counter_replies(simulation, range(1, 6))
-    # Only one is forwarded: the other gateways may have used the rest of the bucket.
+    # Only one of these requests is forwarded: the other gateways may have used the rest of the bucket.
     assert len(simulation.forwarded) == 2
     assert count_outcomes(simulation, Outcome.REJECTED) == 4
     assert len(simulation.counter_calls) == 2  # the second call reports the usage during the first
@@ -111,7 +111,8 @@
     account = fleet.account()
     reported = fleet.counter_total + account.unreported_usage
     quota = PLAN.rate * 30.0 + PLAN.burst
-    # The counter has recorded all granted and leased units, and at most the overflow of a full bucket on top.
+    # The counter has recorded all granted and leased units, and beyond these at most what overflowed a full
+    # bucket.
     assert fleet.granted_units[0] + account.leased - 2.0 <= reported <= quota + 2.0
 
 
@@ -164,7 +165,11 @@
 
 
 def test_leases_are_reported_again_after_the_counter_restarts_empty(fleet: QuotaFleet) -> None:
-    """The return of a lease that was not reported again would cancel usage of other gateways."""
+    """The restarted counter does not include the leased units.
+
+    If the gateway returned them without reporting them again, the counter would deduct the usage of other
+    gateways.
+    """
     fleet.send_poisson_traffic(10.0, [18.0, 0.0, 0.0])
     account = fleet.account()
     account.leased += 12.0  # at least 12 units are leased
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -20,12 +20,14 @@
 )
 
 
-def pushing_agent(endpoint_address: str, version: int, connected: asyncio.Queue[str]) -> ConnectionHandler:
-    """Return the handler of a discovery agent that pushes one endpoint list and keeps the watch open."""
+def pushing_discovery(
+    endpoint_address: str, version: int, connected: asyncio.Queue[str]
+) -> ConnectionHandler:
+    """Return the handler of a discovery server that pushes one endpoint list and keeps the watch open."""
 
     async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        connected.put_nowait("agent")
+        connected.put_nowait("discovery")
         line = json.dumps(make_config(endpoint_address)["known"] | {"seq": version}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(head + b"%x\r\n%b\r\n" % (len(line), line))
@@ -94,7 +96,7 @@
 
     async with (
         running_server(endpoint.handle_connection) as endpoint_address,
-        running_server(pushing_agent(endpoint_address, 1, connected)) as discovery,
+        running_server(pushing_discovery(endpoint_address, 1, connected)) as discovery,
         running_server(unresponsive_counter(connected)) as counter,
     ):
         raw = make_config("127.0.0.1:1") | {"counter": "127.0.0.1:1"}
@@ -107,7 +109,7 @@
             path.write_text(json.dumps(raw | {"discovery": discovery, "counter": counter}))
             limiter.process.send_signal(signal.SIGHUP)
             peers = set[str]()
-            while peers != {"agent", "counter"}:  # two connections to the counter may precede the watch
+            while peers != {"discovery", "counter"}:  # two connections to the counter may precede the watch
                 peers.add(await connected.get())
             await send_until_received(limiter, endpoint)  # only the pushed list has the endpoint's address
             limiter.process.send_signal(signal.SIGTERM)
@@ -134,7 +136,7 @@
     connected = asyncio.Queue[str]()
     async with (
         running_server(endpoint.handle_connection) as endpoint_address,
-        running_server(pushing_agent(endpoint_address, 42, connected)) as discovery,
+        running_server(pushing_discovery(endpoint_address, 42, connected)) as discovery,
         running_limiter(make_config("127.0.0.1:1", discovery), tmp_path) as limiter,
     ):
         await connected.get()
@@ -172,7 +174,7 @@
     """A file that cannot be read may be valid: its content must be in force within 4 s of SIGHUP."""
     connected = asyncio.Queue[str]()
     directory = faults.shared_directory
-    async with running_server(pushing_agent("127.0.0.1:1", 42, connected)) as discovery:
+    async with running_server(pushing_discovery("127.0.0.1:1", 42, connected)) as discovery:
         raw = make_config("127.0.0.1:1")
         async with running_limiter(raw, directory, environment=faults.environment) as limiter:
             (directory / "config.json").write_text(json.dumps(raw | {"discovery": discovery}))
@@ -182,4 +184,4 @@
             await asyncio.sleep(0.5)
             faults.control.fail_directory_calls(0, DirectoryCalls.NONE)
             async with asyncio.timeout(3.0):
-                assert await connected.get() == "agent"
+                assert await connected.get() == "discovery"
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -61,8 +61,8 @@
     forwarded_before = len(simulation.forwarded)
     for request_id in range(next_id, next_id + 60):
         simulation.feed(make_request(request_id))
-    # The limit exceeds half of 90 requests per second times the target residence time of 0.8 s. With a moving
-    # average that starts at zero, the work rates would be 0.3 of their values.
+    # The limit exceeds half of 90 requests per second times the target residence time of 0.8 s. If the
+    # moving averages started at zero, the work rates would be 0.3 of their actual values.
     assert len(simulation.forwarded) - forwarded_before > 30
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -51,15 +51,15 @@
     return b"" if count == 2 else OK_RESPONSE
 
 
-async def request(program: LimiterProcess) -> str:
+async def request(limiter: LimiterProcess) -> str:
     """Send a request; return the status line of its response."""
-    reader, writer = await program.connect()
+    reader, writer = await limiter.connect()
     writer.write(http_request())
     status_line, _, _ = await read_message(reader)
     return status_line
 
 
-async def check_metrics_of_requests(program: LimiterProcess, port: int) -> None:
+async def check_metrics_of_requests(limiter: LimiterProcess, port: int) -> None:
     before = await fetch_metrics(port)
     assert before["app.handled.lookup.passed"] == 0
     assert before["app.upstream_tries"] == 0
@@ -67,7 +67,7 @@
     assert before["app.known_servers"] == 1
     assert before["app.skipped_servers"] == 0
     for _ in range(2):
-        await request(program)
+        await request(limiter)
     after = await fetch_metrics(port)
     assert after["app.handled.lookup.passed"] == 2
     assert after["app.upstream_tries"] == 3
@@ -75,11 +75,11 @@
     assert after["app.handled.lookup.dropped"] == 0
 
 
-async def check_metrics_of_a_suspended_endpoint(program: LimiterProcess, port: int) -> None:
+async def check_metrics_of_a_suspended_endpoint(limiter: LimiterProcess, port: int) -> None:
     for _ in range(2):
         assert await send_command(port, b"SUSPEND s1") == "SUCCESS\n"
     assert (await fetch_metrics(port))["app.skipped_servers"] == 1
-    assert " 429 " in await request(program)
+    assert " 429 " in await request(limiter)
     assert (await fetch_metrics(port))["app.handled.lookup.dropped"] == 1
     assert await send_command(port, b"RESTORE s1") == "SUCCESS\n"
 
@@ -91,8 +91,8 @@
         running_server(ScriptedEndpoint(break_second_response).handle_connection) as address,
         running_limiter(
             make_config(address), tmp_path, LB_MGMT=f"127.0.0.1:{port}", TMPDIR=str(tmp_path)
-        ) as program,
+        ) as limiter,
         stalled_connections(port),
     ):
-        await check_metrics_of_requests(program, port)
-        await check_metrics_of_a_suspended_endpoint(program, port)
+        await check_metrics_of_requests(limiter, port)
+        await check_metrics_of_a_suspended_endpoint(limiter, port)
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -66,7 +66,7 @@
 
 
 def make_unreachable(simulation: GatewaySimulation, name: str) -> None:
-    """Let connections to an endpoint fail; the others stay busy, so it is picked a second time."""
+    """Let connections to an endpoint fail; the other endpoints stay busy, so it is picked a second time."""
     for request_id in range(5000, 5012):
         simulation.feed(make_request(request_id))
         for key in simulation.attempts_at(name):
@@ -92,7 +92,8 @@
     assert health_checks
     simulation.feed(model.HealthChecked("s0", model.CallStatus.OK, 0.001, {}))
     forwarded_before = len(simulation.forwarded)
-    for request_id in range(1000, 1060):  # one attempt stays in flight, so the other endpoints are busy
+    # The latest attempt stays in flight, so its endpoint is busy when the next request is forwarded.
+    for request_id in range(1000, 1060):
         simulation.advance_to(simulation.now + 0.05)
         for key in list(simulation.in_flight)[:-1]:
             simulation.complete_attempt(key)
--- a/tests/test_process_stalls.py
+++ b/tests/test_process_stalls.py
@@ -42,10 +42,10 @@
 DRAIN_GRACE = 2.0  # seconds after a change is sent, in which attempts are still allowed
 
 
-class StalledLimiter(NamedTuple):
+class StallHarness(NamedTuple):
     """A running limiter, whose start no longer counts as a stall, and its endpoint."""
 
-    program: LimiterProcess
+    limiter: LimiterProcess
     endpoint: ScriptedEndpoint
 
     def propagated_deadline(self) -> float:
@@ -62,7 +62,7 @@
     folder: Path,
     endpoint: ScriptedEndpoint | None = None,
     serve: ConnectionHandler | None = None,
-) -> AsyncIterator[StalledLimiter]:
+) -> AsyncIterator[StallHarness]:
     """Run a limiter, and wait until its start no longer counts as a stall.
 
     ``serve`` replaces the scripted endpoint.
@@ -70,10 +70,10 @@
     scripted = endpoint or ScriptedEndpoint()
     async with (
         running_server(serve or scripted.handle_connection) as address,
-        running_limiter(make_config(address), folder, environment=faults.environment) as program,
+        running_limiter(make_config(address), folder, environment=faults.environment) as limiter,
     ):
         await asyncio.sleep(STALL_RECOVERY_SECONDS + DEADLINE_SLACK)
-        yield StalledLimiter(program, scripted)
+        yield StallHarness(limiter, scripted)
 
 
 @pytest.mark.parametrize(
@@ -91,8 +91,8 @@
     point: StallPoint, stall: float, count: int, faults: ProcessFaults, tmp_path: Path
 ) -> None:
     """With two stalls, the process first stalls at the read of the other request."""
-    async with limiter_to_stall(faults, tmp_path) as limiter:
-        connections = [await limiter.program.connect() for _ in range(count)]
+    async with limiter_to_stall(faults, tmp_path) as harness:
+        connections = [await harness.limiter.connect() for _ in range(count)]
         for reader, writer in connections:
             writer.write(http_request())
             await read_message(reader)
@@ -104,7 +104,7 @@
             assert " 200 " in (await read_message(reader))[0]
         assert time.monotonic() - sent_at >= stall  # the process was stalled
         # The last request has waited during all stalls.
-        assert limiter.propagated_deadline() <= TIMEOUT - count * stall + DEADLINE_SLACK
+        assert harness.propagated_deadline() <= TIMEOUT - count * stall + DEADLINE_SLACK
 
 
 class ArrivalTimes:
@@ -122,8 +122,8 @@
 async def propagated_deadline_is_too_long(clock_reads: int, faults: ProcessFaults, folder: Path) -> bool:
     """Whether the propagated deadline exceeds the remaining time after a stall before one clock read."""
     arrivals = ArrivalTimes()
-    async with limiter_to_stall(faults, folder, ScriptedEndpoint(arrivals.respond)) as limiter:
-        reader, writer = await limiter.program.connect()
+    async with limiter_to_stall(faults, folder, ScriptedEndpoint(arrivals.respond)) as harness:
+        reader, writer = await harness.limiter.connect()
         writer.write(http_request())
         await read_message(reader)
         faults.control.stall_process(StallPoint.BEFORE_CLOCK_READ, STALL, clock_reads=clock_reads)
@@ -131,15 +131,15 @@
         sent_at = time.monotonic()
         assert " 200 " in (await read_message(reader))[0]
         remaining = TIMEOUT - (arrivals.times[-1] - sent_at)
-        return limiter.propagated_deadline() > remaining + DEADLINE_SLACK
+        return harness.propagated_deadline() > remaining + DEADLINE_SLACK
 
 
 async def answered_too_late(clock_reads: int, faults: ProcessFaults, folder: Path) -> bool:
     """Whether a client is answered too late after a stall before one clock read; the endpoint is silent."""
     timeout = 0.6
     stall = 0.9
-    async with limiter_to_stall(faults, folder, ScriptedEndpoint(lambda _number: None)) as limiter:
-        reader, writer = await limiter.program.connect()
+    async with limiter_to_stall(faults, folder, ScriptedEndpoint(lambda _number: None)) as harness:
+        reader, writer = await harness.limiter.connect()
         faults.control.stall_process(StallPoint.BEFORE_CLOCK_READ, stall, clock_reads=clock_reads)
         writer.write(http_request(timeout_ms=int(timeout * 1000)))
         sent_at = time.monotonic()
@@ -153,8 +153,8 @@
     An attempt that was written before the client disconnected is allowed.
     """
     arrivals = ArrivalTimes()
-    async with limiter_to_stall(faults, folder, ScriptedEndpoint(arrivals.respond)) as limiter:
-        reader, writer = await limiter.program.connect()
+    async with limiter_to_stall(faults, folder, ScriptedEndpoint(arrivals.respond)) as harness:
+        reader, writer = await harness.limiter.connect()
         writer.write(http_request())
         await read_message(reader)
         faults.control.stall_process(StallPoint.BEFORE_CLOCK_READ, STALL, clock_reads=clock_reads)
@@ -213,8 +213,8 @@
 async def test_no_attempt_begins_for_a_client_that_disconnected_between_wake_up_and_read(
     faults: ProcessFaults, tmp_path: Path
 ) -> None:
-    async with limiter_to_stall(faults, tmp_path) as limiter:
-        reader, writer = await limiter.program.connect()
+    async with limiter_to_stall(faults, tmp_path) as harness:
+        reader, writer = await harness.limiter.connect()
         writer.write(http_request())
         await read_message(reader)
         faults.control.stall_process(StallPoint.BEFORE_READ, STALL)
@@ -223,11 +223,11 @@
         writer.close()
         await asyncio.sleep(STALL)
         request = http_request()
-        other_reader, other_writer = await limiter.program.connect()
+        other_reader, other_writer = await harness.limiter.connect()
         other_writer.write(request)
         assert " 200 " in (await read_message(other_reader))[0]  # after all that was forwarded before
-        assert limiter.endpoint.requests[-1][1]["x-request-id"].encode() in request
-        assert len(limiter.endpoint.requests) == 2
+        assert harness.endpoint.requests[-1][1]["x-request-id"].encode() in request
+        assert len(harness.endpoint.requests) == 2
 
 
 @async_test
@@ -236,15 +236,15 @@
 ) -> None:
     """The earliest time of SIGKILL does not move when the process stalls for a second."""
     silent_endpoint = ScriptedEndpoint(lambda _number: None)
-    async with limiter_to_stall(faults, tmp_path, silent_endpoint) as limiter:
-        process = limiter.program.process
-        reader, writer = await limiter.program.connect()
+    async with limiter_to_stall(faults, tmp_path, silent_endpoint) as harness:
+        process = harness.limiter.process
+        reader, writer = await harness.limiter.connect()
         writer.write(http_request(timeout_ms=10_000))
         await silent_endpoint.request_received.wait()
         process.terminate()
         terminated_at = time.monotonic()
         faults.control.stall_process(StallPoint.BEFORE_READ, 1.0)
-        _reader, other_writer = await limiter.program.connect()
+        _reader, other_writer = await harness.limiter.connect()
         other_writer.write(b"G")  # the process stalls before it reads this
         await read_message(reader)
         await process.wait()
@@ -257,9 +257,9 @@
 ) -> None:
     """SIGTERM is handled when the process resumes, but SIGKILL is due at a fixed time after it was sent."""
     silent_endpoint = ScriptedEndpoint(lambda _number: None)
-    async with limiter_to_stall(faults, tmp_path, silent_endpoint) as limiter:
-        process = limiter.program.process
-        reader, writer = await limiter.program.connect()
+    async with limiter_to_stall(faults, tmp_path, silent_endpoint) as harness:
+        process = harness.limiter.process
+        reader, writer = await harness.limiter.connect()
         writer.write(http_request(timeout_ms=10_000))
         await silent_endpoint.request_received.wait()
         process.send_signal(signal.SIGSTOP)
@@ -285,21 +285,21 @@
     faults: ProcessFaults, tmp_path: Path
 ) -> None:
     """SIGTERM was not sent during the stall, or it would have been handled when the process resumed."""
-    async with limiter_to_stall(faults, tmp_path, serve=respond_late) as limiter:
-        process = limiter.program.process
+    async with limiter_to_stall(faults, tmp_path, serve=respond_late) as harness:
+        process = harness.limiter.process
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(MAX_DEADLINE_SECONDS + KILL_GRACE_SECONDS)
         process.send_signal(signal.SIGCONT)
         await asyncio.sleep(0.3)
-        reader, writer = await limiter.program.connect()
+        reader, writer = await harness.limiter.connect()
         writer.write(http_request(timeout_ms=3000))
         await asyncio.sleep(0.1)
         process.terminate()
         assert " 200 " in (await read_message(reader))[0]
 
 
-class DiscoveryAgent:
-    """A discovery agent that sends an endpoint's drain when the test calls ``send_drain``."""
+class ControlledDiscovery:
+    """Discovery that sends an endpoint's drain when the test calls ``send_drain``."""
 
     def __init__(self) -> None:
         self._watches = asyncio.Queue[asyncio.StreamWriter]()
@@ -325,21 +325,21 @@
 async def test_no_attempt_goes_to_an_endpoint_whose_drain_was_told_during_a_stall(tmp_path: Path) -> None:
     """When the process resumes, the drain's grace has passed, and both the drain and a request are unread."""
     endpoint = ScriptedEndpoint()
-    agent = DiscoveryAgent()
+    discovery = ControlledDiscovery()
     async with (
         running_server(endpoint.handle_connection) as address,
-        running_server(agent.serve) as discovery,
-        running_limiter(make_config(address, discovery), tmp_path) as program,
+        running_server(discovery.serve) as discovery_address,
+        running_limiter(make_config(address, discovery_address), tmp_path) as limiter,
     ):
-        reader, writer = await program.connect()
+        reader, writer = await limiter.connect()
         writer.write(http_request())
         assert " 200 " in (await read_message(reader))[0]
-        watch = await agent.opened_watch()
-        program.process.send_signal(signal.SIGSTOP)
-        await agent.send_drain(watch, address)
+        watch = await discovery.opened_watch()
+        limiter.process.send_signal(signal.SIGSTOP)
+        await discovery.send_drain(watch, address)
         await asyncio.sleep(DRAIN_GRACE + DEADLINE_SLACK)
         writer.write(http_request())
         await asyncio.sleep(0.05)
-        program.process.send_signal(signal.SIGCONT)
+        limiter.process.send_signal(signal.SIGCONT)
         assert " 429 " in (await read_message(reader))[0]
         assert len(endpoint.requests) == 1
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -58,7 +58,7 @@
     assert (send_with_small_plan(simulation, 5000, 60, 0.02) > 12) is is_forwarded
 
 
-def test_the_guarantee_is_granted_only_if_the_last_total_is_old() -> None:
+def test_the_guaranteed_share_is_granted_only_if_the_last_total_is_old() -> None:
     """A recent total shows that the bucket is nearly empty; without one, the guaranteed share is granted."""
     fleet = QuotaFleet()
     fleet.send_poisson_traffic(4.0, [18.0, 0.0, 0.0])
@@ -70,7 +70,7 @@
     account.remote_usage_rate = 50.0
     account.last_synchronised = fleet.now - 0.1
     account.updated_at = fleet.now
-    assert not fleet.send_request(0)  # the other gateways are expected to use the refill since the total
+    assert not fleet.send_request(0)  # the other gateways are expected to use the refill since the last total
     account.tokens = 1.5
     account.leased = 0.0
     account.last_synchronised = fleet.now - 5.0
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -127,15 +127,15 @@
 class ReloadingLimiter:
     """A limiter whose configuration file is replaced while it runs."""
 
-    def __init__(self, program: LimiterProcess, path: Path, admin_port: int) -> None:
-        self._program = program
+    def __init__(self, limiter: LimiterProcess, path: Path, admin_port: int) -> None:
+        self._limiter = limiter
         self._path = path
         self._admin_port = admin_port
 
     async def reload(self, text: str, **expected_metrics: int) -> None:
         """Replace the file, send SIGHUP and wait until the metrics are as expected."""
         self._path.write_text(text)
-        self._program.process.send_signal(signal.SIGHUP)
+        self._limiter.process.send_signal(signal.SIGHUP)
         while True:
             metrics = await self.metrics()
             if all(metrics[f"app.{name}"] == value for name, value in expected_metrics.items()):
@@ -146,7 +146,7 @@
 
     async def request(self, request_class: str) -> str:
         """Send a request of a class, and return the first line of the response."""
-        reader, writer = await self._program.connect()
+        reader, writer = await self._limiter.connect()
         writer.write(http_request(f"/{request_class}?account=00000000b4d65521"))
         status_line, _, _ = await read_message(reader)
         return status_line
@@ -173,5 +173,5 @@
     port = free_port()
     async with running_server(ScriptedEndpoint().handle_connection) as address:
         raw = make_config(address) | {"settings": json.loads(RUNNING_SETTINGS), "mgmt": f"127.0.0.1:{port}"}
-        async with running_limiter(raw, tmp_path, TMPDIR=str(tmp_path)) as program:
-            await check_reloads(ReloadingLimiter(program, tmp_path / "config.json", port), raw)
+        async with running_limiter(raw, tmp_path, TMPDIR=str(tmp_path)) as limiter:
+            await check_reloads(ReloadingLimiter(limiter, tmp_path / "config.json", port), raw)
--- a/tests/test_scale_cli.py
+++ b/tests/test_scale_cli.py
@@ -1,6 +1,7 @@
 """The command line of the scale tests: it rejects invalid options before any test runs.
 
-The exit code and the report show exceeded budgets and failed runs. A quick run has slopes but no figures.
+The exit code and the report show exceeded budgets and failed runs. A quick run of
+``state``, ``messages`` or ``cpu`` has slopes but no figures.
 """
 
 from __future__ import annotations
--- a/tests/test_scale_latency.py
+++ b/tests/test_scale_latency.py
@@ -13,4 +13,4 @@
     figures = {figure.name: figure for figure in result.figures}
     assert 0 < figures["decision p50"].value < figures["added p50"].value < figures["added p99"].value + 1e-9
     assert figures["waiting for the counter p50"].origin is Origin.DERIVED
-    assert all(figure.budget is None for figure in result.figures)  # a quick run has no figures at the size
+    assert all(figure.budget is None for figure in result.figures)  # budgets apply only to full runs
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -54,7 +54,7 @@
     stalls.record_iteration(105.0)
     assert stalls.signal_sent_after(105.01) == 102.0
     stalls.record_iteration(105.1)
-    assert stalls.signal_sent_after(105.11) == 105.11  # one sent during the stall was handled earlier
+    assert stalls.signal_sent_after(105.11) == 105.11  # a signal sent during the stall was handled earlier
     for step in range(1, 21):
         stalls.record_iteration(105.0 + 0.1 * step)
     assert stalls.signal_sent_after(107.0) == 107.0
--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -201,7 +201,7 @@
 
 @async_test
 async def test_a_request_that_waited_during_a_stall_between_wake_up_and_read_has_less_time() -> None:
-    """The event loop reads its clock before the stall, and the request after it with that earlier time."""
+    """The event loop reads its clock before the stall; the request is read after it, with that time."""
     script = ScriptedDecisions(forward_to_s1)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
