--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -84,7 +84,7 @@
 
     async with running_server(respond_twice) as address, PoolHarness(address) as harness:
         assert (await harness.fetch()).response_body == b"hi"
-        _, completed = harness.start()  # at once, before the duplicate arrives
+        _, completed = harness.start()  # the duplicate has not arrived yet
         release.set()
         assert (await completed).response_body == b"hi"
 
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -117,7 +117,7 @@
         client.set_timeout(10.0)
         served = increment(client, 1)
         await server.requests.get()
-        standby.write(b"ok 2\r\n")  # before the unresponsive connection is closed
+        standby.write(b"ok 2\r\n")  # the unresponsive connection is still open
         assert await served == (CallStatus.OK, 2.0)
         await server.connections.get()  # the next standby
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -74,7 +74,7 @@
     def __init__(self, endpoint: str) -> None:
         self._endpoint = endpoint
         self._servers = list[asyncio.Server]()
-        self.ports = (free_port(), free_port())  # of discovery and of the counter
+        self.ports = (free_port(), free_port())  # ports of discovery and the counter
         self.list_sent = asyncio.Event()
         self.counter_reached = asyncio.Event()
 
--- a/tests/test_endpoint_set.py
+++ b/tests/test_endpoint_set.py
@@ -28,7 +28,7 @@
 
 def test_removed_endpoints_are_forgotten_once_they_have_no_attempt_in_flight() -> None:
     simulation = start_simulation("s0")
-    simulation.feed(make_request(0))  # in flight at s0
+    simulation.feed(make_request(0))  # this request is in flight at s0
     for number in range(1, 50):
         simulation.advance_to(simulation.now + 0.02)
         simulation.feed(endpoint_list(f"s{number}"))
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -89,7 +89,8 @@
     text = encode_handover(replace(STATE, endpoints=(warming,)), clock_offset=50.0)
     state = decode_handover(text.encode(), clock_offset=3650.0)
     assert state.endpoints[0].warming_since == 3700.0
-    assert state.endpoints[0].started_at == 1.5  # not converted: discovery reports it to both processes
+    # The start time is not converted, because discovery reports it to both processes.
+    assert state.endpoints[0].started_at == 1.5
     assert state.accounts[0].last_synchronised == 3607.0
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -41,7 +41,7 @@
 def test_request_class_that_is_registered_again_keeps_its_counts() -> None:
     metrics = Metrics(["lookup"])
     metrics.record_request("lookup", 200)
-    metrics.record_request("fresh", 200)  # not registered yet
+    metrics.record_request("fresh", 200)  # the class is not registered yet
     metrics.register_classes(["fresh", "lookup"])
     assert rendered(metrics)["app.handled.lookup.passed"] == 1
     assert rendered(metrics)["app.handled.fresh.passed"] == 0
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -121,7 +121,7 @@
     """The new process may have refilled its part since the last poll of the stalled process."""
     plan = model.Plan("capped", 1.0, 30.0, 90.0, ceiling_rate=CEILING_RATE, ceiling_burst=CEILING_BURST)
     old = Account(100.0, plan, "acct", 1, started_at=0.0, max_units=4.0)
-    old.ceiling_tokens = 0.0  # empty when the process stalls
+    old.ceiling_tokens = 0.0  # the bucket is empty when the process stalls
     new = Account(100.0, plan, "acct", 1, started_at=100.0, max_units=4.0, process_count=2)
     now = 100.0 + stall_seconds
     new.take_over(now, old.set_process_count(now, 2, alone_until=100.0))
--- a/tests/test_process_stalls.py
+++ b/tests/test_process_stalls.py
@@ -225,7 +225,7 @@
         request = http_request()
         other_reader, other_writer = await harness.limiter.connect()
         other_writer.write(request)
-        assert " 200 " in (await read_message(other_reader))[0]  # after all that was forwarded before
+        assert " 200 " in (await read_message(other_reader))[0]  # this request is forwarded after all others
         assert harness.endpoint.requests[-1][1]["x-request-id"].encode() in request
         assert len(harness.endpoint.requests) == 2
 
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -235,7 +235,7 @@
     late.endpoint_changes = history.endpoint_changes
     late.requests = history.requests
     late.attempts = history.attempts
-    late.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 7.0, 8.9))  # ended before the overload
+    late.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 7.0, 8.9))  # it ended before the overload
     assert violated_invariants(late) == [Invariant.SLOW_START]
     late.spans.append(Span(LimiterState.RUNNER_LATE, ALL_LIMITERS, 9.2, 9.4))
     assert violated_invariants(late) == []
--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -96,7 +96,7 @@
         close_client(client)
         time.sleep(STALL)
         request = http_request()
-        assert " 200 " in (await limiter.fetch(request))[0]  # after all that was forwarded before
+        assert " 200 " in (await limiter.fetch(request))[0]  # this request is forwarded after all others
         assert len(endpoint.requests) == served + 1
         assert endpoint.requests[-1][1]["x-request-id"].encode() in request
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -45,7 +45,7 @@
     assert endpoints_used(simulation, 100) == {"s1"}
     simulation.feed(model.EndpointUpdate((), complete=True))
     simulation.advance_to(simulation.now + 3)
-    assert execute(simulation, model.AdminCommand.RESTORE, "s0")  # not listed, but suspended
+    assert execute(simulation, model.AdminCommand.RESTORE, "s0")  # s0 is not listed, but suspended
     assert not execute(simulation, model.AdminCommand.RESTORE, "s0")
     assert not execute(simulation, model.AdminCommand.SUSPEND, "s7")
     simulation.feed(endpoint_list("s0", "s1"))
