--- a/tests/test_stalled_process.py
+++ b/tests/test_stalled_process.py
@@ -96,7 +96,7 @@
         close_client(client)
         time.sleep(STALL)
         request = http_request()
-        assert " 200 " in (await limiter.fetch(request))[0]  # after all that was forwarded before
+        assert " 200 " in (await limiter.fetch(request))[0]  # this request is forwarded after all others
         assert len(endpoint.requests) == served + 1
         assert endpoint.requests[-1][1]["x-request-id"].encode() in request
 
@@ -201,7 +201,7 @@
 
 @async_test
 async def test_a_request_that_waited_during_a_stall_between_wake_up_and_read_has_less_time() -> None:
-    """The event loop reads its clock before the stall, and the request after it with that earlier time."""
+    """The event loop reads its clock before the stall; the request is read after it, with that time."""
     script = ScriptedDecisions(forward_to_s1)
     endpoint = ScriptedEndpoint()
     async with limiter_with_endpoint(endpoint.handle_connection, script) as limiter:
